--- a/tests/run.js
+++ b/tests/run.js
@@ -8,8 +8,14 @@
 const here = dirname(fileURLToPath(import.meta.url));
 const uvu = join(dirname(createRequire(import.meta.url).resolve('uvu')), '..', 'bin.js');
 const wanted = new RegExp(process.argv[2] ?? '');
-const alone = new Set(['docs.test.js', 'path.test.js', 'product.test.js', 'settings.test.js']);
-const files = readdirSync(join(here, 'dist')).filter(
+/** Files that start real processes on fixed ports or bundle the product: one at a time. */
+const serialFiles = new Set([
+  'repository/documentation-examples.test.js',
+  'fleet/whole-path.test.js',
+  'ctl/command-line.test.js',
+  'platform/settings.test.js',
+]);
+const files = readdirSync(join(here, 'dist'), { recursive: true }).filter(
   (f) => f.endsWith('.test.js') && wanted.test(f),
 );
 const running = new Set();
@@ -46,7 +52,7 @@
 const many = pLimit(6);
 const one = pLimit(1);
 const ends = await Promise.all(
-  files.map((f) => (alone.has(f) ? one(() => many(() => run(f))) : many(() => run(f)))),
+  files.map((f) => (serialFiles.has(f) ? one(() => many(() => run(f))) : many(() => run(f)))),
 );
 clearTimeout(hard);
 const passed = ends.reduce((n, e) => n + e.passed, 0);
--- a/tests/src/draining.test.ts
+++ b/tests/src/control/draining-servers.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { DrainingRecord } from '@tillerstair/checker';
-import { assertNoBreach, five, recordsOf, ownerOf, worldUp } from './util.js';
+import { assertNoBreach, five, recordsOf, ownerOf, worldUp } from '../support/world-helpers.js';
 
 const draining = suite('servers that leave');
 const seeds = [11, 12, 13, 14];
--- a/tests/src/many-changes.test.ts
+++ b/tests/src/control/many-changes.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { digestOf, flatten, reduce } from '@tillerstair/state';
 import { World, type Machine } from '@tillerstair/sim';
-import { configText } from './util.js';
+import { configText } from '../support/world-helpers.js';
 
 const many = suite('hundreds of changes of a large configuration');
 
--- a/tests/src/operator-desk.test.ts
+++ b/tests/src/control/operator-answers.test.ts
@@ -5,8 +5,8 @@
 import { freePorts } from '@tillerstair/fleet';
 import { OperatorDesk, operatorPage } from '@tillerstair/platform';
 import { serveHttp } from '@tillerstair/wire';
-import { configText } from './util.js';
-import { way, whole, text, up, deskOf } from './operator-world.js';
+import { configText } from '../support/world-helpers.js';
+import { way, whole, text, up, deskOf } from '../support/operator-world.js';
 
 const telling = suite('what operators are told');
 
--- a/tests/src/operator.test.ts
+++ b/tests/src/control/operator.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { OperatorDesk } from '@tillerstair/platform';
 import { compiledOf, routeFor, routesOf } from '@tillerstair/state';
-import { way, engine, depot, whole, text, up, deskOf } from './operator-world.js';
+import { way, engine, depot, whole, text, up, deskOf } from '../support/operator-world.js';
 
 const operator = suite('the operator');
 
--- a/tests/src/orders.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -16,7 +16,7 @@
   type State,
   type TakenChanges,
 } from '@tillerstair/state';
-import { small } from './util.js';
+import { small } from '../support/world-helpers.js';
 
 const orders = suite('orders that are sent again');
 
--- a/tests/src/list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -6,7 +6,7 @@
 import { Life, SimClock, SimList, World } from '@tillerstair/sim';
 import { noLog, type Transport } from '@tillerstair/wire';
 import { ListWatch } from '@tillerstair/agent';
-import { listUp, press, everyFront } from './listing.js';
+import { listUp, press, everyFront } from '../support/listed-servers.js';
 
 const reading = suite('how the list of servers is read');
 
--- a/tests/src/list.test.ts
+++ b/tests/src/control/server-list.test.ts
@@ -2,8 +2,8 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { World, type Machine } from '@tillerstair/sim';
-import { assertNoBreach, configText, five, recordsOf, servers } from './util.js';
-import { type Listing, known, listUp, press, everyFront } from './listing.js';
+import { assertNoBreach, configText, five, recordsOf, servers } from '../support/world-helpers.js';
+import { type Listing, known, listUp, press, everyFront } from '../support/listed-servers.js';
 
 const list = suite('servers known from a list');
 
--- a/tests/src/disk-faults.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import type { Machine, World } from '@tillerstair/sim';
 import { PingResponse } from '@tillerstair/zen';
-import { configText, five, small, worldUp } from './util.js';
+import { configText, five, small, worldUp } from '../support/world-helpers.js';
 
 const disk = suite('disks that are full or stall');
 const seeds = [1, 2, 3, 4, 5];
--- a/tests/src/journal-memory.test.ts
+++ b/tests/src/journal/memory-use.test.ts
@@ -61,7 +61,7 @@
   try {
     const bytes = await writeLog(join(dir, 'store.log'));
     assert.ok(bytes > 38 * mb, `${bytes} bytes`);
-    const child = fileURLToPath(new URL('./journal-memory-child.js', import.meta.url));
+    const child = fileURLToPath(new URL('./memory-use-child.js', import.meta.url));
     const { stdout } = await promisify(execFile)(process.execPath, [
       child,
       dir,
--- a/tests/src/platform.test.ts
+++ b/tests/src/platform/adapter.test.ts
@@ -3,8 +3,7 @@
 import { createServer, type RequestListener } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { tmpdir } from 'node:os';
-import { dirname, join } from 'node:path';
-import { fileURLToPath } from 'node:url';
+import { join } from 'node:path';
 import { promisify } from 'node:util';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -18,6 +17,7 @@
   storeSettings,
 } from '@tillerstair/platform';
 import { RpcError } from '@tillerstair/wire';
+import { repositoryRoot } from '../support/repository.js';
 
 const adapter = suite('the adapter: settings and the list of servers');
 
@@ -179,11 +179,10 @@
 );
 
 adapter('the bundle is made, and says how it is called', async () => {
-  const root = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
   const run = promisify(execFile);
-  await run(process.execPath, [join(root, 'platform', 'build.mjs')]);
+  await run(process.execPath, [join(repositoryRoot, 'platform', 'build.mjs')]);
   const said = await run(process.execPath, [
-    join(root, 'target', 'tillerstair.cjs'),
+    join(repositoryRoot, 'target', 'tillerstair.cjs'),
     'nobody',
   ]).catch((e: unknown) => String(e));
   assert.match(
--- a/tests/src/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -2,8 +2,7 @@
 import { spawn, spawnSync, type ChildProcess } from 'node:child_process';
 import { mkdtemp, readFile, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
-import { dirname, join } from 'node:path';
-import { fileURLToPath } from 'node:url';
+import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { ask, freePorts, programs, until } from '@tillerstair/fleet';
@@ -17,10 +16,10 @@
 } from '@tillerstair/platform';
 import { seededRng, World } from '@tillerstair/sim';
 import { zenBounds, type ZenBounds } from '@tillerstair/zen';
-import { configText, servers } from './util.js';
+import { configText, servers } from '../support/world-helpers.js';
+import { repositoryRoot } from '../support/repository.js';
 
 const settings = suite('settings of unseen deployments, and settings read again');
-const root = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
 
 const withFolder = async <T>(work: (dir: string) => Promise<T>): Promise<T> => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-settings-'));
@@ -221,7 +220,7 @@
 });
 
 settings('the packages listed for a clean build can be installed', async () => {
-  const deploy = await readFile(join(root, 'deploy', 'system.toml'), 'utf8');
+  const deploy = await readFile(join(repositoryRoot, 'deploy', 'system.toml'), 'utf8');
   const listed = /^packages = \[([^\]]*)\]$/m.exec(deploy)?.[1];
   assert.type(listed, 'string');
   const names = [...(listed ?? '').matchAll(/"([a-z0-9.+-]+)"/g)].map((m) => m[1] ?? '');
@@ -236,7 +235,7 @@
 
 settings('a failure that nobody waited for is told and does not end a program', () => {
   const program = `
-    import { live } from '@tillerstair/settings';
+  import { live } from '@tillerstair/settings';
     const start = async () => {
       setImmediate(() => {
         void Promise.reject(new Error('nobody waits'));
--- a/tests/src/front-stop.test.ts
+++ b/tests/src/proxy/graceful-stop.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { passAt } from '@tillerstair/sim';
-import { five, ownerOf, passUp } from './util.js';
+import { five, ownerOf, passUp } from '../support/world-helpers.js';
 
 const frontStop = suite('a front that stops in order');
 const seeds = [21, 22, 23];
--- a/tests/src/carry-connections.test.ts
+++ b/tests/src/proxy/http-forwarding-connections.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { HttpBackend } from '@tillerstair/proxy';
 import type { Ended, Head, Passing } from '@tillerstair/session-owner';
-import { serverUp, type Up, reply, serverAt, frontUp, ask, named } from './http-server.js';
+import { serverUp, type Up, reply, serverAt, frontUp, ask, named } from '../support/http-server.js';
 
 const sharing = suite('connections of requests carried over HTTP');
 
--- a/tests/src/pass-tries.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -14,7 +14,7 @@
   runsOf,
   small,
   ownerOf,
-} from './util.js';
+} from '../support/world-helpers.js';
 
 const tries = suite('tries and queues of pass routes');
 
--- a/tests/src/pass-turn.test.ts
+++ b/tests/src/proxy/pass-route-streams.test.ts
@@ -13,7 +13,7 @@
   runsOf,
   small,
   ownerOf,
-} from './util.js';
+} from '../support/world-helpers.js';
 
 const turns = suite('streams on pass routes');
 const seeds = [21, 22, 23];
--- a/tests/src/pass.test.ts
+++ b/tests/src/proxy/pass-routes.test.ts
@@ -13,7 +13,7 @@
   runsOf,
   small,
   ownerOf,
-} from './util.js';
+} from '../support/world-helpers.js';
 
 const pass = suite('pass routes answered whole');
 
--- a/tests/src/answer-connections.test.ts
+++ b/tests/src/proxy/server-connections.test.ts
@@ -12,7 +12,7 @@
   send,
   withServer,
   good,
-} from './raw-server.js';
+} from '../support/raw-server.js';
 
 const queueing = suite('connections to servers, byte by byte');
 
--- a/tests/src/answers.test.ts
+++ b/tests/src/proxy/server-failures.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { hostClock } from '@tillerstair/wire';
-import { type Asked, answerOf, send, withServer, good } from './raw-server.js';
+import { type Asked, answerOf, send, withServer, good } from '../support/raw-server.js';
 
 const answers = suite('answers of servers, byte by byte');
 
--- a/tests/src/docs.test.ts
+++ b/tests/src/repository/documentation-examples.test.ts
@@ -1,14 +1,13 @@
 import { spawn } from 'node:child_process';
 import { readFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
-import { dirname, join } from 'node:path';
-import { fileURLToPath } from 'node:url';
+import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { configFor, Fleet, seoul, smallSizes, until } from '@tillerstair/fleet';
+import { repositoryRoot } from '../support/repository.js';
 
 const docs = suite('the examples in docs/getting-started.md');
-const root = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
 const house = { ...seoul, models: 2, services: 1 };
 const fleet = new Fleet({
   dir: join(tmpdir(), `tillerstair-docs-${process.pid}`),
@@ -24,7 +23,7 @@
 const shell = (script: string, env: ReadonlyMap<string, string>): Promise<string> =>
   new Promise((done) => {
     const child = spawn('bash', ['-c', script], {
-      cwd: root,
+      cwd: repositoryRoot,
       env: Object.fromEntries([...plain, ...env]),
     });
     let out = '';
@@ -56,7 +55,7 @@
 docs.after(() => fleet.close());
 
 docs('each block gives what stands below it', async () => {
-  const text = await readFile(join(root, 'docs', 'getting-started.md'), 'utf8');
+  const text = await readFile(join(repositoryRoot, 'docs', 'getting-started.md'), 'utf8');
   const blocks = [...text.matchAll(/```sh\n([\s\S]*?)```\n```text\n([\s\S]*?)```/g)];
   assert.ok(blocks.length >= 7, `${blocks.length} examples`);
   const [front = '', other = ''] = fleet.fronts;
--- a/tests/src/house.test.ts
+++ b/tests/src/repository/house-rules.test.ts
@@ -1,11 +1,9 @@
-import { readdir, readFile } from 'node:fs/promises';
-import { dirname, join } from 'node:path';
-import { fileURLToPath } from 'node:url';
+import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
+import { readSources } from '../support/repository.js';
 
 const house = suite('house rules');
-const root = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
 const daemons = [
   'wire',
   'journal',
@@ -19,15 +17,6 @@
   'settings',
 ];
 
-const sources = async (): Promise<ReadonlyMap<string, string>> => {
-  const out = new Map<string, string>();
-  const dirs = (await readdir(join(root, 'packages'))).map((p) => join('packages', p, 'src'));
-  for (const dir of [...dirs, join('platform', 'src'), join('tests', 'src')])
-    for (const f of await readdir(join(root, dir)))
-      if (f.endsWith('.ts')) out.set(join(dir, f), await readFile(join(root, dir, f), 'utf8'));
-  return out;
-};
-
 const hits = (all: ReadonlyMap<string, string>, wrong: RegExp): readonly string[] =>
   [...all].flatMap(([f, text]) =>
     text
@@ -36,23 +25,25 @@
   );
 
 house('no file is over 400 lines', async () => {
-  const long = [...(await sources())]
+  const long = [...(await readSources())]
     .filter(([, t]) => t.trimEnd().split('\n').length > 400)
     .map(([f]) => f);
   assert.equal(long, []);
 });
 
 house('no any, no casts', async () => {
-  const all = await sources();
+  const all = await readSources();
   assert.ok(all.size > 50);
-  const others = new Map([...all].filter(([f]) => !f.endsWith('house.test.ts')));
+  const others = new Map([...all].filter(([f]) => !f.endsWith('house-rules.test.ts')));
   assert.equal(hits(others, /[:<(]\s*any\b[\s,;)>[\]=]|<any>/), []);
   assert.equal(hits(others, /^(?!.*import).*[)\]}\w] as (?!const\b)[A-Z{\w]+(<|;|\)|,|\.|\[)/), []);
 });
 
 house('no daemon reads the wall clock, so a jump of it changes nothing', async () => {
   const own = new Map(
-    [...(await sources())].filter(([f]) => daemons.some((d) => f.startsWith(join('packages', d)))),
+    [...(await readSources())].filter(([f]) =>
+      daemons.some((d) => f.startsWith(join('packages', d))),
+    ),
   );
   assert.ok(own.size > 30);
   assert.equal(hits(own, /Date\.now|new Date|toISOString/), []);
@@ -60,14 +51,18 @@
 
 house('no daemon starts a process', async () => {
   const own = new Map(
-    [...(await sources())].filter(([f]) => daemons.some((d) => f.startsWith(join('packages', d)))),
+    [...(await readSources())].filter(([f]) =>
+      daemons.some((d) => f.startsWith(join('packages', d))),
+    ),
   );
   assert.equal(hits(own, /child_process|worker_threads|node:cluster/), []);
 });
 
 house('no test waits for time to pass', async () => {
   const tests = new Map(
-    [...(await sources())].filter(([f]) => f.startsWith('tests') && !f.endsWith('house.test.ts')),
+    [...(await readSources())].filter(
+      ([f]) => f.startsWith('tests') && !f.endsWith('house-rules.test.ts'),
+    ),
   );
   assert.equal(hits(tests, /setTimeout|sleep/), []);
 });
@@ -129,7 +124,7 @@
 );
 
 house('words of the platform stand in platform/ alone', async () => {
-  const all = await sources();
+  const all = await readSources();
   const others = new Map([...all].filter(([f]) => f.startsWith('packages')));
   assert.equal(hits(others, platformWords), []);
   assert.ok(
@@ -138,7 +133,7 @@
 });
 
 house("platform/ keeps to the packages' front doors", async () => {
-  const own = new Map([...(await sources())].filter(([f]) => f.startsWith('platform')));
+  const own = new Map([...(await readSources())].filter(([f]) => f.startsWith('platform')));
   assert.ok(own.size > 5);
   assert.equal(
     hits(own, /Date\.now|new Date|toISOString|child_process|worker_threads|node:cluster/),
@@ -193,8 +188,8 @@
   const wrong = new RegExp(
     `(?<![A-Za-z])(${withdrawnWords.join('|')})(?![a-z])|(?<![A-Z])(${camel.join('|')})(?![a-z])|\\b(${withdrawnNames.join('|')})\\b`,
   );
-  const all = await sources();
-  const others = new Map([...all].filter(([f]) => !f.endsWith('house.test.ts')));
+  const all = await readSources();
+  const others = new Map([...all].filter(([f]) => !f.endsWith('house-rules.test.ts')));
   const lines = [...others].flatMap(([f, text]) =>
     text
       .split('\n')
--- a/tests/src/lint.test.ts
+++ b/tests/src/repository/lint-suppressions.test.ts
@@ -1,19 +1,18 @@
 import { readFile } from 'node:fs/promises';
-import { dirname, join } from 'node:path';
-import { fileURLToPath } from 'node:url';
+import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
+import { repositoryRoot } from '../support/repository.js';
 
 const lint = suite('what still breaks a rule of the linter (issue 15)');
-const root = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
 const Suppressions = z.record(z.string(), z.record(z.string(), z.object({ count: z.number() })));
 
 /** Lowered with every mend, never raised: the linter came late, so that what stood then is counted and only shrinks. */
 const most = 778;
 
 lint('the counts of suppressed violations only shrink', async () => {
-  const text = await readFile(join(root, 'eslint-suppressions.json'), 'utf8');
+  const text = await readFile(join(repositoryRoot, 'eslint-suppressions.json'), 'utf8');
   const counts = Object.values(Suppressions.parse(JSON.parse(text))).flatMap((rules) =>
     Object.values(rules).map((r) => r.count),
   );
--- a/tests/src/overload.test.ts
+++ b/tests/src/session-owner/overload.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { ReplyRecord } from '@tillerstair/checker';
-import { small, worldUp } from './util.js';
+import { small, worldUp } from '../support/world-helpers.js';
 import { stormConfig } from '@tillerstair/sim';
 
 const overload = suite('more work than there are servers for');
--- a/tests/src/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -19,7 +19,7 @@
   tableOf,
 } from '@tillerstair/session-owner';
 import { lasting, RpcError } from '@tillerstair/wire';
-import { five, recordsOf, worldUp } from './util.js';
+import { five, recordsOf, worldUp } from '../support/world-helpers.js';
 
 const place = suite('placement, lines and weights');
 
--- a/tests/src/troubles.test.ts
+++ b/tests/src/sim/fault-table.test.ts
@@ -1,13 +1,11 @@
 /** The table of troubles in docs/never-list.md names every kind, and every fault of the storms. */
 import { existsSync } from 'node:fs';
 import { readFile } from 'node:fs/promises';
-import { dirname, join } from 'node:path';
-import { fileURLToPath } from 'node:url';
+import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { faultKinds } from '@tillerstair/sim';
-
-const root = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
+import { repositoryRoot } from '../support/repository.js';
 
 /** Every kind of trouble and the ways in which it comes, copied by hand from the page of kinds; '' is the plain way. */
 const kinds: readonly (readonly [string, readonly string[]])[] = [
@@ -87,7 +85,7 @@
   [...cell.matchAll(/`([^`]+)`/g)].map(([, name = '']) => name);
 
 const rows = async (): Promise<readonly Row[]> => {
-  const text = await readFile(join(root, 'docs', 'never-list.md'), 'utf8');
+  const text = await readFile(join(repositoryRoot, 'docs', 'never-list.md'), 'utf8');
   const section = text.slice(text.indexOf('## Every kind of trouble'));
   return section.split('\n').flatMap((line) => {
     const [, kind = '', faults = '', tests = ''] = line.split('|').map((cell) => cell.trim());
@@ -126,7 +124,7 @@
   for (const r of await rows()) {
     assert.ok(r.tests.length > 0, r.kind);
     assert.equal(
-      r.tests.filter((t) => !existsSync(join(root, 'tests', 'src', `${t}.test.ts`))),
+      r.tests.filter((t) => !existsSync(join(repositoryRoot, 'tests', 'src', `${t}.test.ts`))),
       [],
       r.kind,
     );
--- a/tests/src/never.test.ts
+++ b/tests/src/sim/never-list-under-failure.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { slotOf } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
-import { acts, assertNoBreach, five, recordsOf, small, ownerOf, worldUp } from './util.js';
+import { acts, assertNoBreach, five, recordsOf, small, ownerOf, worldUp } from '../support/world-helpers.js';
 
 const never = suite('never-list under failure');
 
--- a/tests/src/never-serving.test.ts
+++ b/tests/src/sim/never-list-while-serving.test.ts
@@ -11,7 +11,7 @@
   small,
   ownerOf,
   worldUp,
-} from './util.js';
+} from '../support/world-helpers.js';
 
 const serving = suite('never-list while serving goes on');
 
--- a/tests/src/storm-worker.ts
+++ b/tests/src/sim/storm-worker.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod';
 import { deploymentOf, faultKinds, planOf, Storm } from '@tillerstair/sim';
 import { checkRecords } from '@tillerstair/checker';
-import { assertNoBreach } from './util.js';
+import { assertNoBreach } from '../support/world-helpers.js';
 
 const stormMs = 40000;
 
--- a/tests/src/emptying.test.ts
+++ b/tests/src/store/emptying-stores.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { replicasWhole } from '@tillerstair/state';
 import type { World, Machine } from '@tillerstair/sim';
-import { configText, servers, worldUp } from './util.js';
+import { configText, servers, worldUp } from '../support/world-helpers.js';
 import {
   twoLosses,
   oneLoss,
@@ -13,7 +13,7 @@
   work,
   assertKept,
   ownersAnew,
-} from './replica-world.js';
+} from '../support/replica-world.js';
 
 const emptying = suite('emptying of stores');
 
--- a/tests/src/repair.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -2,8 +2,8 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { World, type Machine } from '@tillerstair/sim';
-import { assertNoBreach, configText, five, recordsOf, servers, small, worldUp } from './util.js';
-import { turns } from './repair-turns.js';
+import { assertNoBreach, configText, five, recordsOf, servers, small, worldUp } from '../support/world-helpers.js';
+import { turns } from '../support/repair-turns.js';
 
 const repair = suite('moves and growth');
 
--- a/tests/src/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -11,7 +11,7 @@
   type Member,
   type State,
 } from '@tillerstair/state';
-import { worldUp } from './util.js';
+import { worldUp } from '../support/world-helpers.js';
 import {
   twoLosses,
   oneLoss,
@@ -21,7 +21,7 @@
   work,
   assertKept,
   ownersAnew,
-} from './replica-world.js';
+} from '../support/replica-world.js';
 
 const replicas = suite('replicas');
 
--- a/tests/src/listing.ts
+++ b/tests/src/support/listed-servers.ts
@@ -1,6 +1,6 @@
 /** A world whose servers are known from a list. */
 import { SimList, World, type Machine, type WorldSizes } from '@tillerstair/sim';
-import { configText, five, servers } from './util.js';
+import { configText, five, servers } from './world-helpers.js';
 
 export interface Listing {
   readonly w: World;
--- a/tests/src/operator-world.ts
+++ b/tests/src/support/operator-world.ts
@@ -2,7 +2,7 @@
 import type { Outcome } from '@tillerstair/control';
 import { OperatorDesk } from '@tillerstair/platform';
 import { World } from '@tillerstair/sim';
-import { small } from './util.js';
+import { small } from './world-helpers.js';
 
 export const way = (name: string, more: object = {}) => ({
   name,
--- a/tests/src/replica-world.ts
+++ b/tests/src/support/replica-world.ts
@@ -1,7 +1,7 @@
 /** Worlds that bear one or two losses, work done in them, and the check that it was kept. */
 import * as assert from 'uvu/assert';
 import type { World, Machine, WorldSizes } from '@tillerstair/sim';
-import { acts, assertNoBreach, recordsOf } from './util.js';
+import { acts, assertNoBreach, recordsOf } from './world-helpers.js';
 
 export const siteBounds = {
   serveWithin: 12000,
--- a/tests/src/zen.test.ts
+++ b/tests/src/zen/discovery-under-failure.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { configText, five, small, worldUp } from './util.js';
+import { configText, five, small, worldUp } from '../support/world-helpers.js';
 
 const zen = suite('zen under failure');
 const seeds = [1, 2, 3, 4, 5];
--- a/tests/src/cut-off.test.ts
+++ b/tests/src/zen/partitioned-control.test.ts
@@ -4,7 +4,7 @@
 import { configHistory, type ConfigCall } from '@tillerstair/checker';
 import type { Operation } from '@tillerstair/control';
 import { ConfigCalls, seededRng, type Machine, type World } from '@tillerstair/sim';
-import { configText, small, worldUp } from './util.js';
+import { configText, small, worldUp } from '../support/world-helpers.js';
 
 const cutOff = suite('a control that is cut off');
 
--- a/tests/src/members.test.ts
+++ b/tests/src/zen/voting-members.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { World, type Machine, type WorldSizes } from '@tillerstair/sim';
-import { configText, restart, servers, worldUp } from './util.js';
+import { configText, restart, servers, worldUp } from '../support/world-helpers.js';
 
 const members = suite('voting controls');
 const seeds = [61, 62, 63];
