--- a/tests/guards.mjs
+++ b/tests/guards.mjs
@@ -15,12 +15,13 @@
   writeFileSync,
 } from 'node:fs';
 import { tmpdir } from 'node:os';
-import { basename, dirname, join } from 'node:path';
+import { dirname, join, relative } from 'node:path';
 import { fileURLToPath } from 'node:url';
 
 const root = join(dirname(fileURLToPath(import.meta.url)), '..');
 const guardFolder = join(root, 'tests', 'guards');
 const wanted = new RegExp(process.argv[2] ?? '');
+/** Folders at the root which neither the build nor a test needs as a copy. */
 const notCopied = new Set(['.git', 'node_modules', 'run', 'journal', 'target']);
 
 const guards = readdirSync(guardFolder)
@@ -40,7 +41,7 @@
   const copy = mkdtempSync(join(tmpdir(), 'guards-'));
   cpSync(root, copy, {
     recursive: true,
-    filter: (path) => !notCopied.has(basename(path)),
+    filter: (path) => !notCopied.has(relative(root, path)),
   });
   linkPackages(copy);
   symlinkSync(join(root, 'journal'), join(copy, 'journal'));
