--- /dev/null
+++ b/packages/checker/src/check.ts
@@ -0,0 +1,61 @@
+/**
+ * The checker's entry: all rules of the never-list (`docs/never-list.md`) against the records of one run. Records come
+ * from the callers and from the servers; the checker never asks the product itself.
+ */
+import { configHistory } from './config-history.js';
+import {
+  acknowledgedIsInForce,
+  drainingServersGetNothingNew,
+  poolsWereAllowed,
+  readBackIsNewest,
+  restartsServeAgain,
+  sharesAreMet,
+} from './configuration-rules.js';
+import { attemptsOfKeyRunOnce, operationsRunOnce } from './operation-rules.js';
+import { passRules } from './pass-rules.js';
+import { budgetsHold, historyIsFound } from './program-rules.js';
+import type { Records, ReplyRecord } from './records.js';
+import { refusedDidNotRun, repliesAreTrue, streamsAreUnbroken } from './reply-rules.js';
+import { defaultTolerances, type RuleResult, type Tolerances } from './rule-result.js';
+
+/** Checks every rule; the results come in the order of the never-list. */
+export const checkRecords = (
+  records: Records,
+  tolerances: Tolerances = defaultTolerances,
+): readonly RuleResult[] => [
+  operationsRunOnce(records),
+  attemptsOfKeyRunOnce(records, tolerances),
+  refusedDidNotRun(records),
+  repliesAreTrue(records),
+  budgetsHold(records),
+  historyIsFound(records, tolerances),
+  streamsAreUnbroken(records),
+  drainingServersGetNothingNew(records, tolerances),
+  sharesAreMet(records),
+  acknowledgedIsInForce(records, tolerances),
+  poolsWereAllowed(records),
+  readBackIsNewest(records),
+  configHistory(records.configCalls),
+  restartsServeAgain(records, tolerances),
+  ...passRules(records, tolerances),
+];
+
+const countBy = (
+  replies: readonly ReplyRecord[],
+  keyOf: (reply: ReplyRecord) => string,
+): ReadonlyMap<string, number> => {
+  const counts = new Map<string, number>();
+  for (const reply of replies) counts.set(keyOf(reply), (counts.get(keyOf(reply)) ?? 0) + 1);
+  return counts;
+};
+
+/** How many replies there are of each kind and outcome, such as `turn done`. */
+export const countReported = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
+  countBy(replies, ({ kind, reported }) => `${kind} ${reported}`);
+
+/** How many replies were not done, by outcome and error code. */
+export const countRefusals = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
+  countBy(
+    replies.filter((reply) => reply.reported !== 'done'),
+    ({ reported, errorCode }) => `${reported} ${errorCode || 'without a code'}`,
+  );
--- a/packages/checker/src/config-history.ts
+++ b/packages/checker/src/config-history.ts
@@ -1,24 +1,26 @@
-import type { RuleResult } from './results.js';
-
 /**
  * Checks the operators' calls on the configuration for linearizability against a versioned compare-and-set register.
  *
- * The register holds the newest version and the changes that were taken. A change is taken if it was taken before (it is
- * acknowledged again), or else if it builds on the newest version; it is refused otherwise. Each call with an answer must
- * take effect at one moment between its beginning and its end; one without a clear answer may take effect at any moment
- * after it began, or never.
+ * The register has the newest version and the changes that were accepted. A change is accepted if it was accepted before
+ * (it is acknowledged again), or else if it builds on the newest version; it is refused otherwise. Each call with an
+ * answer must take effect at one moment between its beginning and its end; one without a clear answer may take effect
+ * at any moment after it began, or never.
  *
  * The search is that of Wing and Gong. Calls that alter nothing are placed as soon as they fit, so it branches only
  * where several changes build on the same version, and states that were reached before are not searched again.
  */
+import type { RuleResult } from './rule-result.js';
+
+/** What an operator's call was answered. */
 export type ConfigAnswer =
-  | { readonly kind: 'taken' }
+  | { readonly kind: 'accepted' }
   | { readonly kind: 'refused' }
   | { readonly kind: 'value'; readonly version: number; readonly content: string }
   /** The call surely did nothing: it was invalid, or no master ran it. */
   | { readonly kind: 'no-effect' }
   | { readonly kind: 'unclear' };
 
+/** One call of an operator: what it asked for, when, and its answer. Times are in ms. */
 export interface ConfigCall {
   readonly what:
     | { readonly kind: 'read' }
@@ -40,125 +42,147 @@
 interface Register {
   readonly version: number;
   readonly content: string | undefined;
-  readonly taken: ReadonlySet<string>;
+  readonly accepted: ReadonlySet<string>;
 }
 
-const empty: Register = { version: 0, content: '', taken: new Set() };
+const emptyRegister: Register = { version: 0, content: '', accepted: new Set() };
 
-const changeIdOf = (c: ConfigCall): string | undefined =>
-  c.what.kind === 'change' ? c.what.changeId : undefined;
+const changeIdOf = ({ what }: ConfigCall): string | undefined =>
+  what.kind === 'change' ? what.changeId : undefined;
 
-const mustHappen = (c: ConfigCall): boolean => c.answer.kind !== 'unclear';
+const mustHappen = (call: ConfigCall): boolean => call.answer.kind !== 'unclear';
 
-const after = (r: Register, c: Change): Register => ({
-  version: c.version,
-  content: c.content,
-  taken: new Set(r.taken).add(c.changeId),
+const afterChange = (register: Register, change: Change): Register => ({
+  version: change.version,
+  content: change.content,
+  accepted: new Set(register.accepted).add(change.changeId),
 });
 
 /** Whether a call that alters nothing could have had its answer at this state. */
-const fits = (r: Register, c: ConfigCall): boolean => {
-  if (c.what.kind === 'read') {
-    if (c.answer.kind !== 'value' || c.answer.version !== r.version) return false;
-    return r.content === undefined || c.answer.content === r.content;
+const fits = (register: Register, { what, answer }: ConfigCall): boolean => {
+  if (what.kind === 'read') {
+    if (answer.kind !== 'value' || answer.version !== register.version) return false;
+    return register.content === undefined || answer.content === register.content;
   }
-  if (r.taken.has(c.what.changeId)) return c.answer.kind === 'taken';
-  return c.answer.kind === 'refused' && c.what.base !== r.version;
+  if (register.accepted.has(what.changeId)) return answer.kind === 'accepted';
+  return answer.kind === 'refused' && what.base !== register.version;
 };
 
 /** Whether a call may change the state from this one. */
-const applies = (r: Register, c: ConfigCall): c is ConfigCall & { readonly what: Change } =>
-  c.what.kind === 'change' &&
-  c.answer.kind !== 'refused' &&
-  c.what.base === r.version &&
-  !r.taken.has(c.what.changeId);
+const applies = (
+  register: Register,
+  call: ConfigCall,
+): call is ConfigCall & { readonly what: Change } =>
+  call.what.kind === 'change' &&
+  call.answer.kind !== 'refused' &&
+  call.what.base === register.version &&
+  !register.accepted.has(call.what.changeId);
 
 /** Whether a call without a clear answer may still alter something; versions only go up. */
-const mayStillApply = (r: Register, c: ConfigCall): boolean =>
-  c.what.kind === 'change' && c.what.base >= r.version && !r.taken.has(c.what.changeId);
+const mayStillApply = (register: Register, { what }: ConfigCall): boolean =>
+  what.kind === 'change' && what.base >= register.version && !register.accepted.has(what.changeId);
 
 /** The latest moment by which one of the calls that must happen has to have taken effect. */
 const deadlineOf = (pending: readonly ConfigCall[]): number =>
-  Math.min(...pending.filter(mustHappen).map((c) => c.answeredAt));
-
-/** Places every call that alters nothing and fits this state, and forgets calls without an answer that can do nothing more. */
-const settled = (r: Register, pending: readonly ConfigCall[]): readonly ConfigCall[] => {
-  let left = pending;
+  Math.min(...pending.filter(mustHappen).map((call) => call.answeredAt));
+
+/** Places every call that alters nothing and fits this state, and drops unclear calls that can do nothing more. */
+const unplacedCalls = (
+  register: Register,
+  pending: readonly ConfigCall[],
+): readonly ConfigCall[] => {
+  let remaining = pending;
   for (;;) {
-    const deadline = deadlineOf(left);
-    const next = left.filter((c) => {
-      if (c.answer.kind === 'unclear') return mayStillApply(r, c);
-      return c.calledAt > deadline || !fits(r, c);
+    const deadline = deadlineOf(remaining);
+    const next = remaining.filter((call) => {
+      if (call.answer.kind === 'unclear') return mayStillApply(register, call);
+      return call.calledAt > deadline || !fits(register, call);
     });
-    if (next.length === left.length) return left;
-    left = next;
+    if (next.length === remaining.length) return remaining;
+    remaining = next;
   }
 };
 
-const keyOf = (r: Register, pending: readonly (readonly [ConfigCall, number])[]): string => {
-  const orders = new Set(pending.flatMap(([c]) => changeIdOf(c) ?? []));
-  const taken = [...r.taken].filter((o) => orders.has(o)).sort();
-  return [r.version, r.content ?? '', pending.map(([, n]) => n).join(','), ...taken].join('|');
+/** A state of the search: two with one key lead to the same ends. */
+const searchKeyOf = (
+  register: Register,
+  pending: readonly ConfigCall[],
+  numberOf: ReadonlyMap<ConfigCall, number>,
+): string => {
+  const pendingIds = new Set(pending.flatMap((call) => changeIdOf(call) ?? []));
+  const accepted = [...register.accepted].filter((id) => pendingIds.has(id)).sort();
+  const numbers = pending.map((call) => numberOf.get(call) ?? 0).join(',');
+  return [register.version, register.content ?? '', numbers, ...accepted].join('|');
 };
 
-const listReport = (c: ConfigCall): string => {
-  const what =
-    c.what.kind === 'read'
-      ? 'a read'
-      : `change ${c.what.changeId} of ${c.what.base} to ${c.what.version}`;
-  const answer = c.answer.kind === 'value' ? `version ${c.answer.version}` : c.answer.kind;
-  return `${what} from ${c.calledAt.toFixed(0)} to ${c.answeredAt.toFixed(0)} got ${answer}`;
+const describeCall = ({ what, calledAt, answeredAt, answer }: ConfigCall): string => {
+  const operation =
+    what.kind === 'read' ? 'a read' : `change ${what.changeId} of ${what.base} to ${what.version}`;
+  const result = answer.kind === 'value' ? `version ${answer.version}` : answer.kind;
+  return `${operation} from ${calledAt.toFixed(0)} to ${answeredAt.toFixed(0)} got ${result}`;
 };
 
-interface Step {
+interface SearchState {
   readonly register: Register;
   readonly pending: readonly ConfigCall[];
 }
 
+/** The states that the next change could lead to; clear calls are tried before unclear ones (the last is taken first). */
+const successorsOf = ({ register, pending }: SearchState): readonly SearchState[] => {
+  const deadline = deadlineOf(pending);
+  const unclear = pending.filter((call) => !mustHappen(call));
+  const clear = pending.filter(mustHappen);
+  return [...unclear, ...clear].flatMap((call) =>
+    call.calledAt <= deadline && applies(register, call)
+      ? [
+          {
+            register: afterChange(register, call.what),
+            pending: pending.filter((other) => other !== call),
+          },
+        ]
+      : [],
+  );
+};
+
 /** The calls that fit no order of events, in the attempt that got furthest; empty where the history is linearizable. */
-const stuckAt = (calls: readonly ConfigCall[]): readonly ConfigCall[] => {
-  const number = new Map(calls.map((c, n) => [c, n]));
+const unexplainedCalls = (calls: readonly ConfigCall[]): readonly ConfigCall[] => {
+  const numberOf = new Map(calls.map((call, number) => [call, number]));
   const seen = new Set<string>();
-  const steps: Step[] = [{ register: empty, pending: calls }];
+  const stack: SearchState[] = [{ register: emptyRegister, pending: calls }];
   let fewest = Infinity;
-  let stuck: readonly ConfigCall[] = [];
-  for (let step = steps.pop(); step; step = steps.pop()) {
-    const { register } = step;
-    const pending = settled(register, step.pending);
-    const must = pending.filter(mustHappen);
-    if (must.length === 0) return [];
-    const key = keyOf(
-      register,
-      pending.map((c) => [c, number.get(c) ?? 0]),
-    );
+  let unexplained: readonly ConfigCall[] = [];
+  for (let state = stack.pop(); state; state = stack.pop()) {
+    const { register } = state;
+    const pending = unplacedCalls(register, state.pending);
+    const clear = pending.filter(mustHappen);
+    if (clear.length === 0) return [];
+    const key = searchKeyOf(register, pending, numberOf);
     if (seen.has(key)) continue;
     seen.add(key);
-    const deadline = deadlineOf(pending);
-    if (must.length < fewest) {
-      fewest = must.length;
-      stuck = must.filter((c) => c.calledAt <= deadline);
+    if (clear.length < fewest) {
+      const deadline = deadlineOf(pending);
+      fewest = clear.length;
+      unexplained = clear.filter((call) => call.calledAt <= deadline);
     }
-    const unclearFirst = [...pending.filter((c) => !mustHappen(c)), ...must];
-    for (const c of unclearFirst)
-      if (c.calledAt <= deadline && applies(register, c))
-        steps.push({ register: after(register, c.what), pending: pending.filter((x) => x !== c) });
+    stack.push(...successorsOf({ register, pending }));
   }
-  return stuck;
+  return unexplained;
 };
 
+/** How many of the calls that fit no order of events a breach names. */
+const namedCalls = 4;
+
 /** The rule that the calls of all operators together are as if each had taken effect at one moment. */
 export const configHistory = (calls: readonly ConfigCall[]): RuleResult => {
   const counted = calls.filter(
-    (c) => c.answer.kind !== 'no-effect' && (c.what.kind === 'change' || c.answer.kind === 'value'),
+    ({ what, answer }) =>
+      answer.kind !== 'no-effect' && (what.kind === 'change' || answer.kind === 'value'),
   );
-  const stuck = stuckAt([...counted].sort((a, b) => a.calledAt - b.calledAt));
-  const breaches =
-    stuck.length === 0
-      ? []
-      : [`no order of events explains: ${stuck.slice(0, 4).map(listReport).join('; ')}`];
+  const unexplained = unexplainedCalls([...counted].sort((a, b) => a.calledAt - b.calledAt));
+  const named = unexplained.slice(0, namedCalls).map(describeCall).join('; ');
   return {
     rule: "the operators' calls are as if each took effect at one moment",
     checked: counted.filter(mustHappen).length,
-    breaches,
+    breaches: unexplained.length === 0 ? [] : [`no order of events explains: ${named}`],
   };
 };
--- a/packages/checker/src/pass-rules.ts
+++ b/packages/checker/src/pass-rules.ts
@@ -1,136 +1,193 @@
-import type { PassRecord, ExecutionRecord, Records } from './records.js';
-import { group, type RuleResult, type Slack } from './results.js';
+/** Rules on pass routes, whose requests are forwarded as they came: at most one run, true bytes, chains and budgets. */
+import type { ExecutionRecord, PassRecord, Records } from './records.js';
+import { groupBy, type RuleResult, type Tolerances } from './rule-result.js';
 
-const runsOf = (r: Records): readonly ExecutionRecord[] =>
-  r.executed.filter((x) => x.kind === 'pass');
-const mayRepeat = (p: PassRecord): boolean =>
-  p.manner === 'repeatable' || (p.manner === 'stream' && p.resumable);
+/** One event of an event stream. */
+export interface StreamEvent {
+  readonly id: number;
+  readonly data: string;
+}
 
-/** The whole events of an answer: id and data, in order. */
-export const eventsOf = (body: string): readonly { readonly id: number; readonly data: string }[] =>
-  body.split('\n\n').flatMap((block) => {
+const eventSeparator = '\n\n';
+const dataPrefix = 'data: ';
+
+/** The complete events of a stream's body, in order; a torn one at the end is left out. */
+export const eventsOf = (body: string): readonly StreamEvent[] =>
+  body.split(eventSeparator).flatMap((block) => {
     const id = /^id: (\d+)$/m.exec(block)?.[1];
-    const data = block.split('\n').flatMap((l) => (l.startsWith('data: ') ? [l.slice(6)] : []));
+    const data = block
+      .split('\n')
+      .flatMap((line) => (line.startsWith(dataPrefix) ? [line.slice(dataPrefix.length)] : []));
     return id !== undefined && data.length > 0 ? [{ id: Number(id), data: data.join('\n') }] : [];
   });
 
+/** What a streamed turn adds to the chain of its conversation: the data of its events, a line each. */
 export const outputOf = (body: string): string =>
   eventsOf(body)
-    .map((e) => `${e.data}\n`)
+    .map((event) => `${event.data}\n`)
     .join('');
 
-const once = (r: Records): RuleResult => {
-  const byAttempt = group(runsOf(r), (x) => x.attempt);
-  const breaches: string[] = [];
-  const bare = r.passes.filter((p) => !mayRepeat(p));
-  for (const p of bare)
-    if ((byAttempt.get(p.attempt) ?? []).length > 1)
-      breaches.push(`try ${p.attempt} on ${p.path} ran more than once`);
-  const keyed = group(
-    runsOf(r).filter((x) => x.key !== ''),
-    (x) => x.key,
+const passExecutions = (records: Records): readonly ExecutionRecord[] =>
+  records.executed.filter((execution) => execution.kind === 'pass');
+
+type Executions = ReadonlyMap<string, readonly ExecutionRecord[]>;
+
+const byAttempt = (records: Records): Executions =>
+  groupBy(passExecutions(records), (execution) => execution.attempt);
+
+const byKey = (records: Records): Executions =>
+  groupBy(
+    passExecutions(records).filter((execution) => execution.key !== ''),
+    (execution) => execution.key,
   );
-  for (const [key, runs] of keyed)
-    if (runs.length > 1) breaches.push(`key ${key} of a pass route ran ${runs.length} times`);
+
+const passesByAttempt = (records: Records): ReadonlyMap<string, PassRecord> =>
+  new Map(records.passes.map((pass) => [pass.attempt, pass]));
+
+const mayRepeat = (pass: PassRecord): boolean =>
+  pass.manner === 'repeatable' || (pass.manner === 'stream' && pass.resumable);
+
+const passesRunOnce = (records: Records): RuleResult => {
+  const executions = byAttempt(records);
+  const unrepeatable = records.passes.filter((pass) => !mayRepeat(pass));
+  const repeatedAttempts = unrepeatable
+    .filter((pass) => (executions.get(pass.attempt) ?? []).length > 1)
+    .map((pass) => `attempt ${pass.attempt} on ${pass.path} ran more than once`);
+  const repeatedKeys = [...byKey(records)]
+    .filter(([, rows]) => rows.length > 1)
+    .map(([key, rows]) => `key ${key} of a pass route ran ${rows.length} times`);
   return {
     rule: 'no pass that may not be repeated runs twice',
-    checked: bare.filter((p) => byAttempt.has(p.attempt)).length,
-    breaches,
+    checked: unrepeatable.filter((pass) => executions.has(pass.attempt)).length,
+    breaches: [...repeatedAttempts, ...repeatedKeys],
   };
 };
 
-const refused = (r: Records): RuleResult => {
-  const executed = new Set(runsOf(r).map((x) => x.attempt));
-  const rows = r.passes.filter((p) => p.reported === 'refused' && !(p.manner === 'repeatable'));
-  const breaches = rows
-    .filter((p) => executed.has(p.attempt))
-    .map((p) => `try ${p.attempt} on ${p.path} was told refused (${p.errorCode}) and ran`);
+const refusedPassesDidNotRun = (records: Records): RuleResult => {
+  const executions = byAttempt(records);
+  const refused = records.passes.filter(
+    (pass) => pass.reported === 'refused' && pass.manner !== 'repeatable',
+  );
+  const breaches = refused
+    .filter((pass) => executions.has(pass.attempt))
+    .map(
+      (pass) => `attempt ${pass.attempt} on ${pass.path} was refused (${pass.errorCode}) and ran`,
+    );
   return {
-    rule: 'what was told refused on a pass route has not run',
-    checked: rows.length,
+    rule: 'what was reported refused on a pass route has not run',
+    checked: refused.length,
     breaches,
   };
 };
 
-const known = (r: Records): RuleResult => {
-  const tries = new Map(r.passes.map((p) => [p.attempt, p]));
-  const breaches = runsOf(r)
-    .filter((x) => !tries.has(x.attempt))
-    .map((x) => `server ${x.server} ran try ${x.attempt}, which nobody sent`);
-  return { rule: 'no pass runs that nobody sent', checked: runsOf(r).length, breaches };
+const executedPassesWereSent = (records: Records): RuleResult => {
+  const passes = passesByAttempt(records);
+  const executions = passExecutions(records);
+  const breaches = executions
+    .filter(({ attempt }) => !passes.has(attempt))
+    .map(({ server, attempt }) => `server ${server} ran attempt ${attempt}, which nobody sent`);
+  return { rule: 'no pass runs that nobody sent', checked: executions.length, breaches };
 };
 
-const whole = (r: Records): RuleResult => {
-  const byAttempt = group(runsOf(r), (x) => x.attempt);
-  const byKey = group(
-    runsOf(r).filter((x) => x.key !== ''),
-    (x) => x.key,
+/** Whether an execution gave this very body, or, on a resumable stream, the part of it after the resumption. */
+const gaveBody = (pass: PassRecord, execution: ExecutionRecord): boolean => {
+  if (!execution.complete) return false;
+  if (execution.reply === pass.body) return true;
+  return pass.manner === 'stream' && pass.resumable && pass.body.endsWith(execution.reply);
+};
+
+const donePassesHaveServerBytes = (records: Records): RuleResult => {
+  const attempts = byAttempt(records);
+  const keys = byKey(records);
+  const done = records.passes.filter((pass) => pass.reported === 'done');
+  const invented = done
+    .filter((pass) => {
+      const executions = pass.key === '' ? attempts.get(pass.attempt) : keys.get(pass.key);
+      return !(executions ?? []).some((execution) => gaveBody(pass, execution));
+    })
+    .map((pass) => `attempt ${pass.attempt} on ${pass.path} got an answer no server gave`);
+  const keyed = groupBy(
+    done.filter((pass) => pass.key !== ''),
+    (pass) => pass.key,
   );
-  const breaches: string[] = [];
-  const done = r.passes.filter((p) => p.reported === 'done');
-  for (const p of done) {
-    const runs = (p.key !== '' ? byKey.get(p.key) : byAttempt.get(p.attempt)) ?? [];
-    const bytes = runs.some((x) => x.complete && x.reply === p.body);
-    const joined =
-      p.manner === 'stream' &&
-      p.resumable &&
-      runs.some((x) => x.complete && p.body.endsWith(x.reply));
-    if (!bytes && !joined)
-      breaches.push(`try ${p.attempt} on ${p.path} got an answer no server gave`);
-  }
-  for (const [key, reported] of group(
-    done.filter((p) => p.key !== ''),
-    (p) => p.key,
-  ))
-    if (new Set(reported.map((p) => p.body)).size > 1) breaches.push(`key ${key} got two answers`);
-  return { rule: "a pass told done has its server's bytes", checked: done.length, breaches };
+  const ambiguous = [...keyed]
+    .filter(([, passes]) => new Set(passes.map((pass) => pass.body)).size > 1)
+    .map(([key]) => `key ${key} got two answers`);
+  return {
+    rule: "a pass reported done has its server's bytes",
+    checked: done.length,
+    breaches: [...invented, ...ambiguous],
+  };
 };
 
-const streams = (r: Records): RuleResult => {
-  const byAttempt = group(runsOf(r), (x) => x.attempt);
-  const rows = r.passes.filter((p) => p.manner === 'stream' && p.body !== '');
+const streamBreaches = (pass: PassRecord, replies: readonly string[]): readonly string[] => {
+  const { attempt, body } = pass;
+  const ids = eventsOf(body).map((event) => event.id);
   const breaches: string[] = [];
-  for (const p of rows) {
-    const events = eventsOf(p.body);
-    const made = (byAttempt.get(p.attempt) ?? []).map((x) => x.reply);
-    if (!p.body.endsWith('\n\n')) breaches.push(`try ${p.attempt} got a torn event`);
-    if (events.some((e, i) => e.id !== i))
-      breaches.push(`try ${p.attempt} has events ${events.map((e) => e.id).join(',')}`);
-    if (!p.resumable && !made.some((reply) => reply.startsWith(p.body)))
-      breaches.push(`try ${p.attempt} is stitched`);
-    if (
-      p.body
-        .split('\n\n')
-        .some((e) => e !== '' && !made.some((reply) => reply.includes(`${e}\n\n`)))
-    )
-      breaches.push(`try ${p.attempt} has an event no server made`);
-  }
+  if (!body.endsWith(eventSeparator)) breaches.push(`attempt ${attempt} got a torn event`);
+  if (ids.some((id, i) => id !== i))
+    breaches.push(`attempt ${attempt} has events ${ids.join(',')}`);
+  if (!pass.resumable && !replies.some((reply) => reply.startsWith(body)))
+    breaches.push(`attempt ${attempt} is stitched`);
+  const blocks = body.split(eventSeparator).filter((block) => block !== '');
+  const isFromServer = (block: string): boolean =>
+    replies.some((reply) => reply.includes(`${block}${eventSeparator}`));
+  if (!blocks.every(isFromServer)) breaches.push(`attempt ${attempt} has an event no server made`);
+  return breaches;
+};
+
+const passStreamsAreUnbroken = (records: Records): RuleResult => {
+  const executions = byAttempt(records);
+  const streams = records.passes.filter((pass) => pass.manner === 'stream' && pass.body !== '');
+  const breaches = streams.flatMap((pass) =>
+    streamBreaches(
+      pass,
+      (executions.get(pass.attempt) ?? []).map((execution) => execution.reply),
+    ),
+  );
   return {
     rule: 'no stream on a pass route skips, repeats or tears',
-    checked: rows.length,
+    checked: streams.length,
     breaches,
   };
 };
 
-const chains = (r: Records): RuleResult => {
-  const tries = new Map(r.passes.map((p) => [p.attempt, p]));
+interface Chain {
+  /** The prompt that a server has to see: every turn before it, whole, then its own input. */
+  readonly prompt: string;
+  /** The attempt at which the chain begins in what callers do not know as done; empty at its first turn. */
+  readonly unknownAttempt: string;
+}
+
+const chainOf = (pass: PassRecord, passes: ReadonlyMap<string, PassRecord>): Chain => {
+  let prompt = pass.input;
+  let previous = pass.after;
+  for (
+    let earlier = passes.get(previous);
+    earlier?.reported === 'done';
+    earlier = passes.get(previous)
+  ) {
+    prompt = earlier.input + outputOf(earlier.body) + prompt;
+    previous = earlier.after;
+  }
+  return { prompt, unknownAttempt: previous };
+};
+
+const passesRunWithTheirChain = (records: Records): RuleResult => {
+  const passes = passesByAttempt(records);
   const breaches: string[] = [];
   let checked = 0;
-  for (const x of runsOf(r)) {
-    const p = tries.get(x.attempt);
-    if (!p) continue;
-    let want = p.input;
-    let at = p.after;
-    for (let up = tries.get(at); up?.reported === 'done'; up = tries.get(at)) {
-      want = up.input + outputOf(up.body) + want;
-      at = up.after;
-    }
-    if (at !== '' && p.manner === 'stream') {
-      if (!tries.has(at)) breaches.push(`try ${x.attempt} ran though no turn ${at} was ever sent`);
+  for (const { attempt, server, said } of passExecutions(records)) {
+    const pass = passes.get(attempt);
+    if (!pass) continue;
+    const { prompt, unknownAttempt } = chainOf(pass, passes);
+    if (unknownAttempt !== '' && pass.manner === 'stream') {
+      if (!passes.has(unknownAttempt))
+        breaches.push(`attempt ${attempt} ran though no turn ${unknownAttempt} was ever sent`);
       continue;
     }
-    if (p.after !== '') checked++;
-    if (x.said !== want) breaches.push(`server ${x.server} ran try ${x.attempt} with another body`);
+    if (pass.after !== '') checked++;
+    if (said !== prompt) breaches.push(`server ${server} ran attempt ${attempt} with another body`);
   }
   return {
     rule: 'a pass runs with its body byte for byte, its chain before it',
@@ -139,19 +196,21 @@
   };
 };
 
-const budgets = (r: Records): RuleResult => {
+const passBudgetsHold = (records: Records): RuleResult => {
+  const turns = records.passes.filter((pass) => pass.manner === 'stream' && pass.program !== '');
   const breaches: string[] = [];
   let checked = 0;
-  const turns = r.passes.filter((p) => p.manner === 'stream' && p.program !== '');
-  for (const [program, rows] of group(turns, (p) => p.program)) {
-    const bound = rows.filter((p) => p.budget !== null);
-    if (bound.length === 0) continue;
-    const budget = Math.max(...bound.map((p) => p.budget ?? 0));
-    const most = Math.max(...bound.map((p) => p.most));
-    const got = rows.reduce((n, p) => n + eventsOf(p.body).length, 0);
-    if (got > budget / 2) checked++;
-    if (got > budget + most)
-      breaches.push(`callers received ${got} tokens of program ${program}, which has ${budget}`);
+  for (const [program, passes] of groupBy(turns, (pass) => pass.program)) {
+    const budgeted = passes.filter((pass) => pass.budget !== null);
+    if (budgeted.length === 0) continue;
+    const budget = Math.max(...budgeted.map((pass) => pass.budget ?? 0));
+    const longestTurn = Math.max(...budgeted.map((pass) => pass.most));
+    const received = passes.reduce((sum, pass) => sum + eventsOf(pass.body).length, 0);
+    if (received > budget / 2) checked++;
+    if (received > budget + longestTurn)
+      breaches.push(
+        `callers received ${received} tokens of program ${program}, which has ${budget}`,
+      );
   }
   return {
     rule: 'no program on pass routes hands out more than its budget and one turn',
@@ -160,29 +219,39 @@
   };
 };
 
-const history = (r: Records, s: Slack): RuleResult => {
-  const tries = new Map(r.passes.map((p) => [p.attempt, p]));
-  const rows = r.passes.filter((p) => {
-    const up = tries.get(p.after);
-    return up?.reported === 'done' && up.to < p.from && p.to - up.to <= s.historyMs;
+const missingStatuses: readonly number[] = [404, 410];
+
+const passHistoryIsFound = (records: Records, tolerances: Tolerances): RuleResult => {
+  const passes = passesByAttempt(records);
+  const followers = records.passes.filter((pass) => {
+    const previous = passes.get(pass.after);
+    return (
+      previous?.reported === 'done' &&
+      previous.to < pass.from &&
+      pass.to - previous.to <= tolerances.historyMs
+    );
   });
-  const breaches = rows
-    .filter((p) => p.status === 404 || p.status === 410)
-    .map((p) => `turn ${p.after} was told ${p.status} ${p.errorCode} to try ${p.attempt}`);
+  const breaches = followers
+    .filter((pass) => missingStatuses.includes(pass.status))
+    .map(
+      ({ after, status, errorCode, attempt }) =>
+        `turn ${after} was reported ${status} ${errorCode} to attempt ${attempt}`,
+    );
   return {
-    rule: 'a turn of a pass route answered whole is not reported missing',
-    checked: rows.length,
+    rule: 'a turn of a pass route answered in full is not reported missing',
+    checked: followers.length,
     breaches,
   };
 };
 
-export const passRules = (r: Records, s: Slack): readonly RuleResult[] => [
-  once(r),
-  refused(r),
-  known(r),
-  whole(r),
-  streams(r),
-  chains(r),
-  budgets(r),
-  history(r, s),
+/** The results of all rules on pass routes. */
+export const passRules = (records: Records, tolerances: Tolerances): readonly RuleResult[] => [
+  passesRunOnce(records),
+  refusedPassesDidNotRun(records),
+  executedPassesWereSent(records),
+  donePassesHaveServerBytes(records),
+  passStreamsAreUnbroken(records),
+  passesRunWithTheirChain(records),
+  passBudgetsHold(records),
+  passHistoryIsFound(records, tolerances),
 ];
--- a/packages/sim/src/config-calls.ts
+++ b/packages/sim/src/config-calls.ts
@@ -11,7 +11,7 @@
 const Value = z.object({ version: z.number(), text: z.string() });
 
 const answerToChange = (status: number): ConfigAnswer => {
-  if (status === 200) return { kind: 'taken' };
+  if (status === 200) return { kind: 'accepted' };
   if (status === 409 || status === 412) return { kind: 'refused' };
   return status === 503 || status === 400 || status === 422
     ? { kind: 'no-effect' }
--- a/tests/src/checker/checker.test.ts
+++ b/tests/src/checker/checker.test.ts
@@ -38,7 +38,7 @@
     { ...good, executed: [...good.executed, { ...executed, key: 'u/k' }] },
   ],
   [
-    'a try told unknown that ran, and another try of its key told refused',
+    'an attempt reported unknown that ran, and another attempt of its key reported refused',
     {
       ...good,
       reported: [...good.reported, { ...reported, attempt: 'i8', reported: 'refused', text: '' }],
@@ -98,7 +98,7 @@
     },
   ],
   [
-    'a repeatable pass that ran twice and was told refused once more',
+    'a repeatable pass that ran twice and was reported refused once more',
     {
       ...good,
       executed: [
--- a/tests/src/checker/doctored-records.test.ts
+++ b/tests/src/checker/doctored-records.test.ts
@@ -36,11 +36,11 @@
     { ...good, executed: [...good.executed, { ...executed, at: 5000 }] },
   ],
   [
-    'told refused has not run',
+    'reported refused has not run',
     { ...good, reported: [...good.reported, { ...reported, reported: 'refused', text: '' }] },
   ],
   [
-    'told refused has not run',
+    'reported refused has not run',
     {
       ...good,
       reported: [
@@ -268,7 +268,7 @@
   ],
   ['pass routes hands out', brokenOff(0, 1, 2, 3, 4, 5)],
   [
-    'of a pass route answered whole',
+    'of a pass route answered in full',
     {
       ...good,
       passes: [...passes, { ...next, attempt: 'a9', reported: 'refused', status: 404, body: '' }],
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -55,7 +55,7 @@
 });
 
 const answerOf = (o: Outcome | undefined): ConfigAnswer => {
-  if (o?.status === 200) return { kind: 'taken' };
+  if (o?.status === 200) return { kind: 'accepted' };
   if (o?.status === 412) return { kind: 'refused' };
   return o?.status === 503 || o?.status === 400 ? { kind: 'no-effect' } : { kind: 'unclear' };
 };
@@ -173,7 +173,7 @@
         else lost.push(o);
         if (status === 200) version = Math.max(version, next);
         const again = taken[Math.floor(rng() * taken.length)];
-        if (again && k % 4 === 0)
+        if (k % 4 === 0)
           assert.is((await d.send(again, anyControl()))?.status, 200, 'a taken order sent again');
       }
     };
