--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -1,6 +1,6 @@
 import { mkdirSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
-import { Ledger, ModelServer, ServiceServer } from '@tillerstair/stand-ins';
+import { ExecutionLog, ModelServer, ServiceServer } from '@tillerstair/stand-ins';
 import { freePorts, poolOf, zoneOf, type House, type Sizes } from './layout.js';
 import { ask, Operator } from './operator.js';
 import { Proc } from './proc.js';
@@ -40,7 +40,7 @@
 };
 
 export class Fleet {
-  readonly ledger = new Ledger();
+  readonly executions = new ExecutionLog();
   readonly relay = new Relay();
   readonly models: ModelServer[] = [];
   readonly services: ServiceServer[] = [];
@@ -81,7 +81,7 @@
         slots: 8,
         cacheKb: 2048,
       };
-      this.models.push(new ModelServer(spec, this.ledger));
+      this.models.push(new ModelServer(spec, this.executions));
     }
     for (let n = 0; n < house.services; n++) {
       const spec = {
@@ -91,7 +91,7 @@
         leastMs: 10,
         mostMs: 40,
       };
-      this.services.push(new ServiceServer(spec, this.ledger));
+      this.services.push(new ServiceServer(spec, this.executions));
     }
     await Promise.all([...this.models, ...this.services].map((s) => s.start()));
   }
@@ -176,7 +176,7 @@
 
   async register(): Promise<void> {
     for (const s of [...this.models, ...this.services])
-      await this.registerOne(s.spec.id, s.spec.pool, s.spec.addr);
+      await this.registerOne(s.options.id, s.options.pool, s.options.addr);
   }
 
   async registerOne(id: string, pool: string, addr: string): Promise<void> {
--- a/packages/fleet/src/run.ts
+++ b/packages/fleet/src/run.ts
@@ -176,7 +176,7 @@
       const records: Records = {
         ...noRecords,
         reported: this.traffic.reported,
-        executed: this.fleet.ledger.all(),
+        executed: this.fleet.executions.all(),
         configs: this.configs,
         drainings: this.drainings,
         restarts: this.restarts,
@@ -184,7 +184,7 @@
         readBack,
         perTurn: 64,
       };
-      const turns = this.fleet.ledger.all().filter((r) => r.kind === 'generate');
+      const turns = this.fleet.executions.all().filter((r) => r.kind === 'generate');
       const prompt = turns.reduce((n, r) => n + r.prompt, 0);
       return {
         records,
--- a/packages/fleet/src/scenarios.ts
+++ b/packages/fleet/src/scenarios.ts
@@ -86,8 +86,8 @@
 };
 
 const inUse = (run: Run): Run['fleet']['models'] => {
-  const used = new Set(run.fleet.ledger.all().map((r) => r.server));
-  return run.fleet.models.filter((m) => used.has(m.spec.id));
+  const used = new Set(run.fleet.executions.all().map((r) => r.server));
+  return run.fleet.models.filter((m) => used.has(m.options.id));
 };
 
 const markDraining = async (run: Run, id: string): Promise<number> => {
@@ -104,12 +104,12 @@
   await wait(1500);
   const { fleet } = run;
   for (const s of [...fleet.models.slice(0, 3), ...fleet.services.slice(0, 2)]) {
-    const at = await markDraining(run, s.spec.id);
+    const at = await markDraining(run, s.options.id);
     await wait(5000);
-    run.drainings.push({ server: s.spec.id, at, until: Date.now() });
+    run.drainings.push({ server: s.options.id, at, until: Date.now() });
     await s.stop();
     await s.start();
-    await fleet.registerOne(s.spec.id, s.spec.pool, s.spec.addr);
+    await fleet.registerOne(s.options.id, s.options.pool, s.options.addr);
   }
 };
 
@@ -119,7 +119,7 @@
   s.set({ draining: true });
   const at = Date.now();
   await wait(6000);
-  run.drainings.push({ server: s.spec.id, at, until: Date.now() });
+  run.drainings.push({ server: s.options.id, at, until: Date.now() });
   s.set({ draining: false });
 };
 
@@ -219,9 +219,9 @@
       const s = run.pick(inUse(run));
       const cut = cutOff(run, [run.pick(run.fleet.of('front'))], 7000);
       await wait(300);
-      const at = await markDraining(run, s.spec.id);
+      const at = await markDraining(run, s.options.id);
       await cut;
-      run.drainings.push({ server: s.spec.id, at, until: Date.now() });
+      run.drainings.push({ server: s.options.id, at, until: Date.now() });
     },
   }],
   ['replace-servers', { about: 'Servers are marked draining and replaced one by one', cuts: false, seconds: 32, aims: ['draining'], during: replaceServers }],
--- a/packages/fleet/src/traffic.ts
+++ b/packages/fleet/src/traffic.ts
@@ -66,7 +66,7 @@
       const words = this.words(n, i, key);
       const parent: string | null = after;
       const t: CallerRecord = await this.again(
-        () => c.turn(this.front(), program, parent, words, key),
+        () => c.turn(this.front(), { program, after: parent, words, key }),
         5,
       );
       if (t.reported === 'done') {
--- a/packages/stand-ins/src/main-model.ts
+++ b/packages/stand-ins/src/main-model.ts
@@ -1,7 +1,8 @@
 #!/usr/bin/env node
+/** Starts one stand-in model server as a process of its own. */
 import cac from 'cac';
-import { Ledger } from './ledger.js';
-import { ModelServer } from './model.js';
+import { ExecutionLog } from './execution-log.js';
+import { ModelServer } from './model-server.js';
 
 const cli = cac('stand-in-model');
 cli.option('--addr <addr>', 'IP:PORT to serve at');
@@ -15,7 +16,7 @@
 const addr: unknown = options['addr'];
 if (typeof addr === 'string') {
   const file: unknown = options['ledger'];
-  const spec = {
+  const serverOptions = {
     id: String(options['id']),
     pool: String(options['pool']),
     addr,
@@ -24,7 +25,10 @@
     msPerToken: Number(options['msPerToken']),
     prefillMsPerKb: Number(options['prefillMsPerKb']),
   };
-  await new ModelServer(spec, new Ledger(typeof file === 'string' ? file : undefined)).start();
+  await new ModelServer(
+    serverOptions,
+    new ExecutionLog(typeof file === 'string' ? file : undefined),
+  ).start();
 } else if (!options['help']) {
   process.stderr.write('stand-in-model: --addr: must be given\n');
   process.exit(2);
--- a/packages/stand-ins/src/main-service.ts
+++ b/packages/stand-ins/src/main-service.ts
@@ -1,7 +1,8 @@
 #!/usr/bin/env node
+/** Starts one stand-in service as a process of its own. */
 import cac from 'cac';
-import { Ledger } from './ledger.js';
-import { ServiceServer } from './service.js';
+import { ExecutionLog } from './execution-log.js';
+import { ServiceServer } from './service-server.js';
 
 const cli = cac('stand-in-service');
 cli.option('--addr <addr>', 'IP:PORT to serve at');
@@ -13,14 +14,17 @@
 const addr: unknown = options['addr'];
 if (typeof addr === 'string') {
   const file: unknown = options['ledger'];
-  const spec = {
+  const serverOptions = {
     id: String(options['id']),
     pool: String(options['pool']),
     addr,
     leastMs: 10,
     mostMs: 40,
   };
-  await new ServiceServer(spec, new Ledger(typeof file === 'string' ? file : undefined)).start();
+  await new ServiceServer(
+    serverOptions,
+    new ExecutionLog(typeof file === 'string' ? file : undefined),
+  ).start();
 } else if (!options['help']) {
   process.stderr.write('stand-in-service: --addr: must be given\n');
   process.exit(2);
--- a/tests/src/fleet/whole-path.test.ts
+++ b/tests/src/fleet/whole-path.test.ts
@@ -48,14 +48,24 @@
   const [a = '', b = ''] = fleet.fronts;
   const made = await caller.program(a, 500);
   assert.is(made.reported, 'done');
-  const first = await caller.turn(b, made.program, null, 'What is in stock? #k1', 'k1');
+  const first = await caller.turn(b, {
+    program: made.program,
+    after: null,
+    words: 'What is in stock? #k1',
+    key: 'k1',
+  });
   assert.is(first.reported, 'done');
   assert.equal(
     first.chunks,
     first.chunks.map((_, i) => i),
   );
   assert.ok(first.chunks.length > 0);
-  const second = await caller.turn(a, made.program, first.turn, 'And tomorrow? #k2', 'k2');
+  const second = await caller.turn(a, {
+    program: made.program,
+    after: first.turn,
+    words: 'And tomorrow? #k2',
+    key: 'k2',
+  });
   assert.is(second.reported, 'done');
   const fetched = await caller.fetch(b, made.program, first.turn);
   assert.is(fetched.text, first.text);
@@ -63,7 +73,7 @@
   const again = await caller.call(b, '/shop/stock/hold', { item: 3 }, 'op-1');
   assert.is(call.reported, 'done');
   assert.is(again.text, call.text);
-  assert.is(fleet.ledger.all().filter((r) => r.key === 'shop/op-1').length, 1);
+  assert.is(fleet.executions.all().filter((r) => r.key === 'shop/op-1').length, 1);
   const other = await caller.call(b, '/shop/stock/hold', { item: 4 }, 'op-1');
   assert.is(other.status, 422);
   assert.equal((await fleet.operator.config())?.text, text);
