--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,20 +1,20 @@
 import { z } from 'zod';
 import {
-  flatten,
+  encodeState,
   versionOf,
-  newer,
+  isNewerVersion,
   type StateVersion,
   type Member,
   type State,
 } from '@tillerstair/state';
 import {
-  RpcError,
+  type Clock,
+  createAbortController,
+  delay,
+  FeedError,
+  type Logger,
   toRpcError,
-  pause,
   type Transport,
-  type Clock,
-  type Log,
-  lasting,
 } from '@tillerstair/wire';
 import { MemoryElectionStore, ZenNode, type ZenBounds } from '@tillerstair/zen';
 import { ListWatch } from './list-watch.js';
@@ -32,7 +32,7 @@
   readonly bounds: ZenBounds;
   /** How long an agent that is told to stop may wait for a proxy that stops too, in ms. */
   readonly stopWithin: number;
-  readonly log: Log;
+  readonly log: Logger;
 }
 
 const Hello = z.object({ id: z.string(), addr: z.string(), http: z.string() });
@@ -47,7 +47,7 @@
 export class Agent {
   private zen: ZenNode | undefined;
   private list: ListWatch | undefined;
-  private readonly gone = lasting();
+  private readonly gone = createAbortController();
   private seen: unknown = [];
   private released: readonly unknown[] = [];
   private proxyId = '';
@@ -71,7 +71,7 @@
   async start(): Promise<void> {
     await this.p.transport.serve(async (rpc) => {
       const zen = this.zen;
-      if (!zen) throw new RpcError('no-proxy', 'the proxy beside this agent is not there');
+      if (!zen) throw new FeedError('no-proxy', 'the proxy beside this agent is not there');
       return zen.handle(rpc);
     });
     void this.run();
@@ -83,7 +83,7 @@
     const end = clock.now() + stopWithin;
     const learnBy = clock.now() + bounds.heartbeatInterval / 2;
     while (this.zen && !this.proxyStops && clock.now() < learnBy)
-      await pause(clock, bounds.heartbeatInterval / 20);
+      await delay(clock, bounds.heartbeatInterval / 20);
     while (
       this.zen &&
       this.proxyStops &&
@@ -97,10 +97,10 @@
             master.addr,
             'control/depart',
             { id: this.proxyId },
-            { within: bounds.heartbeatInterval },
+            { timeoutMs: bounds.heartbeatInterval },
           )
           .catch(() => undefined);
-      await pause(clock, bounds.heartbeatInterval / 8);
+      await delay(clock, bounds.heartbeatInterval / 8);
     }
     this.gone.abort();
     this.list?.stop();
@@ -131,7 +131,7 @@
               this.p.proxy,
               'front/hello',
               {},
-              { within: bounds.heartbeatInterval },
+              { timeoutMs: bounds.heartbeatInterval },
             ),
           );
           if (hello.id !== this.proxyId) await this.adopt(hello);
@@ -144,7 +144,7 @@
         log.debug(`The proxy does not reply: ${toRpcError(e).message}.`);
         if (this.zen && clock.now() - this.lastFed > bounds.failureTimeout) await this.dismiss();
       }
-      await pause(clock, bounds.heartbeatInterval / 4, this.gone.signal);
+      await delay(clock, bounds.heartbeatInterval / 4, this.gone.signal);
     }
   }
 
@@ -201,14 +201,14 @@
 
   private async feed(s: State | undefined): Promise<void> {
     const zen = this.zen;
-    if (!zen) throw new RpcError('no-proxy', 'the proxy beside this agent is not there');
-    const send = s && newer(versionOf(s), this.fedVersion);
+    if (!zen) throw new FeedError('no-proxy', 'the proxy beside this agent is not there');
+    const send = s && isNewerVersion(versionOf(s), this.fedVersion);
     const digest = s?.config?.digest ?? '';
     const known = digest !== '' && digest === this.fedConfig;
     const leaseRenewedAt = Math.min(zen.leaseRenewedAt, this.list?.leaseRenewedAt ?? -Infinity);
     const barred = this.list?.barred(s);
     const body = {
-      ...(send ? { state: [...flatten(s)].filter(([k]) => !known || k !== 'config') } : {}),
+      ...(send ? { state: [...encodeState(s)].filter(([k]) => !known || k !== 'config') } : {}),
       ...(send && known ? { config: digest } : {}),
       leaseRenewedAt: Number.isFinite(leaseRenewedAt) ? leaseRenewedAt : -1,
       ...(barred ? { barred } : {}),
@@ -218,11 +218,11 @@
     if (send) this.fedConfig = '';
     const fed = Fed.parse(
       await this.p.loop.call(this.p.proxy, 'front/feed', body, {
-        within: this.p.bounds.heartbeatInterval,
+        timeoutMs: this.p.bounds.heartbeatInterval,
       }),
     );
     if (send) this.fedConfig = digest;
-    if (fed.id !== this.proxyId) throw new RpcError('other-proxy', 'another proxy replied');
+    if (fed.id !== this.proxyId) throw new FeedError('other-proxy', 'another proxy replied');
     this.fedVersion = fed.applied;
     this.proxyStops = fed.stopping;
     this.seen = fed.seen;
--- a/packages/agent/src/list-watch.ts
+++ b/packages/agent/src/list-watch.ts
@@ -1,11 +1,17 @@
-import { ListReply, ListReport, slotOf, type Member, type State } from '@tillerstair/state';
 import {
-  lasting,
+  ServerListReply,
+  ServerListReport,
+  slotForKey,
+  type Member,
+  type State,
+} from '@tillerstair/state';
+import {
+  createAbortController,
   toRpcError,
-  pause,
+  delay,
   type Transport,
   type Clock,
-  type Log,
+  type Logger,
 } from '@tillerstair/wire';
 import type { ZenBounds, ZenNode } from '@tillerstair/zen';
 
@@ -17,16 +23,16 @@
   private listed: ReadonlySet<string> = new Set();
   private left: ReadonlySet<string> = new Set();
   private turn: number;
-  private readonly gone = lasting();
+  private readonly gone = createAbortController();
 
   constructor(
     private readonly clock: Clock,
     private readonly transport: Transport,
     private readonly bounds: ZenBounds,
-    private readonly log: Log,
+    private readonly log: Logger,
     key: string,
   ) {
-    this.turn = slotOf(key, 1 << 16);
+    this.turn = slotForKey(key, 1 << 16);
   }
 
   onListReport(body: unknown, askedAt: number): void {
@@ -34,7 +40,7 @@
       this.used = 'no';
       return;
     }
-    const reported = ListReport.parse(body);
+    const reported = ServerListReport.parse(body);
     this.used = 'yes';
     if (reported.age !== null) this.triedAt = Math.max(this.triedAt, askedAt - reported.age);
     if (reported.readAge !== null)
@@ -70,7 +76,7 @@
           ? zen.masterSeen === undefined && zen.leaseRenewedAt > -Infinity
           : this.used === 'yes' && now - readAt > bearable;
       if (late) await this.ask(zen, now + listEvery);
-      await pause(
+      await delay(
         this.clock,
         late ? Math.max(listEvery / 10, now + listEvery - this.clock.now()) : listEvery / 10,
         this.gone.signal,
@@ -97,8 +103,8 @@
   private async askOne(member: Member, within: number): Promise<'read' | 'unread' | 'silent'> {
     const askedAt = this.clock.now();
     try {
-      const reply = ListReply.parse(
-        await this.transport.call(member.addr, 'control/list', {}, { within }),
+      const reply = ServerListReply.parse(
+        await this.transport.call(member.addr, 'control/list', {}, { timeoutMs: within }),
       );
       if (!reply.reported) {
         if (this.used === 'unknown') this.used = 'no';
@@ -112,7 +118,7 @@
     }
   }
 
-  private take(reply: ListReply, reported: ListReport, askedAt: number): void {
+  private take(reply: ServerListReply, reported: ServerListReport, askedAt: number): void {
     this.used = 'yes';
     this.left = new Set([...this.left, ...reply.draining]);
     if (reported.readAge !== null && askedAt - reported.readAge > this.ownRead) {
--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
-import { allocate, replicasToWrite, reduce, type State } from '@tillerstair/state';
-import { pause, type TimerHandle, type Clock, type Log } from '@tillerstair/wire';
+import { allocate, replicasToWrite, reduceState, type State } from '@tillerstair/state';
+import { delay, type TimerHandle, type Clock, type Logger } from '@tillerstair/wire';
 import type { MasterView, ZenBounds } from '@tillerstair/zen';
 
 export const FrontReport = z.object({
@@ -35,7 +35,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly bounds: ZenBounds,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   readonly learn = (s: State): void => {
@@ -128,7 +128,8 @@
     this.master
       ?.submit((s) =>
         released.reduce(
-          (t, [slot, ownershipEpoch]) => reduce(t, { kind: 'transferred', slot, ownershipEpoch }),
+          (t, [slot, ownershipEpoch]) =>
+            reduceState(t, { kind: 'transferred', slot, ownershipEpoch }),
           s,
         ),
       )
@@ -152,7 +153,7 @@
   async run(master: MasterView): Promise<void> {
     this.master = master;
     while (!master.lost.aborted) {
-      await pause(this.clock, this.bounds.heartbeatInterval / 2, master.lost);
+      await delay(this.clock, this.bounds.heartbeatInterval / 2, master.lost);
       const s = master.committed;
       if (master.lost.aborted || !s) continue;
       this.unresponsiveStores = this.lostStores(s, master);
@@ -161,11 +162,12 @@
       await master
         .submit((t) => {
           const marked = [...downs].reduce(
-            (u, [id, down]) => reduce(u, { kind: 'server-mark', id, down }),
+            (u, [id, down]) => reduceState(u, { kind: 'server-mark', id, down }),
             t,
           );
           return overdue.reduce(
-            (u, [slot, ownershipEpoch]) => reduce(u, { kind: 'transferred', slot, ownershipEpoch }),
+            (u, [slot, ownershipEpoch]) =>
+              reduceState(u, { kind: 'transferred', slot, ownershipEpoch }),
             marked,
           );
         })
@@ -236,6 +238,6 @@
       )[0];
     if (!spare) return s;
     this.log.info(`Control ${out} is lost, ${spare.addr} takes its place.`);
-    return reduce(s, { kind: 'voters', out, in: spare });
+    return reduceState(s, { kind: 'voters', out, in: spare });
   }
 }
--- a/packages/control/src/list.ts
+++ b/packages/control/src/list.ts
@@ -1,30 +1,35 @@
-import { listInto, type Listed, type ListReply, type ListReport } from '@tillerstair/state';
+import {
+  applyServerList,
+  type ListedServer,
+  type ServerListReply,
+  type ServerListReport,
+} from '@tillerstair/state';
 import {
   isProgrammingError,
   toRpcError,
-  pause,
+  delay,
   RequestTimeoutError,
-  within,
+  withTimeout,
   type Clock,
-  type Log,
+  type Logger,
 } from '@tillerstair/wire';
 import type { MasterView, ZenBounds } from '@tillerstair/zen';
 
-export type { Listed } from '@tillerstair/state';
+export type { ListedServer } from '@tillerstair/state';
 
 export interface ServerList {
-  read(within: number): Promise<readonly Listed[]>;
+  read(within: number): Promise<readonly ListedServer[]>;
 }
 
 export interface Reading {
   readonly triedAt: number;
   readonly readAt: number;
-  readonly servers: readonly Listed[];
+  readonly servers: readonly ListedServer[];
 }
 
 const ageOf = (at: number, now: number): number | null => (at === -Infinity ? null : now - at);
 
-const reportOf = (r: Omit<Reading, 'servers'>, now: number): ListReport => ({
+const reportOf = (r: Omit<Reading, 'servers'>, now: number): ServerListReport => ({
   age: ageOf(r.triedAt, now),
   readAge: ageOf(r.readAt, now),
 });
@@ -38,7 +43,7 @@
     private readonly clock: Clock,
     private readonly list: ServerList,
     private readonly bounds: Pick<ZenBounds, 'listEvery'>,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   /** The pause between two readings, in ms. */
@@ -59,7 +64,7 @@
     const triedAt = this.clock.now();
     this.askedAt = triedAt;
     try {
-      const servers = await within(
+      const servers = await withTimeout(
         this.clock,
         this.every,
         this.list.read(this.every),
@@ -75,8 +80,8 @@
     return this.last;
   }
 
-  async reply(): Promise<ListReply> {
-    const late = pause(this.clock, this.every / 4).then(() => ({
+  async reply(): Promise<ServerListReply> {
+    const late = delay(this.clock, this.every / 4).then(() => ({
       ...this.last,
       triedAt: this.askedAt,
     }));
@@ -104,7 +109,7 @@
       const r = await this.reader.read();
       if (r.triedAt >= since) await this.reduce(master, r).catch(() => undefined);
       const rest = r.triedAt + this.reader.every - this.clock.now();
-      await pause(this.clock, Math.max(this.reader.every / 20, rest), master.lost);
+      await delay(this.clock, Math.max(this.reader.every / 20, rest), master.lost);
     }
   }
 
@@ -112,12 +117,13 @@
     const read = r.readAt === r.triedAt;
     const s = master.committed;
     if (!s) return;
-    if (read && listInto(s, r.servers) !== s) await master.submit((t) => listInto(t, r.servers));
+    if (read && applyServerList(s, r.servers) !== s)
+      await master.submit((t) => applyServerList(t, r.servers));
     if (master.lost.aborted || this.term !== master.term) return;
     this.held = { triedAt: r.triedAt, readAt: read ? r.readAt : this.held.readAt };
   }
 
-  reported(term: number | undefined): ListReport {
+  reported(term: number | undefined): ServerListReport {
     return term === this.term
       ? reportOf(this.held, this.clock.now())
       : { age: null, readAge: null };
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -1,6 +1,12 @@
 import { z } from 'zod';
-import { nodeViewOf, checkConfig, reduce, type NodeView, type Member } from '@tillerstair/state';
-import { RpcError, toRpcError, type RpcRequest } from '@tillerstair/wire';
+import {
+  nodeViewOf,
+  checkConfig,
+  reduceState,
+  type NodeView,
+  type Member,
+} from '@tillerstair/state';
+import { ElectionError, ProtocolError, type RpcRequest, toRpcError } from '@tillerstair/wire';
 import { ZenNode, type MasterView, type ZenParts } from '@tillerstair/zen';
 import { AllocationController } from './allocation-controller.js';
 import { ListPoll, ListReader, type ServerList } from './list.js';
@@ -66,26 +72,26 @@
     if (rpc.kind === 'control/list') return this.list?.reader.reply() ?? { open: [], draining: [] };
     if (rpc.kind === 'control/operate') {
       const m = this.zen.leading;
-      if (!m) throw new RpcError('not-master', 'this control is not master');
+      if (!m) throw new ElectionError('not-master', 'this control is not master');
       return operate(m, Operation.parse(rpc.body));
     }
     if (rpc.kind === 'control/depart') {
       const m = this.zen.leading;
-      if (!m) throw new RpcError('not-master', 'this control is not master');
+      if (!m) throw new ElectionError('not-master', 'this control is not master');
       const { id } = Departs.parse(rpc.body);
       await m.submit((s) =>
-        s.nodes.get(id)?.kind === 'front' ? reduce(s, { kind: 'retire', id, on: true }) : s,
+        s.nodes.get(id)?.kind === 'front' ? reduceState(s, { kind: 'retire', id, on: true }) : s,
       );
       return {};
     }
     if (rpc.kind === 'control/filled') {
       const m = this.zen.leading;
-      if (!m) throw new RpcError('not-master', 'this control is not master');
+      if (!m) throw new ElectionError('not-master', 'this control is not master');
       const f = Filled.parse(rpc.body);
-      await m.submit((s) => reduce(s, { kind: 'filled', ...f }));
+      await m.submit((s) => reduceState(s, { kind: 'filled', ...f }));
       return {};
     }
-    throw new RpcError('unknown-kind', `no such request: ${rpc.kind}`);
+    throw new ProtocolError('unknown-kind', `no such request: ${rpc.kind}`);
   }
 
   async operate(o: Operation): Promise<Outcome> {
@@ -144,7 +150,7 @@
     try {
       return Outcome.parse(
         await this.p.transport.call(master.addr, 'control/operate', o, {
-          within: this.p.bounds.failureTimeout,
+          timeoutMs: this.p.bounds.failureTimeout,
         }),
       );
     } catch (e) {
--- a/packages/control/src/operate.ts
+++ b/packages/control/src/operate.ts
@@ -1,20 +1,21 @@
 import { z } from 'zod';
 import {
   checkConfig,
-  digestOf,
+  configDigest,
   replicasToWrite,
   liveNodes,
   marginReport,
   changeIdOf,
-  reduce,
-  replicasWhole,
-  takenOutcome,
+  reduceState,
+  allSlotsAtFullMargin,
+  acceptedChangeOutcome,
   type ConfigRecord,
   type IsLive,
   type Member,
   type State,
 } from '@tillerstair/state';
-import { RpcError, toRpcError } from '@tillerstair/wire';
+import { OperationError, toRpcError } from '@tillerstair/wire';
+import { ForgottenChangeError, WrongBaseError } from './change-errors.js';
 import type { MasterView } from '@tillerstair/zen';
 
 export const Operation = z.object({ method: z.string(), path: z.string(), body: z.string() });
@@ -56,18 +57,6 @@
   }),
 });
 
-class WrongBase extends RpcError {
-  constructor(readonly current: number) {
-    super('wrong-base', `the configuration is at version ${current}`);
-  }
-}
-
-class Forgotten extends RpcError {
-  constructor(version: number) {
-    super('forgotten', `version ${version} is older than the record of taken changes`, 'unknown');
-  }
-}
-
 /** What tells a change apart: what it builds on, the version that it makes, and its order key. */
 interface ChangeName {
   readonly base: number;
@@ -77,25 +66,25 @@
 
 /** Whether a change was taken already; throws where it can no longer be, or where nobody knows any more. */
 const wasTaken = (s: State, c: ChangeName): boolean => {
-  const outcome = takenOutcome(s.taken, c.version, c.changeId);
+  const outcome = acceptedChangeOutcome(s.acceptedChanges, c.version, c.changeId);
   if (outcome === 'taken') return true;
-  if (outcome === 'forgotten') throw new Forgotten(c.version);
+  if (outcome === 'forgotten') throw new ForgottenChangeError(c.version);
   const current = s.config?.version ?? 0;
-  if (c.base !== current) throw new WrongBase(current);
+  if (c.base !== current) throw new WrongBaseError(current);
   return false;
 };
 
 /** The answer to a change of the configuration that failed, where it was refused for a reason of its own. */
 const refusalOf = (e: unknown): Outcome | undefined => {
-  if (e instanceof WrongBase) return no(409, 'wrong-base', e.message, { current: e.current });
-  if (e instanceof Forgotten) return unknown(e.message, 'GET /v1/config');
+  if (e instanceof WrongBaseError) return no(409, 'wrong-base', e.message, { current: e.current });
+  if (e instanceof ForgottenChangeError) return unknown(e.message, 'GET /v1/config');
   return undefined;
 };
 
 const putConfig = async (m: MasterView, text: string): Promise<Outcome> => {
   const { config, findings } = checkConfig(text);
   if (!config) return no(422, 'findings', `${findings.length} findings`, { findings });
-  const digest = digestOf(text);
+  const digest = configDigest(text);
   const compiled = JSON.stringify({ ...config, origin: undefined, order: undefined });
   const how = 'GET /v1/config and compare the digest, or hand in the same file again';
   const version = config.version ?? config.base + 1;
@@ -107,7 +96,7 @@
   const record: ConfigRecord = { version, text, digest, compiled, changeId: config.changeId ?? '' };
   try {
     const c = await m.decide((s) =>
-      wasTaken(s, name) ? s : reduce(s, { kind: 'config', record }),
+      wasTaken(s, name) ? s : reduceState(s, { kind: 'config', record }),
     );
     await m.inForce(c);
     const newest = c.state.config?.version ?? 0;
@@ -212,7 +201,7 @@
 
 const memberOf = (s: State, id: string): Member => {
   const member = findMember(s, id);
-  if (!member) throw new RpcError('missing', `no node ${id}`);
+  if (!member) throw new OperationError('missing', `no node ${id}`);
   return member;
 };
 
@@ -228,7 +217,7 @@
     const server = { id, ...got.data, draining: false, down: false, zone: '', places: 0 };
     return change(
       m,
-      (s) => reduce(s, { kind: 'server', server }),
+      (s) => reduceState(s, { kind: 'server', server }),
       (s) => s.servers.get(id),
     );
   }
@@ -236,15 +225,15 @@
     return change(
       m,
       (s) => {
-        if (!s.servers.has(id)) throw new RpcError('missing', `no server ${id}`);
-        return reduce(s, { kind: 'server-mark', id, draining: true });
+        if (!s.servers.has(id)) throw new OperationError('missing', `no server ${id}`);
+        return reduceState(s, { kind: 'server-mark', id, draining: true });
       },
       (s) => s.servers.get(id),
     );
   if (o.method === 'DELETE' && verb === '')
     return change(
       m,
-      (s) => reduce(s, { kind: 'server-gone', id }),
+      (s) => reduceState(s, { kind: 'server-gone', id }),
       () => ({ id, gone: true }),
     );
   return no(405, 'no-such-operation', `${o.method} ${o.path}`);
@@ -256,9 +245,9 @@
 const storeOf = (s: State, id: string): string => {
   const member = findMember(s, id);
   if (member && member.kind !== 'store')
-    throw new RpcError('missing', `${id} is a ${member.kind}, not a store`);
+    throw new OperationError('missing', `${id} is a ${member.kind}, not a store`);
   const found = member?.id ?? retiredOf(s, id);
-  if (found === undefined) throw new RpcError('missing', `no store ${id}`);
+  if (found === undefined) throw new OperationError('missing', `no store ${id}`);
   return found;
 };
 
@@ -271,7 +260,7 @@
     retiring: s.retiring.has(id),
     slotsHeld: held,
     slotsJoining: joiningReplicas,
-    done: s.retiring.has(id) && held === 0 && replicasWhole(s, liveNodes(s, isLive)),
+    done: s.retiring.has(id) && held === 0 && allSlotsAtFullMargin(s, liveNodes(s, isLive)),
   };
 };
 
@@ -288,20 +277,20 @@
       const member = findMember(s, id);
       found = member?.id ?? retiredOf(s, id) ?? id;
       if (member && member.kind !== kind)
-        throw new RpcError('refused', `${id} is a ${member.kind}, not a ${kind}`);
+        throw new OperationError('refused', `${id} is a ${member.kind}, not a ${kind}`);
       if (member ? s.retiring.has(found) === on : on && s.retiring.has(found)) return s;
-      if (!member) throw new RpcError('missing', `no node ${id}`);
+      if (!member) throw new OperationError('missing', `no node ${id}`);
       const rest = [...s.nodes.values()].filter(
         (x) => x.kind === kind && x.id !== member.id && !s.retiring.has(x.id),
       );
       if (on && kind === 'store' && rest.length < s.replication.replicas)
-        throw new RpcError(
+        throw new OperationError(
           'refused',
           `only ${rest.length} other stores would stay, ${s.replication.replicas} replicas are needed`,
         );
       if (on && kind === 'front' && rest.length < 1)
-        throw new RpcError('refused', 'no other front would stay');
-      return reduce(s, { kind: 'retire', id: member.id, on });
+        throw new OperationError('refused', 'no other front would stay');
+      return reduceState(s, { kind: 'retire', id: member.id, on });
     },
     (s) =>
       kind === 'store'
@@ -319,22 +308,23 @@
     m,
     (s) => {
       if (s.voters.current.join() !== s.voters.next.join())
-        throw new RpcError('refused', 'another change of controls is under way');
+        throw new OperationError('refused', 'another change of controls is under way');
       if (!add) {
         if (!s.voters.current.includes(id))
-          throw new RpcError('missing', `${id} is no voting control`);
+          throw new OperationError('missing', `${id} is no voting control`);
         if (s.voters.current.length <= 1)
-          throw new RpcError('refused', 'the last control cannot be taken out');
-        return reduce(s, { kind: 'voters', out: id, in: undefined });
+          throw new OperationError('refused', 'the last control cannot be taken out');
+        return reduceState(s, { kind: 'voters', out: id, in: undefined });
       }
       const member = memberOf(s, id);
-      if (member.kind !== 'control') throw new RpcError('refused', `${id} is a ${member.kind}`);
+      if (member.kind !== 'control')
+        throw new OperationError('refused', `${id} is a ${member.kind}`);
       if (!m.synced(member.id))
-        throw new RpcError(
+        throw new OperationError(
           'refused',
           `${id} does not hold the newest state on its disk yet; ask again`,
         );
-      return reduce(s, { kind: 'voters', out: '', in: member });
+      return reduceState(s, { kind: 'voters', out: '', in: member });
     },
     (s) => ({ controls: s.voters.next }),
   );
@@ -367,7 +357,7 @@
     if (o.method === 'PUT') return putConfig(m, o.body);
     if (o.method !== 'GET') return no(405, 'no-such-operation', `${o.method} ${o.path}`);
     return look(m, (s) => {
-      if (!s.config) throw new RpcError('missing', noConfig);
+      if (!s.config) throw new OperationError('missing', noConfig);
       const { version, text, digest, changeId } = s.config;
       return { version, text, digest, changeId };
     });
--- a/packages/control/src/weights.ts
+++ b/packages/control/src/weights.ts
@@ -1,5 +1,5 @@
-import { compiledOf, reduce, weightKey, type State } from '@tillerstair/state';
-import { pause, type Clock } from '@tillerstair/wire';
+import { compiledConfig, reduceState, weightKey, type State } from '@tillerstair/state';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { MasterView, ZenBounds } from '@tillerstair/zen';
 import type { AllocationController } from './allocation-controller.js';
 
@@ -11,7 +11,7 @@
   s: State,
   paces: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> => {
-  const config = compiledOf(s.config);
+  const config = compiledConfig(s.config);
   const out = new Map<string, number>();
   if (!config) return s.weights;
   if (!config.tuning) return new Map();
@@ -46,14 +46,14 @@
   bounds: ZenBounds,
 ): Promise<void> => {
   while (!m.lost.aborted) {
-    await pause(clock, bounds.heartbeatInterval * 2, m.lost);
+    await delay(clock, bounds.heartbeatInterval * 2, m.lost);
     const s = m.committed;
     if (m.lost.aborted || !s?.config) continue;
     const paces = allocationController.paces(s);
     await m
       .submit((t) => {
         const weights = tuned(t, paces);
-        return same(weights, t.weights) ? t : reduce(t, { kind: 'weights', weights });
+        return same(weights, t.weights) ? t : reduceState(t, { kind: 'weights', weights });
       })
       .catch(() => undefined);
   }
--- a/packages/ctl/src/compare.ts
+++ b/packages/ctl/src/compare.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod';
-import { newer, type StateVersion } from '@tillerstair/state';
+import { isNewerVersion, type StateVersion } from '@tillerstair/state';
 
 export const NodeViewReply = z.object({
   id: z.string(),
@@ -39,7 +39,11 @@
   for (const k of [...new Set([...fa.keys(), ...fb.keys()])].sort())
     add(k, fa.get(k) ?? 'nothing', fb.get(k) ?? 'nothing');
   return {
-    newer: newer(a.applied, b.applied) ? 'a' : newer(b.applied, a.applied) ? 'b' : 'same',
+    newer: isNewerVersion(a.applied, b.applied)
+      ? 'a'
+      : isNewerVersion(b.applied, a.applied)
+        ? 'b'
+        : 'same',
     differences: out,
   };
 };
--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -6,18 +6,18 @@
 import { FolderDisk } from '@tillerstair/journal';
 import {
   checkConfig,
-  compiledOf,
-  diffOf,
-  flatten,
-  routesOf,
-  patch,
-  reduce,
-  unflatten,
+  compiledConfig,
+  diffStates,
+  encodeState,
+  buildRouteTable,
+  applyDiff,
+  reduceState,
+  decodeState,
   type State,
 } from '@tillerstair/state';
 import { prefixesOf, SlotReplicator, type TurnValue } from '@tillerstair/session-owner';
 import { ReplicaStore } from '@tillerstair/store';
-import { hostClock, noLog, type Transport } from '@tillerstair/wire';
+import { hostClock, silentLogger, type Transport } from '@tillerstair/wire';
 import { zenBounds } from '@tillerstair/zen';
 import type { Sweep, Values } from './capacity.js';
 import { closing, cpuMs, cpuMsOf, retainedMb } from './capacity-meter.js';
@@ -36,7 +36,7 @@
 const withOneDraining = (s: State): State => {
   const first = [...s.servers.keys()][0];
   return next(
-    first === undefined ? s : reduce(s, { kind: 'server-mark', id: first, draining: true }),
+    first === undefined ? s : reduceState(s, { kind: 'server-mark', id: first, draining: true }),
   );
 };
 
@@ -44,8 +44,8 @@
 const applyCost = async (z: StateSizes): Promise<Values> => {
   const [s, mb] = await retainedMb(() => stateOf(z));
   const t = withOneDraining(s);
-  const diff = diffOf(s, t);
-  const full = [...flatten(s)];
+  const diff = diffStates(s, t);
+  const full = [...encodeState(s)];
   const text = JSON.stringify(full);
   const wire = packed({ full });
   return new Map([
@@ -53,18 +53,18 @@
     ['state packed, bytes', wire.length],
     ['diff packed, bytes', packed({ diff }).length],
     ['state kept, MB', mb],
-    ['master: diff and pack, ms', cpuMs(() => packed({ diff: diffOf(s, t) }))],
-    ['master: pack whole, ms', cpuMs(() => packed({ full: [...flatten(s)] }))],
-    ['node: take a diff, ms', cpuMs(() => patch(s, diff))],
+    ['master: diff and pack, ms', cpuMs(() => packed({ diff: diffStates(s, t) }))],
+    ['master: pack whole, ms', cpuMs(() => packed({ full: [...encodeState(s)] }))],
+    ['node: take a diff, ms', cpuMs(() => applyDiff(s, diff))],
     [
       'node: take whole, ms',
       cpuMs(() => JSON.parse(inflateSync(Buffer.from(wire, 'base64')).toString())) +
-        cpuMs(() => unflatten(new Map(full))),
+        cpuMs(() => decodeState(new Map(full))),
     ],
     [
       'front: agent feeds its proxy, ms',
-      cpuMs(() => JSON.parse(JSON.stringify([...flatten(t)]))) +
-        cpuMs(() => unflatten(new Map(full))),
+      cpuMs(() => JSON.parse(JSON.stringify([...encodeState(t)]))) +
+        cpuMs(() => decodeState(new Map(full))),
     ],
   ]);
 };
@@ -91,7 +91,7 @@
   const report = reportOf(servers);
   const text = JSON.stringify(report);
   const [allocationController, mb] = await retainedMb(() => {
-    const k = new AllocationController(hostClock, bounds, noLog);
+    const k = new AllocationController(hostClock, bounds, silentLogger);
     for (let n = 0; n < fronts; n++) k.onReport(`f-${n}`, JSON.parse(text));
     return k;
   });
@@ -111,12 +111,12 @@
   const text = configOf(1, routes);
   const s = stateOf({ ...plainState, routes });
   const t = next(configured(s, routes + 1));
-  const diff = diffOf(s, t);
-  const u = patch(s, diff);
+  const diff = diffStates(s, t);
+  const u = applyDiff(s, diff);
   const take = (): void => {
-    const taken = patch(s, diff);
-    const config = compiledOf(taken?.config);
-    if (config) routesOf(config);
+    const taken = applyDiff(s, diff);
+    const config = compiledConfig(taken?.config);
+    if (config) buildRouteTable(config);
   };
   if (!u) throw new Error('the diff does not fit');
   return new Map([
@@ -166,18 +166,18 @@
   self: 'owner',
   call: async (_to, kind) => (kind === 'store/fence' ? { items: [], next: '' } : {}),
   serve: async () => undefined,
-  onLost: () => undefined,
+  onConnectionLost: () => undefined,
   close: async () => undefined,
 });
 
 const replicatorOf = async (): Promise<SlotReplicator> => {
   const state = stateOf(plainState);
-  const config = compiledOf(state.config);
-  const table = { state, config, routes: config ? routesOf(config) : new Map() };
+  const config = compiledConfig(state.config);
+  const table = { state, config, routes: config ? buildRouteTable(config) : new Map() };
   const k = new SlotReplicator(0, 0, {
     clock: hostClock,
     transport: stub(),
-    log: noLog,
+    log: silentLogger,
     table: () => table,
     putWithin: 1500,
     heartbeatInterval: 1000,
--- a/packages/fleet/src/capacity-rig.ts
+++ b/packages/fleet/src/capacity-rig.ts
@@ -1,4 +1,4 @@
-import { reduce, Server } from '@tillerstair/state';
+import { reduceState, Server } from '@tillerstair/state';
 import { stormConfig, World, type Heard, type WorldSizes } from '@tillerstair/sim';
 
 export type Role = 'master' | 'control' | 'store' | 'agent' | 'proxy' | 'loop';
@@ -46,7 +46,7 @@
     const c = await w.clock.finish(
       'servers',
       lead.submit((s) =>
-        serversOf(servers).reduce((t, server) => reduce(t, { kind: 'server', server }), s),
+        serversOf(servers).reduce((t, server) => reduceState(t, { kind: 'server', server }), s),
       ),
       20000,
     );
--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -7,9 +7,9 @@
 import { FolderDisk } from '@tillerstair/journal';
 import { Front } from '@tillerstair/proxy';
 import type { Backend } from '@tillerstair/session-owner';
-import { hostClock, noLog, pause, TcpTransport, type CallBounds } from '@tillerstair/wire';
+import { hostClock, silentLogger, delay, TcpTransport, type CallOptions } from '@tillerstair/wire';
 import { DiskElectionStore, zenBounds } from '@tillerstair/zen';
-import { reduce } from '@tillerstair/state';
+import { reduceState } from '@tillerstair/state';
 import { z } from 'zod';
 import type { Sweep, Values } from './capacity.js';
 import { closing, heapMb } from './capacity-meter.js';
@@ -35,7 +35,7 @@
   static asked = 0;
   static rounds = 0;
 
-  override call(to: string, kind: string, body: unknown, bounds: CallBounds): Promise<unknown> {
+  override call(to: string, kind: string, body: unknown, bounds: CallOptions): Promise<unknown> {
     Counted.asked++;
     if (kind === 'zen/ping') Counted.rounds++;
     return super.call(to, kind, body, bounds);
@@ -71,7 +71,7 @@
       retentionMs: 3600000,
       stopWithin: failureTimeout,
     },
-    log: noLog,
+    log: silentLogger,
     affinity: true,
   });
   const fed = new TcpTransport(at(feed));
@@ -86,7 +86,7 @@
     clock: hostClock,
     transport: new Counted(at(addr)),
     bounds,
-    log: noLog,
+    log: silentLogger,
     addr: at(addr),
     http: '',
     zone: `zone-${n % 3}`,
@@ -107,7 +107,7 @@
   for await (const _ of process.stdin) {
     const t0 = process.cpuUsage();
     const { asked, rounds } = Counted;
-    await pause(hostClock, measureMs);
+    await delay(hostClock, measureMs);
     const { user, system } = process.cpuUsage(t0);
     const sent = { asked: Counted.asked - asked, rounds: Counted.rounds - rounds };
     process.stdout.write(
@@ -120,7 +120,7 @@
   const t0 = hostClock.now();
   while (!ready()) {
     if (hostClock.now() - t0 > 60000) throw new Error(`${what}: not within a minute`);
-    await pause(hostClock, 50);
+    await delay(hostClock, 50);
   }
 };
 
@@ -149,7 +149,7 @@
       transport: new TcpTransport(addr),
       electionStore,
       bounds,
-      log: noLog,
+      log: silentLogger,
       slots: 64,
     });
     await node.start();
@@ -167,14 +167,14 @@
       const put = await node.operate({ method: 'PUT', path: '/v1/config', body: configOf(0, 20) });
       if (put.status !== 200) throw new Error(JSON.stringify(put));
       await node.zen.leading?.submit((s) =>
-        serversOf(servers).reduce((t, server) => reduce(t, { kind: 'server', server }), s),
+        serversOf(servers).reduce((t, server) => reduceState(t, { kind: 'server', server }), s),
       );
       await until('all fronts', () => node.zen.leading?.committed?.nodes.size === count + 1);
-      await pause(hostClock, 4000);
+      await delay(hostClock, 4000);
       child.stdin.write('measure\n');
       const lines = said.split('\n').length;
       const t0 = process.cpuUsage();
-      await pause(hostClock, measureMs);
+      await delay(hostClock, measureMs);
       const { user, system } = process.cpuUsage(t0);
       await until("the hollow fronts' figures", () => said.split('\n').length > lines);
       const reported = Measured.parse(JSON.parse(said.trimEnd().split('\n').at(-1) ?? ''));
--- a/packages/fleet/src/capacity-state.ts
+++ b/packages/fleet/src/capacity-state.ts
@@ -2,9 +2,9 @@
   allocate,
   checkConfig,
   ConfigRecord,
-  digestOf,
+  configDigest,
   bootstrapState,
-  reduce,
+  reduceState,
   weightKey,
   type Member,
   type State,
@@ -40,17 +40,17 @@
   const record = ConfigRecord.parse({
     version: (s.config?.version ?? 0) + 1,
     text,
-    digest: digestOf(text),
+    digest: configDigest(text),
     compiled: JSON.stringify(config),
   });
-  return reduce(s, { kind: 'config', record });
+  return reduceState(s, { kind: 'config', record });
 };
 
 export const stateOf = (z: StateSizes): State => {
   const controls = peers('control', 1, 5);
   const all = [...controls, ...peers('store', 2, 15), ...peers('front', 3, z.fronts)];
   const bootstrapped = bootstrapState('cluster', controls, z.slots);
-  const joined = all.reduce((s, member) => reduce(s, { kind: 'join', member }), bootstrapped);
+  const joined = all.reduce((s, member) => reduceState(s, { kind: 'join', member }), bootstrapped);
   const allotted = allocate(joined, {
     leastStores: 3,
     moves: z.slots,
@@ -60,5 +60,5 @@
   const servers = serversOf(z.servers);
   const served = { ...allotted, servers: new Map(servers.map((v) => [v.id, v])) };
   const weights = new Map(servers.map((v) => [weightKey(v.pool, v.id), 0.98]));
-  return configured(reduce(served, { kind: 'weights', weights }), z.routes);
+  return configured(reduceState(served, { kind: 'weights', weights }), z.routes);
 };
--- a/packages/fleet/src/capacity-world.ts
+++ b/packages/fleet/src/capacity-world.ts
@@ -1,11 +1,11 @@
-import { flatten } from '@tillerstair/state';
+import { encodeState } from '@tillerstair/state';
 import type { Sweep, Values } from './capacity.js';
 import { of, Rig, rigSizes, type Role, type Tally } from './capacity-rig.js';
 
 const idleMs = 10000;
 
 const stateBytes = (rig: Rig): number =>
-  JSON.stringify([...flatten(rig.w.committed ?? fail())]).length;
+  JSON.stringify([...encodeState(rig.w.committed ?? fail())]).length;
 const fail = (): never => {
   throw new Error('nothing is committed');
 };
--- a/packages/fleet/src/relay.ts
+++ b/packages/fleet/src/relay.ts
@@ -1,5 +1,5 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import { splitAddr } from '@tillerstair/wire';
+import { parseAddress } from '@tillerstair/wire';
 
 interface Pair {
   readonly from: string;
@@ -37,7 +37,7 @@
   serve(advertised: string, listen: string): Promise<void> {
     const server = createServer((near) => this.carry(near, advertised, listen));
     this.servers.push(server);
-    const { host, port } = splitAddr(advertised);
+    const { host, port } = parseAddress(advertised);
     return new Promise((done, fail) => {
       server.once('error', fail);
       server.listen(port, host, () => done());
@@ -56,7 +56,7 @@
       const hello: unknown = JSON.parse(head.toString('utf8', 0, nl));
       const from =
         hello !== null && typeof hello === 'object' && 'hello' in hello ? String(hello.hello) : '';
-      const far = connect(splitAddr(listen));
+      const far = connect(parseAddress(listen));
       far.setNoDelay(true);
       const pair: Pair = { from, to, near, far };
       this.pairs.add(pair);
--- a/packages/journal/src/disk.ts
+++ b/packages/journal/src/disk.ts
@@ -1,7 +1,7 @@
 import { constants } from 'node:fs';
 import { mkdir, open, readFile, rename, writeFile, unlink, type FileHandle } from 'node:fs/promises';
 import { dirname, join, resolve } from 'node:path';
-import { hostClock, pause, type Clock } from '@tillerstair/wire';
+import { hostClock, delay, type Clock } from '@tillerstair/wire';
 
 export interface DiskFile {
   /** The bytes of the file from its start; a chunk is valid until the next one is asked for. */
@@ -103,7 +103,7 @@
         return await FolderDisk.tryTake(path);
       } catch (e) {
         if (!isDiskTrouble(e)) throw e;
-        await pause(clock, lockRetryMs);
+        await delay(clock, lockRetryMs);
       }
     }
   }
--- a/packages/journal/src/journal.ts
+++ b/packages/journal/src/journal.ts
@@ -1,8 +1,8 @@
 /** A log of records on disk that are acknowledged once they are synced, and that mends itself after a failed write. */
-import { TaskQueue, pause, wholeMs, type TimerHandle } from '@tillerstair/wire';
+import { TaskQueue, delay, toTimerMs, type TimerHandle } from '@tillerstair/wire';
 import type { Disk, DiskFile } from './disk.js';
 import { chunksOf, Digest, frame, Scanner } from './frames.js';
-import { hostPace, JournalUnavailable, untilDiskTakes, type JournalPace } from './pace.js';
+import { hostPace, JournalUnavailableError, untilDiskTakes, type JournalPace } from './pace.js';
 
 interface Pending {
   readonly record: unknown;
@@ -112,7 +112,7 @@
 
   /** Throws if a record would be refused; to be asked before its owner changes what it holds. */
   mustBeWritable(): void {
-    if (this.failure !== undefined) throw new JournalUnavailable(this.name, this.failure, 'no');
+    if (this.failure !== undefined) throw new JournalUnavailableError(this.name, this.failure, 'no');
   }
 
   /** Says from what the whole file can be written anew: all records that were ever handed to `append`, in effect. */
@@ -192,8 +192,8 @@
 
   private limit(within: number, onLate: () => void): TimerHandle {
     const { clock } = this.pace;
-    let timer = clock.after(wholeMs(within * (1 - lastShare)), () => {
-      timer = clock.after(wholeMs(within * lastShare), onLate);
+    let timer = clock.after(toTimerMs(within * (1 - lastShare)), () => {
+      timer = clock.after(toTimerMs(within * lastShare), onLate);
     });
     return { stop: () => timer.stop() };
   }
@@ -202,7 +202,7 @@
     if (this.writable) this.pace.log?.warn(`${this.name} cannot be written: ${why}.`);
     this.failure ??= why;
     if (this.pending.length > 0) this.behind = true;
-    const error = new JournalUnavailable(this.name, why, 'unknown');
+    const error = new JournalUnavailableError(this.name, why, 'unknown');
     const waiting = [...batch, ...this.pending];
     this.pending = [];
     for (const p of waiting) p.fail(error);
@@ -230,7 +230,7 @@
       }
       const took = clock.now() - began;
       const wait = Math.min(Math.max(retryEvery, 2 * took), longestWait * retryEvery);
-      await pause(clock, wholeMs(wait), this.closing.signal);
+      await delay(clock, toTimerMs(wait), this.closing.signal);
     }
   }
 
--- a/packages/journal/src/pace.ts
+++ b/packages/journal/src/pace.ts
@@ -1,5 +1,5 @@
 /** The time bounds of writes to disk. */
-import { hostClock, RpcError, pause, type Clock, type Log, type Executed } from '@tillerstair/wire';
+import { hostClock, UnavailableError, delay, type Clock, type Logger, type ExecutionStatus } from '@tillerstair/wire';
 import { isDiskTrouble } from './disk.js';
 
 export interface JournalPace {
@@ -8,14 +8,16 @@
   readonly syncWithin: number;
   /** How long to wait between two attempts to write a file anew after a failure. */
   readonly retryEvery: number;
-  readonly log?: Log;
+  readonly log?: Logger;
 }
 
 export const hostPace: JournalPace = { clock: hostClock, syncWithin: 1500, retryEvery: 250 };
 
 /** Told to those whose record is not known to be on disk. */
-export class JournalUnavailable extends RpcError {
-  constructor(name: string, why: string, executed: Executed) {
+export class JournalUnavailableError extends UnavailableError {
+  override readonly name = 'JournalUnavailableError';
+
+  constructor(name: string, why: string, executed: ExecutionStatus) {
     super('unavailable', `${name} cannot be written: ${why}`, executed);
   }
 }
@@ -28,7 +30,7 @@
     } catch (e) {
       if (!isDiskTrouble(e)) throw e;
       if (tries === 0) pace.log?.warn(`${what} waits for the disk: ${e instanceof Error ? e.message : String(e)}.`);
-      await pause(pace.clock, pace.retryEvery);
+      await delay(pace.clock, pace.retryEvery);
     }
   }
 };
--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -1,10 +1,10 @@
 import { z } from 'zod';
 import {
   nodeViewOf,
-  Entries,
+  TableEntries,
   versionOf,
-  newer,
-  unflatten,
+  isNewerVersion,
+  decodeState,
   type NodeView,
   type State,
 } from '@tillerstair/state';
@@ -24,17 +24,20 @@
 } from '@tillerstair/session-owner';
 import {
   ConnectionRefusedError,
-  lasting,
+  createAbortController,
+  delay,
+  ElectionError,
+  FeedError,
+  OwnershipError,
   RpcError,
-  toRpcError,
-  pause,
   type RpcRequest,
+  toRpcError,
 } from '@tillerstair/wire';
 
 export type FrontParts = SessionOwnerParts;
 
 export const Feed = z.object({
-  state: Entries.optional(),
+  state: TableEntries.optional(),
   config: z.string().optional(),
   leaseRenewedAt: z.number(),
   barred: z.array(z.string()).optional(),
@@ -72,7 +75,7 @@
   readonly owner: SessionOwner;
   private agentTerm = 0;
   private master = '';
-  private readonly gone = lasting();
+  private readonly gone = createAbortController();
   private active = 0;
 
   constructor(readonly p: FrontParts) {
@@ -96,7 +99,7 @@
       clock.now() - from < linger;
     while (busy() && clock.now() - from < bounds.stopWithin) {
       if (clock.now() - from >= linger) this.owner.stopTaking();
-      await pause(clock, bounds.heartbeatInterval / 20);
+      await delay(clock, bounds.heartbeatInterval / 20);
     }
     this.owner.stop();
     await this.p.transport.close();
@@ -114,14 +117,14 @@
     const f = Feed.parse(body);
     const now = this.p.clock.now();
     const held = this.owner.current?.state;
-    const reported: State | undefined = f.state ? unflatten(new Map(f.state)) : undefined;
+    const reported: State | undefined = f.state ? decodeState(new Map(f.state)) : undefined;
     if (f.config !== undefined && f.config !== held?.config?.digest)
-      throw new RpcError('need-config', 'this front does not hold that configuration');
+      throw new FeedError('need-config', 'this front does not hold that configuration');
     const next =
       reported && f.config !== undefined ? { ...reported, config: held?.config } : reported;
     if (next && held && held.clusterId !== next.clusterId)
-      throw new RpcError('other-cluster', `this front is of cluster ${held.clusterId}`);
-    if (next && (!held || newer(versionOf(next), versionOf(held)))) this.owner.take(next);
+      throw new ElectionError('other-cluster', `this front is of cluster ${held.clusterId}`);
+    if (next && (!held || isNewerVersion(versionOf(next), versionOf(held)))) this.owner.take(next);
     if (f.term >= this.agentTerm) {
       this.agentTerm = f.term;
       this.master = f.master;
@@ -224,11 +227,11 @@
         const owner = this.owner.ownerOf(this.owner.slotFor(d.slotKey));
         if (owner === id) return checked(await this.local(d.kind, d.body, counting, gone));
         const member = this.owner.current?.state.nodes.get(owner);
-        if (!member) throw new RpcError('no-owner', 'no owner is known for this');
+        if (!member) throw new OwnershipError('no-owner', 'no owner is known for this');
         const watch = this.owner.watch(owner);
         const asked = transport.call(member.data, d.kind, d.body, {
-          within: d.within,
-          gone: AbortSignal.any([gone, watch.lost]),
+          timeoutMs: d.within,
+          signal: AbortSignal.any([gone, watch.lost]),
           onChunk: (chunk) => {
             const { n, text } = ChunkLine.parse(chunk);
             counting(n, text);
@@ -240,7 +243,7 @@
           if (!watch.lost.aborted || gone.aborted || emitted > 0) throw e;
           end = clock.now() + wait;
           mayHaveRun = true;
-          throw new RpcError('not-owner', 'the owner left the cluster');
+          throw new OwnershipError('not-owner', 'the owner left the cluster');
         } finally {
           watch.end();
         }
@@ -248,14 +251,13 @@
         errorCode = toRpcError(e);
       }
       const passing =
-        ['not-owner', 'taking-over', 'no-owner', 'route-unknown'].includes(errorCode.code) ||
-        errorCode instanceof ConnectionRefusedError;
+        errorCode instanceof OwnershipError || errorCode instanceof ConnectionRefusedError;
       const over = emitted > 0 || !passing || gone.aborted || clock.now() >= end;
       if (over)
         return mayHaveRun
           ? unknown(`the owner that had it left the cluster: ${errorCode.message}`)
           : outcomeOfError(errorCode);
-      await pause(clock, bounds.heartbeatInterval / 20);
+      await delay(clock, bounds.heartbeatInterval / 20);
     }
   }
 }
--- a/packages/proxy/src/pages.ts
+++ b/packages/proxy/src/pages.ts
@@ -1,9 +1,9 @@
 import { randomBytes } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
-import { rootOf } from '@tillerstair/state';
+import { rootProgramId } from '@tillerstair/state';
 import { opKeyOf, type CallOutcome } from '@tillerstair/session-owner';
-import { readBody, sendJson, type Page } from '@tillerstair/wire';
+import { readBody, sendJson, type HttpHandler } from '@tillerstair/wire';
 import type { Front } from './front.js';
 import type { Carry } from './passing.js';
 
@@ -74,7 +74,7 @@
   return ctl.signal;
 };
 
-export const callerPages = (front: Front, bodyMost: number, carry?: Carry): Page => {
+export const callerPages = (front: Front, bodyMost: number, carry?: Carry): HttpHandler => {
   const ownPid = (): string => {
     for (let n = 0; ; n++) {
       const pid = `p-${randomBytes(8).toString('hex')}`;
@@ -94,11 +94,11 @@
     const pid =
       body.parent === undefined
         ? ownPid()
-        : `${rootOf(body.parent)}~${randomBytes(6).toString('hex')}`;
+        : `${rootProgramId(body.parent)}~${randomBytes(6).toString('hex')}`;
     const ask = { tenant, pid, ...body };
     const within = front.p.bounds.heartbeatInterval * 5;
     const v = await front.forward(
-      { kind: 'front/program', slotKey: `p/${rootOf(pid)}`, body: ask, within },
+      { kind: 'front/program', slotKey: `p/${rootProgramId(pid)}`, body: ask, within },
       () => undefined,
       goneOf(res),
     );
@@ -133,7 +133,7 @@
       res.write(`${JSON.stringify({ n, text })}\n`);
     };
     const v = await front.forward(
-      { kind: 'front/turn', slotKey: `p/${rootOf(pid)}`, body: ask, within: callerWithin },
+      { kind: 'front/turn', slotKey: `p/${rootProgramId(pid)}`, body: ask, within: callerWithin },
       emit,
       goneOf(res),
     );
@@ -204,7 +204,7 @@
           const within = front.p.bounds.heartbeatInterval * 5;
           const d = {
             kind: 'front/history' as const,
-            slotKey: `p/${rootOf(pid)}`,
+            slotKey: `p/${rootProgramId(pid)}`,
             body: ask,
             within,
           };
--- a/packages/proxy/src/passing.ts
+++ b/packages/proxy/src/passing.ts
@@ -12,7 +12,7 @@
   type PassAsk,
   type CallOutcome,
 } from '@tillerstair/session-owner';
-import { BodyTooLarge, toRpcError } from '@tillerstair/wire';
+import { BodyTooLargeError, toRpcError } from '@tillerstair/wire';
 import { z } from 'zod';
 import { endToEnd, pairsOf } from './backend.js';
 import type { Dialect } from './dialect.js';
@@ -29,7 +29,7 @@
   for await (const part of req) {
     const b = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
     size += b.length;
-    if (size > most) throw new BodyTooLarge(`body is over ${most} bytes`);
+    if (size > most) throw new BodyTooLargeError(`body is over ${most} bytes`);
     parts.push(b);
   }
   return packed(Buffer.concat(parts));
@@ -205,7 +205,7 @@
       passedOn = true;
       answer(res, end(await passOn(front, ask, emit, stop.signal)));
     } catch (e) {
-      if (e instanceof BodyTooLarge) return refuse(res, 413, 'body-too-large', e.message);
+      if (e instanceof BodyTooLargeError) return refuse(res, 413, 'body-too-large', e.message);
       if (e instanceof Error && 'code' in e && e.code === 'not-ready')
         return refuse(
           res,
--- a/packages/proxy/src/start.ts
+++ b/packages/proxy/src/start.ts
@@ -6,7 +6,7 @@
   type ProxySettings,
   type Running,
 } from '@tillerstair/settings';
-import { hostClock, TcpTransport, wholeMs } from '@tillerstair/wire';
+import { hostClock, TcpTransport, toTimerMs } from '@tillerstair/wire';
 import { HttpBackend } from './backend.js';
 import { ownDialect, type Dialect } from './dialect.js';
 import { Front } from './front.js';
@@ -43,7 +43,7 @@
       : Math.max(leastConnections, Math.floor(most / (spareFronts * Math.max(1, fronts))));
   };
   const backend = new HttpBackend(
-    { connectWithin: wholeMs(outer.heartbeatInterval / 2), connections: connectionLimitOf },
+    { connectWithin: toTimerMs(outer.heartbeatInterval / 2), connections: connectionLimitOf },
     dialect,
   );
   const bounds = {
@@ -51,12 +51,12 @@
       return outer.heartbeatInterval;
     },
     get putWithin() {
-      return wholeMs(outer.failureTimeout / 2);
+      return toTimerMs(outer.failureTimeout / 2);
     },
     get readLease() {
-      return wholeMs((outer.drainingWithin * 5) / 6);
+      return toTimerMs((outer.drainingWithin * 5) / 6);
     },
-    poll: settings.asksServers ? wholeMs(settings.bounds.heartbeatInterval / 4) : 0,
+    poll: settings.asksServers ? toTimerMs(settings.bounds.heartbeatInterval / 4) : 0,
     retentionMs: settings.retentionMs,
     stopWithin: settings.stopWithin,
   };
--- a/packages/session-owner/src/admission-queue.ts
+++ b/packages/session-owner/src/admission-queue.ts
@@ -1,4 +1,4 @@
-import { RpcError, toRpcError, type Clock } from '@tillerstair/wire';
+import { AdmissionError, type Clock, RequestCancelledError, toRpcError } from '@tillerstair/wire';
 
 interface Waiter<T> {
   readonly until: number;
@@ -50,10 +50,15 @@
       this.paces.set(queue, { gap: this.paces.get(queue)?.gap ?? 0, movedAt: this.clock.now() });
     const wait = this.waitOf(queue, queue.size);
     if (queue.size >= this.most())
-      return Promise.reject(new RpcError('queue-full', 'the line is full', 'no', wait));
+      return Promise.reject(new AdmissionError('queue-full', 'the line is full', 'no', wait));
     if (queue.size > 0 && wait > within * admitted)
       return Promise.reject(
-        new RpcError('queue-timeout', 'the line is too long for the time there is', 'no', wait),
+        new AdmissionError(
+          'queue-timeout',
+          'the line is too long for the time there is',
+          'no',
+          wait,
+        ),
       );
     return new Promise<T>((done, fail) => {
       const leave = () => {
@@ -73,9 +78,9 @@
           fail(e);
         },
       };
-      const onGone = () => w.fail(new RpcError('gone', 'the caller is gone'));
+      const onGone = () => w.fail(new RequestCancelledError('no'));
       const timer = this.clock.after(within, () =>
-        w.fail(new RpcError('queue-timeout', 'no server came free in time')),
+        w.fail(new AdmissionError('queue-timeout', 'no server came free in time')),
       );
       gone.addEventListener('abort', onGone, { once: true });
       queue.add(w);
@@ -108,7 +113,9 @@
       for (const w of queue) {
         const wait = this.waitOf(queue, place);
         if (place > 0 && now + wait > w.until)
-          w.fail(new RpcError('queue-timeout', 'no server will come free in time', 'no', wait));
+          w.fail(
+            new AdmissionError('queue-timeout', 'no server will come free in time', 'no', wait),
+          );
         else place++;
       }
     }
--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 import type { RouteKind, Server } from '@tillerstair/state';
-import { RpcError, toRpcError, within } from '@tillerstair/wire';
+import { RpcError, toRpcError, UnavailableError, withTimeout } from '@tillerstair/wire';
 import type { Ended, Head } from './backend.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import type { SessionOwner } from './session-owner.js';
@@ -155,8 +155,8 @@
       if (run.digest !== job.digest)
         return refused(422, 'other-body', 'this key was used with another body');
       const left = job.end - this.s.p.clock.now();
-      const late = () => new RpcError('running', 'this key is at work');
-      return within(this.s.p.clock, left, run.outcome, late).catch(() =>
+      const late = () => new UnavailableError('running', 'this key is at work');
+      return withTimeout(this.s.p.clock, left, run.outcome, late).catch(() =>
         refused(409, 'running', 'this key is at work', 0.2),
       );
     }
--- a/packages/session-owner/src/messages.ts
+++ b/packages/session-owner/src/messages.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod';
-import { RpcError } from '@tillerstair/wire';
+import { OwnershipError, RpcError } from '@tillerstair/wire';
 
 export const CallOutcome = z.object({
   outcome: z.enum(['done', 'refused', 'unknown']),
@@ -49,7 +49,7 @@
 
 /** The front that took a request knows its route, but this one does not, or not any more: which of them is behind is not known. */
 export const routeUnknown = (path: string): RpcError =>
-  new RpcError('route-unknown', `this front holds no route for ${path}`, 'no', 300);
+  new OwnershipError('route-unknown', `this front holds no route for ${path}`, 'no', 300);
 
 export const ProgramAsk = z.object({
   tenant: z.string(),
--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { slotOf, weightKey, type Route, type Server } from '@tillerstair/state';
+import { slotForKey, weightKey, type Route, type Server } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import type { Backend, ServerLoad, Message } from './backend.js';
 import type { Candidate, PlaceContext, Policy, Seen } from './policies.js';
@@ -197,7 +197,7 @@
     const total = shares.reduce((n, s) => n + s.share, 0);
     const zone = state.nodes.get(this.self)?.zone ?? '';
     const tokens = parts.reduce((n, p) => n + p.tokens, 0);
-    const tie = (id: string): number => slotOf(`${this.self}|${id}`, 1 << 20);
+    const tie = (id: string): number => slotForKey(`${this.self}|${id}`, 1 << 20);
     const ctx: PlaceContext = {
       route,
       seen: (s) => this.seen(s),
--- a/packages/session-owner/src/quorum-ask.ts
+++ b/packages/session-owner/src/quorum-ask.ts
@@ -1,5 +1,5 @@
 /** Asking as few replicas as a quorum needs, and further ones only where an answer fails or is late. */
-import { pause, type Clock } from '@tillerstair/wire';
+import { delay, type Clock } from '@tillerstair/wire';
 
 /** A question to replicas that is answered once a quorum of them has replied. */
 export interface QuorumQuestion<T> {
@@ -45,7 +45,7 @@
     };
     const hedge = async (): Promise<void> => {
       while (next < ids.length) {
-        await pause(clock, hedgeAfterMs, over.signal);
+        await delay(clock, hedgeAfterMs, over.signal);
         if (over.signal.aborted) return;
         askNext();
       }
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -1,15 +1,25 @@
 import {
-  FoundTurns,
-  routeFor,
-  newerItem,
-  rootOf,
-  slotOf,
+  FindTurnResponse,
+  findRoute,
+  isNewerItem,
+  rootProgramId,
+  slotForKey,
   type Route,
   type RouteKind,
   type Server,
   type State,
 } from '@tillerstair/state';
-import { RpcError, pause, type Transport, type Clock, type Log, lasting } from '@tillerstair/wire';
+import {
+  AdmissionError,
+  type Clock,
+  createAbortController,
+  delay,
+  type Logger,
+  OwnershipError,
+  ReplicaError,
+  type Transport,
+  UnavailableError,
+} from '@tillerstair/wire';
 import type { Backend } from './backend.js';
 import { Calls } from './calls.js';
 import { AdmissionQueue } from './admission-queue.js';
@@ -37,7 +47,7 @@
   readonly transport: Transport;
   readonly backend: Backend;
   readonly bounds: SessionOwnerBounds;
-  readonly log: Log;
+  readonly log: Logger;
   readonly affinity: boolean;
 }
 
@@ -52,7 +62,7 @@
   private leaseRenewedAt = -Infinity;
   private readonly replicators = new Map<number, SlotReplicator>();
   private readonly watches = new Set<Watch>();
-  private readonly gone = lasting();
+  private readonly gone = createAbortController();
   readonly placement: Placement;
   private readonly admissionQueues = new Map<string, AdmissionQueue<Server>>();
   readonly streams: Streams;
@@ -97,7 +107,7 @@
         admissionQueue.review();
       }
       for (const k of this.replicators.values()) k.expire();
-      await pause(
+      await delay(
         this.p.clock,
         this.p.bounds.poll > 0 ? this.p.bounds.poll : this.p.bounds.heartbeatInterval / 4,
         this.gone.signal,
@@ -188,15 +198,15 @@
   requireLease(): Table {
     const r = this.readiness();
     if (!this.table || (!r.ready && this.table.config === undefined))
-      throw new RpcError('not-ready', r.why);
-    if (!this.leaseValid) throw new RpcError('not-ready', r.why);
+      throw new UnavailableError('not-ready', r.why);
+    if (!this.leaseValid) throw new UnavailableError('not-ready', r.why);
     return this.table;
   }
 
   slotFor(key: string): number {
     const state = this.table?.state;
-    if (!state) throw new RpcError('not-ready', 'no committed state yet');
-    return slotOf(key, state.slots.length);
+    if (!state) throw new UnavailableError('not-ready', 'no committed state yet');
+    return slotForKey(key, state.slots.length);
   }
 
   ownerOf(slot: number): string {
@@ -214,9 +224,9 @@
   replicator(key: string): SlotReplicator {
     const n = this.slotFor(key);
     const replicator = this.replicators.get(n);
-    if (!replicator) throw new RpcError('not-owner', `slot ${n} has another owner`);
+    if (!replicator) throw new OwnershipError('not-owner', `slot ${n} has another owner`);
     if (this.closing || !replicator.taking)
-      throw new RpcError('taking-over', `slot ${n} is being taken over`);
+      throw new OwnershipError('taking-over', `slot ${n} is being taken over`);
     return replicator;
   }
 
@@ -232,7 +242,7 @@
    */
   async findTurn(attempt: string): Promise<readonly (readonly [string, PassTurn])[]> {
     const state = this.table?.state;
-    if (!state) throw new RpcError('not-ready', 'no committed state yet');
+    if (!state) throw new UnavailableError('not-ready', 'no committed state yet');
     const slotsOn = new Map<string, number[]>();
     state.slots.forEach((slot, n) =>
       slot.replicas.forEach((id) => slotsOn.set(id, [...(slotsOn.get(id) ?? []), n])),
@@ -241,13 +251,13 @@
     const asked = await Promise.allSettled(
       [...slotsOn].map(async ([id, slots]) => {
         const member = state.nodes.get(id);
-        if (!member) throw new RpcError('away', `copy ${id} is away`);
-        const found = FoundTurns.parse(
+        if (!member) throw new ReplicaError('away', `copy ${id} is away`);
+        const found = FindTurnResponse.parse(
           await this.p.transport.call(
             member.addr,
             'store/find',
             { turn: attempt, slots },
-            { within: this.p.bounds.putWithin },
+            { timeoutMs: this.p.bounds.putWithin },
           ),
         );
         replied.add(id);
@@ -268,15 +278,15 @@
       slotsOn.size === 0 ||
       !state.slots.every((slot) => slot.replicas.length === 0 || covered(slot.replicas))
     )
-      throw new RpcError('unavailable', 'too few stores can tell');
+      throw new UnavailableError('unavailable', 'too few stores can tell');
     const newest = turns
       .filter((t) => t.name === attempt)
       .reduce<(typeof turns)[number] | undefined>(
-        (a, b) => (a && !newerItem(b.item, a.item) ? a : b),
+        (a, b) => (a && !isNewerItem(b.item, a.item) ? a : b),
         undefined,
       );
     if (newest?.turn.status === 'reserved')
-      throw new RpcError('not-finished', 'this turn has not finished');
+      throw new UnavailableError('not-finished', 'this turn has not finished');
     return [];
   }
 
@@ -292,16 +302,16 @@
   }
 
   programSlotKey(pid: string): string {
-    return `p/${rootOf(pid)}`;
+    return `p/${rootProgramId(pid)}`;
   }
 
   findRoute(kind: RouteKind, path: string): Route | undefined {
-    return this.table && routeFor(this.table.routes, kind, path);
+    return this.table && findRoute(this.table.routes, kind, path);
   }
 
   routeOf(kind: RouteKind, path: string): Route {
     const route = this.findRoute(kind, path);
-    if (!route) throw new RpcError('no-route', `no route takes ${kind}s at ${path}`);
+    if (!route) throw new AdmissionError('no-route', `no route takes ${kind}s at ${path}`);
     return route;
   }
 
@@ -317,7 +327,7 @@
     const usable = (): Route => {
       const route = this.routeOf(kind, path);
       if (!this.placement.usable(route, skip))
-        throw new RpcError('no-server', `no server of route ${route.name} is usable`);
+        throw new AdmissionError('no-server', `no server of route ${route.name} is usable`);
       return route;
     };
     const route = usable();
--- a/packages/session-owner/src/slot-replicator.ts
+++ b/packages/session-owner/src/slot-replicator.ts
@@ -1,25 +1,27 @@
 import {
-  replicasAfter,
-  groupOf,
+  replicasAfterJoin,
+  recordGroup,
   Item,
   replicasToWrite,
-  newerItem,
-  pagesFrom,
-  pagesOf,
-  ReadBack,
-  rootOf,
-  sameItem,
-  turnRetentionOf,
+  isNewerItem,
+  fetchPages,
+  splitIntoPages,
+  ReadResponse,
+  rootProgramId,
+  isSameItem,
+  turnRetentionLimitMs,
   type Slot,
 } from '@tillerstair/state';
 import {
-  RpcError,
+  type Clock,
+  delay,
+  type Logger,
+  OwnershipError,
+  ReplicaError,
   toRpcError,
-  pause,
-  wholeMs,
+  toTimerMs,
   type Transport,
-  type Clock,
-  type Log,
+  UnavailableError,
 } from '@tillerstair/wire';
 import { askQuorum } from './quorum-ask.js';
 import type { Table } from './table.js';
@@ -31,7 +33,7 @@
 export interface ReplicatorParts {
   readonly clock: Clock;
   readonly transport: Transport;
-  readonly log: Log;
+  readonly log: Logger;
   readonly table: () => Table | undefined;
   readonly putWithin: number;
   readonly heartbeatInterval: number;
@@ -124,7 +126,7 @@
       } catch (e) {
         log.debug(`Slot ${this.n} is not open yet: ${toRpcError(e).message}.`);
       }
-      await pause(clock, heartbeatInterval / 10);
+      await delay(clock, heartbeatInterval / 10);
     }
   }
 
@@ -135,22 +137,25 @@
       clock: this.p.clock,
       ids: this.preferred(slot.replicas),
       quorum: this.quorum,
-      hedgeAfterMs: wholeMs(this.p.putWithin * hedgeShare),
+      hedgeAfterMs: toTimerMs(this.p.putWithin * hedgeShare),
       ask: (id) => this.fenced(id, ownershipEpoch),
     });
     if (seen.size < this.quorum)
-      throw new RpcError('unavailable', `${seen.size} of ${slot.replicas.length} replicas fenced`);
+      throw new UnavailableError(
+        'unavailable',
+        `${seen.size} of ${slot.replicas.length} replicas fenced`,
+      );
     const views = [...seen.values()];
     const merged = new Map<string, Item>(this.openEpoch >= 0 ? this.held : []);
     for (const view of views)
       for (const item of view.values()) {
         const old = merged.get(item.key);
-        if (!old || newerItem(item, old)) merged.set(item.key, item);
+        if (!old || isNewerItem(item, old)) merged.set(item.key, item);
       }
     const uneven = [...merged.values()].filter((item) => {
       const same = views.filter((v) => {
         const theirs = v.get(item.key);
-        return theirs && sameItem(theirs, item);
+        return theirs && isSameItem(theirs, item);
       });
       return same.length < this.quorum;
     });
@@ -161,7 +166,7 @@
       seq: ++this.seq,
       value: item.value,
     }));
-    for (const page of pagesOf(again)) await this.spread(ownershipEpoch, page);
+    for (const page of splitIntoPages(again)) await this.spread(ownershipEpoch, page);
     if (this.slot?.ownershipEpoch !== ownershipEpoch) return true;
     for (const item of again) merged.set(item.key, item);
     this.forget();
@@ -197,7 +202,7 @@
 
   private async fenced(id: string, ownershipEpoch: number): Promise<Map<string, Item>> {
     const items = new Map<string, Item>();
-    for await (const page of pagesFrom((after) =>
+    for await (const page of fetchPages((after) =>
       this.ask(id, 'store/fence', { slot: this.n, ownershipEpoch, after }),
     ))
       for (const item of page) items.set(item.key, item);
@@ -211,7 +216,7 @@
         const turn = Cost.safeParse(v);
         return turn.success ? turn.data.cost : 0;
       };
-      const root = rootOf(pid);
+      const root = rootProgramId(pid);
       const before = this.held.get(item.key);
       if (!before) this.turnsBy.set(pid, [...(this.turnsBy.get(pid) ?? []), item.key]);
       this.spentBy.set(
@@ -220,21 +225,21 @@
       );
     }
     this.held.set(item.key, item);
-    this.touched.set(groupOf(item.key), this.p.clock.now());
+    this.touched.set(recordGroup(item.key), this.p.clock.now());
   }
 
   private ask(id: string, kind: string, body: unknown): Promise<unknown> {
     const member = this.p.table()?.state.nodes.get(id);
-    if (!member) return Promise.reject(new RpcError('away', `copy ${id} is away`));
-    return this.p.transport.call(member.addr, kind, body, { within: this.p.putWithin });
+    if (!member) return Promise.reject(new ReplicaError('away', `copy ${id} is away`));
+    return this.p.transport.call(member.addr, kind, body, { timeoutMs: this.p.putWithin });
   }
 
   private spread(ownershipEpoch: number, items: readonly Item[]): Promise<void> {
     const slot = this.slot;
     if (slot?.ownershipEpoch !== ownershipEpoch)
-      return Promise.reject(new RpcError('not-owner', 'the slot has moved on'));
+      return Promise.reject(new OwnershipError('not-owner', 'the slot has moved on'));
     const targets = replicasToWrite(slot);
-    const groups = [slot.replicas, replicasAfter(slot)];
+    const groups = [slot.replicas, replicasAfterJoin(slot)];
     const missed: string[] = [];
     const good: string[] = [];
     const acks = (): number =>
@@ -245,7 +250,12 @@
         if (acks() >= this.quorum) done();
         if (left > 0) return;
         if (acks() < this.quorum)
-          fail(new RpcError('unavailable', `${good.length} of ${targets.length} replicas synced`));
+          fail(
+            new UnavailableError(
+              'unavailable',
+              `${good.length} of ${targets.length} replicas synced`,
+            ),
+          );
         if (good.length > 0) for (const id of missed) void this.hint(good, id, items);
       };
       for (const id of targets)
@@ -280,7 +290,7 @@
   async put(key: string, value: unknown): Promise<void> {
     const slot = this.slot;
     if (!slot || !this.open)
-      throw new RpcError('unavailable', `slot ${this.n} is being taken over`);
+      throw new UnavailableError('unavailable', `slot ${this.n} is being taken over`);
     const item: Item = { key, ownershipEpoch: slot.ownershipEpoch, seq: ++this.seq, value };
     await this.spread(slot.ownershipEpoch, [item]);
     if (this.openEpoch === item.ownershipEpoch) this.hold(item);
@@ -292,7 +302,7 @@
         return await this.put(key, value);
       } catch (e) {
         if (n >= tries || !this.slot) throw e;
-        await pause(this.p.clock, this.p.heartbeatInterval / 10);
+        await delay(this.p.clock, this.p.heartbeatInterval / 10);
       }
     }
   }
@@ -300,10 +310,10 @@
   async confirmMissing(key: string): Promise<boolean> {
     const slot = this.slot;
     if (!slot || !this.open)
-      throw new RpcError('unavailable', `slot ${this.n} is being taken over`);
+      throw new UnavailableError('unavailable', `slot ${this.n} is being taken over`);
     const reads = await Promise.allSettled(
       slot.replicas.map(async (id) =>
-        ReadBack.parse(
+        ReadResponse.parse(
           await this.ask(id, 'store/read', {
             slot: this.n,
             ownershipEpoch: slot.ownershipEpoch,
@@ -313,20 +323,24 @@
       ),
     );
     const good = reads.flatMap((r) => (r.status === 'fulfilled' ? [r.value.item] : []));
-    if (good.length < this.quorum) throw new RpcError('unavailable', 'too few replicas confirm');
+    if (good.length < this.quorum)
+      throw new UnavailableError('unavailable', 'too few replicas confirm');
     if (this.slot?.ownershipEpoch !== slot.ownershipEpoch)
-      throw new RpcError('unavailable', 'the slot has moved on');
+      throw new UnavailableError('unavailable', 'the slot has moved on');
     return good.every((item) => item === null);
   }
 
   expire(): number {
     const now = this.p.clock.now();
-    const retentionMs = Math.max(this.p.retentionMs * 0.9, turnRetentionOf(this.p.table()?.config));
+    const retentionMs = Math.max(
+      this.p.retentionMs * 0.9,
+      turnRetentionLimitMs(this.p.table()?.config),
+    );
     const old = new Set(
       [...this.touched].filter(([, at]) => now - at > retentionMs).map(([g]) => g),
     );
     if (old.size === 0) return 0;
-    const kept = [...this.held.values()].filter((i) => !old.has(groupOf(i.key)));
+    const kept = [...this.held.values()].filter((i) => !old.has(recordGroup(i.key)));
     const touched = [...this.touched].filter(([g]) => !old.has(g));
     this.forget();
     for (const item of kept) this.hold(item);
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
-import { rootOf, type Config, type Server } from '@tillerstair/state';
-import { RpcError, toRpcError } from '@tillerstair/wire';
+import { rootProgramId, type Config, type Server } from '@tillerstair/state';
+import { ProtocolError, toRpcError } from '@tillerstair/wire';
 import type { Ended, Message } from './backend.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import { prefixesOf } from './placement.js';
@@ -108,7 +108,7 @@
         program: ask.pid,
         parent: program.parent,
         budget: program.budget,
-        spent: replicator.spent(rootOf(ask.pid)),
+        spent: replicator.spent(rootProgramId(ask.pid)),
         turns,
       });
     }
@@ -222,7 +222,7 @@
     const prefixes = prefixesOf(messages);
     const skip = new Set<string>();
     const end = this.s.p.clock.now() + config.bounds.turnMs / 4;
-    const prefixKey = `${rootOf(job.ask.pid)}`;
+    const prefixKey = `${rootProgramId(job.ask.pid)}`;
     for (;;) {
       const left = end - this.s.p.clock.now();
       if (left <= 0) return refused(503, 'queue-timeout', 'no server came free in time', 2);
@@ -338,7 +338,7 @@
     try {
       await this.settle(job, whole);
     } catch (e) {
-      throw new RpcError(
+      throw new ProtocolError(
         'unknown',
         `the turn ran but could not be kept: ${toRpcError(e).message}`,
         'unknown',
--- a/packages/settings/src/daemon.ts
+++ b/packages/settings/src/daemon.ts
@@ -2,7 +2,13 @@
 import type { Server } from 'node:http';
 import { z } from 'zod';
 import { FolderInUseError, JournalCorrupt } from '@tillerstair/journal';
-import { logTo, sendJson, serveHttp, type Log, type Page } from '@tillerstair/wire';
+import {
+  createLogger,
+  sendJson,
+  serveHttp,
+  type Logger,
+  type HttpHandler,
+} from '@tillerstair/wire';
 import { InvalidSettingsError, readSettings } from './settings.js';
 
 export const version = '0.1.0';
@@ -14,8 +20,8 @@
   reload?(settings: T): void;
 }
 
-export const stderrLog = (part: string, level: 'debug' | 'info' | 'warn' | 'error'): Log =>
-  logTo(part, level, (line) => {
+export const stderrLog = (part: string, level: 'debug' | 'info' | 'warn' | 'error'): Logger =>
+  createLogger(part, level, (line) => {
     process.stderr.write(`${line}\n`);
   });
 
@@ -130,7 +136,7 @@
 export const servePages = (
   addr: string,
   readiness: () => Readiness,
-  more?: Page,
+  more?: HttpHandler,
 ): Promise<Server> =>
   serveHttp(addr, async (req, res, url) => {
     if (url.pathname === '/live') return sendJson(res, 200, { live: true });
--- a/packages/sim/src/config-calls.ts
+++ b/packages/sim/src/config-calls.ts
@@ -1,6 +1,6 @@
 import type { ConfigAnswer, ConfigCall } from '@tillerstair/checker';
 import type { Operation, Outcome } from '@tillerstair/control';
-import { digestOf } from '@tillerstair/state';
+import { configDigest } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import { z } from 'zod';
 
@@ -22,7 +22,7 @@
   if (o?.status === 404) return { kind: 'value', version: 0, content: '' };
   const got = Value.safeParse(o?.status === 200 ? o.body : undefined);
   return got.success
-    ? { kind: 'value', version: got.data.version, content: digestOf(got.data.text) }
+    ? { kind: 'value', version: got.data.version, content: configDigest(got.data.text) }
     : { kind: 'no-effect' };
 };
 
@@ -56,7 +56,7 @@
 
   put(text: string, send: SendOperation): Promise<Outcome | undefined> {
     const { base, version = base + 1 } = Change.parse(JSON.parse(text));
-    const digest = digestOf(text);
+    const digest = configDigest(text);
     const what = { kind: 'change' as const, changeId: digest, base, version, content: digest };
     return this.record(
       what,
--- a/packages/sim/src/faults-machine.ts
+++ b/packages/sim/src/faults-machine.ts
@@ -1,6 +1,6 @@
 /** Faults of machines and their processes: killed, without power, frozen, slow, restarted in order. */
 import { opKeyOf } from '@tillerstair/session-owner';
-import { rootOf, slotOf } from '@tillerstair/state';
+import { rootProgramId, slotForKey } from '@tillerstair/state';
 import type { Machine } from './machine.js';
 import {
   pickOf,
@@ -117,8 +117,8 @@
       tools.armed = false;
       if (tools.diskBusy) return;
       const s = w.committed;
-      const key = t.kind === 'call' ? opKeyOf(t.tenant, t.key) : `p/${rootOf(t.program)}`;
-      const slot = s?.slots[slotOf(key, s.slots.length)];
+      const key = t.kind === 'call' ? opKeyOf(t.tenant, t.key) : `p/${rootProgramId(t.program)}`;
+      const slot = s?.slots[slotForKey(key, s.slots.length)];
       const keepsIt = (m: Machine): boolean =>
         m.front?.p.id === slot?.owner || m.store?.id === slot?.replicas[Math.floor(c.rng() * 3)];
       const hit = w.machines.filter((m) => m.up && (whole ? m.kind !== 'front' : keepsIt(m)));
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -9,7 +9,7 @@
   type OuterBounds,
   type ReloadableBounds,
 } from '@tillerstair/zen';
-import { noLog, type Log } from '@tillerstair/wire';
+import { silentLogger, type Logger } from '@tillerstair/wire';
 import { Life } from './sim-clock.js';
 import { SimPlatter } from './sim-disk.js';
 import type { World } from './world.js';
@@ -53,9 +53,9 @@
     return `zone-${this.n % this.world.zones}`;
   }
 
-  private log(part: string): Log {
+  private log(part: string): Logger {
     const w = this.world;
-    if (!w.trace) return noLog;
+    if (!w.trace) return silentLogger;
     const at = (text: string): void =>
       w.trace?.(`${w.clock.now().toFixed(1)} ${this.addr} ${part}: ${text}`);
     return { debug: at, info: at, warn: at, error: at };
--- a/packages/sim/src/model-history.ts
+++ b/packages/sim/src/model-history.ts
@@ -2,7 +2,7 @@
  * What clients and nodes of a model run said, checked against what was really committed.
  * A finding names the rule that was broken, so that runs can be counted by rule.
  */
-import { versionOf, newer, type StateVersion, type State } from '@tillerstair/state';
+import { versionOf, isNewerVersion, type StateVersion, type State } from '@tillerstair/state';
 
 /** Rules that hold after every step of a run. */
 export const modelRules = [
@@ -107,7 +107,7 @@
       this.broken('one master a term', `term ${s.term}: ${master} and ${s.master}`);
     this.masters.set(s.term, s.master);
     const { newest } = this;
-    if (newest && !newer(mark, versionOf(newest))) {
+    if (newest && !isNewerVersion(mark, versionOf(newest))) {
       this.broken(
         'committed state is kept',
         `${by} commits ${key} after ${keyOf(versionOf(newest))}`,
--- a/packages/sim/src/model-nodes.ts
+++ b/packages/sim/src/model-nodes.ts
@@ -1,6 +1,6 @@
 /** What each control has promised and stored, seen from outside: checks that nothing of it is taken back. */
 import { inflateSync } from 'node:zlib';
-import { versionOf, newer, type StateVersion, type State } from '@tillerstair/state';
+import { versionOf, isNewerVersion, type StateVersion, type State } from '@tillerstair/state';
 import { Accepted, Payload, Publish, Validate } from '@tillerstair/zen';
 import { z } from 'zod';
 import type { Machine } from './machine.js';
@@ -76,9 +76,10 @@
     const { packed, term } = Publish.parse(a.body);
     const { to } = Addressed.parse(a.body);
     const mark = publishedMark(packed);
-    if (newer(mark, this.acknowledged.get(to) ?? versionOf(undefined)))
+    if (isNewerVersion(mark, this.acknowledged.get(to) ?? versionOf(undefined)))
       this.acknowledged.set(to, mark);
-    if (newer(mark, this.stored.get(to) ?? versionOf(undefined))) this.stored.set(to, mark);
+    if (isNewerVersion(mark, this.stored.get(to) ?? versionOf(undefined)))
+      this.stored.set(to, mark);
     this.grantedTerms.set(to, Math.max(term, this.grantedTerms.get(to) ?? 0));
   }
 
@@ -96,7 +97,7 @@
     this.identities.set(m, id);
     const mark = versionOf(control.zen.accepted);
     const least = this.acknowledged.get(id);
-    if (least && newer(least, mark))
+    if (least && isNewerVersion(least, mark))
       this.history.broken(
         'terms and versions never go back',
         `${m.addr} holds ${markText(mark)}, had stored ${markText(least)}`,
@@ -114,7 +115,7 @@
   private observeApplied(m: Machine, s: State | undefined): void {
     const mark = versionOf(s);
     const before = this.applied.get(m);
-    if (before?.life === m.life && newer(before.mark, mark))
+    if (before?.life === m.life && isNewerVersion(before.mark, mark))
       this.history.broken(
         'terms and versions never go back',
         `${m.addr} applies ${markText(mark)} after ${markText(before.mark)}`,
@@ -135,7 +136,7 @@
       this.held.set(id, { mark, ownedSinceEpoch: now });
     else if (
       now - held.ownedSinceEpoch > syncedAfterMs &&
-      newer(mark, this.stored.get(id) ?? versionOf(undefined))
+      isNewerVersion(mark, this.stored.get(id) ?? versionOf(undefined))
     )
       this.stored.set(id, mark);
   }
@@ -143,6 +144,6 @@
   /** Whether the disk that holds this identity has the state. */
   stores(id: string, s: State): boolean {
     const mark = this.stored.get(id);
-    return mark !== undefined && !newer(versionOf(s), mark);
+    return mark !== undefined && !isNewerVersion(versionOf(s), mark);
   }
 }
--- a/packages/sim/src/model-rig.ts
+++ b/packages/sim/src/model-rig.ts
@@ -1,6 +1,6 @@
 /** The simulated controls of a model run, with the operators that call them and the troubles that befall them. */
 import type { Outcome } from '@tillerstair/control';
-import { digestOf } from '@tillerstair/state';
+import { configDigest } from '@tillerstair/state';
 import { z } from 'zod';
 import type { Machine } from './machine.js';
 import {
@@ -284,7 +284,7 @@
     const text =
       stormConfig({ base, turnPools: ['models'], callPool: 'shop', extra: 0 }) +
       ' '.repeat(this.sent.length + 1);
-    const config = { version: base + 1, base, digest: digestOf(text), text };
+    const config = { version: base + 1, base, digest: configDigest(text), text };
     this.sent.push(config);
     return config;
   }
@@ -302,7 +302,11 @@
       if (out.status === 404) this.history.read(undefined, m.addr, start);
       if (out.status !== 200) return;
       const found = Read.parse(out.body);
-      this.history.read({ version: found.version, digest: digestOf(found.text) }, m.addr, start);
+      this.history.read(
+        { version: found.version, digest: configDigest(found.text) },
+        m.addr,
+        start,
+      );
       onRead(found.version);
     });
   }
--- a/packages/sim/src/sim-backend.ts
+++ b/packages/sim/src/sim-backend.ts
@@ -8,7 +8,7 @@
   Passing,
 } from '@tillerstair/session-owner';
 import type { ExecutionRecord } from '@tillerstair/checker';
-import { pause, type Clock } from '@tillerstair/wire';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { Life } from './sim-clock.js';
 import { passRun, type Passed } from './sim-pass.js';
 
@@ -96,11 +96,11 @@
     const refuses = (s: Server): boolean =>
       this.of(s.id).refuses || this.cutFronts.has(`${front}>${s.id}`);
     const gate = async <T>(v: T): Promise<T> => {
-      await pause(frontClock, 0.3);
+      await delay(frontClock, 0.3);
       return v;
     };
     const silence = async (gone: AbortSignal, within: number): Promise<Ended> => {
-      await pause(frontClock, within, gone);
+      await delay(frontClock, within, gone);
       return { kind: 'lost', text: 'the server is silent' };
     };
     const leave = async (
@@ -110,7 +110,7 @@
       within: number,
     ): Promise<Ended | undefined> => {
       this.asked++;
-      await pause(frontClock, 0.5);
+      await delay(frontClock, 0.5);
       if (!still()) return { kind: 'declined', text: 'taken back' };
       if (refuses(s)) return { kind: 'never-left', text: 'refused' };
       const f = this.of(s.id);
@@ -138,7 +138,7 @@
         let reply = '';
         this.enter(s, 1);
         for (let n = 0; n < total; n++) {
-          await pause(clock, 5 * f.slow);
+          await delay(clock, 5 * f.slow);
           if (gone.aborted || life.dead || n === cutAt) {
             this.enter(s, -1);
             this.note(s, { ...executed, reply, complete: false, tokens: n });
@@ -162,7 +162,7 @@
         const nth = ++this.served;
         const began = clock.now();
         this.enter(s, 1);
-        await pause(clock, (10 + this.rng() * 30) * f.slow);
+        await delay(clock, (10 + this.rng() * 30) * f.slow);
         this.enter(s, -1);
         this.note(s, {
           kind: 'act',
@@ -208,8 +208,8 @@
       load: async (s: Server, within: number): Promise<LoadReport> => {
         const f = this.of(s.id);
         this.polls++;
-        await pause(frontClock, 0.5);
-        if (f.dark) await pause(frontClock, within);
+        await delay(frontClock, 0.5);
+        if (f.dark) await delay(frontClock, within);
         if (refuses(s) || f.dark) throw new Error('refused');
         return { busy: this.busy.get(s.id) ?? 0, draining: f.draining };
       },
--- a/packages/sim/src/sim-disk.ts
+++ b/packages/sim/src/sim-disk.ts
@@ -1,6 +1,6 @@
 /** A disk under a simulated clock: what is synced stays, the rest and each unsynced name may be lost with the power. */
 import type { Disk, DiskFile } from '@tillerstair/journal';
-import { pause, type Clock } from '@tillerstair/wire';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { Life } from './sim-clock.js';
 
 interface Content {
@@ -136,7 +136,7 @@
     };
     const work = async (): Promise<void> => {
       await alive();
-      await pause(clock, this.delay);
+      await delay(clock, this.delay);
       await this.released();
       await step();
     };
--- a/packages/sim/src/sim-list.ts
+++ b/packages/sim/src/sim-list.ts
@@ -1,5 +1,5 @@
-import type { Listed, ServerList } from '@tillerstair/control';
-import { pause, type Clock } from '@tillerstair/wire';
+import type { ListedServer, ServerList } from '@tillerstair/control';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { Life } from './sim-clock.js';
 
 export interface ListRead {
@@ -9,7 +9,7 @@
 
 interface Shown {
   readonly at: number;
-  readonly servers: ReadonlyMap<string, Listed>;
+  readonly servers: ReadonlyMap<string, ListedServer>;
 }
 
 export class SimList {
@@ -25,7 +25,7 @@
     readonly lag = 0,
   ) {}
 
-  private change(f: (servers: Map<string, Listed>) => void): number {
+  private change(f: (servers: Map<string, ListedServer>) => void): number {
     const servers = new Map(this.past.at(-1)?.servers);
     f(servers);
     const at = this.clock.now() + this.lag;
@@ -33,7 +33,7 @@
     return at;
   }
 
-  put(v: Partial<Listed> & Pick<Listed, 'id' | 'pool'>): number {
+  put(v: Partial<ListedServer> & Pick<ListedServer, 'id' | 'pool'>): number {
     return this.change((servers) =>
       servers.set(v.id, {
         url: 'http://127.0.0.1:1',
@@ -56,7 +56,7 @@
     return this.change((servers) => servers.delete(id));
   }
 
-  private shown(): readonly Listed[] {
+  private shown(): readonly ListedServer[] {
     const now = this.clock.now();
     return [...(this.past.findLast((s) => s.at <= now)?.servers.values() ?? [])];
   }
@@ -70,11 +70,11 @@
     return {
       read: async (within) => {
         this.reads.push({ at: this.clock.now(), by });
-        await pause(clock, this.hanging ? within : this.took / 2);
+        await delay(clock, this.hanging ? within : this.took / 2);
         if (this.failing || this.hanging || this.cut.has(by))
           throw new Error('the list cannot be read');
         const servers = this.shown();
-        await pause(clock, this.took / 2);
+        await delay(clock, this.took / 2);
         return servers;
       },
     };
--- a/packages/sim/src/sim-net.ts
+++ b/packages/sim/src/sim-net.ts
@@ -1,18 +1,19 @@
 import {
+  type CallOptions,
+  type Clock,
   ConnectionLostError,
   ConnectionRefusedError,
-  RpcError,
-  toRpcError,
+  RequestCancelledError,
+  type RequestHandler,
   RequestTimeoutError,
-  type CallBounds,
+  rpcErrorOf,
+  toRpcError,
   type Transport,
-  type Clock,
-  type Handler,
 } from '@tillerstair/wire';
 import type { Life } from './sim-clock.js';
 
 interface Host {
-  readonly handler: Handler;
+  readonly handler: RequestHandler;
   readonly life: Life;
 }
 
@@ -156,7 +157,7 @@
     return this.cuts.has(`${from}>${to}`);
   }
 
-  serve(addr: string, handler: Handler, life: Life): void {
+  serve(addr: string, handler: RequestHandler, life: Life): void {
     this.hosts.set(addr, { handler, life });
   }
 
@@ -170,7 +171,7 @@
     to: string,
     kind: string,
     body: unknown,
-    bounds: CallBounds,
+    bounds: CallOptions,
   ): Promise<unknown> {
     const sent = JSON.stringify(body ?? null);
     this.weigh(kind, sent, from, to, 'body');
@@ -181,7 +182,7 @@
       const gone = new AbortController();
       const onGone = (): void => {
         gone.abort();
-        finish(() => fail(new RpcError('gone', 'the caller is gone', 'unknown')));
+        finish(() => fail(new RequestCancelledError('unknown')));
       };
       const finish = (f: () => void): void => {
         mine.do(() => {
@@ -189,7 +190,7 @@
           over = true;
           this.open.delete(open);
           late.stop();
-          bounds.gone?.removeEventListener('abort', onGone);
+          bounds.signal?.removeEventListener('abort', onGone);
           f();
         });
       };
@@ -202,11 +203,11 @@
         },
       };
       this.open.add(open);
-      const late = this.clock.after(bounds.within, () => {
+      const late = this.clock.after(bounds.timeoutMs, () => {
         gone.abort();
         finish(() => fail(new RequestTimeoutError(to)));
       });
-      bounds.gone?.addEventListener('abort', onGone, { once: true });
+      bounds.signal?.addEventListener('abort', onGone, { once: true });
       const back = (f: () => void, host: Host): void => {
         if (host.life.dead) return;
         this.carry(to, from, () => {
@@ -248,7 +249,7 @@
             },
             (e: unknown) => {
               const m = toRpcError(e);
-              back(() => finish(() => fail(new RpcError(m.code, m.message, m.executed))), host);
+              back(() => finish(() => fail(rpcErrorOf(m.code, m.message, m.executed))), host);
             },
           );
         });
@@ -261,7 +262,7 @@
     this.listeners.push({ self, hear: (to) => life.do(() => heard.forEach((h) => h(to))) });
     return {
       self,
-      onLost: (h) => {
+      onConnectionLost: (h) => {
         heard.push(h);
       },
       call: (to, kind, body, bounds) => this.call(self, life, to, kind, body, bounds),
--- a/packages/sim/src/sim-pass.ts
+++ b/packages/sim/src/sim-pass.ts
@@ -1,6 +1,6 @@
 import type { Passing, Sink } from '@tillerstair/session-owner';
-import { slotOf } from '@tillerstair/state';
-import { pause, type Clock } from '@tillerstair/wire';
+import { slotForKey } from '@tillerstair/state';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { Life } from './sim-clock.js';
 
 export interface Passed {
@@ -34,7 +34,7 @@
   .join('');
 
 /** How many events the answer to a try has, whichever server makes it. */
-export const eventsIn = (attempt: string): number => 4 + slotOf(attempt, 6);
+export const eventsIn = (attempt: string): number => 4 + slotForKey(attempt, 6);
 
 export const passRun = async (x: PassBy, p: Passing, sink: Sink): Promise<Passed> => {
   const word = (name: string): string => p.headers.find(([k]) => k === name)?.[1] ?? '';
@@ -58,7 +58,7 @@
   let reply = '';
   let n = from;
   for (; n < total; n++) {
-    await pause(clock, (streamed ? 5 : 10 + rng() * 30) * faults.slow);
+    await delay(clock, (streamed ? 5 : 10 + rng() * 30) * faults.slow);
     if ((streamed && gone.aborted) || life.dead) break;
     const data = `${x.by}.${x.nth}.${n} ${n === 1 ? allBytes : ''}`;
     const tail = n === total - 1 && total % 2 === 1 ? '\n' : '';
--- a/packages/sim/src/world.ts
+++ b/packages/sim/src/world.ts
@@ -1,7 +1,7 @@
 import type { Outcome } from '@tillerstair/control';
 import type { PassRecord, ReplyRecord } from '@tillerstair/checker';
 import type { Front } from '@tillerstair/proxy';
-import { rootOf, type State } from '@tillerstair/state';
+import { rootProgramId, type State } from '@tillerstair/state';
 import { opKeyOf, type EmitChunk, type CallOutcome } from '@tillerstair/session-owner';
 import { zenBounds, type OuterBounds, type ZenBounds } from '@tillerstair/zen';
 import { z } from 'zod';
@@ -292,9 +292,9 @@
   async program(budget: number, at?: Machine, parent?: string): Promise<ReplyRecord> {
     const from = this.clock.now();
     const pid =
-      parent === undefined ? `p-${this.freshId()}` : `${rootOf(parent)}~${this.freshId()}`;
+      parent === undefined ? `p-${this.freshId()}` : `${rootProgramId(parent)}~${this.freshId()}`;
     const ask = { tenant: 't', pid, budget, ...(parent === undefined ? {} : { parent }) };
-    const v = await this.ask('front/program', `p/${rootOf(pid)}`, ask, at, () => undefined);
+    const v = await this.ask('front/program', `p/${rootProgramId(pid)}`, ask, at, () => undefined);
     return this.record({ kind: 'program', from, program: pid, sent: String(budget) }, v);
   }
 
@@ -319,7 +319,7 @@
       key,
       requestId: attempt,
     };
-    const v = await this.ask('front/turn', `p/${rootOf(program)}`, ask, at, (n, t) => {
+    const v = await this.ask('front/turn', `p/${rootProgramId(program)}`, ask, at, (n, t) => {
       chunks.push(n);
       text += t;
     });
@@ -348,7 +348,7 @@
     const from = this.clock.now();
     const v = await this.ask(
       'front/history',
-      `p/${rootOf(program)}`,
+      `p/${rootProgramId(program)}`,
       { tenant: 't', pid: program, turn },
       at,
       () => undefined,
--- a/packages/stand-ins/src/model.ts
+++ b/packages/stand-ins/src/model.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
-import { hostClock, pause, readBody, sendJson } from '@tillerstair/wire';
+import { hostClock, delay, readBody, sendJson } from '@tillerstair/wire';
 import { FaultyServer } from './faults.js';
 import { attemptOf, saidOf, type Ledger } from './ledger.js';
 
@@ -76,7 +76,7 @@
     try {
       const slow = this.faults.slow ?? 1;
       const crowd = Math.max(1, this.busy / this.spec.slots);
-      await pause(
+      await delay(
         hostClock,
         ((blocks.length - cached) * block * this.spec.prefillMsPerKb * slow) / 1024,
         gone.signal,
@@ -91,7 +91,7 @@
         res.write(`${JSON.stringify({ id: g.id, n: tokens, text })}\n`);
         tokens++;
         reply += text;
-        await pause(hostClock, this.spec.msPerToken * slow * crowd, gone.signal);
+        await delay(hostClock, this.spec.msPerToken * slow * crowd, gone.signal);
       }
       complete = true;
       if (this.loses(this.faults.loseEnd, nth)) {
--- a/packages/stand-ins/src/service.ts
+++ b/packages/stand-ins/src/service.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
-import { hostClock, pause, readBody, sendJson } from '@tillerstair/wire';
+import { hostClock, delay, readBody, sendJson } from '@tillerstair/wire';
 import { FaultyServer } from './faults.js';
 import { attemptOf, type Ledger } from './ledger.js';
 
@@ -30,7 +30,7 @@
     const began = Date.now();
     try {
       const span = this.spec.mostMs - this.spec.leastMs;
-      await pause(hostClock, this.spec.leastMs + (((nth * 7919) % 100) / 100) * span);
+      await delay(hostClock, this.spec.leastMs + (((nth * 7919) % 100) / 100) * span);
       this.ledger.add({
         kind: 'act',
         server: this.spec.id,
--- a/packages/state/src/taken.ts
+++ b/packages/state/src/accepted-changes.ts
@@ -6,16 +6,16 @@
  * It lies in blocks of the flat table, one line of text a block, so that a publish carries the last block only. A block
  * holds `VERSION=KEY` pairs; the key is a short digest of the change's order key.
  */
-export type TakenChanges = ReadonlyMap<number, string>;
+export type AcceptedChanges = ReadonlyMap<number, string>;
 
-export type TakenOutcome = 'taken' | 'not-taken' | 'forgotten';
+export type AcceptedChangeOutcome = 'taken' | 'not-taken' | 'forgotten';
 
 const blockLength = 32;
 const blocksMost = 64;
 const keyLength = 12;
 
 /** How many of the latest changes are surely remembered; older ones may be forgotten. */
-export const takenLeast = blockLength * (blocksMost - 1);
+export const minimumRememberedChanges = blockLength * (blocksMost - 1);
 
 const keyOf = (changeId: string): string =>
   createHash('sha256').update(changeId).digest('base64url').slice(0, keyLength);
@@ -24,10 +24,14 @@
 
 const entriesOf = (block: string): readonly string[] => (block === '' ? [] : block.split(' '));
 
-const newestBlock = (taken: TakenChanges): number => Math.max(0, ...taken.keys());
+const newestBlock = (taken: AcceptedChanges): number => Math.max(0, ...taken.keys());
 
 /** Adds a taken change; the oldest block is forgotten where there are too many. */
-export const withTaken = (taken: TakenChanges, version: number, changeId: string): TakenChanges => {
+export const recordAcceptedChange = (
+  taken: AcceptedChanges,
+  version: number,
+  changeId: string,
+): AcceptedChanges => {
   const last = newestBlock(taken);
   const entries = entriesOf(taken.get(last) ?? '');
   const fits = entries.length < blockLength;
@@ -41,17 +45,17 @@
 };
 
 /** The lowest version that is still recorded, if earlier ones have been forgotten. */
-const coveredFrom = (taken: TakenChanges): number => {
+const coveredFrom = (taken: AcceptedChanges): number => {
   const first = Math.min(...taken.keys());
   return first === 0 || taken.size === 0 ? 0 : Number.parseInt(taken.get(first) ?? '0', 10);
 };
 
 /** Whether the change that made this version under this order key was taken; a version older than the record is in doubt. */
-export const takenOutcome = (
-  taken: TakenChanges,
+export const acceptedChangeOutcome = (
+  taken: AcceptedChanges,
   version: number,
   changeId: string,
-): TakenOutcome => {
+): AcceptedChangeOutcome => {
   const entry = entryOf(version, changeId);
   if ([...taken.values()].some((block) => entriesOf(block).includes(entry))) return 'taken';
   return version < coveredFrom(taken) ? 'forgotten' : 'not-taken';
--- a/packages/state/src/allocate.ts
+++ b/packages/state/src/allocate.ts
@@ -1,6 +1,6 @@
 import type { Member, Slot, State } from './state.js';
 
-export interface AllocationBounds {
+export interface AllocationLimits {
   /** Live stores from which a slot gets its first replicas. */
   readonly leastStores: number;
   readonly moves: number;
@@ -38,7 +38,7 @@
 /** Stands for no replica where one more joins a slot that has too few. */
 const nobody = '';
 
-const allocateReplicas = (s: State, bounds: AllocationBounds): readonly Slot[] => {
+const allocateReplicas = (s: State, bounds: AllocationLimits): readonly Slot[] => {
   const { replicas, quorum } = s.replication;
   const live = [...s.nodes.values()].filter((m) => m.kind === 'store').sort(byId);
   const usable = live.filter((m) => !s.retiring.has(m.id));
@@ -145,7 +145,7 @@
   });
 };
 
-export const allocate = (s: State, bounds: AllocationBounds): State => {
+export const allocate = (s: State, bounds: AllocationLimits): State => {
   const slots = allocateOwners(s, allocateReplicas(s, bounds), bounds.moves);
   return slots.every((slot, i) => slot === s.slots[i]) ? s : { ...s, slots };
 };
--- a/packages/state/src/compiled.ts
+++ b/packages/state/src/compiled.ts
@@ -60,7 +60,7 @@
 
 const known = new WeakMap<ConfigRecord, Config>();
 
-export const compiledOf = (record: ConfigRecord | undefined): Config | undefined => {
+export const compiledConfig = (record: ConfigRecord | undefined): Config | undefined => {
   if (!record) return undefined;
   const old = known.get(record);
   if (old) return old;
@@ -72,7 +72,7 @@
 const longest = new WeakMap<Config, number>();
 
 /** Twice the longest time that a route keeps its turns for, in ms; 0 without a configuration. */
-export const turnRetentionOf = (config: Config | undefined): number => {
+export const turnRetentionLimitMs = (config: Config | undefined): number => {
   if (!config) return 0;
   const old = longest.get(config);
   if (old !== undefined) return old;
--- a/packages/state/src/config.ts
+++ b/packages/state/src/config.ts
@@ -116,7 +116,7 @@
   readonly place: string;
   readonly text: string;
 }
-export interface Checked {
+export interface ConfigCheck {
   readonly config: Config | undefined;
   readonly findings: readonly Finding[];
 }
@@ -202,7 +202,7 @@
   }
 };
 
-export const checkConfig = (text: string): Checked => {
+export const checkConfig = (text: string): ConfigCheck => {
   const plain = canonical(text);
   if (plain !== undefined) return checkValue(plain);
   const counter = new LineCounter();
@@ -225,7 +225,7 @@
       })
     : [];
 
-const checkValue = (value: unknown): Checked => {
+const checkValue = (value: unknown): ConfigCheck => {
   const renamed = renamedKeyFindings(value);
   if (renamed.length > 0) return { config: undefined, findings: renamed };
   try {
@@ -240,16 +240,16 @@
   }
 };
 
-export const digestOf = (text: string): string =>
+export const configDigest = (text: string): string =>
   createHash('sha256').update(text).digest('hex').slice(0, 32);
 
 export type RouteKind = 'turn' | 'call' | 'pass';
-export type Routes = ReadonlyMap<string, Route>;
+export type RouteTable = ReadonlyMap<string, Route>;
 
-export const routesOf = (config: Config): Routes =>
+export const buildRouteTable = (config: Config): RouteTable =>
   new Map(config.routes.map((l) => [matchOf(l), l]));
 
-export const routeFor = (table: Routes, kind: RouteKind, path: string): Route | undefined => {
+export const findRoute = (table: RouteTable, kind: RouteKind, path: string): Route | undefined => {
   const exact = table.get(`${kind} ${path}`);
   if (exact) return exact;
   for (
--- a/packages/state/src/item.ts
+++ b/packages/state/src/item.ts
@@ -10,41 +10,45 @@
   .readonly();
 export type Item = z.infer<typeof Item>;
 
-export const newerItem = (a: Item, b: Item): boolean =>
+export const isNewerItem = (a: Item, b: Item): boolean =>
   a.ownershipEpoch > b.ownershipEpoch || (a.ownershipEpoch === b.ownershipEpoch && a.seq > b.seq);
-export const sameItem = (a: Item, b: Item): boolean =>
+export const isSameItem = (a: Item, b: Item): boolean =>
   a.ownershipEpoch === b.ownershipEpoch && a.seq === b.seq;
 
-export const Put = z.object({ slot: z.number(), ownershipEpoch: z.number(), items: z.array(Item) });
-export const Fence = z.object({
+export const PutRequest = z.object({
+  slot: z.number(),
+  ownershipEpoch: z.number(),
+  items: z.array(Item),
+});
+export const FenceRequest = z.object({
   slot: z.number(),
   ownershipEpoch: z.number(),
   after: z.string().default(''),
 });
-export const Paged = z.object({ items: z.array(Item), next: z.string() });
-export type Paged = z.infer<typeof Paged>;
+export const ItemPage = z.object({ items: z.array(Item), next: z.string() });
+export type ItemPage = z.infer<typeof ItemPage>;
 
-export async function* pagesFrom(
+export async function* fetchPages(
   ask: (after: string) => Promise<unknown>,
 ): AsyncGenerator<readonly Item[]> {
   for (let after = ''; ;) {
-    const page = Paged.parse(await ask(after));
+    const page = ItemPage.parse(await ask(after));
     yield page.items;
     if (page.next === '') return;
     after = page.next;
   }
 }
 
-export const pageBytes = 1 << 18;
+export const maxPageBytes = 1 << 18;
 
-export const pagesOf = (items: readonly Item[]): readonly (readonly Item[])[] => {
+export const splitIntoPages = (items: readonly Item[]): readonly (readonly Item[])[] => {
   const out: Item[][] = [];
   let room = 0;
   for (const item of items) {
     const size = JSON.stringify(item).length;
     if (room < size) {
       out.push([]);
-      room = pageBytes;
+      room = maxPageBytes;
     }
     out.at(-1)?.push(item);
     room -= size;
@@ -52,17 +56,24 @@
   return out;
 };
 
-export const Read = z.object({ slot: z.number(), ownershipEpoch: z.number(), key: z.string() });
-export const ReadBack = z.object({ item: Item.nullable() });
+export const ReadRequest = z.object({
+  slot: z.number(),
+  ownershipEpoch: z.number(),
+  key: z.string(),
+});
+export const ReadResponse = z.object({ item: Item.nullable() });
 /** `slots` are those for which who asks counts the store as a replica. */
-export const FindTurn = z.object({ turn: z.string(), slots: z.array(z.number()).default([]) });
-export const FoundTurns = z.object({ items: z.array(Item) });
-export const Hint = z.object({ to: z.string(), slot: z.number(), items: z.array(Item) });
-export const Hand = z.object({ slot: z.number(), items: z.array(Item) });
+export const FindTurnRequest = z.object({
+  turn: z.string(),
+  slots: z.array(z.number()).default([]),
+});
+export const FindTurnResponse = z.object({ items: z.array(Item) });
+export const HintRequest = z.object({ to: z.string(), slot: z.number(), items: z.array(Item) });
+export const HandoffRequest = z.object({ slot: z.number(), items: z.array(Item) });
 
-export const rootOf = (pid: string): string => pid.split('~')[0] ?? pid;
+export const rootProgramId = (pid: string): string => pid.split('~')[0] ?? pid;
 
-export const groupOf = (key: string): string => {
+export const recordGroup = (key: string): string => {
   const [kind = '', id = ''] = key.split('/');
-  return kind === 'p' ? `p/${rootOf(id)}` : key;
+  return kind === 'p' ? `p/${rootProgramId(id)}` : key;
 };
--- a/packages/state/src/margin.ts
+++ b/packages/state/src/margin.ts
@@ -1,7 +1,7 @@
 /** How many more losses the cluster bears now: of voting controls, and of stores for each slot. */
 import { z } from 'zod';
 import { lossesBorne, Replication } from './replication.js';
-import { replicasAfter, type Slot, type State } from './state.js';
+import { replicasAfterJoin, type Slot, type State } from './state.js';
 
 /** Whether a node is in touch now, as far as who asks can tell. */
 export type IsLive = (id: string) => boolean;
@@ -16,7 +16,7 @@
 
 /** The losses of stores that a slot still bears, in both groups that take writes; below zero its quorum is gone. */
 export const slotMargin = (s: State, slot: Slot, isLive: IsLive): number =>
-  Math.min(liveIn(slot.replicas, isLive), liveIn(replicasAfter(slot), isLive)) -
+  Math.min(liveIn(slot.replicas, isLive), liveIn(replicasAfterJoin(slot), isLive)) -
   s.replication.quorum;
 
 /** The losses of voting controls that still leave a majority; below zero it is gone. */
@@ -74,5 +74,5 @@
 };
 
 /** Whether every slot bears all the losses that its replication is meant for. */
-export const replicasWhole = (s: State, isLive: IsLive): boolean =>
+export const allSlotsAtFullMargin = (s: State, isLive: IsLive): boolean =>
   s.slots.every((slot) => slotMargin(s, slot, isLive) >= lossesBorne(s.replication));
--- a/packages/state/src/reduce.ts
+++ b/packages/state/src/reduce.ts
@@ -1,7 +1,13 @@
-import { withTaken } from './taken.js';
-import { replicasAfter, type ConfigRecord, type Member, type Server, type State } from './state.js';
+import { recordAcceptedChange } from './accepted-changes.js';
+import {
+  replicasAfterJoin,
+  type ConfigRecord,
+  type Member,
+  type Server,
+  type State,
+} from './state.js';
 
-export type Action =
+export type StateAction =
   | { readonly kind: 'join'; readonly member: Member }
   | { readonly kind: 'leave'; readonly id: string }
   | { readonly kind: 'config'; readonly record: ConfigRecord }
@@ -52,7 +58,7 @@
   );
 };
 
-export const reduce = (s: State, a: Action): State => {
+export const reduceState = (s: State, a: StateAction): State => {
   switch (a.kind) {
     case 'join': {
       if (isSameMember(s.nodes.get(a.member.id), a.member)) return s;
@@ -79,7 +85,11 @@
       return {
         ...s,
         config: a.record,
-        taken: withTaken(s.taken, a.record.version, changeIdOf(a.record)),
+        acceptedChanges: recordAcceptedChange(
+          s.acceptedChanges,
+          a.record.version,
+          changeIdOf(a.record),
+        ),
       };
     case 'server':
       return { ...s, servers: withEntry(s.servers, a.server.id, a.server) };
@@ -109,7 +119,7 @@
         return s;
       const slot = {
         ...old,
-        replicas: replicasAfter(old),
+        replicas: replicasAfterJoin(old),
         joiningReplicas: [],
         replacedReplica: '',
         ownershipEpoch: old.ownershipEpoch + 1,
@@ -143,7 +153,7 @@
   }
 };
 
-export const settleVoters = (s: State): State => {
+export const completeVotingChange = (s: State): State => {
   if (s.voters.current.join() === s.voters.next.join()) return s;
   const votingMembers = new Map([...s.votingMembers].filter(([id]) => s.voters.next.includes(id)));
   return { ...s, voters: { current: s.voters.next, next: s.voters.next }, votingMembers };
--- a/packages/state/src/listing.ts
+++ b/packages/state/src/server-list.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import type { Server, State } from './state.js';
 
-export const Listed = z
+export const ListedServer = z
   .object({
     id: z.string(),
     pool: z.string(),
@@ -11,17 +11,20 @@
     draining: z.boolean(),
   })
   .readonly();
-export type Listed = z.infer<typeof Listed>;
+export type ListedServer = z.infer<typeof ListedServer>;
 
-export const ListReport = z.object({ age: z.number().nullable(), readAge: z.number().nullable() });
-export type ListReport = z.infer<typeof ListReport>;
+export const ServerListReport = z.object({
+  age: z.number().nullable(),
+  readAge: z.number().nullable(),
+});
+export type ServerListReport = z.infer<typeof ServerListReport>;
 
-export const ListReply = z.object({
-  reported: ListReport.optional(),
+export const ServerListReply = z.object({
+  reported: ServerListReport.optional(),
   open: z.array(z.string()).readonly(),
   draining: z.array(z.string()).readonly(),
 });
-export type ListReply = z.infer<typeof ListReply>;
+export type ServerListReply = z.infer<typeof ServerListReply>;
 
 const same = (a: Server | undefined, b: Server): boolean =>
   a !== undefined &&
@@ -31,7 +34,7 @@
   a.places === b.places &&
   a.draining === b.draining;
 
-export const listInto = (s: State, listed: readonly Listed[]): State => {
+export const applyServerList = (s: State, listed: readonly ListedServer[]): State => {
   const servers = new Map<string, Server>();
   for (const v of listed) {
     const old = s.servers.get(v.id);
--- a/packages/state/src/flat.ts
+++ b/packages/state/src/state-table.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import {
   ConfigRecord,
-  Head,
+  StateHeader,
   StateVersion,
   Member,
   versionOf,
@@ -11,18 +11,18 @@
   type State,
 } from './state.js';
 
-export type Flat = ReadonlyMap<string, string>;
+export type StateTable = ReadonlyMap<string, string>;
 
-export const Entries = z.array(z.tuple([z.string(), z.string()]));
-export const Diff = z.object({
+export const TableEntries = z.array(z.tuple([z.string(), z.string()]));
+export const StateDiff = z.object({
   base: StateVersion,
   to: StateVersion,
-  set: Entries,
+  set: TableEntries,
   drop: z.array(z.string()),
 });
-export type Diff = z.infer<typeof Diff>;
+export type StateDiff = z.infer<typeof StateDiff>;
 
-export class BadState extends Error {}
+export class InvalidStateError extends Error {}
 
 const configs = new WeakMap<ConfigRecord, string>();
 
@@ -34,9 +34,9 @@
   return text;
 };
 
-export const flatten = (s: State): Flat => {
+export const encodeState = (s: State): StateTable => {
   const out = new Map<string, string>();
-  const head: Head = {
+  const head: StateHeader = {
     clusterId: s.clusterId,
     term: s.term,
     version: s.version,
@@ -50,16 +50,16 @@
   for (const [id, name] of s.retiring) out.set(`retiring/${id}`, JSON.stringify(name));
   s.slots.forEach((slot, i) => out.set(`slot/${i}`, JSON.stringify(slot)));
   if (s.config) out.set('config', configText(s.config));
-  for (const [block, text] of s.taken) out.set(`taken/${block}`, JSON.stringify(text));
+  for (const [block, text] of s.acceptedChanges) out.set(`taken/${block}`, JSON.stringify(text));
   for (const [id, v] of s.servers) out.set(`server/${id}`, JSON.stringify(v));
   for (const [k, w] of s.weights) out.set(`weight/${k}`, JSON.stringify(w));
   return out;
 };
 
-export const unflatten = (flat: Flat): State => {
+export const decodeState = (flat: StateTable): State => {
   const text = flat.get('head');
-  if (text === undefined) throw new BadState('no head');
-  const head = Head.parse(JSON.parse(text));
+  if (text === undefined) throw new InvalidStateError('no head');
+  const head = StateHeader.parse(JSON.parse(text));
   const nodes = new Map<string, Member>();
   const votingMembers = new Map<string, Member>();
   const servers = new Map<string, Server>();
@@ -81,26 +81,36 @@
     else if (section === 'retiring') retiring.set(id, z.string().catch('').parse(v));
     else if (section === 'taken') taken.set(Number(id), z.string().parse(v));
     else if (section === 'config') config = ConfigRecord.parse(v);
-    else if (section !== 'head') throw new BadState(`unknown section ${section}`);
+    else if (section !== 'head') throw new InvalidStateError(`unknown section ${section}`);
   }
-  return { ...head, nodes, votingMembers, retiring, slots, config, taken, servers, weights };
+  return {
+    ...head,
+    nodes,
+    votingMembers,
+    retiring,
+    slots,
+    config,
+    acceptedChanges: taken,
+    servers,
+    weights,
+  };
 };
 
-export const diffOf = (a: State, b: State): Diff => {
-  const from = flatten(a);
-  const to = flatten(b);
+export const diffStates = (a: State, b: State): StateDiff => {
+  const from = encodeState(a);
+  const to = encodeState(b);
   const set = [...to].filter(([k, v]) => from.get(k) !== v);
   const drop = [...from.keys()].filter((k) => !to.has(k));
   return { base: versionOf(a), to: versionOf(b), set, drop };
 };
 
-export const patch = (a: State, d: Diff): State | undefined => {
+export const applyDiff = (a: State, d: StateDiff): State | undefined => {
   if (!isSameVersion(a, d.base)) return undefined;
-  const flat = new Map(flatten(a));
+  const flat = new Map(encodeState(a));
   const same = !d.drop.includes('config') && !d.set.some(([k]) => k === 'config');
   if (same) flat.delete('config');
   for (const k of d.drop) flat.delete(k);
   for (const [k, v] of d.set) flat.set(k, v);
-  const next = unflatten(flat);
+  const next = decodeState(flat);
   return same ? { ...next, config: a.config } : next;
 };
--- a/packages/state/src/state.ts
+++ b/packages/state/src/state.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 import { defaultReplication, Replication } from './replication.js';
-import type { TakenChanges } from './taken.js';
+import type { AcceptedChanges } from './accepted-changes.js';
 
 export const Member = z
   .object({
@@ -63,7 +63,7 @@
 export const StateVersion = z.object({ term: z.number(), version: z.number() }).readonly();
 export type StateVersion = z.infer<typeof StateVersion>;
 
-export const Head = z
+export const StateHeader = z
   .object({
     clusterId: z.string(),
     term: z.number(),
@@ -73,15 +73,15 @@
     replication: Replication.default(defaultReplication),
   })
   .readonly();
-export type Head = z.infer<typeof Head>;
+export type StateHeader = z.infer<typeof StateHeader>;
 
-export interface State extends Head {
+export interface State extends StateHeader {
   readonly nodes: ReadonlyMap<string, Member>;
   readonly votingMembers: ReadonlyMap<string, Member>;
   readonly retiring: ReadonlyMap<string, string>;
   readonly slots: readonly Slot[];
   readonly config: ConfigRecord | undefined;
-  readonly taken: TakenChanges;
+  readonly acceptedChanges: AcceptedChanges;
   readonly servers: ReadonlyMap<string, Server>;
   readonly weights: ReadonlyMap<string, number>;
 }
@@ -114,12 +114,12 @@
   retiring: new Map(),
   slots: emptySlots(slots),
   config: undefined,
-  taken: new Map(),
+  acceptedChanges: new Map(),
   servers: new Map(),
   weights: new Map(),
 });
 
-export const newer = (a: StateVersion, b: StateVersion): boolean =>
+export const isNewerVersion = (a: StateVersion, b: StateVersion): boolean =>
   a.term > b.term || (a.term === b.term && a.version > b.version);
 export const isSameVersion = (a: StateVersion, b: StateVersion): boolean =>
   a.term === b.term && a.version === b.version;
@@ -129,10 +129,10 @@
 export const isMajority = (group: readonly string[], yes: ReadonlySet<string>): boolean =>
   group.length > 0 && group.filter((id) => yes.has(id)).length * 2 > group.length;
 
-export const quorum = (v: VotingConfiguration, yes: ReadonlySet<string>): boolean =>
+export const hasQuorum = (v: VotingConfiguration, yes: ReadonlySet<string>): boolean =>
   isMajority(v.current, yes) && isMajority(v.next, yes);
 
-export const slotOf = (key: string, count: number): number => {
+export const slotForKey = (key: string, count: number): number => {
   let h = 0x811c9dc5;
   for (let i = 0; i < key.length; i++) h = Math.imul(h ^ key.charCodeAt(i), 0x01000193) >>> 0;
   h = Math.imul(h ^ (h >>> 15), 0x2c1b3c6d) >>> 0;
@@ -144,7 +144,7 @@
   ...slot.joiningReplicas,
 ];
 
-export const replicasAfter = (slot: Slot): readonly string[] =>
+export const replicasAfterJoin = (slot: Slot): readonly string[] =>
   slot.joiningReplicas.length === 0
     ? slot.replicas
     : [
--- a/packages/store/src/node.ts
+++ b/packages/store/src/node.ts
@@ -1,20 +1,28 @@
 import pLimit from 'p-limit';
 import {
   nodeViewOf,
-  compiledOf,
-  FindTurn,
-  Hand,
-  Hint,
+  compiledConfig,
+  FindTurnRequest,
+  HandoffRequest,
+  HintRequest,
   replicasToWrite,
-  pagesFrom,
-  Put,
-  Read,
-  Fence,
-  turnRetentionOf,
+  fetchPages,
+  PutRequest,
+  ReadRequest,
+  FenceRequest,
+  turnRetentionLimitMs,
   type NodeView,
   type State,
 } from '@tillerstair/state';
-import { lasting, RpcError, toRpcError, pause, type RpcRequest } from '@tillerstair/wire';
+import {
+  createAbortController,
+  delay,
+  ProtocolError,
+  ReplicaError,
+  type RpcRequest,
+  toRpcError,
+  UnavailableError,
+} from '@tillerstair/wire';
 import { ZenNode, type ZenParts } from '@tillerstair/zen';
 import type { ReplicaStore } from './replica-store.js';
 
@@ -29,7 +37,7 @@
 
 export class StoreNode {
   readonly zen: ZenNode;
-  private readonly gone = lasting();
+  private readonly gone = createAbortController();
   private readonly few = pLimit(8);
   private readonly refilling = new Map<number, number>();
   private newest: State | undefined;
@@ -86,54 +94,54 @@
     const { replicaStore } = this.p;
     switch (rpc.kind) {
       case 'store/put': {
-        const { slot, ownershipEpoch, items } = Put.parse(rpc.body);
+        const { slot, ownershipEpoch, items } = PutRequest.parse(rpc.body);
         await replicaStore.write(slot, ownershipEpoch, items);
         return {};
       }
       case 'store/fence': {
-        const { slot, ownershipEpoch, after } = Fence.parse(rpc.body);
+        const { slot, ownershipEpoch, after } = FenceRequest.parse(rpc.body);
         return replicaStore.fence(slot, ownershipEpoch, after);
       }
       case 'store/read': {
-        const { slot, ownershipEpoch, key } = Read.parse(rpc.body);
+        const { slot, ownershipEpoch, key } = ReadRequest.parse(rpc.body);
         return { item: await replicaStore.read(slot, ownershipEpoch, key) };
       }
       case 'store/pull': {
-        const { slot, ownershipEpoch, after } = Fence.parse(rpc.body);
+        const { slot, ownershipEpoch, after } = FenceRequest.parse(rpc.body);
         return replicaStore.pull(slot, ownershipEpoch, after);
       }
       case 'store/find': {
-        const { turn, slots } = FindTurn.parse(rpc.body);
+        const { turn, slots } = FindTurnRequest.parse(rpc.body);
         if (slots.some((n) => !this.keeps(n)))
-          throw new RpcError('moved', 'another store keeps one of these slots now');
+          throw new ReplicaError('moved', 'another store keeps one of these slots now');
         await replicaStore.synced();
         return { items: replicaStore.find(turn) };
       }
       case 'store/hint': {
-        const { to, slot, items } = Hint.parse(rpc.body);
+        const { to, slot, items } = HintRequest.parse(rpc.body);
         await replicaStore.hint(to, slot, items);
         return {};
       }
       case 'store/hand': {
-        const { slot, items } = Hand.parse(rpc.body);
+        const { slot, items } = HandoffRequest.parse(rpc.body);
         await replicaStore.hand(slot, items);
         return {};
       }
       default:
         if (rpc.kind.startsWith('zen/')) return this.zen.handle(rpc);
-        throw new RpcError('unknown-kind', `no such request: ${rpc.kind}`);
+        throw new ProtocolError('unknown-kind', `no such request: ${rpc.kind}`);
     }
   }
 
   private async repair(): Promise<void> {
     const { clock, bounds, log } = this.p;
     while (!this.gone.signal.aborted) {
-      await pause(clock, bounds.heartbeatInterval / 2, this.gone.signal);
+      await delay(clock, bounds.heartbeatInterval / 2, this.gone.signal);
       const s = this.zen.applied;
       if (!s || !this.p.replicaStore.writable || this.gone.signal.aborted) continue;
       try {
         await this.handOver(s);
-        await this.p.replicaStore.dropOld(turnRetentionOf(compiledOf(s.config)));
+        await this.p.replicaStore.dropOld(turnRetentionLimitMs(compiledConfig(s.config)));
         await this.p.replicaStore.forgetSlots((n) => {
           const slot = this.newest?.slots[n];
           return slot && slot.replicas.length > 0 && !replicasToWrite(slot).includes(this.p.me.id)
@@ -162,7 +170,7 @@
               member.addr,
               'store/hand',
               { slot: h.slot, items: h.items },
-              { within: bounds.failureTimeout },
+              { timeoutMs: bounds.failureTimeout },
             );
           } catch (e) {
             log.debug(`Handing over to ${member.addr} failed: ${toRpcError(e).message}.`);
@@ -187,7 +195,7 @@
         this.refilling.set(n, slot.ownershipEpoch);
         void this.refillUntilFull(n, slot.ownershipEpoch);
       });
-      await pause(clock, bounds.heartbeatInterval / 2, early.signal);
+      await delay(clock, bounds.heartbeatInterval / 2, early.signal);
     }
   }
 
@@ -202,7 +210,7 @@
       } catch (e) {
         log.debug(`Refill of slot ${n} waits: ${toRpcError(e).message}.`);
       }
-      await pause(clock, bounds.heartbeatInterval / 16, this.gone.signal);
+      await delay(clock, bounds.heartbeatInterval / 16, this.gone.signal);
     }
   }
 
@@ -221,7 +229,7 @@
       try {
         const ask = async (after: string): Promise<unknown> => {
           if (after !== '')
-            await pause(
+            await delay(
               this.p.clock,
               bounds.heartbeatInterval / pagesPerHeartbeat,
               this.gone.signal,
@@ -230,24 +238,27 @@
             member.addr,
             'store/pull',
             { slot, ownershipEpoch, after },
-            { within: bounds.failureTimeout },
+            { timeoutMs: bounds.failureTimeout },
           );
         };
-        for await (const page of pagesFrom(ask)) await replicaStore.hand(slot, page);
+        for await (const page of fetchPages(ask)) await replicaStore.hand(slot, page);
         pulled++;
       } catch (e) {
         log.debug(`Pulling slot ${slot} from ${member.addr} failed: ${toRpcError(e).message}.`);
       }
     }
     if (pulled < quorum)
-      throw new RpcError('unavailable', `${pulled} of ${quorum} replicas that are needed reply`);
+      throw new UnavailableError(
+        'unavailable',
+        `${pulled} of ${quorum} replicas that are needed reply`,
+      );
     const master = this.zen.masterSeen;
-    if (!master) throw new RpcError('unavailable', 'no master is known');
+    if (!master) throw new UnavailableError('unavailable', 'no master is known');
     await transport.call(
       master.addr,
       'control/filled',
       { store: me.id, slot, ownershipEpoch },
-      { within: bounds.failureTimeout },
+      { timeoutMs: bounds.failureTimeout },
     );
   }
 }
--- a/packages/store/src/replica-store.ts
+++ b/packages/store/src/replica-store.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod';
-import { groupOf, Item, newerItem, pageBytes, type Paged } from '@tillerstair/state';
+import { recordGroup, Item, isNewerItem, maxPageBytes, type ItemPage } from '@tillerstair/state';
 import {
   hostPace,
   Journal,
@@ -7,7 +7,7 @@
   type JournalOwner,
   type JournalPace,
 } from '@tillerstair/journal';
-import { RpcError, type Clock } from '@tillerstair/wire';
+import { type Clock, ReplicaError } from '@tillerstair/wire';
 
 const Rec = z.discriminatedUnion('t', [
   z.object({
@@ -124,8 +124,8 @@
         s.fenced = Math.max(s.fenced, r.ownershipEpoch);
         for (const item of r.items) {
           const old = s.items.get(item.key);
-          if (!old || newerItem(item, old)) s.items.set(item.key, item);
-          s.touched.set(groupOf(item.key), this.clock.now());
+          if (!old || isNewerItem(item, old)) s.items.set(item.key, item);
+          s.touched.set(recordGroup(item.key), this.clock.now());
           const turn = turnOf(item.key);
           if (turn !== '') this.byTurn.set(turn, { slot: r.slot, key: item.key });
         }
@@ -141,7 +141,7 @@
         const s = this.slot(r.slot);
         const groups = new Set(r.groups);
         for (const key of [...s.items.keys()]) {
-          if (!groups.has(groupOf(key))) continue;
+          if (!groups.has(recordGroup(key))) continue;
           s.items.delete(key);
           const turn = turnOf(key);
           if (this.byTurn.get(turn)?.key === key) this.byTurn.delete(turn);
@@ -185,7 +185,10 @@
   private slotAtEpoch(slot: number, ownershipEpoch: number): SlotReplica {
     const s = this.slot(slot);
     if (ownershipEpoch < s.fenced)
-      throw new RpcError('stale-epoch', `slot ${slot} is fenced at ownership epoch ${s.fenced}`);
+      throw new ReplicaError(
+        'stale-epoch',
+        `slot ${slot} is fenced at ownership epoch ${s.fenced}`,
+      );
     return s;
   }
 
@@ -194,7 +197,7 @@
     await this.put({ t: 'put', slot, ownershipEpoch, items: [...items] });
   }
 
-  async fence(slot: number, ownershipEpoch: number, after: string): Promise<Paged> {
+  async fence(slot: number, ownershipEpoch: number, after: string): Promise<ItemPage> {
     const s = this.slotAtEpoch(slot, ownershipEpoch);
     if (after === '') {
       if (s.fenced < ownershipEpoch) await this.put({ t: 'fence', slot, ownershipEpoch });
@@ -203,9 +206,9 @@
     return this.page(s, after);
   }
 
-  private page(s: SlotReplica, after: string): Paged {
+  private page(s: SlotReplica, after: string): ItemPage {
     if (after !== '' && !s.items.has(after))
-      throw new RpcError('page-gone', 'the page asked for has aged away; begin anew');
+      throw new ReplicaError('page-gone', 'the page asked for has aged away; begin anew');
     const items: Item[] = [];
     let bytes = 0;
     let found = after === '';
@@ -214,7 +217,7 @@
         found = item.key === after;
         continue;
       }
-      if (items.length > 0 && bytes > pageBytes / 2)
+      if (items.length > 0 && bytes > maxPageBytes / 2)
         return { items, next: items.at(-1)?.key ?? '' };
       items.push(item);
       bytes += JSON.stringify(item).length;
@@ -246,10 +249,10 @@
     return out;
   }
 
-  pull(slot: number, ownershipEpoch: number, after: string): Paged {
+  pull(slot: number, ownershipEpoch: number, after: string): ItemPage {
     const s = this.slot(slot);
     if (s.fenced < ownershipEpoch)
-      throw new RpcError(
+      throw new ReplicaError(
         'not-fenced',
         `slot ${slot} is not fenced at ownership epoch ${ownershipEpoch} yet`,
       );
@@ -260,7 +263,7 @@
     const s = this.slot(slot);
     const fresh = items.filter((i) => {
       const old = s.items.get(i.key);
-      return !old || newerItem(i, old);
+      return !old || isNewerItem(i, old);
     });
     if (fresh.length > 0) await this.put({ t: 'put', slot, ownershipEpoch: 0, items: fresh });
     else await this.synced();
@@ -268,7 +271,7 @@
 
   async hint(to: string, slot: number, items: readonly Item[]): Promise<void> {
     if (this.hints.size >= this.bounds.hintsMost)
-      throw new RpcError('hints-full', `${this.hints.size} hints are held already`);
+      throw new ReplicaError('hints-full', `${this.hints.size} hints are held already`);
     await this.put({ t: 'hint', n: ++this.hintSeq, to, slot, items: [...items] });
   }
 
@@ -301,7 +304,11 @@
   async forgetSlots(outAt: (slot: number) => number): Promise<void> {
     for (const [slot, s] of this.slots)
       if (s.items.size > 0 && outAt(slot) >= s.fenced)
-        await this.put({ t: 'drop', slot, groups: [...new Set([...s.items.keys()].map(groupOf))] });
+        await this.put({
+          t: 'drop',
+          slot,
+          groups: [...new Set([...s.items.keys()].map(recordGroup))],
+        });
   }
 
   counts(): { items: number; hints: number; bytes: number; slots: number } {
--- a/packages/wire/src/clock.ts
+++ b/packages/wire/src/clock.ts
@@ -18,9 +18,9 @@
 };
 
 /** Rounds to whole milliseconds, never below one: platform timers refuse fractions. */
-export const wholeMs = (ms: number): number => Math.max(1, Math.round(ms));
+export const toTimerMs = (ms: number): number => Math.max(1, Math.round(ms));
 
-export const pause = (clock: Clock, ms: number, gone?: AbortSignal): Promise<void> =>
+export const delay = (clock: Clock, ms: number, gone?: AbortSignal): Promise<void> =>
   new Promise((done) => {
     if (gone?.aborted) return done();
     const timer = clock.after(ms, () => {
@@ -34,7 +34,7 @@
     gone?.addEventListener('abort', early, { once: true });
   });
 
-export const within = <T>(
+export const withTimeout = <T>(
   clock: Clock,
   ms: number,
   work: Promise<T>,
@@ -54,7 +54,7 @@
     );
   });
 
-export const lasting = (): AbortController => {
+export const createAbortController = (): AbortController => {
   const ctl = new AbortController();
   setMaxListeners(0, ctl.signal);
   return ctl;
--- a/packages/wire/src/http.ts
+++ b/packages/wire/src/http.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { splitAddr } from './tcp.js';
+import { parseAddress } from './tcp.js';
 
-export type Page = (req: IncomingMessage, res: ServerResponse, url: URL) => Promise<void>;
+export type HttpHandler = (req: IncomingMessage, res: ServerResponse, url: URL) => Promise<void>;
 
 export const sendJson = (
   res: ServerResponse,
@@ -17,7 +17,7 @@
   res.end(text);
 };
 
-export class BodyTooLarge extends Error {}
+export class BodyTooLargeError extends Error {}
 
 export const readBody = async (req: IncomingMessage, most: number): Promise<string> => {
   const parts: Buffer[] = [];
@@ -25,7 +25,7 @@
   for await (const part of req) {
     const b = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
     size += b.length;
-    if (size > most) throw new BodyTooLarge(`body is over ${most} bytes`);
+    if (size > most) throw new BodyTooLargeError(`body is over ${most} bytes`);
     parts.push(b);
   }
   return Buffer.concat(parts).toString('utf8');
@@ -41,7 +41,7 @@
   }
 };
 
-export const serveHttp = (addr: string, page: Page): Promise<Server> => {
+export const serveHttp = (addr: string, page: HttpHandler): Promise<Server> => {
   const server = createServer((req, res) => {
     const url = urlOf(req.url ?? '/');
     if (!url)
@@ -51,7 +51,7 @@
         text: 'the path cannot be read',
       });
     page(req, res, url).catch((e: unknown) => {
-      if (e instanceof BodyTooLarge) {
+      if (e instanceof BodyTooLargeError) {
         sendJson(res, 413, { executed: 'no', errorCode: 'body-too-large', text: e.message });
         return;
       }
@@ -60,7 +60,7 @@
       else sendJson(res, 500, { executed: 'unknown', errorCode: 'internal', text });
     });
   });
-  const { host, port } = splitAddr(addr);
+  const { host, port } = parseAddress(addr);
   return new Promise((done, fail) => {
     server.once('error', fail);
     server.listen(port, host, () => done(server));
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,5 +1,5 @@
 export * from './clock.js';
-export * from './errors.js';
+export * from './errors/index.js';
 export * from './transport.js';
 export * from './tcp.js';
 export * from './task-queue.js';
--- a/packages/wire/src/task-queue.ts
+++ b/packages/wire/src/task-queue.ts
@@ -1,5 +1,5 @@
 import { dispatch, spawn, start, stop } from 'nact';
-import { RpcError } from './errors.js';
+import { ProtocolError } from './errors/index.js';
 
 type Task = () => Promise<void>;
 
@@ -27,7 +27,7 @@
   }
 
   run<T>(work: () => Promise<T>): Promise<T> {
-    if (this.closed) return Promise.reject(new RpcError('closed', 'the line is closed'));
+    if (this.closed) return Promise.reject(new ProtocolError('closed', 'the line is closed'));
     this.depth++;
     return new Promise<T>((done, fail) => {
       const task: Task = () =>
--- a/packages/wire/src/tcp.ts
+++ b/packages/wire/src/tcp.ts
@@ -1,15 +1,17 @@
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import split2 from 'split2';
 import { z } from 'zod';
-import type { CallBounds, Transport, Handler } from './transport.js';
+import type { CallOptions, Transport, RequestHandler } from './transport.js';
 import { hostClock, type TimerHandle } from './clock.js';
 import {
   ConnectionLostError,
   ConnectionRefusedError,
-  RpcError,
-  toRpcError,
+  RequestCancelledError,
   RequestTimeoutError,
-} from './errors.js';
+  rpcErrorOf,
+  RpcErrorCodeOnWire,
+  toRpcError,
+} from './errors/index.js';
 
 const Hello = z.object({ hello: z.string(), to: z.string() });
 const Ask = z.object({ id: z.number(), kind: z.string(), body: z.unknown() });
@@ -19,7 +21,11 @@
   chunk: z.unknown().optional(),
   response: z.unknown().optional(),
   error: z
-    .object({ code: z.string(), text: z.string(), executed: z.enum(['no', 'unknown', 'yes']) })
+    .object({
+      code: RpcErrorCodeOnWire,
+      text: z.string(),
+      executed: z.enum(['no', 'unknown', 'yes']),
+    })
     .optional(),
 });
 
@@ -36,9 +42,9 @@
   heardAt: number;
 }
 
-const goneBefore = (): RpcError => new RpcError('gone', 'the caller is gone', 'no');
+const goneBefore = (): RequestCancelledError => new RequestCancelledError('no');
 
-export const splitAddr = (addr: string): { host: string; port: number } => {
+export const parseAddress = (addr: string): { host: string; port: number } => {
   const at = addr.lastIndexOf(':');
   return { host: addr.slice(0, at).replace(/^\[|\]$/g, ''), port: Number(addr.slice(at + 1)) };
 };
@@ -57,11 +63,11 @@
     private readonly lineMost = 64 << 20,
   ) {}
 
-  onLost(heard: (to: string) => void): void {
+  onConnectionLost(heard: (to: string) => void): void {
     this.lostHeard.add(heard);
   }
 
-  serve(handler: Handler): Promise<void> {
+  serve(handler: RequestHandler): Promise<void> {
     const server = createServer((s) => {
       this.incoming.add(s);
       s.on('error', () => s.destroy());
@@ -69,14 +75,14 @@
       void this.listenTo(s, handler).finally(() => s.destroy());
     });
     this.server = server;
-    const { host, port } = splitAddr(this.listen);
+    const { host, port } = parseAddress(this.listen);
     return new Promise((done, fail) => {
       server.once('error', fail);
       server.listen(port, host, () => done());
     });
   }
 
-  private async listenTo(s: Socket, handler: Handler): Promise<void> {
+  private async listenTo(s: Socket, handler: RequestHandler): Promise<void> {
     s.setNoDelay(true);
     const running = new Map<number, AbortController>();
     const say = (v: unknown) => {
@@ -121,7 +127,7 @@
   private open(to: string): Outgoing {
     const old = this.out.get(to);
     if (old) return old;
-    const socket = createConnection(splitAddr(to));
+    const socket = createConnection(parseAddress(to));
     socket.setNoDelay(true);
     const waiting = new Map<number, Waiting>();
     const ready = new Promise<void>((done, fail) => {
@@ -162,7 +168,7 @@
         const back = Back.parse(JSON.parse(String(text)));
         const w = waiting.get(back.id);
         if (!w) continue;
-        if (back.error) w.fail(new RpcError(back.error.code, back.error.text, back.error.executed));
+        if (back.error) w.fail(rpcErrorOf(back.error.code, back.error.text, back.error.executed));
         else if (back.response !== undefined) w.done(back.response);
         else w.chunk(back.chunk);
       }
@@ -171,11 +177,11 @@
     }
   }
 
-  async call(to: string, kind: string, body: unknown, bounds: CallBounds): Promise<unknown> {
-    if (bounds.gone?.aborted) throw goneBefore();
+  async call(to: string, kind: string, body: unknown, bounds: CallOptions): Promise<unknown> {
+    if (bounds.signal?.aborted) throw goneBefore();
     const connection = this.open(to);
     await connection.ready;
-    if (bounds.gone?.aborted) throw goneBefore();
+    if (bounds.signal?.aborted) throw goneBefore();
     if (connection.socket.destroyed) throw new ConnectionRefusedError(to);
     const id = ++this.seq;
     const stop = new Set<() => void>();
@@ -185,18 +191,18 @@
           connection.socket.write(`${JSON.stringify({ id, cancel: true })}\n`);
         };
         const sentAt = hostClock.now();
-        const timer: TimerHandle = hostClock.after(bounds.within, () => {
+        const timer: TimerHandle = hostClock.after(bounds.timeoutMs, () => {
           cancel();
           if (connection.heardAt < sentAt && hostClock.now() - connection.heardAt > this.openWithin)
             connection.socket.destroy();
           fail(new RequestTimeoutError(to));
         });
         stop.add(() => timer.stop());
-        if (bounds.gone) {
-          const gone = bounds.gone;
+        if (bounds.signal) {
+          const gone = bounds.signal;
           const onGone = () => {
             cancel();
-            fail(new RpcError('gone', 'the caller is gone', 'unknown'));
+            fail(new RequestCancelledError('unknown'));
           };
           gone.addEventListener('abort', onGone, { once: true });
           stop.add(() => gone.removeEventListener('abort', onGone));
--- a/packages/wire/src/transport.ts
+++ b/packages/wire/src/transport.ts
@@ -4,19 +4,23 @@
   readonly body: unknown;
 }
 
-export type Emit = (chunk: unknown) => void;
-export type Handler = (request: RpcRequest, emit: Emit, gone: AbortSignal) => Promise<unknown>;
+export type EmitChunk = (chunk: unknown) => void;
+export type RequestHandler = (
+  request: RpcRequest,
+  emit: EmitChunk,
+  gone: AbortSignal,
+) => Promise<unknown>;
 
-export interface CallBounds {
-  readonly within: number;
-  readonly onChunk?: Emit;
-  readonly gone?: AbortSignal;
+export interface CallOptions {
+  readonly timeoutMs: number;
+  readonly onChunk?: EmitChunk;
+  readonly signal?: AbortSignal;
 }
 
 export interface Transport {
   readonly self: string;
-  call(to: string, kind: string, body: unknown, bounds: CallBounds): Promise<unknown>;
-  serve(handler: Handler): Promise<void>;
-  onLost(heard: (to: string) => void): void;
+  call(to: string, kind: string, body: unknown, bounds: CallOptions): Promise<unknown>;
+  serve(handler: RequestHandler): Promise<void>;
+  onConnectionLost(heard: (to: string) => void): void;
   close(): Promise<void>;
 }
--- a/packages/zen/src/bootstrap.ts
+++ b/packages/zen/src/bootstrap.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 import { bootstrapState, type Member, type Replication } from '@tillerstair/state';
-import { toRpcError, type Transport, type Clock, type Log } from '@tillerstair/wire';
+import { toRpcError, type Transport, type Clock, type Logger } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
 import { BootstrapVote, Voted, type PingResponse } from './messages.js';
@@ -49,7 +49,7 @@
     private readonly transport: Transport,
     private readonly electionStore: ElectionStore,
     private readonly bounds: ZenBounds,
-    private readonly log: Log,
+    private readonly log: Logger,
     private readonly slots: number,
     private readonly replication?: Replication,
   ) {}
@@ -92,7 +92,7 @@
         to.addr,
         'zen/bootstrap',
         { from: me, members },
-        { within: this.bounds.joinWait },
+        { timeoutMs: this.bounds.joinWait },
       );
       return Voted.parse(back).yes;
     } catch (e) {
--- a/packages/zen/src/bounds.ts
+++ b/packages/zen/src/bounds.ts
@@ -4,7 +4,7 @@
  * since platform timers refuse fractions.
  */
 
-import { wholeMs } from '@tillerstair/wire';
+import { toTimerMs } from '@tillerstair/wire';
 
 /** Times used inside a cluster, in whole milliseconds (`joinTries` and `pingsFromAnotherMaster` are counts). */
 export interface ZenBounds {
@@ -36,19 +36,19 @@
 
 /** Derives the inner times from the outer bounds. */
 export const zenBounds = (o: OuterBounds): ZenBounds => ({
-  heartbeatInterval: wholeMs(o.heartbeatInterval),
-  failureTimeout: wholeMs(o.failureTimeout),
-  pingWait: wholeMs(o.serveWithin / 24),
-  joinWait: wholeMs(o.serveWithin / 8),
+  heartbeatInterval: toTimerMs(o.heartbeatInterval),
+  failureTimeout: toTimerMs(o.failureTimeout),
+  pingWait: toTimerMs(o.serveWithin / 24),
+  joinWait: toTimerMs(o.serveWithin / 8),
   joinTries: 3,
-  publishWait: wholeMs(o.failureTimeout / 2),
-  syncWithin: wholeMs(o.failureTimeout / 2),
-  diskRetryEvery: wholeMs(o.heartbeatInterval / 4),
-  bootstrapStillFor: wholeMs(o.serveWithin / 6),
-  replaceAfter: wholeMs(o.failureTimeout * 2),
-  readLease: wholeMs((o.drainingWithin * 5) / 6),
-  drainingCommitWithin: wholeMs(o.drainingWithin / 6),
-  listEvery: wholeMs(o.drainingWithin / 6),
+  publishWait: toTimerMs(o.failureTimeout / 2),
+  syncWithin: toTimerMs(o.failureTimeout / 2),
+  diskRetryEvery: toTimerMs(o.heartbeatInterval / 4),
+  bootstrapStillFor: toTimerMs(o.serveWithin / 6),
+  replaceAfter: toTimerMs(o.failureTimeout * 2),
+  readLease: toTimerMs((o.drainingWithin * 5) / 6),
+  drainingCommitWithin: toTimerMs(o.drainingWithin / 6),
+  listEvery: toTimerMs(o.drainingWithin / 6),
   pingsFromAnotherMaster: 1,
 });
 
--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -1,5 +1,12 @@
-import { versionOf, newer, quorum, unflatten, type Member, type State } from '@tillerstair/state';
-import { pause, type Transport, type Clock } from '@tillerstair/wire';
+import {
+  versionOf,
+  isNewerVersion,
+  hasQuorum,
+  decodeState,
+  type Member,
+  type State,
+} from '@tillerstair/state';
+import { delay, type Transport, type Clock } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import { ValidateResponse } from './messages.js';
 
@@ -31,11 +38,11 @@
         member.addr,
         'zen/validate',
         { ...body, to: member.id },
-        { within: bounds.joinWait },
+        { timeoutMs: bounds.joinWait },
       ),
     );
-    const theirs = got.state ? unflatten(new Map(got.state)) : undefined;
-    if (theirs && newer(versionOf(theirs), versionOf(newest))) newest = theirs;
+    const theirs = got.state ? decodeState(new Map(got.state)) : undefined;
+    if (theirs && isNewerVersion(versionOf(theirs), versionOf(newest))) newest = theirs;
     granted.add(member.id);
   });
   let open = true;
@@ -43,8 +50,8 @@
     open = false;
   });
   const late = clock.now() + bounds.joinWait;
-  const enough = (): boolean => quorum(acc.voters, new Set([me.id, ...granted]));
-  while (open && clock.now() < late && !enough()) await pause(clock, bounds.heartbeatInterval / 50);
-  if (open) await pause(clock, bounds.heartbeatInterval / 20);
+  const enough = (): boolean => hasQuorum(acc.voters, new Set([me.id, ...granted]));
+  while (open && clock.now() < late && !enough()) await delay(clock, bounds.heartbeatInterval / 50);
+  if (open) await delay(clock, bounds.heartbeatInterval / 20);
   return { granted: new Set(granted), newest };
 };
--- a/packages/zen/src/elect.ts
+++ b/packages/zen/src/elect.ts
@@ -1,6 +1,6 @@
 import {
-  newer,
-  quorum,
+  isNewerVersion,
+  hasQuorum,
   type StateVersion,
   type Member,
   type VotingConfiguration,
@@ -35,7 +35,7 @@
   let voters = self.voters;
   let stateVersion = self.accepted;
   for (const p of pingResponses)
-    if (p.voters && (!voters || newer(p.accepted, stateVersion))) {
+    if (p.voters && (!voters || isNewerVersion(p.accepted, stateVersion))) {
       voters = p.voters;
       stateVersion = p.accepted;
     }
@@ -45,7 +45,7 @@
 export const enough = (
   voters: VotingConfiguration | undefined,
   actives: readonly Member[],
-): boolean => voters !== undefined && quorum(voters, new Set(actives.map((m) => m.id)));
+): boolean => voters !== undefined && hasQuorum(voters, new Set(actives.map((m) => m.id)));
 
 export const elect = (self: Self, replies: readonly PingResponse[]): Choice => {
   const pingResponses = replies.filter((p) => p.eligible);
--- a/packages/zen/src/election-store.ts
+++ b/packages/zen/src/election-store.ts
@@ -1,14 +1,14 @@
 import { z } from 'zod';
 import {
-  Diff,
-  diffOf,
-  Entries,
-  flatten,
+  StateDiff,
+  diffStates,
+  TableEntries,
+  encodeState,
   versionOf,
   Member,
-  newer,
-  patch,
-  unflatten,
+  isNewerVersion,
+  applyDiff,
+  decodeState,
   type StateVersion,
   type State,
 } from '@tillerstair/state';
@@ -21,14 +21,14 @@
   type JournalOwner,
   type JournalPace,
 } from '@tillerstair/journal';
-import { pause } from '@tillerstair/wire';
+import { delay } from '@tillerstair/wire';
 
 const Rec = z.discriminatedUnion('t', [
   z.object({ t: z.literal('id'), id: z.string() }),
   z.object({ t: z.literal('vote'), term: z.number(), to: z.string() }),
   z.object({ t: z.literal('bootstrap-vote'), members: z.array(Member) }),
-  z.object({ t: z.literal('full'), state: Entries }),
-  z.object({ t: z.literal('diff'), diff: Diff }),
+  z.object({ t: z.literal('full'), state: TableEntries }),
+  z.object({ t: z.literal('diff'), diff: StateDiff }),
 ]);
 type Rec = z.infer<typeof Rec>;
 
@@ -62,14 +62,14 @@
     case 'bootstrap-vote':
       return { ...k, bootstrapVote: r.members };
     case 'full':
-      return { ...k, accepted: unflatten(new Map(r.state)) };
+      return { ...k, accepted: decodeState(new Map(r.state)) };
     case 'diff':
       return { ...k, accepted: patched(k.accepted, r.diff) };
   }
 };
 
-const patched = (base: State | undefined, diff: Diff): State => {
-  const next = base && patch(base, diff);
+const patched = (base: State | undefined, diff: StateDiff): State => {
+  const next = base && applyDiff(base, diff);
   if (!next)
     throw new LogNotWhole(
       `a change of version ${diff.base.version} follows version ${base?.version ?? 'none'}`,
@@ -87,7 +87,7 @@
       `a state of term ${after.accepted.term} was accepted in term ${after.term}`,
     );
   const went = before.accepted && after.accepted !== before.accepted;
-  if (went && !newer(versionOf(after.accepted), versionOf(before.accepted)))
+  if (went && !isNewerVersion(versionOf(after.accepted), versionOf(before.accepted)))
     throw new LogNotWhole('an older state follows a newer one');
 };
 
@@ -162,7 +162,7 @@
 
   private async start(id: string, pace: JournalPace): Promise<void> {
     await this.put({ t: 'id', id }).catch(() => undefined);
-    while (!this.writable) await pause(pace.clock, pace.retryEvery);
+    while (!this.writable) await delay(pace.clock, pace.retryEvery);
   }
 
   get writable(): boolean {
@@ -197,7 +197,7 @@
       ...(bootstrapVote.length > 0
         ? [{ t: 'bootstrap-vote' as const, members: [...bootstrapVote] }]
         : []),
-      ...(accepted ? [{ t: 'full' as const, state: [...flatten(accepted)] }] : []),
+      ...(accepted ? [{ t: 'full' as const, state: [...encodeState(accepted)] }] : []),
     ];
   }
 
@@ -218,8 +218,8 @@
     const old = this.persisted.accepted;
     const next = { ...this.persisted, accepted: state };
     if (!old || old.clusterId !== state.clusterId)
-      return this.put({ t: 'full', state: [...flatten(state)] }, next);
-    return this.put({ t: 'diff', diff: diffOf(old, state) }, next);
+      return this.put({ t: 'full', state: [...encodeState(state)] }, next);
+    return this.put({ t: 'diff', diff: diffStates(old, state) }, next);
   }
 }
 
--- a/packages/zen/src/joiner.ts
+++ b/packages/zen/src/joiner.ts
@@ -1,6 +1,11 @@
 /** A member's blocking join of the master that it elected, with retries. */
 import type { Member } from '@tillerstair/state';
-import { ConnectionRefusedError, RpcError, toRpcError } from '@tillerstair/wire';
+import {
+  ConnectionRefusedError,
+  ElectionError,
+  type RpcError,
+  toRpcError,
+} from '@tillerstair/wire';
 import type { Asking } from './candidate.js';
 import { PingResponse, type Join, type Ping } from './messages.js';
 
@@ -19,13 +24,13 @@
 ): Promise<void> => {
   const { transport, bounds } = asking;
   const pingResponse = PingResponse.parse(
-    await transport.call(master.addr, 'zen/ping', ping, { within: bounds.pingWait }),
+    await transport.call(master.addr, 'zen/ping', ping, { timeoutMs: bounds.pingWait }),
   );
   if (pingResponse.from.id !== master.id)
-    throw new RpcError('gone', `${master.addr} is another node now`);
+    throw new ElectionError('other-node', `${master.addr} is another node now`);
   for (let attempt = 1; ; attempt++) {
     try {
-      await transport.call(master.addr, 'zen/join', join, { within: bounds.joinWait });
+      await transport.call(master.addr, 'zen/join', join, { timeoutMs: bounds.joinWait });
       return;
     } catch (e) {
       const m = toRpcError(e);
--- a/packages/zen/src/leave.ts
+++ b/packages/zen/src/leave.ts
@@ -1,6 +1,6 @@
 /** How a node that is told to stop takes its leave of the cluster. */
-import { reduce, type Member } from '@tillerstair/state';
-import { RequestTimeoutError, within, type Transport, type Clock } from '@tillerstair/wire';
+import { reduceState, type Member } from '@tillerstair/state';
+import { RequestTimeoutError, withTimeout, type Transport, type Clock } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { MasterView } from './master-types.js';
 
@@ -26,9 +26,9 @@
       master.addr,
       'zen/leave',
       { from: me },
-      { within: bounds.heartbeatInterval },
+      { timeoutMs: bounds.heartbeatInterval },
     );
   if (!leading) return;
-  const left = leading.submit((s) => reduce(s, { kind: 'leave', id: me.id }));
-  await within(clock, bounds.heartbeatInterval, left, () => new RequestTimeoutError(me.addr));
+  const left = leading.submit((s) => reduceState(s, { kind: 'leave', id: me.id }));
+  await withTimeout(clock, bounds.heartbeatInterval, left, () => new RequestTimeoutError(me.addr));
 };
--- a/packages/zen/src/master-types.ts
+++ b/packages/zen/src/master-types.ts
@@ -1,5 +1,5 @@
 import type { Member, State } from '@tillerstair/state';
-import type { Transport, Clock, Log } from '@tillerstair/wire';
+import type { Transport, Clock, Logger } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
 
@@ -26,7 +26,7 @@
   readonly transport: Transport;
   readonly electionStore: ElectionStore;
   readonly bounds: ZenBounds;
-  readonly log: Log;
+  readonly log: Logger;
   readonly settle: (s: State) => State;
   readonly apply: (s: State) => Promise<void>;
   readonly onReport: (id: string, report: unknown) => void;
--- a/packages/zen/src/master.ts
+++ b/packages/zen/src/master.ts
@@ -1,6 +1,6 @@
 import { deflateSync } from 'node:zlib';
-import { diffOf, flatten, versionOf, newer, quorum, reduce, isSameVersion, settleVoters, type StateVersion, type Member, type State } from '@tillerstair/state';
-import { ConnectionRefusedError, TaskQueue, RpcError, toRpcError, pause, lasting } from '@tillerstair/wire';
+import { diffStates, encodeState, versionOf, isNewerVersion, hasQuorum, reduceState, isSameVersion, completeVotingChange, type StateVersion, type Member, type State } from '@tillerstair/state';
+import { ConnectionRefusedError, createAbortController, delay, ElectionError, ProtocolError, RpcError, TaskQueue, toRpcError, UnavailableError } from '@tillerstair/wire';
 import type { Change, Committed, MasterParts, MasterView, Task } from './master-types.js';
 import { Accepted, NodePingResponse, ValidateResponse, type Join, type MasterPing, type Payload } from './messages.js';
 import { QuorumRead } from './quorum-read.js';
@@ -14,7 +14,7 @@
 const never: Contact = { ackedAt: -Infinity, applied: { term: -1, version: 0 } };
 
 export class Master implements MasterView {
-  private readonly stop = lasting();
+  private readonly stop = createAbortController();
   private readonly taskQueue = new TaskQueue('publish');
   private tasks: Task[] = [];
   private base: State;
@@ -53,7 +53,7 @@
     if (this.stop.signal.aborted) return;
     this.p.log.warn(`Stepping down in term ${this.term}: ${why}.`);
     this.stop.abort();
-    for (const t of this.tasks) t.fail(new RpcError('not-master', 'this control is no longer master'));
+    for (const t of this.tasks) t.fail(new ElectionError('not-master', 'this control is no longer master'));
     this.tasks = [];
     for (const w of [...this.applyWaits]) w();
     this.taskQueue.close();
@@ -62,7 +62,7 @@
   async begin(joiners: readonly Member[], askedAt: number): Promise<void> {
     const { me } = this.p;
     for (const m of joiners) this.contacts.set(m.id, { ...never, ackedAt: askedAt });
-    await this.submit((s) => [me, ...joiners].reduce((t, member) => reduce(t, { kind: 'join', member }), s));
+    await this.submit((s) => [me, ...joiners].reduce((t, member) => reduceState(t, { kind: 'join', member }), s));
     void this.watchSelf();
   }
 
@@ -76,7 +76,7 @@
 
   private queue(change: Change, proven: boolean): Promise<Committed> {
     return new Promise((done, fail) => {
-      if (this.lost.aborted) return fail(new RpcError('not-master', 'this control is no longer master'));
+      if (this.lost.aborted) return fail(new ElectionError('not-master', 'this control is no longer master'));
       this.tasks.push({ change, proven, done, fail });
       if (this.tasks.length === 1) void this.taskQueue.run(() => this.drain());
     });
@@ -101,16 +101,16 @@
       const changed = next !== this.base || !this.committed;
       if (changed) await this.publish({ ...next, term: this.term, version: this.base.version + 1, master: this.p.me.id });
       const state = this.committed;
-      if (!state) throw new RpcError('not-master', 'nothing is committed');
+      if (!state) throw new ElectionError('not-master', 'nothing is committed');
       const ends = { state, at: this.committedAt };
       for (const t of going) this.end(t, changed, () => t.done(ends));
       for (const [t, why] of refused) this.end(t, changed, () => t.fail(why));
-      const settled = settleVoters(state);
-      if (settled !== state) void this.submit(settleVoters).catch(() => undefined);
+      const settled = completeVotingChange(state);
+      if (settled !== state) void this.submit(completeVotingChange).catch(() => undefined);
     } catch (e) {
       const m = toRpcError(e);
-      for (const t of going) t.fail(new RpcError('unknown', m.message, 'unknown'));
-      for (const [t] of refused) t.fail(new RpcError('unavailable', m.message));
+      for (const t of going) t.fail(new ProtocolError('unknown', m.message, 'unknown'));
+      for (const [t] of refused) t.fail(new UnavailableError('unavailable', m.message));
       this.stepDown(m.message);
     }
   }
@@ -118,7 +118,7 @@
   /** Ends a task at once where a publish since it came has proven this master, else after a quorum read. */
   private end(task: Task, published: boolean, listReport: () => void): void {
     if (published || !task.proven) return listReport();
-    this.confirm().then(listReport, (e: unknown) => task.fail(new RpcError('unavailable', toRpcError(e).message)));
+    this.confirm().then(listReport, (e: unknown) => task.fail(new UnavailableError('unavailable', toRpcError(e).message)));
   }
 
   private targets(s: State): readonly Member[] {
@@ -131,20 +131,20 @@
     const { electionStore, me, clock, bounds, apply, log } = this.p;
     const old = this.base;
     const stateVersion = versionOf(next);
-    const diff = this.pack({ diff: diffOf(old, next) });
+    const diff = this.pack({ diff: diffStates(old, next) });
     let full = '';
-    const fullOf = () => (full ||= this.pack({ full: [...flatten(next)] }));
+    const fullOf = () => (full ||= this.pack({ full: [...encodeState(next)] }));
     const yes = new Set<string>();
     const taken = new Set<Member>();
     const targets = this.targets(next);
-    if (electionStore.persisted.term !== this.term) throw new RpcError('stale', `term ${electionStore.persisted.term} was voted for meanwhile`);
+    if (electionStore.persisted.term !== this.term) throw new ElectionError('stale', `term ${electionStore.persisted.term} was voted for meanwhile`);
     await new Promise<void>((done, fail) => {
-      const timer = clock.after(bounds.publishWait, () => fail(new RpcError('no-majority', 'no majority synced the state in time')));
-      const onLost = () => fail(new RpcError('not-master', 'stepped down meanwhile', 'unknown'));
+      const timer = clock.after(bounds.publishWait, () => fail(new ElectionError('no-majority', 'no majority synced the state in time')));
+      const onLost = () => fail(new ElectionError('not-master', 'stepped down meanwhile', 'unknown'));
       this.lost.addEventListener('abort', onLost, { once: true });
       const count = (id: string) => {
         yes.add(id);
-        if (!quorum(next.voters, yes) || !quorum(old.voters, yes)) return;
+        if (!hasQuorum(next.voters, yes) || !hasQuorum(old.voters, yes)) return;
         timer.stop();
         this.lost.removeEventListener('abort', onLost);
         done();
@@ -154,7 +154,7 @@
         void this.sendUntil(member, next, diff, fullOf, clock.now() + bounds.publishWait)
           .then((ok) => {
             if (!ok) return;
-            if (this.committed && !newer(stateVersion, versionOf(this.committed))) void this.commit(member, stateVersion);
+            if (this.committed && !isNewerVersion(stateVersion, versionOf(this.committed))) void this.commit(member, stateVersion);
             else taken.add(member);
             count(member.id);
           })
@@ -178,8 +178,8 @@
     const voter = next.votingMembers.has(member.id);
     while (!this.lost.aborted) {
       if (await this.send(member, next, diff, fullOf)) return true;
-      if (!voter || (this.committed && !newer(versionOf(next), versionOf(this.committed))) || clock.now() >= end) return false;
-      await pause(clock, bounds.heartbeatInterval / 20, this.lost);
+      if (!voter || (this.committed && !isNewerVersion(versionOf(next), versionOf(this.committed))) || clock.now() >= end) return false;
+      await delay(clock, bounds.heartbeatInterval / 20, this.lost);
     }
     return false;
   }
@@ -188,7 +188,7 @@
     const { transport, me, bounds, log } = this.p;
     const head = { from: me, term: this.term, clusterId: next.clusterId };
     const ask = async (packed: string) =>
-      Accepted.parse(await transport.call(member.addr, 'zen/publish', { ...head, to: member.id, packed }, { within: bounds.publishWait }));
+      Accepted.parse(await transport.call(member.addr, 'zen/publish', { ...head, to: member.id, packed }, { timeoutMs: bounds.publishWait }));
     try {
       const has = this.seen.get(member.id);
       const first = has && isSameVersion(has, versionOf(this.base)) && this.base !== next ? await ask(diff) : await ask(fullOf());
@@ -208,7 +208,7 @@
   private async commit(member: Member, stateVersion: StateVersion): Promise<void> {
     const { transport, me, bounds } = this.p;
     try {
-      await transport.call(member.addr, 'zen/commit', { from: me, to: member.id, stateVersion }, { within: bounds.failureTimeout });
+      await transport.call(member.addr, 'zen/commit', { from: me, to: member.id, stateVersion }, { timeoutMs: bounds.failureTimeout });
       this.noteApplied(member.id, stateVersion);
     } catch {
       this.seen.delete(member.id);
@@ -217,7 +217,7 @@
 
   private noteApplied(id: string, applied: StateVersion): void {
     const old = this.contacts.get(id) ?? never;
-    if (newer(applied, old.applied)) this.contacts.set(id, { ...old, applied });
+    if (isNewerVersion(applied, old.applied)) this.contacts.set(id, { ...old, applied });
     for (const w of [...this.applyWaits]) w();
   }
 
@@ -234,12 +234,12 @@
       let until = Math.max(this.electedAt, ...this.departed.values()) + bounds.readLease;
       for (const m of c.state.nodes.values()) {
         const k = this.contacts.get(m.id) ?? never;
-        if (m.kind === 'front' && newer(stateVersion, k.applied)) until = Math.max(until, c.at + bounds.readLease);
+        if (m.kind === 'front' && isNewerVersion(stateVersion, k.applied)) until = Math.max(until, c.at + bounds.readLease);
       }
       return until;
     };
     for (;;) {
-      if (this.lost.aborted) throw new RpcError('unknown', 'this control stopped being master meanwhile', 'unknown');
+      if (this.lost.aborted) throw new ProtocolError('unknown', 'this control stopped being master meanwhile', 'unknown');
       const wait = ready() - clock.now();
       if (wait <= 0) return;
       await new Promise<void>((done) => {
@@ -271,7 +271,7 @@
   }
 
   synced(id: string): boolean {
-    return id === this.p.me.id || !newer(versionOf(this.committed), versionOf(this.seen.get(id)));
+    return id === this.p.me.id || !isNewerVersion(versionOf(this.committed), versionOf(this.seen.get(id)));
   }
 
   private age(): number {
@@ -288,7 +288,7 @@
     while (!this.lost.aborted) {
       if (!electionStore.writable) this.stepDown('its own disk takes no writes');
       if (this.age() > bounds.failureTimeout) this.stepDown('no majority of controls replies');
-      await pause(clock, bounds.heartbeatInterval / 4, this.lost);
+      await delay(clock, bounds.heartbeatInterval / 4, this.lost);
     }
   }
 
@@ -310,14 +310,14 @@
       const sent = clock.now();
       try {
         const body = { from: me, to: id, term: this.term, clusterId: this.base.clusterId };
-        const pingResponse = NodePingResponse.parse(await transport.call(member.addr, 'zen/node-ping', body, { within: bounds.failureTimeout }));
+        const pingResponse = NodePingResponse.parse(await transport.call(member.addr, 'zen/node-ping', body, { timeoutMs: bounds.failureTimeout }));
         if (pingResponse.term > this.term) return this.stepDown(`${member.addr} is in term ${pingResponse.term}`);
         good = clock.now();
         refused = 0;
         this.contacts.set(id, { ...(this.contacts.get(id) ?? never), ackedAt: sent });
         this.noteApplied(id, pingResponse.applied);
         this.p.onReport(id, pingResponse.report);
-        if (this.committed && newer(versionOf(this.committed), pingResponse.applied)) void this.catchUp(member, this.committed);
+        if (this.committed && isNewerVersion(versionOf(this.committed), pingResponse.applied)) void this.catchUp(member, this.committed);
       } catch (e) {
         if (e instanceof ConnectionRefusedError || toRpcError(e).code === 'other-node') refused++;
       }
@@ -326,13 +326,13 @@
       if (listed && (refused >= 2 || clock.now() - heard > bounds.failureTimeout)) {
         refused = 0;
         log.info(`Member ${member.kind} ${member.addr} failed.`);
-        this.submit((s) => reduce(s, { kind: 'leave', id })).catch(() => undefined);
+        this.submit((s) => reduceState(s, { kind: 'leave', id })).catch(() => undefined);
       }
       const early = new AbortController();
       this.hurry.set(member.addr, () => early.abort());
       const stop = (): void => early.abort();
       this.lost.addEventListener('abort', stop, { once: true });
-      await pause(clock, refused === 1 ? bounds.heartbeatInterval / 10 : bounds.heartbeatInterval, early.signal);
+      await delay(clock, refused === 1 ? bounds.heartbeatInterval / 10 : bounds.heartbeatInterval, early.signal);
       this.lost.removeEventListener('abort', stop);
       this.hurry.delete(member.addr);
     }
@@ -344,7 +344,7 @@
   }
 
   private async catchUp(member: Member, state: State): Promise<void> {
-    if (!(await this.send(member, state, '', () => this.pack({ full: [...flatten(state)] })))) return;
+    if (!(await this.send(member, state, '', () => this.pack({ full: [...encodeState(state)] })))) return;
     await this.commit(member, versionOf(state));
   }
 
@@ -353,13 +353,13 @@
     const body = { from: me, term: this.term, clusterId: this.base.clusterId, have: versionOf(this.base), to: join.from.id };
     if (join.term > this.term) {
       this.stepDown(`${join.from.addr} joins with term ${join.term}`);
-      throw new RpcError('not-master', 'this control is no longer master');
+      throw new ElectionError('not-master', 'this control is no longer master');
     }
     const askedAt = this.p.clock.now();
-    ValidateResponse.parse(await transport.call(join.from.addr, 'zen/validate', body, { within: bounds.joinWait }));
+    ValidateResponse.parse(await transport.call(join.from.addr, 'zen/validate', body, { timeoutMs: bounds.joinWait }));
     this.contacts.set(join.from.id, { ...never, ackedAt: askedAt });
     this.seen.delete(join.from.id);
-    const { state } = await this.submit((s) => reduce(s, { kind: 'join', member: join.from }));
+    const { state } = await this.submit((s) => reduceState(s, { kind: 'join', member: join.from }));
     await this.catchUp(join.from, state);
     log.info(`Member ${join.from.kind} ${join.from.addr} joined.`);
     return { term: this.term };
--- a/packages/zen/src/messages.ts
+++ b/packages/zen/src/messages.ts
@@ -1,6 +1,12 @@
 import { z } from 'zod';
-import { RpcError, type RpcRequest } from '@tillerstair/wire';
-import { Diff, Entries, StateVersion, Member, VotingConfiguration } from '@tillerstair/state';
+import { ElectionError, type RpcRequest } from '@tillerstair/wire';
+import {
+  StateDiff,
+  TableEntries,
+  StateVersion,
+  Member,
+  VotingConfiguration,
+} from '@tillerstair/state';
 
 export const Ping = z.object({ from: Member, known: z.array(Member), clusterId: z.string() });
 export type Ping = z.infer<typeof Ping>;
@@ -39,7 +45,8 @@
   if (!addressed.has(rpc.kind)) return;
   const { from, to } = Addressed.parse(rpc.body);
   learn(from);
-  if (to !== me.id) throw new RpcError('other-node', `${to} is another node, this is ${me.id}`);
+  if (to !== me.id)
+    throw new ElectionError('other-node', `${to} is another node, this is ${me.id}`);
 };
 
 export const Validate = z.object({
@@ -48,7 +55,10 @@
   clusterId: z.string(),
   have: StateVersion,
 });
-export const ValidateResponse = z.object({ accepted: StateVersion, state: Entries.optional() });
+export const ValidateResponse = z.object({
+  accepted: StateVersion,
+  state: TableEntries.optional(),
+});
 export type ValidateResponse = z.infer<typeof ValidateResponse>;
 
 export const Publish = z.object({
@@ -57,7 +67,7 @@
   clusterId: z.string(),
   packed: z.string(),
 });
-export const Payload = z.union([z.object({ diff: Diff }), z.object({ full: Entries })]);
+export const Payload = z.union([z.object({ diff: StateDiff }), z.object({ full: TableEntries })]);
 export type Payload = z.infer<typeof Payload>;
 export const Accepted = z.object({ outcome: z.enum(['accepted', 'need-full']) });
 export const Commit = z.object({ from: Member, stateVersion: StateVersion });
--- a/packages/zen/src/node.ts
+++ b/packages/zen/src/node.ts
@@ -1,5 +1,5 @@
-import { versionOf, newer, quorum, reduce, type Member, type Replication, type State } from '@tillerstair/state';
-import { ConnectionRefusedError, RpcError, toRpcError, pause, type Transport, type Clock, type RpcRequest, type Log, lasting } from '@tillerstair/wire';
+import { versionOf, isNewerVersion, hasQuorum, reduceState, type Member, type Replication, type State } from '@tillerstair/state';
+import { type Clock, ConnectionRefusedError, createAbortController, delay, ElectionError, type Logger, ProtocolError, type RpcRequest, toRpcError, type Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import { gatherVotes } from './candidate.js';
 import { elect, type Self } from './elect.js';
@@ -23,7 +23,7 @@
   readonly transport: Transport;
   readonly electionStore: ElectionStore;
   readonly bounds: ZenBounds;
-  readonly log: Log;
+  readonly log: Logger;
   readonly slots: number;
   /** Replicas and write quorum of every slot, used when the cluster is bootstrapped. */
   readonly replication?: Replication;
@@ -45,7 +45,7 @@
 }
 
 export class ZenNode {
-  private readonly gone = lasting();
+  private readonly gone = createAbortController();
   private readonly pinger: Pinger;
   private readonly bootstrapper: Bootstrapper;
   private pending: Map<string, PendingJoin> | undefined;
@@ -77,7 +77,7 @@
         if (this.following && this.following.id !== from.id) this.following = from;
       },
     });
-    p.transport.onLost((addr) => {
+    p.transport.onConnectionLost((addr) => {
       this.master?.connectionLost(addr);
       if (this.following?.addr === addr) this.wake();
     });
@@ -140,7 +140,7 @@
         else await this.follow(chosen);
       } catch (e) {
         this.p.log.warn(`Round ended: ${toRpcError(e).message}.`);
-        await pause(this.p.clock, this.p.bounds.heartbeatInterval / 10, this.gone.signal);
+        await delay(this.p.clock, this.p.bounds.heartbeatInterval / 10, this.gone.signal);
       }
     }
     this.dropPending();
@@ -175,7 +175,7 @@
     if (choice.kind === 'none') {
       log.debug(`No master yet: ${choice.why}.`);
       this.misses = Math.min(this.misses + 1, 5);
-      await pause(this.p.clock, (this.p.bounds.heartbeatInterval / 20) * this.misses, this.gone.signal);
+      await delay(this.p.clock, (this.p.bounds.heartbeatInterval / 20) * this.misses, this.gone.signal);
       return undefined;
     }
     this.misses = 0;
@@ -186,7 +186,7 @@
   /** A node that cannot sync a vote neither stands for election nor joins; it only answers pings. */
   private async waitForDisk(): Promise<undefined> {
     this.dropPending();
-    await pause(this.p.clock, this.p.bounds.diskRetryEvery, this.gone.signal);
+    await delay(this.p.clock, this.p.bounds.diskRetryEvery, this.gone.signal);
   }
 
   private ping(): Ping {
@@ -196,7 +196,7 @@
   private async keepLease(): Promise<void> {
     const { clock, bounds } = this.p;
     while (!this.gone.signal.aborted) {
-      await pause(clock, bounds.heartbeatInterval / 4, this.gone.signal);
+      await delay(clock, bounds.heartbeatInterval / 4, this.gone.signal);
       if (this.following && clock.now() - this.leaseRenewedAt > bounds.readLease / 2)
         this.renewLease(await this.pinger.round(() => this.ping(), this.gone.signal));
     }
@@ -211,7 +211,7 @@
   }
 
   private dropPending(): void {
-    for (const j of this.pending?.values() ?? []) j.fail(new RpcError('not-master', 'another control was elected'));
+    for (const j of this.pending?.values() ?? []) j.fail(new ElectionError('not-master', 'another control was elected'));
     this.pending = undefined;
   }
 
@@ -221,7 +221,7 @@
     if (!acc) return;
     const joined = (): ReadonlySet<string> => new Set([me.id, ...(this.pending?.keys() ?? [])]);
     const end = clock.now() + bounds.joinWait;
-    while (!quorum(acc.voters, joined())) {
+    while (!hasQuorum(acc.voters, joined())) {
       if (clock.now() >= end || this.gone.signal.aborted) return this.dropPending();
       await this.nudge(Math.min(bounds.joinWait / 4, end - clock.now()));
     }
@@ -232,7 +232,7 @@
     const asking = { me, clock, transport: this.p.transport, bounds };
     const { granted, newest } = await gatherVotes(asking, acc, term, joins.map((j) => j.join.from));
     const yes = new Set([me.id, ...granted]);
-    if (electionStore.persisted.term !== term || !quorum(acc.voters, yes) || !quorum(newest.voters, yes)) {
+    if (electionStore.persisted.term !== term || !hasQuorum(acc.voters, yes) || !hasQuorum(newest.voters, yes)) {
       log.info(`Won no majority in term ${term}.`);
       return this.dropPending();
     }
@@ -270,7 +270,7 @@
   private nudge(ms: number): Promise<void> {
     const early = new AbortController();
     this.wake = () => early.abort();
-    return pause(this.p.clock, ms, early.signal);
+    return delay(this.p.clock, ms, early.signal);
   }
 
   private async follow(master: Member): Promise<void> {
@@ -289,7 +289,7 @@
     await this.watchMaster();
     log.info('Lost the master.');
     this.following = undefined;
-    if (electionStore.persisted.accepted === undefined) await pause(clock, bounds.heartbeatInterval / 10, this.gone.signal);
+    if (electionStore.persisted.accepted === undefined) await delay(clock, bounds.heartbeatInterval / 10, this.gone.signal);
   }
 
   private async watchMaster(): Promise<void> {
@@ -303,12 +303,12 @@
       const sent = clock.now();
       try {
         const ping: MasterPing = { from: me, term: this.term, applied: versionOf(this.applied), report: this.p.report?.() ?? null };
-        const pingResponse = MasterPingResponse.parse(await transport.call(master.addr, 'zen/master-ping', ping, { within: bounds.failureTimeout }));
+        const pingResponse = MasterPingResponse.parse(await transport.call(master.addr, 'zen/master-ping', ping, { timeoutMs: bounds.failureTimeout }));
         unlisted = pingResponse.listed ? 0 : unlisted + 1;
         if (!pingResponse.leading || pingResponse.term < this.term || unlisted >= 2) return;
         good = clock.now();
         refused = 0;
-        if (pingResponse.listed && !newer(pingResponse.committed, versionOf(this.applied))) {
+        if (pingResponse.listed && !isNewerVersion(pingResponse.committed, versionOf(this.applied))) {
           this.lease.renew(sent - pingResponse.age);
           this.p.onListReport?.(pingResponse.reported, sent);
         }
@@ -370,11 +370,11 @@
       }
       case 'zen/leave': {
         const { id } = Ping.pick({ from: true }).parse(rpc.body).from;
-        await this.leading?.submit((s) => reduce(s, { kind: 'leave', id }));
+        await this.leading?.submit((s) => reduceState(s, { kind: 'leave', id }));
         return {};
       }
       default:
-        throw new RpcError('unknown-kind', `no such request: ${rpc.kind}`);
+        throw new ProtocolError('unknown-kind', `no such request: ${rpc.kind}`);
     }
   }
 
@@ -385,13 +385,13 @@
 
   private onJoin(join: Join): Promise<{ term: number }> {
     if (join.clusterId && join.clusterId !== this.clusterId)
-      throw new RpcError('other-cluster', `this is cluster ${this.clusterId}`);
+      throw new ElectionError('other-cluster', `this is cluster ${this.clusterId}`);
     const m = this.master;
     if (m && !m.lost.aborted) return m.onJoin(join);
     const pending = this.pending;
-    if (!pending) throw new RpcError('not-master', 'this node follows another');
+    if (!pending) throw new ElectionError('not-master', 'this node follows another');
     return new Promise((done, fail) => {
-      pending.get(join.from.id)?.fail(new RpcError('superseded', 'a later join replaced this one'));
+      pending.get(join.from.id)?.fail(new ElectionError('superseded', 'a later join replaced this one'));
       pending.set(join.from.id, { join, done, fail });
       this.wake();
     });
--- a/packages/zen/src/pace.ts
+++ b/packages/zen/src/pace.ts
@@ -1,10 +1,10 @@
 /** How long writes to disk may last on each kind of member, as bounds that are read again may change it. */
 import type { JournalPace } from '@tillerstair/journal';
-import type { Clock, Log } from '@tillerstair/wire';
+import type { Clock, Logger } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 
 /** A control's sync that lasts longer than a publish waits is of no use to any majority. */
-export const controlPace = (clock: Clock, bounds: ZenBounds, log: Log): JournalPace => ({
+export const controlPace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalPace => ({
   clock,
   log,
   get syncWithin() {
@@ -16,7 +16,7 @@
 });
 
 /** A store's slow sync still makes a replica whole, though the slot's writes do not wait for it. */
-export const storePace = (clock: Clock, bounds: ZenBounds, log: Log): JournalPace => ({
+export const storePace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalPace => ({
   clock,
   log,
   get syncWithin() {
--- a/packages/zen/src/pinger.ts
+++ b/packages/zen/src/pinger.ts
@@ -1,5 +1,11 @@
 import type { Member } from '@tillerstair/state';
-import { pause, within, type Transport, type Clock, RequestTimeoutError } from '@tillerstair/wire';
+import {
+  delay,
+  withTimeout,
+  type Transport,
+  type Clock,
+  RequestTimeoutError,
+} from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import { PingResponse, type Ping } from './messages.js';
 
@@ -57,10 +63,10 @@
       const left = end - this.clock.now();
       if (left <= 0 || gone.aborted) return;
       try {
-        const back = await within(
+        const back = await withTimeout(
           this.clock,
           left,
-          this.transport.call(addr, 'zen/ping', ping(), { within: left }),
+          this.transport.call(addr, 'zen/ping', ping(), { timeoutMs: left }),
           () => new RequestTimeoutError(addr),
         );
         const pingResponse = PingResponse.parse(back);
@@ -88,7 +94,7 @@
     };
     spread();
     if (open > 0)
-      await pause(this.clock, this.bounds.pingWait, AbortSignal.any([gone, early.signal]));
+      await delay(this.clock, this.bounds.pingWait, AbortSignal.any([gone, early.signal]));
     return { at, pingResponses: [...pingResponses.values()] };
   }
 }
--- a/packages/zen/src/quorum-read.ts
+++ b/packages/zen/src/quorum-read.ts
@@ -1,5 +1,12 @@
-import { quorum, type Member, type State } from '@tillerstair/state';
-import { RpcError, toRpcError, pause, type Transport, type Clock } from '@tillerstair/wire';
+import { hasQuorum, type Member, type State } from '@tillerstair/state';
+import {
+  type Clock,
+  delay,
+  ElectionError,
+  toRpcError,
+  type Transport,
+  UnavailableError,
+} from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import { NodePingResponse } from './messages.js';
 
@@ -43,7 +50,7 @@
     const { clock, bounds, lost } = this.p;
     await this.orSooner(this.running, bounds.heartbeatInterval / 4);
     this.next = undefined;
-    if (lost.aborted) throw new RpcError('not-master', 'this control is no longer master');
+    if (lost.aborted) throw new ElectionError('not-master', 'this control is no longer master');
     const round = this.round(clock.now() + bounds.heartbeatInterval);
     this.running = round.catch(() => undefined);
     return round;
@@ -51,19 +58,19 @@
 
   private async orSooner(work: Promise<unknown>, ms: number): Promise<void> {
     const over = new AbortController();
-    await Promise.race([work, pause(this.p.clock, ms, over.signal)]);
+    await Promise.race([work, delay(this.p.clock, ms, over.signal)]);
     over.abort();
   }
 
   private async round(end: number): Promise<State> {
     const state = this.p.committed();
-    if (!state) throw new RpcError('not-master', 'nothing is committed yet');
+    if (!state) throw new ElectionError('not-master', 'nothing is committed yet');
     const confirmed = new Set([this.p.me.id]);
     const others = [...state.votingMembers.values()].filter((member) => member.id !== this.p.me.id);
     const over = new AbortController();
     await new Promise<void>((done) => {
       const check = (): void => {
-        if (quorum(state.voters, confirmed)) done();
+        if (hasQuorum(state.voters, confirmed)) done();
       };
       check();
       const asked = others.map(async (member) => {
@@ -74,8 +81,8 @@
       void Promise.all(asked).then(() => done());
     });
     over.abort();
-    if (this.p.lost.aborted || this.p.deposed() || !quorum(state.voters, confirmed))
-      throw new RpcError('unavailable', 'no majority confirms this master');
+    if (this.p.lost.aborted || this.p.deposed() || !hasQuorum(state.voters, confirmed))
+      throw new UnavailableError('unavailable', 'no majority confirms this master');
     return state;
   }
 
@@ -91,14 +98,16 @@
       try {
         const body = { from: me, to: member.id, term, clusterId };
         const pingResponse = NodePingResponse.parse(
-          await transport.call(member.addr, 'zen/node-ping', body, { within: end - clock.now() }),
+          await transport.call(member.addr, 'zen/node-ping', body, {
+            timeoutMs: end - clock.now(),
+          }),
         );
         if (pingResponse.term > term) this.p.onLaterTerm(pingResponse.term, member.addr);
         return pingResponse.term === term;
       } catch (e) {
         if (toRpcError(e).code === 'other-node') return false;
       }
-      await pause(clock, bounds.heartbeatInterval / 4, over);
+      await delay(clock, bounds.heartbeatInterval / 4, over);
     }
     return false;
   }
--- a/packages/zen/src/reach.ts
+++ b/packages/zen/src/reach.ts
@@ -22,7 +22,7 @@
         member.addr,
         'zen/node-ping',
         { ...ping, to: member.id },
-        { within: bounds.heartbeatInterval },
+        { timeoutMs: bounds.heartbeatInterval },
       ),
     );
     if (reply.term === ping.term) reached.add(member.id);
--- a/packages/zen/src/read-lease.ts
+++ b/packages/zen/src/read-lease.ts
@@ -1,5 +1,5 @@
 /** The read lease of a member: until when it may serve from the state that it has applied. */
-import { versionOf, newer, quorum, type State } from '@tillerstair/state';
+import { versionOf, isNewerVersion, hasQuorum, type State } from '@tillerstair/state';
 import type { Round } from './pinger.js';
 
 /**
@@ -24,9 +24,9 @@
     if (!applied || !applied.nodes.has(ownId)) return;
     const notNewer = new Set(
       round.pingResponses
-        .filter((g) => !newer(g.accepted, versionOf(applied)))
+        .filter((g) => !isNewerVersion(g.accepted, versionOf(applied)))
         .map((g) => g.from.id),
     );
-    if (quorum(applied.voters, notNewer)) this.renew(round.at);
+    if (hasQuorum(applied.voters, notNewer)) this.renew(round.at);
   }
 }
--- a/packages/zen/src/receiver.ts
+++ b/packages/zen/src/receiver.ts
@@ -1,15 +1,15 @@
 import { inflateSync } from 'node:zlib';
 import {
   versionOf,
-  newer,
-  patch,
+  isNewerVersion,
+  applyDiff,
   isSameVersion,
-  unflatten,
+  decodeState,
   type StateVersion,
   type Member,
   type State,
 } from '@tillerstair/state';
-import { TaskQueue, RpcError } from '@tillerstair/wire';
+import { ElectionError, TaskQueue } from '@tillerstair/wire';
 import type { ElectionStore } from './election-store.js';
 import { Payload, Publish } from './messages.js';
 
@@ -29,7 +29,7 @@
 
   apply(s: State): Promise<void> {
     return this.applying.run(async () => {
-      if (this.applied && !newer(versionOf(s), versionOf(this.applied))) return;
+      if (this.applied && !isNewerVersion(versionOf(s), versionOf(this.applied))) return;
       await this.p.onApplied(s);
       this.applied = s;
     });
@@ -40,12 +40,12 @@
     const { electionStore } = this.p;
     const mine = electionStore.persisted.accepted?.clusterId ?? '';
     if (mine ? mine !== clusterId : !this.p.knows(from.id))
-      throw new RpcError('other-cluster', 'this node is not of that cluster');
+      throw new ElectionError('other-cluster', 'this node is not of that cluster');
     if (
       term < electionStore.persisted.term ||
       (term === electionStore.persisted.term && electionStore.persisted.votedFor !== from.id)
     )
-      throw new RpcError('stale-term', `term ${electionStore.persisted.term} is promised`);
+      throw new ElectionError('stale-term', `term ${electionStore.persisted.term} is promised`);
     const payload = Payload.parse(
       JSON.parse(inflateSync(Buffer.from(packed, 'base64')).toString('utf8')),
     );
@@ -53,22 +53,22 @@
     let next: State;
     if ('diff' in payload) {
       if (acc && isSameVersion(versionOf(acc), payload.diff.to)) return this.held();
-      const patched = acc && patch(acc, payload.diff);
+      const patched = acc && applyDiff(acc, payload.diff);
       if (!patched) return { outcome: 'need-full' };
       next = patched;
     } else {
-      next = unflatten(new Map(payload.full));
+      next = decodeState(new Map(payload.full));
       if (acc && isSameVersion(versionOf(acc), versionOf(next))) return this.held();
     }
-    if (next.term !== term || (acc && !newer(versionOf(next), versionOf(acc))))
-      throw new RpcError('stale-state', 'a newer state is held');
+    if (next.term !== term || (acc && !isNewerVersion(versionOf(next), versionOf(acc))))
+      throw new ElectionError('stale-state', 'a newer state is held');
     this.p.onTerm(term, from);
     if (term > electionStore.persisted.term) await electionStore.recordVote(term, from.id);
     if (electionStore.persisted.term !== term)
-      throw new RpcError('stale-term', `term ${electionStore.persisted.term} is promised`);
+      throw new ElectionError('stale-term', `term ${electionStore.persisted.term} is promised`);
     const acceptedMeanwhile = electionStore.persisted.accepted;
-    if (acceptedMeanwhile && !newer(versionOf(next), versionOf(acceptedMeanwhile)))
-      throw new RpcError('stale-state', 'a newer state was accepted meanwhile');
+    if (acceptedMeanwhile && !isNewerVersion(versionOf(next), versionOf(acceptedMeanwhile)))
+      throw new ElectionError('stale-state', 'a newer state was accepted meanwhile');
     await electionStore.accept(next);
     this.p.onPublished(from);
     return { outcome: 'accepted' };
@@ -81,11 +81,11 @@
 
   async onCommit(stateVersion: StateVersion): Promise<unknown> {
     const acc = this.p.electionStore.persisted.accepted;
-    if (!acc) throw new RpcError('not-held', 'that state is not held');
+    if (!acc) throw new ElectionError('not-held', 'that state is not held');
     const { applied } = this;
-    if (applied && !newer(stateVersion, versionOf(applied))) return {};
+    if (applied && !isNewerVersion(stateVersion, versionOf(applied))) return {};
     if (!isSameVersion(versionOf(acc), stateVersion))
-      throw new RpcError('not-held', 'that state is not held');
+      throw new ElectionError('not-held', 'that state is not held');
     await this.apply(acc);
     return {};
   }
--- a/packages/zen/src/stepped-down.ts
+++ b/packages/zen/src/stepped-down.ts
@@ -16,7 +16,7 @@
   for (const member of state?.nodes.values() ?? []) {
     if (member.id === me.id) continue;
     transport
-      .call(member.addr, 'zen/stepped-down', { from: me }, { within: bounds.heartbeatInterval })
+      .call(member.addr, 'zen/stepped-down', { from: me }, { timeoutMs: bounds.heartbeatInterval })
       .catch(() => undefined);
   }
 };
--- a/tests/src/control/many-changes.test.ts
+++ b/tests/src/control/many-changes.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { digestOf, flatten, reduce } from '@tillerstair/state';
+import { configDigest, encodeState, reduceState } from '@tillerstair/state';
 import { World, type Machine } from '@tillerstair/sim';
 import { configText } from '../support/world-helpers.js';
 
@@ -20,7 +20,7 @@
 
 const holds = (m: Machine): string => {
   const s = m.control?.zen.accepted;
-  return s ? JSON.stringify([...flatten(s)].filter(([k]) => k !== 'head').sort()) : '';
+  return s ? JSON.stringify([...encodeState(s)].filter(([k]) => k !== 'head').sort()) : '';
 };
 
 /** As the operator's interface hands a change in, without the check of its text, which is most of the time of a real one. */
@@ -30,10 +30,16 @@
   const old = lead.committed?.config;
   const base = old?.version ?? 0;
   const text = configText(base, 'models', 'shop', routes + (base % 3));
-  const record = { version: base + 1, text, digest: digestOf(text), compiled: text, changeId: '' };
+  const record = {
+    version: base + 1,
+    text,
+    digest: configDigest(text),
+    compiled: text,
+    changeId: '',
+  };
   await w.clock.finish(
     'change',
-    lead.submit((s) => reduce(s, { kind: 'config', record })),
+    lead.submit((s) => reduceState(s, { kind: 'config', record })),
     2000,
   );
 };
--- a/tests/src/control/operator.test.ts
+++ b/tests/src/control/operator.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { OperatorDesk } from '@tillerstair/platform';
-import { compiledOf, routeFor, routesOf } from '@tillerstair/state';
+import { compiledConfig, findRoute, buildRouteTable } from '@tillerstair/state';
 import { way, engine, depot, whole, text, up, deskOf } from '../support/operator-world.js';
 
 const operator = suite('the operator');
@@ -90,7 +90,7 @@
       note: { a: [1] },
     };
     assert.equal(JSON.parse(String(await desk.read())), JSON.parse(text(want)));
-    const config = compiledOf(w.committed?.config);
+    const config = compiledConfig(w.committed?.config);
     assert.equal(
       config?.routes.map((l) => l.name),
       ['r1', 'r3'],
@@ -106,7 +106,7 @@
   async () => {
     const w = await up(48);
     assert.is((await deskOf(w).change('PUT', 0, whole(1))).status, 200);
-    const config = compiledOf(w.committed?.config);
+    const config = compiledConfig(w.committed?.config);
     if (!config) throw new Error('no configuration');
     const [a, b] = config.routes;
     assert.equal(a?.pass, {
@@ -146,7 +146,7 @@
       headerWaitMs: 3000,
       idleMs: 15000,
     });
-    assert.is(routeFor(routesOf(config), 'pass', 'a.example/r2/x/y')?.name, 'r2');
+    assert.is(findRoute(buildRouteTable(config), 'pass', 'a.example/r2/x/y')?.name, 'r2');
     assert.not.match(w.committed?.config?.compiled ?? '', 'cacheTokens');
   },
 );
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -5,16 +5,16 @@
 import { OperatorDesk } from '@tillerstair/platform';
 import { ConfigCalls, seededRng, World, type Machine } from '@tillerstair/sim';
 import {
-  diffOf,
-  flatten,
+  diffStates,
+  encodeState,
   bootstrapState,
-  reduce,
-  takenLeast,
-  takenOutcome,
-  unflatten,
-  withTaken,
+  reduceState,
+  minimumRememberedChanges,
+  acceptedChangeOutcome,
+  decodeState,
+  recordAcceptedChange,
   type State,
-  type TakenChanges,
+  type AcceptedChanges,
 } from '@tillerstair/state';
 import { small } from '../support/world-helpers.js';
 
@@ -113,42 +113,49 @@
 orders(
   'the record of taken changes is bounded, exact within its bound, and in doubt beyond',
   () => {
-    const count = takenLeast + 500;
+    const count = minimumRememberedChanges + 500;
     let s: State = bootstrapState('x', [], 8);
     let most = 0;
     for (let v = 1; v <= count; v++) {
-      const next = reduce(s, { kind: 'config', record: recordOf(v * 3) });
+      const next = reduceState(s, { kind: 'config', record: recordOf(v * 3) });
       if (v % 100 === 0)
         most = Math.max(
           most,
-          JSON.stringify(diffOf(s, next).set.filter(([k]) => k.startsWith('taken/'))).length,
+          JSON.stringify(diffStates(s, next).set.filter(([k]) => k.startsWith('taken/'))).length,
         );
       s = next;
     }
     assert.ok(most < 1000, `${most} bytes of a diff`);
-    const bytes = [...flatten(s)]
+    const bytes = [...encodeState(s)]
       .filter(([k]) => k.startsWith('taken/'))
       .reduce((n, [k, v]) => n + k.length + v.length, 0);
     assert.ok(bytes < 50000, `${bytes} bytes in all`);
-    const back = unflatten(flatten(s));
-    assert.equal(back.taken, s.taken);
+    const back = decodeState(encodeState(s));
+    assert.equal(back.acceptedChanges, s.acceptedChanges);
     for (let v = 1; v <= count; v++) {
-      const outcome = takenOutcome(back.taken, v * 3, `order ${v * 3}`);
+      const outcome = acceptedChangeOutcome(back.acceptedChanges, v * 3, `order ${v * 3}`);
       assert.is.not(outcome, 'not-taken', `version ${v * 3}`);
-      if (v > count - takenLeast) assert.is(outcome, 'taken', `version ${v * 3}`);
+      if (v > count - minimumRememberedChanges) assert.is(outcome, 'taken', `version ${v * 3}`);
     }
-    assert.is(takenOutcome(back.taken, 3, 'order 3'), 'forgotten');
-    assert.is(takenOutcome(back.taken, count * 3, 'another'), 'not-taken');
-    assert.is(takenOutcome(back.taken, count * 3 + 1, `order ${count * 3}`), 'not-taken');
+    assert.is(acceptedChangeOutcome(back.acceptedChanges, 3, 'order 3'), 'forgotten');
+    assert.is(acceptedChangeOutcome(back.acceptedChanges, count * 3, 'another'), 'not-taken');
+    assert.is(
+      acceptedChangeOutcome(back.acceptedChanges, count * 3 + 1, `order ${count * 3}`),
+      'not-taken',
+    );
   },
 );
 
 orders('a version that begins or ends as another is told apart', () => {
-  const taken: TakenChanges = withTaken(withTaken(new Map(), 1, 'a'), 21, 'b');
-  assert.is(takenOutcome(taken, 1, 'a'), 'taken');
-  assert.is(takenOutcome(taken, 1, 'b'), 'not-taken');
-  assert.is(takenOutcome(taken, 2, 'b'), 'not-taken');
-  assert.is(takenOutcome(new Map(), 1, 'a'), 'not-taken');
+  const taken: AcceptedChanges = recordAcceptedChange(
+    recordAcceptedChange(new Map(), 1, 'a'),
+    21,
+    'b',
+  );
+  assert.is(acceptedChangeOutcome(taken, 1, 'a'), 'taken');
+  assert.is(acceptedChangeOutcome(taken, 1, 'b'), 'not-taken');
+  assert.is(acceptedChangeOutcome(taken, 2, 'b'), 'not-taken');
+  assert.is(acceptedChangeOutcome(new Map(), 1, 'a'), 'not-taken');
 });
 
 orders(
