--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -1,10 +1,10 @@
 /** How the list of servers is read: how often, by whom, and how fresh a reading is. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { listInto, bootstrapState } from '@tillerstair/state';
+import { applyServerList, bootstrapState } from '@tillerstair/state';
 import { ListPoll, ListReader } from '@tillerstair/control';
 import { Life, SimClock, SimList, World } from '@tillerstair/sim';
-import { noLog, type Transport } from '@tillerstair/wire';
+import { silentLogger, type Transport } from '@tillerstair/wire';
 import { ListWatch } from '@tillerstair/agent';
 import { listUp, press, everyFront } from '../support/listed-servers.js';
 
@@ -44,7 +44,12 @@
   const shown = new SimList(clock);
   shown.put({ id: 'a', pool: 'p' });
   shown.took = 100;
-  const reader = new ListReader(clock, shown.reader('c', new Life()), { listEvery: 500 }, noLog);
+  const reader = new ListReader(
+    clock,
+    shown.reader('c', new Life()),
+    { listEvery: 500 },
+    silentLogger,
+  );
   const t0 = clock.now();
   const both = Promise.all([reader.read(), reader.read()]);
   const [one, two] = await clock.finish('both', both, 1000);
@@ -63,7 +68,12 @@
   const clock = new SimClock();
   const shown = new SimList(clock);
   shown.hanging = true;
-  const reader = new ListReader(clock, shown.reader('c', new Life()), { listEvery: 500 }, noLog);
+  const reader = new ListReader(
+    clock,
+    shown.reader('c', new Life()),
+    { listEvery: 500 },
+    silentLogger,
+  );
   for (let i = 0; i < 5; i++) {
     const t0 = clock.now();
     const reply = await clock.finish('reply', reader.reply(), 130);
@@ -77,7 +87,12 @@
   const clock = new SimClock();
   const shown = new SimList(clock);
   shown.put({ id: 'a', pool: 'p' });
-  const reader = new ListReader(clock, shown.reader('c', new Life()), { listEvery: 500 }, noLog);
+  const reader = new ListReader(
+    clock,
+    shown.reader('c', new Life()),
+    { listEvery: 500 },
+    silentLogger,
+  );
   const old = await clock.finish('old', reader.read(), 1000);
   shown.put({ id: 'b', pool: 'p' });
   const b = {
@@ -88,7 +103,7 @@
     places: 16,
     draining: false,
   };
-  let committed = listInto(bootstrapState('c', [], 1), [...old.servers, b]);
+  let committed = applyServerList(bootstrapState('c', [], 1), [...old.servers, b]);
   let submits = 0;
   const over = new AbortController();
   const poll = new ListPoll(clock, reader);
@@ -126,7 +141,7 @@
       self: 'f',
       call: async () => null,
       serve: async () => undefined,
-      onLost: () => undefined,
+      onConnectionLost: () => undefined,
       close: async () => undefined,
     };
     const watch = (): ListWatch =>
@@ -134,7 +149,7 @@
         clock,
         transport,
         new World(1, { controls: 0, stores: 0, fronts: 0 }).bounds,
-        noLog,
+        silentLogger,
         'f',
       );
     const one = watch();
@@ -153,9 +168,9 @@
 
 reading('a reading that says nothing new leaves the state as it is', () => {
   const one = { id: 'a', pool: 'p', url: 'u', zone: 'z', places: 3, draining: true };
-  const s = listInto(bootstrapState('c', [], 1), [one]);
-  assert.is(listInto(s, [{ ...one, draining: false }]), s);
-  assert.is(listInto(s, []).servers.size, 0);
+  const s = applyServerList(bootstrapState('c', [], 1), [one]);
+  assert.is(applyServerList(s, [{ ...one, draining: false }]), s);
+  assert.is(applyServerList(s, []).servers.size, 0);
 });
 
 reading.run();
--- a/tests/src/fleet/capacity.test.ts
+++ b/tests/src/fleet/capacity.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { flatten, type State } from '@tillerstair/state';
+import { encodeState, type State } from '@tillerstair/state';
 import {
   fitOf,
   fitsOf,
@@ -185,7 +185,7 @@
   );
 });
 
-const keysOf = (s: State): number => flatten(s).size;
+const keysOf = (s: State): number => encodeState(s).size;
 
 capacity('state keys: one a node, a server, a weight and a slot', () => {
   const plain = { fronts: 4, servers: 8, slots: 8, routes: 4 };
--- a/tests/src/journal/journal-rig.ts
+++ b/tests/src/journal/journal-rig.ts
@@ -3,7 +3,7 @@
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
 import { ReplicaStore } from '@tillerstair/store';
-import { noLog } from '@tillerstair/wire';
+import { silentLogger } from '@tillerstair/wire';
 import { DiskElectionStore } from '@tillerstair/zen';
 
 export const peers: readonly Member[] = ['a', 'b', 'c'].map((id) => ({
@@ -39,7 +39,7 @@
     clock,
     syncWithin: 1500,
     retryEvery: 250,
-    log: { ...noLog, warn: (text: string) => void said.push(text) },
+    log: { ...silentLogger, warn: (text: string) => void said.push(text) },
   };
   return {
     clock,
--- a/tests/src/proxy/client-listeners.test.ts
+++ b/tests/src/proxy/client-listeners.test.ts
@@ -8,7 +8,7 @@
 import { limitsOf, openDoor, type Limits } from '@tillerstair/platform';
 import { passRoutes } from '@tillerstair/sim';
 import { checkConfig, bootstrapState } from '@tillerstair/state';
-import { hostClock, noLog, TcpTransport } from '@tillerstair/wire';
+import { hostClock, silentLogger, TcpTransport } from '@tillerstair/wire';
 
 const doors = suite('doors for clients');
 const usual: Limits = { headerBytes: 16384, headerWaitMs: 3000, idleMs: 15000 };
@@ -181,7 +181,7 @@
     clock: hostClock,
     transport: new TcpTransport('127.0.0.1:1'),
     backend: new HttpBackend({ connectWithin: 2000, connections: () => 1 }),
-    log: noLog,
+    log: silentLogger,
     affinity: false,
     bounds: {
       heartbeatInterval: 1000,
--- a/tests/src/proxy/hostile-input.test.ts
+++ b/tests/src/proxy/hostile-input.test.ts
@@ -2,13 +2,13 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { ask, freePorts } from '@tillerstair/fleet';
-import { sendJson, serveHttp, splitAddr, TcpTransport } from '@tillerstair/wire';
+import { sendJson, serveHttp, parseAddress, TcpTransport } from '@tillerstair/wire';
 
 const hostile = suite('hostile input');
 
 const rawly = (addr: string, bytes: string): Promise<string> =>
   new Promise((done) => {
-    const s = connect(splitAddr(addr));
+    const s = connect(parseAddress(addr));
     let out = '';
     s.setEncoding('utf8');
     s.on('data', (part) => {
@@ -58,7 +58,7 @@
       `${hello}{"id":1,"kind":"k","body":"${'x'.repeat(1 << 17)}`,
     ];
     for (const bytes of wrong) assert.is(await rawly(b.self, bytes), '', bytes.slice(0, 60));
-    assert.equal(await a.call(b.self, 'echo', { fine: true }, { within: 2000 }), { fine: true });
+    assert.equal(await a.call(b.self, 'echo', { fine: true }, { timeoutMs: 2000 }), { fine: true });
     await a.close();
     await b.close();
   },
--- a/tests/src/proxy/pass-route-attempts.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { passAt } from '@tillerstair/sim';
-import { slotOf } from '@tillerstair/state';
+import { slotForKey } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
   assertNoBreach,
@@ -249,7 +249,7 @@
       assert.not.ok(s?.slots.some((x) => x.owner === id));
       assert.not.ok(s?.nodes.has(id));
       const key = mine[3] ?? '';
-      assert.ok(slotOf(opKeyOf('t', key), w.slots) >= 0);
+      assert.ok(slotForKey(opKeyOf('t', key), w.slots) >= 0);
       assert.is((await passed(w, { path: '/keyed/x', key, body: 'a' })).reported, 'done');
       assertNoBreach(recordsOf(w));
     }
--- a/tests/src/proxy/refusals.test.ts
+++ b/tests/src/proxy/refusals.test.ts
@@ -7,7 +7,7 @@
 import { carrier, Front, HttpBackend, ownDialect } from '@tillerstair/proxy';
 import { passHost, passRoutes } from '@tillerstair/sim';
 import { checkConfig, bootstrapState, Member, Server, type State } from '@tillerstair/state';
-import { hostClock, noLog, TcpTransport } from '@tillerstair/wire';
+import { hostClock, silentLogger, TcpTransport } from '@tillerstair/wire';
 
 const refusals = suite(
   "what a front tells of requests that reached no server, and of answers that are no server's",
@@ -83,7 +83,7 @@
     clock: hostClock,
     transport,
     backend,
-    log: noLog,
+    log: silentLogger,
     affinity: false,
     bounds: {
       heartbeatInterval: 200,
--- a/tests/src/session-owner/batch-placement.test.ts
+++ b/tests/src/session-owner/batch-placement.test.ts
@@ -3,9 +3,9 @@
 import { Life, seededRng, SimClock, SimServers } from '@tillerstair/sim';
 import {
   checkConfig,
-  digestOf,
+  configDigest,
   bootstrapState,
-  reduce,
+  reduceState,
   type Server,
   type State,
 } from '@tillerstair/state';
@@ -52,17 +52,20 @@
 const placing = (servers: readonly Server[], zone = '') => {
   const clock = new SimClock();
   const me = { id: 'f', kind: 'front' as const, addr: '', http: '', zone, data: '', name: '' };
-  const state: State = servers.reduce<State>((s, v) => reduce(s, { kind: 'server', server: v }), {
-    ...bootstrapState('x', [], 8),
-    nodes: new Map([['f', me]]),
-    config: {
-      version: 1,
-      text,
-      digest: digestOf(text),
-      compiled: JSON.stringify(checkConfig(text).config),
-      changeId: '',
+  const state: State = servers.reduce<State>(
+    (s, v) => reduceState(s, { kind: 'server', server: v }),
+    {
+      ...bootstrapState('x', [], 8),
+      nodes: new Map([['f', me]]),
+      config: {
+        version: 1,
+        text,
+        digest: configDigest(text),
+        compiled: JSON.stringify(checkConfig(text).config),
+        changeId: '',
+      },
     },
-  });
+  );
   const table = tableOf(state, undefined);
   const sims = new SimServers(clock, seededRng(1));
   const bounds = {
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -5,9 +5,9 @@
 import { Life, seededRng, SimClock, SimServers, stormConfig } from '@tillerstair/sim';
 import {
   checkConfig,
-  digestOf,
+  configDigest,
   bootstrapState,
-  reduce,
+  reduceState,
   weightKey,
   type State,
 } from '@tillerstair/state';
@@ -18,7 +18,7 @@
   prefixesOf,
   tableOf,
 } from '@tillerstair/session-owner';
-import { lasting, RpcError } from '@tillerstair/wire';
+import { createAbortController, RpcError } from '@tillerstair/wire';
 import { five, recordsOf, worldUp } from '../support/world-helpers.js';
 
 const place = suite('placement, lines and weights');
@@ -46,7 +46,7 @@
 const stateWith = (ids: readonly (readonly [string, string])[]): State =>
   ids.reduce<State>(
     (s, [id, pool]) =>
-      reduce(s, {
+      reduceState(s, {
         kind: 'server',
         server: {
           id,
@@ -63,7 +63,7 @@
       config: {
         version: 1,
         text,
-        digest: digestOf(text),
+        digest: configDigest(text),
         compiled: JSON.stringify(checkConfig(text).config),
         changeId: '',
       },
@@ -105,7 +105,7 @@
 
 place('shares are kept to within rounding, whatever the weights say', () => {
   const weights = new Map(six.map(([id, pool]) => [weightKey(pool, id), id === 'n1' ? 0.1 : 1]));
-  const { placement } = placing(reduce(stateWith(six), { kind: 'weights', weights }));
+  const { placement } = placing(reduceState(stateWith(six), { kind: 'weights', weights }));
   const count = new Map<string, number>();
   for (let i = 0; i < 1000; i++) {
     const s = placement.pick(route, [], '', new Set());
@@ -138,7 +138,10 @@
     ['n2', 'new'],
     ['n3', 'new'],
   ]);
-  const slow = reduce(s, { kind: 'weights', weights: new Map([[weightKey('new', 'n1'), 0.25]]) });
+  const slow = reduceState(s, {
+    kind: 'weights',
+    weights: new Map([[weightKey('new', 'n1'), 0.25]]),
+  });
   const { placement } = placing(slow);
   const count = new Map<string, number>();
   for (let i = 0; i < 30; i++) {
@@ -164,21 +167,20 @@
   if (!before) throw new Error('no server');
   assert.is(placing(s).placement.allowed(before, route), true);
   assert.is(
-    placing(reduce(s, { kind: 'server-mark', id: 'n1', draining: true })).placement.allowed(
+    placing(reduceState(s, { kind: 'server-mark', id: 'n1', draining: true })).placement.allowed(
       before,
       route,
     ),
     false,
   );
   assert.is(
-    placing(reduce(s, { kind: 'server-gone', id: 'n1' })).placement.allowed(before, route),
+    placing(reduceState(s, { kind: 'server-gone', id: 'n1' })).placement.allowed(before, route),
     false,
   );
   assert.is(
-    placing(reduce(s, { kind: 'server', server: { ...before, pool: 'other' } })).placement.allowed(
-      before,
-      route,
-    ),
+    placing(
+      reduceState(s, { kind: 'server', server: { ...before, pool: 'other' } }),
+    ).placement.allowed(before, route),
     false,
   );
 });
@@ -192,7 +194,7 @@
     const old = s.weights.get(weightKey('new', 'n1')) ?? 1;
     assert.ok(Math.abs((next.get(weightKey('new', 'n1')) ?? 1) - old) <= 0.3);
     if ([...next].every(([k, w]) => s.weights.get(k) === w)) break;
-    s = reduce(s, { kind: 'weights', weights: next });
+    s = reduceState(s, { kind: 'weights', weights: next });
   }
   assert.ok(steps < 60, 'never settles');
   assert.ok(Math.abs((s.weights.get(weightKey('new', 'n1')) ?? 1) - 0.25) <= 0.06);
@@ -208,7 +210,7 @@
     let free = 0;
     const pick = (): string | undefined => (free > 0 ? (free--, 'server') : undefined);
     const order: string[] = [];
-    const never = lasting().signal;
+    const never = createAbortController().signal;
     const enter = (name: string, urgent: boolean, within = 1000, gone = never) =>
       admissionQueue.enter(urgent, within, gone, pick).then(
         () => order.push(name),
--- a/tests/src/session-owner/unbroken-ownership.test.ts
+++ b/tests/src/session-owner/unbroken-ownership.test.ts
@@ -1,15 +1,23 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Machine, World } from '@tillerstair/sim';
-import { slotOf } from '@tillerstair/state';
+import { slotForKey } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
-import { acts, assertNoBreach, configText, recordsOf, small, ownerOf, worldUp } from '../support/world-helpers.js';
+import {
+  acts,
+  assertNoBreach,
+  configText,
+  recordsOf,
+  small,
+  ownerOf,
+  worldUp,
+} from '../support/world-helpers.js';
 
 const owners = suite('ownerships that break and come back');
 
 const slotAt = (w: World, key: string) => {
   const s = w.committed;
-  return s?.slots[slotOf(key, s.slots.length)];
+  return s?.slots[slotForKey(key, s.slots.length)];
 };
 const ownerAs = (m: Machine, key: string): string =>
   m.front?.owner.ownerOf(m.front.owner.slotFor(key)) ?? '';
--- a/tests/src/sim/never-list-under-failure.test.ts
+++ b/tests/src/sim/never-list-under-failure.test.ts
@@ -1,9 +1,17 @@
 /** The never-list under failure: owners killed, frozen or fenced, and stores lost. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { slotOf } from '@tillerstair/state';
+import { slotForKey } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
-import { acts, assertNoBreach, five, recordsOf, small, ownerOf, worldUp } from '../support/world-helpers.js';
+import {
+  acts,
+  assertNoBreach,
+  five,
+  recordsOf,
+  small,
+  ownerOf,
+  worldUp,
+} from '../support/world-helpers.js';
 
 const never = suite('never-list under failure');
 
@@ -157,7 +165,7 @@
   const p = await w.clock.finish('program', w.program(200), 10000);
   const none = await w.clock.finish('fetch', w.fetch(p.program, 't-none'), 10000);
   assert.is(none.errorCode, 'missing');
-  const slot = slotOf(`p/${p.program}`, w.slots);
+  const slot = slotForKey(`p/${p.program}`, w.slots);
   const ownershipEpoch = w.committed?.slots[slot]?.ownershipEpoch ?? 0;
   await w.clock.finish(
     'fences',
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -2,7 +2,15 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { World, type Machine } from '@tillerstair/sim';
-import { assertNoBreach, configText, five, recordsOf, servers, small, worldUp } from '../support/world-helpers.js';
+import {
+  assertNoBreach,
+  configText,
+  five,
+  recordsOf,
+  servers,
+  small,
+  worldUp,
+} from '../support/world-helpers.js';
 import { turns } from '../support/repair-turns.js';
 
 const repair = suite('moves and growth');
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -3,7 +3,14 @@
 import * as assert from 'uvu/assert';
 import type { ReplyRecord } from '@tillerstair/checker';
 import { World, type Machine } from '@tillerstair/sim';
-import { assertNoBreach, configText, recordsOf, servers, small, worldUp } from '../support/world-helpers.js';
+import {
+  assertNoBreach,
+  configText,
+  recordsOf,
+  servers,
+  small,
+  worldUp,
+} from '../support/world-helpers.js';
 import { turns } from '../support/repair-turns.js';
 
 const refill = suite('refill of stores and controls');
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -6,7 +6,7 @@
   allocate,
   bootstrapState,
   MarginReport,
-  reduce,
+  reduceState,
   replicationFor,
   type Member,
   type State,
@@ -105,7 +105,7 @@
       replicationFor(losses),
     );
     const joined = [member('front', 1, 'a'), ...stores].reduce<State>(
-      (s, m) => reduce(s, { kind: 'join', member: m }),
+      (s, m) => reduceState(s, { kind: 'join', member: m }),
       bootstrapped,
     );
     const s = allocate(joined, {
--- a/tests/src/support/http-server.ts
+++ b/tests/src/support/http-server.ts
@@ -6,7 +6,7 @@
 import { carrier, Front, HttpBackend, ownDialect } from '@tillerstair/proxy';
 import { passHost, passRoutes } from '@tillerstair/sim';
 import { checkConfig, bootstrapState, Server, type State } from '@tillerstair/state';
-import { hostClock, noLog, TcpTransport } from '@tillerstair/wire';
+import { hostClock, silentLogger, TcpTransport } from '@tillerstair/wire';
 
 export const Bound = z.object({ port: z.number() });
 
@@ -116,7 +116,7 @@
     clock: hostClock,
     transport: new TcpTransport('127.0.0.1:1'),
     backend,
-    log: noLog,
+    log: silentLogger,
     affinity: false,
     bounds: {
       heartbeatInterval: 1000,
--- a/tests/src/support/world-helpers.ts
+++ b/tests/src/support/world-helpers.ts
@@ -15,7 +15,7 @@
   type PassSpec,
   type WorldSizes,
 } from '@tillerstair/sim';
-import { slotOf } from '@tillerstair/state';
+import { slotForKey } from '@tillerstair/state';
 
 export const configText = (
   base: number,
@@ -165,7 +165,7 @@
 
 export const ownerOf = (w: World, key: string) => {
   const s = w.committed;
-  const slot = s?.slots[slotOf(key, s.slots.length)];
+  const slot = s?.slots[slotForKey(key, s.slots.length)];
   return w.of('front').find((m) => m.front?.p.id === slot?.owner);
 };
 
--- a/tests/src/wire/tcp-transport.test.ts
+++ b/tests/src/wire/tcp-transport.test.ts
@@ -6,7 +6,7 @@
 import {
   ConnectionRefusedError,
   toRpcError,
-  splitAddr,
+  parseAddress,
   TcpTransport,
   type RpcError,
 } from '@tillerstair/wire';
@@ -41,7 +41,7 @@
   const all = await Promise.all(
     Array.from({ length: 20 }, async (_, i) => {
       const chunks: unknown[] = [];
-      const v = await a.call(b.self, 'x', i, { within: 2000, onChunk: (p) => chunks.push(p) });
+      const v = await a.call(b.self, 'x', i, { timeoutMs: 2000, onChunk: (p) => chunks.push(p) });
       return { v, chunks };
     }),
   );
@@ -59,7 +59,7 @@
   'no listener is "refused, not run"; a connection that closes under way is "lost, unknown"; silence is "too late, unknown"',
   async () => {
     const { a, b, close } = await pair();
-    const refused = await errorFrom(a.call(b.self, 'x', 1, { within: 1000 }));
+    const refused = await errorFrom(a.call(b.self, 'x', 1, { timeoutMs: 1000 }));
     assert.instance(refused, ConnectionRefusedError);
     assert.is(refused.executed, 'no');
     let seen: (v: unknown) => void = () => undefined;
@@ -68,10 +68,10 @@
       seen(rpc.body);
       return new Promise(() => undefined);
     });
-    const late = await errorFrom(a.call(b.self, 'x', 2, { within: 50 }));
+    const late = await errorFrom(a.call(b.self, 'x', 2, { timeoutMs: 50 }));
     assert.equal([late.code, late.executed], ['request-timeout', 'unknown']);
-    const losing = errorFrom(a.call(b.self, 'x', 3, { within: 5000 }));
-    const heard = new Promise<string>((done) => a.onLost(done));
+    const losing = errorFrom(a.call(b.self, 'x', 3, { timeoutMs: 5000 }));
+    const heard = new Promise<string>((done) => a.onConnectionLost(done));
     await arrived;
     await b.close();
     const lost = await losing;
@@ -96,17 +96,17 @@
       return new Promise(() => undefined);
     });
     const ctl = new AbortController();
-    const going = errorFrom(a.call(b.self, 'long', 1, { within: 5000, gone: ctl.signal }));
+    const going = errorFrom(a.call(b.self, 'long', 1, { timeoutMs: 5000, signal: ctl.signal }));
     await underWay;
     ctl.abort();
     assert.is((await going).code, 'gone');
     await aborted;
-    const raw = connect(splitAddr(b.self));
+    const raw = connect(parseAddress(b.self));
     const closed = new Promise<void>((done) => raw.on('close', () => done()));
     raw.on('error', () => undefined);
     raw.write('{"hello":"x","to":"y"}\nnonsense\n');
     await closed;
-    assert.is(await a.call(b.self, 'short', 1, { within: 2000 }), 'fine');
+    assert.is(await a.call(b.self, 'short', 1, { timeoutMs: 2000 }), 'fine');
     await close();
   },
 );
@@ -119,17 +119,19 @@
     return 'fine';
   });
   const before = await errorFrom(
-    a.call(b.self, 'x', 'before', { within: 500, gone: AbortSignal.abort() }),
+    a.call(b.self, 'x', 'before', { timeoutMs: 500, signal: AbortSignal.abort() }),
   );
   const opening = new AbortController();
-  const going = errorFrom(a.call(b.self, 'x', 'opening', { within: 500, gone: opening.signal }));
+  const going = errorFrom(
+    a.call(b.self, 'x', 'opening', { timeoutMs: 500, signal: opening.signal }),
+  );
   opening.abort();
   const during = await going;
   assert.equal(
     [before.code, before.executed, during.code, during.executed],
     ['gone', 'no', 'gone', 'no'],
   );
-  assert.is(await a.call(b.self, 'x', 'next', { within: 2000 }), 'fine');
+  assert.is(await a.call(b.self, 'x', 'next', { timeoutMs: 2000 }), 'fine');
   assert.equal(seen, ['next']);
   await close();
 });
@@ -137,9 +139,9 @@
 wire('a call on a connection that closed before it was written is not run', async () => {
   const { a, b, close } = await pair();
   await b.serve(async () => 'fine');
-  assert.is(await a.call(b.self, 'x', 1, { within: 2000 }), 'fine');
+  assert.is(await a.call(b.self, 'x', 1, { timeoutMs: 2000 }), 'fine');
   const closing = a.close();
-  const late = await errorFrom(a.call(b.self, 'x', 2, { within: 500 }));
+  const late = await errorFrom(a.call(b.self, 'x', 2, { timeoutMs: 500 }));
   assert.equal([late.code, late.executed], ['connection-refused', 'no']);
   await closing;
   await close();
@@ -160,14 +162,14 @@
     await once(failureTimeout, 'listening');
     const to = `127.0.0.1:${q}`;
     const lost: string[] = [];
-    a.onLost((addr) => lost.push(addr));
-    const beside = errorFrom(a.call(to, 'x', 0, { within: 4000 }));
-    const late = await errorFrom(a.call(to, 'x', 1, { within: 250 }));
+    a.onConnectionLost((addr) => lost.push(addr));
+    const beside = errorFrom(a.call(to, 'x', 0, { timeoutMs: 4000 }));
+    const late = await errorFrom(a.call(to, 'x', 1, { timeoutMs: 250 }));
     assert.equal([late.code, late.executed], ['request-timeout', 'unknown']);
     const other = await beside;
     assert.equal([other.code, other.executed], ['connection-lost', 'unknown']);
     assert.equal(lost, [to]);
-    assert.is((await errorFrom(a.call(to, 'x', 2, { within: 250 }))).code, 'request-timeout');
+    assert.is((await errorFrom(a.call(to, 'x', 2, { timeoutMs: 250 }))).code, 'request-timeout');
     assert.is(opened.length, 2);
     failureTimeout.close();
     await a.close();
@@ -181,12 +183,12 @@
     const a = new TcpTransport(`127.0.0.1:${p}`, `127.0.0.1:${p}`, 150);
     const b = new TcpTransport(`127.0.0.1:${q}`);
     const lost: string[] = [];
-    a.onLost((addr) => lost.push(addr));
+    a.onConnectionLost((addr) => lost.push(addr));
     await b.serve(async (rpc) => (rpc.kind === 'long' ? new Promise(() => undefined) : 'fine'));
-    const late = errorFrom(a.call(b.self, 'long', 1, { within: 250 }));
-    assert.is(await a.call(b.self, 'short', 2, { within: 5000 }), 'fine');
+    const late = errorFrom(a.call(b.self, 'long', 1, { timeoutMs: 250 }));
+    assert.is(await a.call(b.self, 'short', 2, { timeoutMs: 5000 }), 'fine');
     assert.is((await late).code, 'request-timeout');
-    assert.is(await a.call(b.self, 'short', 3, { within: 5000 }), 'fine');
+    assert.is(await a.call(b.self, 'short', 3, { timeoutMs: 5000 }), 'fine');
     assert.equal(lost, []);
     await Promise.all([a.close(), b.close()]);
   },
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -2,12 +2,12 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  diffOf,
-  flatten,
+  diffStates,
+  encodeState,
   bootstrapState,
-  patch,
-  reduce,
-  unflatten,
+  applyDiff,
+  reduceState,
+  decodeState,
   type Member,
   type State,
 } from '@tillerstair/state';
@@ -46,7 +46,7 @@
   from,
   term: s.term,
   clusterId: s.clusterId,
-  packed: deflateSync(JSON.stringify({ full: [...flatten(s)] })).toString('base64'),
+  packed: deflateSync(JSON.stringify({ full: [...encodeState(s)] })).toString('base64'),
 });
 
 const receiver = () => {
@@ -133,16 +133,16 @@
 fence('a diff gives the state it was made from, and fits no other', () => {
   const one = at(1, 2);
   const two = {
-    ...reduce(reduce(one, { kind: 'join', member: b }), {
+    ...reduceState(reduceState(one, { kind: 'join', member: b }), {
       kind: 'server',
       server: { id: 's', pool: 'p', url: 'u', draining: false, down: false, zone: '', places: 0 },
     }),
     version: 3,
   };
-  const back = patch(one, diffOf(one, two));
-  assert.equal(back && [...flatten(back)].sort(), [...flatten(two)].sort());
-  assert.is(patch(at(1, 1), diffOf(one, two)), undefined);
-  assert.equal(flatten(unflatten(flatten(two))), flatten(two));
+  const back = applyDiff(one, diffStates(one, two));
+  assert.equal(back && [...encodeState(back)].sort(), [...encodeState(two)].sort());
+  assert.is(applyDiff(at(1, 1), diffStates(one, two)), undefined);
+  assert.equal(encodeState(decodeState(encodeState(two))), encodeState(two));
 });
 
 const pingResponse = (from: Member, more: Partial<PingResponse> = {}): PingResponse => ({
--- a/tests/src/zen/publish-receiver.test.ts
+++ b/tests/src/zen/publish-receiver.test.ts
@@ -2,7 +2,7 @@
 import { deflateSync } from 'node:zlib';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { flatten, bootstrapState, type Member, type State } from '@tillerstair/state';
+import { encodeState, bootstrapState, type Member, type State } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
 import { MemoryElectionStore, Receiver } from '@tillerstair/zen';
 
@@ -25,7 +25,7 @@
   from: master,
   term: s.term,
   clusterId: s.clusterId,
-  packed: deflateSync(JSON.stringify({ full: [...flatten(s)] })).toString('base64'),
+  packed: deflateSync(JSON.stringify({ full: [...encodeState(s)] })).toString('base64'),
 });
 
 /** Lets a test decide when a vote is on disk. */
--- a/tests/src/zen/quorum-read.test.ts
+++ b/tests/src/zen/quorum-read.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
-import { toRpcError, pause, RequestTimeoutError } from '@tillerstair/wire';
+import { toRpcError, delay, RequestTimeoutError } from '@tillerstair/wire';
 import { QuorumRead, zenBounds } from '@tillerstair/zen';
 
 const reads = suite('a quorum read');
@@ -55,13 +55,13 @@
     },
     transport: {
       self: 'a',
-      onLost: () => undefined,
+      onConnectionLost: () => undefined,
       serve: async () => undefined,
       close: async () => undefined,
-      call: async (to, _kind, _body, { within }) => {
+      call: async (to, _kind, _body, { timeoutMs: within }) => {
         held.asked++;
         const answer = terms.get(to);
-        await pause(clock, answer === undefined ? within : roundTrip);
+        await delay(clock, answer === undefined ? within : roundTrip);
         if (answer === undefined) throw new RequestTimeoutError(to);
         return { term: answer, applied: { term: 0, version: 0 }, report: null };
       },
