--- a/packages/stand-ins/src/model-server.ts
+++ b/packages/stand-ins/src/model-server.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
-import { hostClock, pause, readBody, sendJson } from '@tillerstair/wire';
+import { hostClock, delay, readBody, sendJson } from '@tillerstair/wire';
 import { attemptOf, type ExecutionLog } from './execution-log.js';
 import { FaultyServer } from './faulty-server.js';
 import { blockLength, blocksOf, PromptCache, type PromptMessage } from './prompt-cache.js';
@@ -127,7 +127,7 @@
     const slowness = this.faults.slow ?? 1;
     const crowding = Math.max(1, this.busy / this.options.slots);
     const uncachedKb = (generation.uncachedBlocks * blockLength) / 1024;
-    await pause(hostClock, uncachedKb * this.options.prefillMsPerKb * slowness, closed);
+    await delay(hostClock, uncachedKb * this.options.prefillMsPerKb * slowness, closed);
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
     for (const text of replyTo(request.messages, request.maxTokens)) {
       if (closed.aborted) return;
@@ -138,7 +138,7 @@
       response.write(`${JSON.stringify({ id: request.id, n: progress.tokens, text })}\n`);
       progress.tokens++;
       progress.reply += text;
-      await pause(hostClock, this.options.msPerToken * slowness * crowding, closed);
+      await delay(hostClock, this.options.msPerToken * slowness * crowding, closed);
     }
     progress.complete = true;
     if (this.strikes(this.faults.loseEnd, number)) response.destroy();
--- a/packages/stand-ins/src/service-server.ts
+++ b/packages/stand-ins/src/service-server.ts
@@ -1,7 +1,7 @@
 /** A service that executes calls after a pause, with faults; it keeps no operation keys of its own. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
-import { hostClock, pause, readBody, sendJson } from '@tillerstair/wire';
+import { hostClock, delay, readBody, sendJson } from '@tillerstair/wire';
 import { attemptOf, type ExecutionLog } from './execution-log.js';
 import { FaultyServer } from './faulty-server.js';
 
@@ -41,7 +41,7 @@
     const number = ++this.served;
     const began = Date.now();
     try {
-      await pause(hostClock, this.durationOf(number));
+      await delay(hostClock, this.durationOf(number));
       this.log.add({
         kind: 'act',
         server: this.options.id,
