--- a/packages/checker/src/pass-rules.ts
+++ b/packages/checker/src/pass-rules.ts
@@ -155,7 +155,7 @@
 interface Chain {
   /** The prompt that a server has to see: every turn before it, whole, then its own input. */
   readonly prompt: string;
-  /** The attempt at which the chain begins in what callers do not know as done; empty at its first turn. */
+  /** The earlier attempt that callers do not know to be done, if the chain runs into one; else empty. */
   readonly unknownAttempt: string;
 }
 
--- a/packages/stand-ins/src/model-server.ts
+++ b/packages/stand-ins/src/model-server.ts
@@ -15,7 +15,7 @@
   readonly addr: string;
   readonly prefillMsPerKb: number;
   readonly msPerToken: number;
-  /** Requests that it serves at full pace; it refuses at four times as many. */
+  /** Requests that it serves at full pace; it refuses at four times that number. */
   readonly slots: number;
   readonly cacheKb: number;
 }
