--- a/packages/ctl/src/manifests.ts
+++ b/packages/ctl/src/manifests.ts
@@ -1,124 +1,24 @@
+/** Translates manifests of Kubernetes' Gateway API to a configuration file. */
 import { LineCounter, parseAllDocuments, stringify } from 'yaml';
-import { array, number, object, string } from 'yup';
+import type { InferType } from 'yup';
 import { checkConfig, yamlFindings, yupFindings, type Finding } from '@tillerstair/state';
+import { AnyManifest, GatewayManifest, RouteManifest } from './manifest-schemas.js';
 
-const groupVersion = /^gateway\.networking\.k8s\.io\/v1(beta1)?$/;
-const text = () => string().strict();
-const apiVersion = text()
-  .matches(groupVersion, { message: '${path} must be gateway.networking.k8s.io/v1' })
-  .required();
-const Meta = object({
-  name: text().required(),
-  namespace: text(),
-  labels: object(),
-  annotations: object(),
-})
-  .noUnknown()
-  .strict()
-  .required();
-
-const Gateway = object({
-  apiVersion,
-  kind: text().required(),
-  metadata: Meta,
-  spec: object({
-    gatewayClassName: text().required(),
-    listeners: array()
-      .of(
-        object({
-          name: text().required(),
-          port: number().strict().integer().min(1).max(65535).required(),
-          protocol: text().oneOf(['HTTP']).required(),
-        })
-          .noUnknown()
-          .strict(),
-      )
-      .min(1)
-      .required(),
-  })
-    .noUnknown()
-    .strict()
-    .required(),
-})
-  .noUnknown()
-  .strict();
-
-const Route = object({
-  apiVersion,
-  kind: text().required(),
-  metadata: object({
-    name: text().required(),
-    namespace: text(),
-    labels: object(),
-    annotations: object({
-      'tillerstair/kind': text().oneOf(['turn', 'call']).default('call'),
-      'tillerstair/acting': text().oneOf(['true', 'false']).default('false'),
-      'tillerstair/urgent': text().oneOf(['true', 'false']).default('false'),
-    }).strict(),
-  })
-    .noUnknown()
-    .strict()
-    .required(),
-  spec: object({
-    parentRefs: array()
-      .of(
-        object({ name: text().required(), kind: text().oneOf(['Gateway']), group: text() })
-          .noUnknown()
-          .strict(),
-      )
-      .min(1)
-      .required(),
-    rules: array()
-      .of(
-        object({
-          name: text(),
-          matches: array()
-            .of(
-              object({
-                path: object({
-                  type: text().oneOf(['PathPrefix']).required(),
-                  value: text().required(),
-                })
-                  .noUnknown()
-                  .strict()
-                  .required(),
-              })
-                .noUnknown()
-                .strict(),
-            )
-            .min(1)
-            .required(),
-          backendRefs: array()
-            .of(
-              object({
-                name: text().required(),
-                kind: text().oneOf(['Service']),
-                group: text().oneOf(['']),
-                port: number(),
-                weight: number().strict().integer().min(0).default(1),
-              })
-                .noUnknown()
-                .strict(),
-            )
-            .min(1)
-            .required(),
-        })
-          .noUnknown()
-          .strict(),
-      )
-      .min(1)
-      .required(),
-  })
-    .noUnknown()
-    .strict()
-    .required(),
-})
-  .noUnknown()
-  .strict();
+/** A file of manifests, one or more YAML documents. */
+export interface ManifestFile {
+  /** Its name, as findings give it. */
+  readonly file: string;
+  readonly text: string;
+}
 
-const Kind = object({ kind: text().required(), metadata: object({ name: text() }) });
+/** The configuration file, or what keeps it from being made. */
+export interface TranslatedManifests {
+  /** Undefined if there are findings. */
+  readonly text: string | undefined;
+  readonly findings: readonly Finding[];
+}
 
-interface RouteRow {
+interface Route {
   readonly name: string;
   readonly match: { readonly kind: string; readonly path: string };
   readonly acting: boolean;
@@ -126,91 +26,101 @@
   readonly shares: readonly { readonly pool: string; readonly share: number }[];
 }
 
-export interface Translated {
-  readonly text: string | undefined;
-  readonly findings: readonly Finding[];
-}
+type ParsedRouteManifest = InferType<typeof RouteManifest>;
 
-const problems = (place: string, e: unknown): readonly Finding[] =>
-  yupFindings(e).map((f) => ({ ...f, place: f.place ? `${place} ${f.place}` : place }));
+const strictly = { abortEarly: false, strict: true } as const;
 
-export const fromManifests = (
-  files: readonly (readonly [string, string])[],
-  base: number,
-): Translated => {
-  const findings: Finding[] = [];
-  const gateways = new Set<string>();
-  const parents: { readonly place: string; readonly name: string }[] = [];
-  const routes: RouteRow[] = [];
-  const pools = new Map<string, string>();
+/** Collects what the manifests of all files say, and what is wrong with them. */
+class ManifestTranslator {
+  private readonly findings: Finding[] = [];
+  private readonly gateways = new Set<string>();
+  private readonly parents: { readonly place: string; readonly name: string }[] = [];
+  private readonly routes: Route[] = [];
+  private readonly poolKinds = new Map<string, 'model' | 'service'>();
 
-  const route = (place: string, raw: unknown): void => {
-    const r = Route.cast(Route.validateSync(raw, { abortEarly: false, strict: true }));
-    const notes = r.metadata.annotations;
-    const kind = notes['tillerstair/kind'];
-    r.spec.parentRefs.forEach((p, i) =>
-      parents.push({ place: `${place} spec.parentRefs[${i}].name`, name: p.name }),
-    );
-    r.spec.rules.forEach((rule, i) =>
-      rule.matches.forEach((m, j) => {
-        const one = r.spec.rules.length === 1 && rule.matches.length === 1;
-        for (const b of rule.backendRefs) pools.set(b.name, kind === 'turn' ? 'model' : 'service');
-        routes.push({
-          name: one ? r.metadata.name : `${r.metadata.name}-${i}-${j}`,
-          match: { kind, path: m.path.value },
-          acting: notes['tillerstair/acting'] === 'true',
-          urgent: notes['tillerstair/urgent'] === 'true',
-          shares: rule.backendRefs.map((b) => ({ pool: b.name, share: b.weight })),
-        });
-      }),
-    );
-  };
+  addFile({ file, text }: ManifestFile): void {
+    const lineCounter = new LineCounter();
+    const documents = parseAllDocuments(text, { lineCounter, uniqueKeys: true });
+    for (const [index, document] of [...documents].entries()) {
+      for (const finding of yamlFindings(document.errors, lineCounter))
+        this.findings.push({ ...finding, place: `${file} ${finding.place}` });
+      const manifest: unknown = document.errors.length > 0 ? null : document.toJS();
+      if (manifest !== null) this.addManifest(`${file} document ${index + 1}`, manifest);
+    }
+  }
 
-  const one = (place: string, raw: unknown): void => {
+  /** The configuration on version `base`. */
+  result(base: number): TranslatedManifests {
+    const findings = [...this.findings, ...this.missingGateways()];
+    if (this.routes.length === 0 && findings.length === 0)
+      findings.push({ place: 'files', text: 'there is no HTTPRoute' });
+    if (findings.length > 0) return { text: undefined, findings };
+    const pools = [...this.poolKinds].map(([name, kind]) => ({ name, kind }));
+    const text = stringify({ base, pools, routes: this.routes });
+    const checked = checkConfig(text);
+    return {
+      text: checked.findings.length > 0 ? undefined : text,
+      findings: checked.findings,
+    };
+  }
+
+  private missingGateways(): readonly Finding[] {
+    return this.parents
+      .filter(({ name }) => !this.gateways.has(name))
+      .map(({ place, name }) => ({ place, text: `no Gateway ${name} is in these files` }));
+  }
+
+  private addManifest(documentPlace: string, manifest: unknown): void {
+    let place = documentPlace;
     try {
-      const { kind, metadata } = Kind.validateSync(raw);
-      const named = `${place} ${kind}/${metadata.name ?? ''}`;
-      try {
-        if (kind === 'Gateway')
-          gateways.add(
-            Gateway.validateSync(raw, { abortEarly: false, strict: true }).metadata.name,
-          );
-        else if (kind === 'HTTPRoute') route(named, raw);
-        else
-          findings.push({
-            place: named,
-            text: `kind ${kind} is not supported, only Gateway and HTTPRoute are`,
-          });
-      } catch (e) {
-        findings.push(...problems(named, e));
-      }
-    } catch (e) {
-      findings.push(...problems(place, e));
+      const { kind, metadata } = AnyManifest.validateSync(manifest);
+      place = `${documentPlace} ${kind}/${metadata.name ?? ''}`;
+      if (kind === 'Gateway')
+        this.gateways.add(GatewayManifest.validateSync(manifest, strictly).metadata.name);
+      else if (kind === 'HTTPRoute')
+        this.addRoutes(place, RouteManifest.cast(RouteManifest.validateSync(manifest, strictly)));
+      else
+        this.findings.push({
+          place,
+          text: `kind ${kind} is not supported, only Gateway and HTTPRoute are`,
+        });
+    } catch (error) {
+      for (const finding of yupFindings(error))
+        this.findings.push({
+          ...finding,
+          place: finding.place ? `${place} ${finding.place}` : place,
+        });
     }
-  };
+  }
 
-  for (const [file, body] of files) {
-    const counter = new LineCounter();
-    const docs = parseAllDocuments(body, { lineCounter: counter, uniqueKeys: true });
-    [...docs].forEach((doc, i) => {
-      findings.push(
-        ...yamlFindings(doc.errors, counter).map((f) => ({ ...f, place: `${file} ${f.place}` })),
-      );
-      const raw: unknown = doc.errors.length > 0 ? null : doc.toJS();
-      if (raw !== null) one(`${file} document ${i + 1}`, raw);
-    });
+  /** Each match of each rule becomes a route of its own. */
+  private addRoutes(place: string, { metadata, spec }: ParsedRouteManifest): void {
+    const { annotations } = metadata;
+    const kind = annotations['tillerstair/kind'];
+    for (const [i, { name }] of spec.parentRefs.entries())
+      this.parents.push({ place: `${place} spec.parentRefs[${i}].name`, name });
+    for (const [i, rule] of spec.rules.entries())
+      for (const [j, match] of rule.matches.entries()) {
+        for (const backend of rule.backendRefs)
+          this.poolKinds.set(backend.name, kind === 'turn' ? 'model' : 'service');
+        const isOnly = spec.rules.length === 1 && rule.matches.length === 1;
+        this.routes.push({
+          name: isOnly ? metadata.name : `${metadata.name}-${i}-${j}`,
+          match: { kind, path: match.path.value },
+          acting: annotations['tillerstair/acting'] === 'true',
+          urgent: annotations['tillerstair/urgent'] === 'true',
+          shares: rule.backendRefs.map(({ name, weight }) => ({ pool: name, share: weight })),
+        });
+      }
   }
-  for (const p of parents)
-    if (!gateways.has(p.name))
-      findings.push({ place: p.place, text: `no Gateway ${p.name} is in these files` });
-  if (routes.length === 0 && findings.length === 0)
-    findings.push({ place: 'files', text: 'there is no HTTPRoute' });
-  if (findings.length > 0) return { text: undefined, findings };
-  const out = stringify({
-    base,
-    pools: [...pools].map(([name, kind]) => ({ name, kind })),
-    routes,
-  });
-  const whole = checkConfig(out);
-  return { text: whole.findings.length > 0 ? undefined : out, findings: whole.findings };
+}
+
+/** Translates the manifests of all files together, on version `base`; all findings at once. */
+export const fromManifests = (
+  files: readonly ManifestFile[],
+  base: number,
+): TranslatedManifests => {
+  const translator = new ManifestTranslator();
+  for (const file of files) translator.addFile(file);
+  return translator.result(base);
 };
--- a/packages/ctl/src/margin.ts
+++ b/packages/ctl/src/margin.ts
@@ -1,30 +1,43 @@
 /** Prints how many more losses the voting controls and each slot bear. */
 import type { MarginReport, SlotMargin } from '@tillerstair/state';
 
-const meaning = (margin: number): string => {
-  if (margin < 0) return 'the quorum is gone';
+const describeMargin = (margin: number): string => {
+  if (margin < 0) return 'the quorum is lost';
   if (margin === 0) return 'no further loss is borne';
   return `${margin} more ${margin === 1 ? 'loss is' : 'losses are'} borne`;
 };
 
-const slotLine = (s: SlotMargin): string =>
-  `slot ${s.slot}: ${s.live} of ${s.replicas} replicas live${s.joiningReplicas > 0 ? ', one being filled' : ''}: ${meaning(s.margin)}`;
+/** The losses that the replication is meant to bear. */
+const intendedSlotMargin = ({ replication }: MarginReport): number =>
+  replication.replicas - replication.quorum;
 
-/** One line for the voters, one for all slots, and one for each slot below what the replication is meant for. */
-export const marginLines = (r: MarginReport): readonly string[] => {
-  const wanted = r.replication.replicas - r.replication.quorum;
-  const short = r.slots.filter((s) => s.margin < wanted);
-  const { voters } = r;
-  return [
-    `voting controls: ${voters.live} of ${voters.voting} live${voters.changing ? ', a change is under way' : ''}: ${meaning(voters.margin)}`,
-    `slots: ${r.slots.length}, ${r.replication.replicas} replicas each, writes on ${r.replication.quorum}: ${r.leastSlotMargin === null ? 'none yet' : meaning(r.leastSlotMargin)}`,
-    ...short.map(slotLine),
-  ];
+const votersLine = ({ voters }: MarginReport): string => {
+  const change = voters.changing ? ', a change is under way' : '';
+  return `voting controls: ${voters.live} of ${voters.voting} live${change}: ${describeMargin(voters.margin)}`;
+};
+
+const allSlotsLine = ({ slots, replication, leastSlotMargin }: MarginReport): string => {
+  const margin = leastSlotMargin === null ? 'none yet' : describeMargin(leastSlotMargin);
+  return `slots: ${slots.length}, ${replication.replicas} replicas each, writes on ${replication.quorum}: ${margin}`;
 };
 
-/** Whether all that should be borne is borne now. */
-export const marginWhole = (r: MarginReport): boolean => {
-  const wanted = r.replication.replicas - r.replication.quorum;
-  const wantedOfVoters = Math.min(wanted, Math.floor((r.voters.voting - 1) / 2));
-  return r.voters.margin >= wantedOfVoters && r.slots.every((s) => s.margin >= wanted);
+const slotLine = ({ slot, live, replicas, joiningReplicas, margin }: SlotMargin): string => {
+  const joining = joiningReplicas > 0 ? ', one being filled' : '';
+  return `slot ${slot}: ${live} of ${replicas} replicas live${joining}: ${describeMargin(margin)}`;
+};
+
+/** One line for the voters, one for all slots, and one for each slot below what the replication is meant for. */
+export const marginLines = (report: MarginReport): readonly string[] => [
+  votersLine(report),
+  allSlotsLine(report),
+  ...report.slots.filter((slot) => slot.margin < intendedSlotMargin(report)).map(slotLine),
+];
+
+/** Whether all losses that the cluster is meant to bear are borne now. */
+export const isMarginFull = (report: MarginReport): boolean => {
+  const slotMargin = intendedSlotMargin(report);
+  const voterMargin = Math.min(slotMargin, Math.floor((report.voters.voting - 1) / 2));
+  return (
+    report.voters.margin >= voterMargin && report.slots.every((slot) => slot.margin >= slotMargin)
+  );
 };
--- a/tests/src/ctl/manifests.test.ts
+++ b/tests/src/ctl/manifests.test.ts
@@ -29,7 +29,10 @@
 `;
 
 manifests('weights become shares, backends become pools, the file is whole', () => {
-  const { text, findings } = fromManifests([['a.yaml', `${gateway}---\n${route()}`]], 4);
+  const { text, findings } = fromManifests(
+    [{ file: 'a.yaml', text: `${gateway}---\n${route()}` }],
+    4,
+  );
   assert.equal(findings, []);
   const { config } = checkConfig(text ?? '');
   assert.is(config?.base, 4);
@@ -78,7 +81,7 @@
     [gateway, ['there is no HTTPRoute']],
   ];
   for (const [text, words] of cases) {
-    const got = fromManifests([['a.yaml', text]], 0);
+    const got = fromManifests([{ file: 'a.yaml', text }], 0);
     assert.is(got.text, undefined, text);
     const all = got.findings.map((f) => `${f.place}: ${f.text}`).join('\n');
     for (const w of words) assert.ok(all.includes(w), `${w} in: ${all}`);
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -1,7 +1,7 @@
 /** Replicas of the slots: two losses at once, zones, a late store, a filler that is gone. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { marginLines, marginWhole } from '@tillerstair/ctl';
+import { marginLines, isMarginFull } from '@tillerstair/ctl';
 import {
   allocate,
   bootstrapState,
@@ -152,7 +152,7 @@
     const before = await margin();
     assert.equal(before.voters, { voting: 5, live: 5, changing: false, margin: 2 });
     assert.is(before.leastSlotMargin, 2);
-    assert.ok(marginWhole(before));
+    assert.ok(isMarginFull(before));
     assert.equal(marginLines(before), [
       'voting controls: 5 of 5 live: 2 more losses are borne',
       'slots: 8, 5 replicas each, writes on 3: 2 more losses are borne',
@@ -165,7 +165,7 @@
     const after = await margin();
     assert.is(after.voters.margin, 1);
     assert.is(after.leastSlotMargin, 1);
-    assert.not(marginWhole(after));
+    assert.not(isMarginFull(after));
     const held = w.committed?.slots.filter((s) => s.replicas.length === 5).length ?? 0;
     assert.ok(marginLines(after).length > 2 && marginLines(after).length <= 2 + held);
     await w.clock.until('whole again', () => whole(w, [lost]), 20000);
