--- /dev/null
+++ b/tests/src/zen/master-rig.ts
@@ -0,0 +1,258 @@
+/** A master `a` whose peers are scripted, on a simulated clock: what it sends is recorded, what they answer is chosen. */
+import { inflateSync } from 'node:zlib';
+import { SimClock } from '@tillerstair/sim';
+import {
+  bootstrapState,
+  type Member,
+  type State,
+  type StateVersion,
+  type VotingConfiguration,
+} from '@tillerstair/state';
+import {
+  ConnectionRefusedError,
+  pause,
+  noLog,
+  RequestTimeoutError,
+  toRpcError,
+  type Transport,
+} from '@tillerstair/wire';
+import {
+  Commit,
+  type ElectionStore,
+  Master,
+  MemoryElectionStore,
+  Payload,
+  type PersistentState,
+  Publish,
+  zenBounds,
+} from '@tillerstair/zen';
+
+export const bounds = zenBounds({
+  serveWithin: 12000,
+  drainingWithin: 3000,
+  heartbeatInterval: 1000,
+  failureTimeout: 3000,
+});
+
+/** How long a message takes from the master to a peer and back, in ms. */
+export const roundTrip = 10;
+/** The term in which the tested master was elected. */
+export const term = 4;
+/** The version of the state that the master starts with, accepted in an earlier term. */
+export const newestVersion = 7;
+
+export const memberOf = (id: string, kind: Member['kind'] = 'control'): Member => ({
+  id,
+  kind,
+  addr: id,
+  http: '',
+  zone: '',
+  data: '',
+  name: '',
+});
+
+export const noVersion: StateVersion = { term: -1, version: 0 };
+
+/** The state that the master starts with: the given voters, all of them and the given others as nodes. */
+export const stateWith = (voters: VotingConfiguration, others: readonly Member[] = []): State => {
+  const votingMembers = [...new Set([...voters.current, ...voters.next])].map((id) => memberOf(id));
+  return {
+    ...bootstrapState('cluster', votingMembers, 1),
+    term: term - 1,
+    version: newestVersion,
+    voters,
+    nodes: new Map([...votingMembers, ...others].map((member) => [member.id, member])),
+  };
+};
+
+export const threeVoters: VotingConfiguration = {
+  current: ['a', 'b', 'c'],
+  next: ['a', 'b', 'c'],
+};
+
+interface SentMessage {
+  readonly to: string;
+  readonly kind: string;
+  readonly at: number;
+  readonly body: unknown;
+}
+
+type Reply = (message: SentMessage) => unknown;
+
+/** What the peer of one address answers. */
+export class FakePeer {
+  private readonly replies = new Map<string, Reply>();
+  /** Nothing is heard of it; each call ends with its time-out. */
+  silent = false;
+  /** Its host refuses connections. */
+  refusing = false;
+  /** How long its replies take, in ms. */
+  delayMs = roundTrip;
+  term = term;
+  applied: StateVersion = noVersion;
+
+  /** Answers requests of this kind by `reply` from now on, which may throw. */
+  on(kind: string, reply: Reply): void {
+    this.replies.set(kind, reply);
+  }
+
+  answer(message: SentMessage): unknown {
+    const scripted = this.replies.get(message.kind);
+    if (scripted) return scripted(message);
+    switch (message.kind) {
+      case 'zen/commit':
+        this.applied = Commit.parse(message.body).stateVersion;
+        return {};
+      case 'zen/publish':
+        return { outcome: 'accepted' };
+      case 'zen/node-ping':
+        return { term: this.term, applied: this.applied, report: null };
+      case 'zen/validate':
+        return { accepted: noVersion };
+      default:
+        return {};
+    }
+  }
+}
+
+/** The payload of a recorded `zen/publish`. */
+export const payloadOf = (message: SentMessage): Payload =>
+  Payload.parse(
+    JSON.parse(
+      inflateSync(Buffer.from(Publish.parse(message.body).packed, 'base64')).toString('utf8'),
+    ),
+  );
+
+/** Whether a recorded `zen/publish` carried the whole state. */
+export const isFull = (message: SentMessage): boolean => 'full' in payloadOf(message);
+
+/** What a call came to: `done`, or its error's code and how far it was executed. */
+export const outcomeOf = (work: Promise<unknown>): Promise<string> =>
+  work.then(
+    () => 'done',
+    (e: unknown) => `${toRpcError(e).code} ${toRpcError(e).executed}`,
+  );
+
+/** A store in memory whose disk may be said to take no writes. */
+class TestElectionStore implements ElectionStore {
+  writable = true;
+  private readonly memory = new MemoryElectionStore('a');
+
+  get persisted(): PersistentState {
+    return this.memory.persisted;
+  }
+
+  recordVote(voteTerm: number, candidate: string): Promise<void> {
+    return this.memory.recordVote(voteTerm, candidate);
+  }
+
+  bootstrapVote(members: readonly Member[]): Promise<void> {
+    return this.memory.bootstrapVote(members);
+  }
+
+  accept(state: State): Promise<void> {
+    return this.memory.accept(state);
+  }
+
+  synced(): Promise<void> {
+    return this.memory.synced();
+  }
+}
+
+export interface MasterRigOptions {
+  readonly newest?: State;
+  readonly settle?: (state: State) => State;
+  readonly onApply?: (state: State) => Promise<void>;
+}
+
+export class MasterRig {
+  readonly clock = new SimClock();
+  readonly electionStore = new TestElectionStore();
+  readonly sent: SentMessage[] = [];
+  readonly reports: string[] = [];
+  readonly applied: State[] = [];
+  private readonly peers = new Map<string, FakePeer>();
+  readonly transport: Transport = {
+    self: 'a',
+    onLost: () => undefined,
+    serve: () => Promise.resolve(),
+    close: () => Promise.resolve(),
+    call: async (to, kind, body, { within }) => {
+      const message = { to, kind, body, at: this.clock.now() };
+      this.sent.push(message);
+      const peer = this.peer(to);
+      if (peer.refusing) throw new ConnectionRefusedError(to);
+      const late = peer.silent || peer.delayMs > within;
+      await pause(this.clock, late ? within : peer.delayMs);
+      if (late || peer.silent) throw new RequestTimeoutError(to);
+      return peer.answer(message);
+    },
+  };
+
+  readonly master: Master;
+
+  private constructor(
+    readonly newest: State,
+    options: MasterRigOptions,
+  ) {
+    this.master = new Master(
+      {
+        me: memberOf('a'),
+        clock: this.clock,
+        transport: this.transport,
+        electionStore: this.electionStore,
+        bounds,
+        log: noLog,
+        settle: options.settle ?? ((state) => state),
+        apply: async (state) => {
+          this.applied.push(state);
+          await options.onApply?.(state);
+        },
+        onReport: (id) => {
+          this.reports.push(id);
+        },
+      },
+      term,
+      newest,
+    );
+  }
+
+  /** A master that has won its election and not published yet. */
+  static async elected(options: MasterRigOptions = {}): Promise<MasterRig> {
+    const newest = options.newest ?? stateWith(threeVoters);
+    const rig = new MasterRig(newest, options);
+    await rig.electionStore.accept(newest);
+    await rig.electionStore.recordVote(term, 'a');
+    return rig;
+  }
+
+  /** A master that has committed its first state. */
+  static async begun(options: MasterRigOptions = {}): Promise<MasterRig> {
+    const rig = await MasterRig.elected(options);
+    await rig.clock.finish('begin', rig.begin(), bounds.publishWait);
+    await rig.clock.run(roundTrip * 2);
+    return rig;
+  }
+
+  /** The first publish, on the votes of all voters. */
+  begin(): Promise<void> {
+    const joiners = [...this.newest.votingMembers.values()].filter(({ id }) => id !== 'a');
+    return this.master.begin(joiners, this.clock.now());
+  }
+
+  peer(id: string): FakePeer {
+    const known = this.peers.get(id) ?? new FakePeer();
+    this.peers.set(id, known);
+    return known;
+  }
+
+  /** What was sent of a kind, to one peer or to all. */
+  sentOf(kind: string, to?: string): readonly SentMessage[] {
+    return this.sent.filter((m) => m.kind === kind && (to === undefined || m.to === to));
+  }
+
+  /** Resolves with what `work` comes to, while simulated time runs. */
+  outcome(work: Promise<unknown>, withinMs = bounds.failureTimeout * 2): Promise<string> {
+    return this.clock.finish('an outcome', outcomeOf(work), withinMs);
+  }
+}
--- a/tests/src/zen/quorum-read.test.ts
+++ b/tests/src/zen/quorum-read.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
-import { toRpcError, pause, RequestTimeoutError } from '@tillerstair/wire';
+import { toRpcError, pause, RequestTimeoutError, RpcError } from '@tillerstair/wire';
 import { QuorumRead, zenBounds } from '@tillerstair/zen';
 
 const reads = suite('a quorum read');
@@ -32,10 +32,10 @@
   voters: { current: now, next },
 });
 
-/** A master `a` among voters of which some answer, each with its term. */
+/** A master `a` among voters of which some answer, each with its term or with an error code. */
 const master = (
-  state: State,
-  terms: ReadonlyMap<string, number>,
+  state: State | undefined,
+  terms: ReadonlyMap<string, number | string>,
   more: { readonly deposed?: boolean } = {},
 ) => {
   const clock = new SimClock();
@@ -63,11 +63,12 @@
         const answer = terms.get(to);
         await pause(clock, answer === undefined ? within : roundTrip);
         if (answer === undefined) throw new RequestTimeoutError(to);
+        if (typeof answer === 'string') throw new RpcError(answer, 'refused');
         return { term: answer, applied: { term: 0, version: 0 }, report: null };
       },
     },
   });
-  return { clock, held, read };
+  return { clock, held, lost, read };
 };
 
 const outcome = (work: Promise<State>): Promise<string> =>
@@ -143,6 +144,39 @@
   assert.is(await clock.finish('read', outcome(read.confirm()), 2000), 'unavailable');
 });
 
+reads('a master that stepped down begins no round', async () => {
+  const { clock, held, lost, read } = master(stateOf(three, three), new Map([['b', term]]));
+  lost.abort();
+  assert.is(await clock.finish('read', outcome(read.confirm()), 2000), 'not-master');
+  assert.is(held.asked, 0);
+});
+
+reads('a master that steps down during the round confirms nothing', async () => {
+  const { clock, lost, read } = master(stateOf(three, three), new Map([['b', term]]));
+  const work = outcome(read.confirm());
+  await clock.run(roundTrip / 2);
+  lost.abort();
+  assert.is(await clock.finish('read', work, 2000), 'unavailable');
+});
+
+reads('a master that has committed nothing confirms nothing', async () => {
+  const { clock, held, read } = master(undefined, new Map([['b', term]]));
+  assert.is(await clock.finish('read', outcome(read.confirm()), 2000), 'not-master');
+  assert.is(held.asked, 0);
+});
+
+reads('a voter whose address holds another node is not asked again', async () => {
+  const { clock, held, read } = master(
+    stateOf(three, three),
+    new Map([
+      ['b', 'other-node'],
+      ['c', 'other-node'],
+    ]),
+  );
+  assert.is(await clock.finish('read', outcome(read.confirm()), roundTrip * 2), 'unavailable');
+  assert.is(held.asked, 2);
+});
+
 reads(
   'a call that comes while a round runs waits for the next, which all such calls share',
   async () => {
