--- a/tests/src/zen/master-publication.test.ts
+++ b/tests/src/zen/master-publication.test.ts
@@ -9,6 +9,7 @@
   MasterRig,
   memberOf,
   newestVersion,
+  noVersion,
   outcomeOf,
   roundTrip,
   stateWith,
@@ -225,6 +226,20 @@
   );
 });
 
+publication(
+  'a peer that refuses the committed state is not taken to hold it any more',
+  async () => {
+    const rig = await MasterRig.begun();
+    assert.ok(rig.master.synced('c'));
+    rig.peer('c').applied = noVersion;
+    rig.peer('c').on('zen/publish', () => {
+      throw new RpcError('disk', 'not synced');
+    });
+    await rig.clock.run(bounds.heartbeatInterval + roundTrip * 3);
+    assert.not(rig.master.synced('c'));
+  },
+);
+
 publication('an answer that tells of a vote in a later term ends the mastership', async () => {
   const rig = await MasterRig.elected();
   rig.peer('b').on('zen/publish', () => {
