--- a/tests/src/zen/master-publication.test.ts
+++ b/tests/src/zen/master-publication.test.ts
@@ -230,6 +230,7 @@
   'a peer that refuses the committed state is not taken to hold it any more',
   async () => {
     const rig = await MasterRig.begun();
+    await rig.clock.run(bounds.heartbeatInterval / 2);
     assert.ok(rig.master.synced('c'));
     rig.peer('c').applied = noVersion;
     rig.peer('c').on('zen/publish', () => {
