--- a/tests/src/zen/master-fault-detection.test.ts
+++ b/tests/src/zen/master-fault-detection.test.ts
@@ -1,8 +1,8 @@
 /** Nodes fault detection: how a master tracks its members, and when it gives its mastership up. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { reduce } from '@tillerstair/state';
-import { RpcError } from '@tillerstair/wire';
+import { reduceState } from '@tillerstair/state';
+import { ElectionError, UnavailableError } from '@tillerstair/wire';
 import {
   bounds,
   isFull,
@@ -65,7 +65,7 @@
 faults('another node at the address of a member counts as its failure', async () => {
   const rig = await MasterRig.begun({ newest: withStore });
   rig.peer('s').on('zen/node-ping', () => {
-    throw new RpcError('other-node', 'this is another node');
+    throw new ElectionError('other-node', 'this is another node');
   });
   await rig.clock.run(bounds.heartbeatInterval * 2);
   assert.not(rig.master.committed?.nodes.has('s'));
@@ -175,7 +175,7 @@
 faults('a node that does not validate its join is not listed', async () => {
   const rig = await MasterRig.begun();
   rig.peer('s').on('zen/validate', () => {
-    throw new RpcError('not-joining', 'this node is not joining you');
+    throw new ElectionError('not-joining', 'this node is not joining you');
   });
   assert.is(await rig.outcome(rig.master.onJoin(joinOf('s'))), 'not-joining no');
   assert.not(rig.master.committed?.nodes.has('s'));
@@ -251,9 +251,11 @@
   assert.ok(rig.master.synced('b'));
   assert.not(rig.master.synced('nobody'));
   rig.peer('b').on('zen/publish', () => {
-    throw new RpcError('disk', 'not synced');
+    throw new UnavailableError('unavailable', 'not synced');
   });
-  await rig.outcome(rig.master.submit((state) => reduce(state, { kind: 'join', member: store })));
+  await rig.outcome(
+    rig.master.submit((state) => reduceState(state, { kind: 'join', member: store })),
+  );
   assert.not(rig.master.synced('b'));
 });
 
--- a/tests/src/zen/master-publication.test.ts
+++ b/tests/src/zen/master-publication.test.ts
@@ -1,8 +1,8 @@
 /** What a master publishes, and when it may call a state committed. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { reduce, type State, versionOf } from '@tillerstair/state';
-import { RpcError } from '@tillerstair/wire';
+import { reduceState, type State, versionOf } from '@tillerstair/state';
+import { ElectionError, UnavailableError } from '@tillerstair/wire';
 import {
   bounds,
   isFull,
@@ -25,7 +25,7 @@
 const addStore =
   (id: string) =>
   (state: State): State =>
-    reduce(state, { kind: 'join', member: memberOf(id, 'store') });
+    reduceState(state, { kind: 'join', member: memberOf(id, 'store') });
 
 publication('a state accepted by a majority of the voters is committed and applied', async () => {
   const rig = await MasterRig.elected();
@@ -73,7 +73,7 @@
     let accepted = 0;
     for (const id of ['b', 'c'])
       rig.peer(id).on('zen/publish', () => {
-        if (++accepted > 2) throw new RpcError('disk', 'not synced');
+        if (++accepted > 2) throw new UnavailableError('unavailable', 'not synced');
         return { outcome: 'accepted' };
       });
     assert.is(await rig.outcome(rig.begin()), 'done');
@@ -138,7 +138,7 @@
   for (const id of ['c', 's'])
     rig.peer(id).on('zen/publish', () => {
       asked.set(id, (asked.get(id) ?? 0) + 1);
-      if (asked.get(id) === 1) throw new RpcError('disk', 'not synced');
+      if (asked.get(id) === 1) throw new UnavailableError('unavailable', 'not synced');
       return { outcome: 'accepted' };
     });
   assert.is(await rig.outcome(rig.begin()), 'done');
@@ -150,7 +150,7 @@
   const rig = await MasterRig.elected();
   rig.peer('c').applied = firstVersion;
   rig.peer('c').on('zen/publish', () => {
-    throw new RpcError('disk', 'not synced');
+    throw new UnavailableError('unavailable', 'not synced');
   });
   await rig.outcome(rig.begin());
   const sent = rig.sentOf('zen/publish', 'c').length;
@@ -162,7 +162,7 @@
   const rig = await MasterRig.begun();
   assert.ok(rig.sentOf('zen/publish').every(isFull));
   rig.peer('c').on('zen/publish', () => {
-    throw new RpcError('disk', 'not synced');
+    throw new UnavailableError('unavailable', 'not synced');
   });
   await rig.outcome(rig.master.submit(addStore('s')));
   await rig.clock.run(roundTrip * 2);
@@ -208,7 +208,7 @@
   const rig = await MasterRig.elected();
   rig.peer('b').applied = firstVersion;
   rig.peer('b').on('zen/commit', () => {
-    throw new RpcError('not-held', 'that state is not held');
+    throw new ElectionError('not-held', 'that state is not held');
   });
   await rig.outcome(rig.begin());
   await rig.clock.run(roundTrip * 2);
@@ -234,7 +234,7 @@
     assert.ok(rig.master.synced('c'));
     rig.peer('c').applied = noVersion;
     rig.peer('c').on('zen/publish', () => {
-      throw new RpcError('disk', 'not synced');
+      throw new UnavailableError('unavailable', 'not synced');
     });
     await rig.clock.run(bounds.heartbeatInterval + roundTrip * 3);
     assert.not(rig.master.synced('c'));
@@ -244,7 +244,7 @@
 publication('an answer that tells of a vote in a later term ends the mastership', async () => {
   const rig = await MasterRig.elected();
   rig.peer('b').on('zen/publish', () => {
-    throw new RpcError('stale-term', 'voted for another');
+    throw new ElectionError('stale-term', 'voted for another');
   });
   rig.peer('c').delayMs = roundTrip * 3;
   assert.is(await rig.outcome(rig.begin(), roundTrip * 2), 'unknown unknown');
--- a/tests/src/zen/master-rig.ts
+++ b/tests/src/zen/master-rig.ts
@@ -10,8 +10,8 @@
 } from '@tillerstair/state';
 import {
   ConnectionRefusedError,
-  pause,
-  noLog,
+  delay,
+  silentLogger,
   RequestTimeoutError,
   toRpcError,
   type Transport,
@@ -175,16 +175,16 @@
   private readonly peers = new Map<string, FakePeer>();
   readonly transport: Transport = {
     self: 'a',
-    onLost: () => undefined,
+    onConnectionLost: () => undefined,
     serve: () => Promise.resolve(),
     close: () => Promise.resolve(),
-    call: async (to, kind, body, { within }) => {
+    call: async (to, kind, body, { timeoutMs }) => {
       const message = { to, kind, body, at: this.clock.now() };
       this.sent.push(message);
       const peer = this.peer(to);
       if (peer.refusing) throw new ConnectionRefusedError(to);
-      const late = peer.silent || peer.delayMs > within;
-      await pause(this.clock, late ? within : peer.delayMs);
+      const late = peer.silent || peer.delayMs > timeoutMs;
+      await delay(this.clock, late ? timeoutMs : peer.delayMs);
       if (late || peer.silent) throw new RequestTimeoutError(to);
       return peer.answer(message);
     },
@@ -203,7 +203,7 @@
         transport: this.transport,
         electionStore: this.electionStore,
         bounds,
-        log: { ...noLog, warn: (text) => this.warnings.push(text) },
+        log: { ...silentLogger, warn: (text) => this.warnings.push(text) },
         settle: options.settle ?? ((state) => state),
         apply: async (state) => {
           this.applied.push(state);
--- a/tests/src/zen/master-tasks.test.ts
+++ b/tests/src/zen/master-tasks.test.ts
@@ -1,8 +1,8 @@
 /** How a master takes changes: in batches, with a proof of its mastership where the caller needs one. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { reduce, type State } from '@tillerstair/state';
-import { RpcError } from '@tillerstair/wire';
+import { reduceState, type State } from '@tillerstair/state';
+import { ElectionError, OperationError } from '@tillerstair/wire';
 import {
   bounds,
   MasterRig,
@@ -20,9 +20,9 @@
 const addStore =
   (id: string) =>
   (state: State): State =>
-    reduce(state, { kind: 'join', member: memberOf(id, 'store') });
+    reduceState(state, { kind: 'join', member: memberOf(id, 'store') });
 const refuse = (): State => {
-  throw new RpcError('conflict', 'refused by the change itself');
+  throw new OperationError('refused', 'refused by the change itself');
 };
 const unchanged = (state: State): State => state;
 
@@ -71,7 +71,7 @@
   const refused = outcomeOf(rig.master.submit(refuse));
   const made = outcomeOf(rig.master.submit(addStore('s')));
   assert.equal(await rig.clock.finish('both', Promise.all([refused, made]), bounds.publishWait), [
-    'conflict no',
+    'refused no',
     'done',
   ]);
   assert.ok(rig.master.committed?.nodes.has('s'));
@@ -98,11 +98,11 @@
 tasks('a refusal to decide is told only once a majority confirms this master', async () => {
   const rig = await MasterRig.begun();
   const before = rig.sent.length;
-  assert.is(await rig.outcome(rig.master.decide(refuse)), 'conflict no');
+  assert.is(await rig.outcome(rig.master.decide(refuse)), 'refused no');
   assert.ok(rig.sent.slice(before).some((m) => m.kind === 'zen/node-ping'));
   withoutPeers(rig);
   assert.is(await rig.outcome(rig.master.decide(refuse)), 'unavailable no');
-  assert.is(await rig.outcome(rig.master.submit(refuse)), 'conflict no');
+  assert.is(await rig.outcome(rig.master.submit(refuse)), 'refused no');
 });
 
 tasks(
@@ -122,7 +122,7 @@
   const decided = outcomeOf(rig.master.decide(refuse));
   assert.equal(await rig.clock.finish('both', Promise.all([made, decided]), roundTrip), [
     'done',
-    'conflict no',
+    'refused no',
   ]);
   const pinged = rig.sent.slice(before).filter((m) => m.kind === 'zen/node-ping' && m.to !== 's');
   assert.is(pinged.length, 0);
@@ -162,7 +162,7 @@
 tasks('a state that a front has not applied is in force after the read lease', async () => {
   const rig = await masterWithFront();
   rig.peer('f').on('zen/commit', () => {
-    throw new RpcError('not-held', 'that state is not held');
+    throw new ElectionError('not-held', 'that state is not held');
   });
   const took = await inForceAfter(rig, addStore('s'));
   assert.ok(took >= bounds.readLease, `${took} ms`);
@@ -171,7 +171,7 @@
 tasks('an older state that a front says it has applied does not count', async () => {
   const rig = await masterWithFront();
   rig.peer('f').on('zen/commit', () => {
-    throw new RpcError('not-held', 'that state is not held');
+    throw new ElectionError('not-held', 'that state is not held');
   });
   const before = rig.master.committed;
   const work = inForceAfter(rig, addStore('s'));
@@ -212,7 +212,7 @@
 
 tasks('a front that left may serve until the read lease has passed', async () => {
   const rig = await masterWithFront();
-  const took = await inForceAfter(rig, (state) => reduce(state, { kind: 'leave', id: 'f' }));
+  const took = await inForceAfter(rig, (state) => reduceState(state, { kind: 'leave', id: 'f' }));
   assert.ok(took >= bounds.readLease, `${took} ms`);
 });
 
--- a/tests/src/zen/quorum-read.test.ts
+++ b/tests/src/zen/quorum-read.test.ts
@@ -2,7 +2,13 @@
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
-import { toRpcError, pause, RequestTimeoutError, RpcError } from '@tillerstair/wire';
+import {
+  toRpcError,
+  delay,
+  ElectionError,
+  RequestTimeoutError,
+  type RpcErrorCodeOf,
+} from '@tillerstair/wire';
 import { QuorumRead, zenBounds } from '@tillerstair/zen';
 
 const reads = suite('a quorum read');
@@ -35,7 +41,7 @@
 /** A master `a` among voters of which some answer, each with its term or with an error code. */
 const master = (
   state: State | undefined,
-  terms: ReadonlyMap<string, number | string>,
+  terms: ReadonlyMap<string, number | RpcErrorCodeOf<'election'>>,
   more: { readonly deposed?: boolean } = {},
 ) => {
   const clock = new SimClock();
@@ -55,15 +61,15 @@
     },
     transport: {
       self: 'a',
-      onLost: () => undefined,
+      onConnectionLost: () => undefined,
       serve: async () => undefined,
       close: async () => undefined,
-      call: async (to, _kind, _body, { within }) => {
+      call: async (to, _kind, _body, { timeoutMs }) => {
         held.asked++;
         const answer = terms.get(to);
-        await pause(clock, answer === undefined ? within : roundTrip);
+        await delay(clock, answer === undefined ? timeoutMs : roundTrip);
         if (answer === undefined) throw new RequestTimeoutError(to);
-        if (typeof answer === 'string') throw new RpcError(answer, 'refused');
+        if (typeof answer === 'string') throw new ElectionError(answer, 'refused');
         return { term: answer, applied: { term: 0, version: 0 }, report: null };
       },
     },
@@ -169,8 +175,8 @@
   const { clock, held, read } = master(
     stateOf(three, three),
     new Map([
-      ['b', 'other-node'],
-      ['c', 'other-node'],
+      ['b', 'other-node' as const],
+      ['c', 'other-node' as const],
     ]),
   );
   assert.is(await clock.finish('read', outcome(read.confirm()), roundTrip * 2), 'unavailable');
--- a/tests/src/zen/read-lease.test.ts
+++ b/tests/src/zen/read-lease.test.ts
@@ -4,7 +4,7 @@
 import type { PingResponse } from '@tillerstair/zen';
 import { controlPace, ReadLease, reloadableBounds, storePace } from '@tillerstair/zen';
 import { SimClock } from '@tillerstair/sim';
-import { noLog } from '@tillerstair/wire';
+import { silentLogger } from '@tillerstair/wire';
 import { memberOf, stateWith, term, threeVoters } from './master-rig.js';
 
 const leases = suite('read lease');
@@ -67,7 +67,7 @@
 leases('bounds follow a later replace, and so do the paces of disks derived from them', () => {
   const reloadable = reloadableBounds(outer);
   const { bounds } = reloadable;
-  const paces = [controlPace, storePace].map((pace) => pace(new SimClock(), bounds, noLog));
+  const paces = [controlPace, storePace].map((pace) => pace(new SimClock(), bounds, silentLogger));
   const values = () => [
     ...Object.values({ ...bounds }),
     ...paces.flatMap((pace) => [pace.syncWithin, pace.retryEvery]),
