--- a/packages/zen/src/index.ts
+++ b/packages/zen/src/index.ts
@@ -9,6 +9,7 @@
 export * from './pace.js';
 export * from './quorum-read.js';
 export * from './leave.js';
+export * from './master-errors.js';
 export * from './master.js';
 export * from './read-lease.js';
 export * from './stepped-down.js';
--- a/packages/zen/src/leave.ts
+++ b/packages/zen/src/leave.ts
@@ -1,10 +1,11 @@
-/** How a node that is told to stop takes its leave of the cluster. */
+/** How a node that stops in order leaves the cluster (docs/zen.md, "Changed or added": the number of controls). */
 import { reduceState, type Member } from '@tillerstair/state';
 import { RequestTimeoutError, withTimeout, type Transport, type Clock } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { MasterView } from './master-types.js';
 
-export interface LeaveParts {
+/** What a leave works with. */
+export interface LeaveOptions {
   readonly me: Member;
   readonly clock: Clock;
   readonly transport: Transport;
@@ -12,23 +13,21 @@
 }
 
 /**
- * Tells the master that this node stops in order; a master commits its own leave before it steps down, so that
+ * Tells the master that this node stops in order; a master commits its leave itself before it steps down, so that
  * its vote can pass to a spare with the same commit. Waits for one heartbeat at most.
+ *
+ * @param followed - The master that this node follows, if any.
+ * @param leading - This node's mastership, if it is master itself.
+ * @throws RequestTimeoutError, or the master's error; the node stops all the same, and fault detection finds it gone.
  */
-export const sayLeave = async (
-  p: LeaveParts,
-  master: Member | undefined,
+export const leaveCluster = async (
+  { me, clock, transport, bounds }: LeaveOptions,
+  followed: Member | undefined,
   leading: MasterView | undefined,
 ): Promise<void> => {
-  const { me, clock, transport, bounds } = p;
-  if (master)
-    await transport.call(
-      master.addr,
-      'zen/leave',
-      { from: me },
-      { timeoutMs: bounds.heartbeatInterval },
-    );
+  const timeoutMs = bounds.heartbeatInterval;
+  if (followed) await transport.call(followed.addr, 'zen/leave', { from: me }, { timeoutMs });
   if (!leading) return;
-  const left = leading.submit((s) => reduceState(s, { kind: 'leave', id: me.id }));
-  await withTimeout(clock, bounds.heartbeatInterval, left, () => new RequestTimeoutError(me.addr));
+  const leave = leading.submit((state) => reduceState(state, { kind: 'leave', id: me.id }));
+  await withTimeout(clock, timeoutMs, leave, () => new RequestTimeoutError(me.addr));
 };
--- a/packages/zen/src/master-types.ts
+++ b/packages/zen/src/master-types.ts
@@ -1,53 +1,88 @@
-import type { Member, State } from '@tillerstair/state';
-import type { Transport, Clock, Logger } from '@tillerstair/wire';
+/** What a master is made of, and what the rest of a control may ask of it. */
+import type { Member, State, StateVersion } from '@tillerstair/state';
+import type { Clock, Logger, Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
 
-/** What a master is made of, and what the rest of a control may ask of it. */
-
-export type Change = (s: State) => State;
+/** A change of the cluster state; returns the state itself if there is nothing to alter, throws to refuse. */
+export type Change = (state: State) => State;
 
+/** A committed state. */
 export interface Committed {
   readonly state: State;
+  /** Clock time, in ms, of the commit. */
   readonly at: number;
 }
 
-export interface Task {
-  readonly change: Change;
-  /** Whether a majority must confirm this master before the task ends without a publish of its own. */
-  readonly proven: boolean;
-  done(c: Committed): void;
-  fail(e: Error): void;
-}
-
-export interface MasterParts {
+/** What a master works with. */
+export interface MasterOptions {
   readonly me: Member;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly electionStore: ElectionStore;
   readonly bounds: ZenBounds;
   readonly log: Logger;
-  readonly settle: (s: State) => State;
-  readonly apply: (s: State) => Promise<void>;
-  readonly onReport: (id: string, report: unknown) => void;
+  /** Derives from each batch of changes what follows from it, such as the owners of slots. */
+  readonly settle: (state: State) => State;
+  /** Applies a committed state at this node. */
+  readonly apply: (state: State) => Promise<void>;
+  /** Hears what a listed member reports of itself with each ping. */
+  readonly onReport: (memberId: string, report: unknown) => void;
+}
+
+/** What a master answers to the ping of a follower. */
+export interface MasterStatus {
+  readonly leading: boolean;
+  /** Whether the follower is on the list of nodes. */
+  readonly listed: boolean;
+  readonly term: number;
+  readonly committed: StateVersion;
+  /** How long ago, in ms, a majority of the voters was last heard of; read leases are dated back by it. */
+  readonly age: number;
 }
 
+/** A master as the rest of its control sees it. */
 export interface MasterView {
   readonly term: number;
+  /** Aborts once this control has stepped down. */
   readonly lost: AbortSignal;
+  /** The newest committed state, if this master has committed one. */
   readonly committed: State | undefined;
-  /** When the newest committed state was. */
+  /** Clock time, in ms, of the newest commit. */
   readonly committedAt: number;
+  /**
+   * Makes a change; resolves once the state with it is committed and applied here, at once if it alters nothing.
+   *
+   * @throws whatever the change throws to refuse; NotMasterError if nothing was done; UnknownOutcomeError if the change
+   * may have been made.
+   */
   submit(change: Change): Promise<Committed>;
-  /** As `submit`, but a refusal, and a change that alters nothing, end only once a majority has confirmed this master since. */
+  /**
+   * As `submit`, but a refusal, and a change that alters nothing, end only once a majority has confirmed this master
+   * since the call (docs/design.md, "Versions of the configuration").
+   *
+   * @throws also QuorumUnavailableError if no majority does.
+   */
   decide(change: Change): Promise<Committed>;
+  /**
+   * A quorum read: the committed state, once a majority has confirmed this master since the call.
+   *
+   * @throws NotMasterError or QuorumUnavailableError, at the latest after 1.25 heartbeats.
+   */
   confirm(): Promise<State>;
-  inForce(c: Committed): Promise<void>;
-  unresponsiveFor(id: string): number;
+  /**
+   * Resolves once no front serves from a state older than the committed one, at most one read lease after the commit,
+   * the election or the last departure of a front.
+   *
+   * @throws UnknownOutcomeError when this control steps down meanwhile.
+   */
+  inForce(committed: Committed): Promise<void>;
+  /** For how long, in ms, the member has not answered; at most the time since the election. */
+  unresponsiveFor(memberId: string): number;
   /** Whether the node replied within the last two heartbeats. */
-  heard(id: string): boolean;
+  heard(memberId: string): boolean;
   /** Pings the nodes now; resolves with the ids of those that replied in this term within one heartbeat. */
   reach(peers: readonly Member[]): Promise<ReadonlySet<string>>;
   /** Whether the node has acknowledged that the newest committed state is on its disk. */
-  synced(id: string): boolean;
+  synced(memberId: string): boolean;
 }
--- /dev/null
+++ b/packages/zen/src/mastership-check.ts
@@ -0,0 +1,34 @@
+/**
+ * The master's watch on itself: it steps down when its own disk takes no writes or no majority of the voters replies
+ * (docs/zen.md, "Kept, on the ordinary path": a master that no longer sees enough eligible nodes rejoins). It owns no state.
+ */
+import { delay, type Clock } from '@tillerstair/wire';
+import type { ZenBounds } from './bounds.js';
+import type { ElectionStore } from './election-store.js';
+import type { Mastership } from './mastership.js';
+import type { MemberContacts } from './member-contacts.js';
+import type { PublishedState } from './published-state.js';
+
+/** How often in a heartbeat the master looks. */
+const checksPerHeartbeat = 4;
+
+/** What the check looks at. */
+export interface MastershipCheckOptions {
+  readonly clock: Clock;
+  readonly bounds: ZenBounds;
+  readonly electionStore: ElectionStore;
+  readonly mastership: Mastership;
+  readonly published: PublishedState;
+  readonly contacts: MemberContacts;
+}
+
+/** Looks until the mastership ends, by itself or otherwise. */
+export const checkMastership = async (options: MastershipCheckOptions): Promise<void> => {
+  const { clock, bounds, electionStore, mastership, published, contacts } = options;
+  while (!mastership.lost.aborted) {
+    if (!electionStore.writable) mastership.stepDown('its own disk takes no writes');
+    if (contacts.majorityAge(published.base.voters) > bounds.failureTimeout)
+      mastership.stepDown('no majority of controls replies');
+    await delay(clock, bounds.heartbeatInterval / checksPerHeartbeat, mastership.lost);
+  }
+};
--- a/packages/zen/src/node.ts
+++ b/packages/zen/src/node.ts
@@ -6,14 +6,14 @@
 import { Bootstrapper } from './bootstrap.js';
 import { joinMaster } from './joiner.js';
 import { acceptedVersion, type ElectionStore } from './election-store.js';
-import { sayLeave } from './leave.js';
+import { leaveCluster } from './leave.js';
 import { Master } from './master.js';
 import type { MasterView } from './master-types.js';
 import { Commit, Join, MasterPing, MasterPingResponse, mustBeFor, NodePing, Ping, PingResponse } from './messages.js';
 import { Pinger, type Round } from './pinger.js';
 import { ReadLease } from './read-lease.js';
 import { Receiver } from './receiver.js';
-import { tellSteppedDown } from './stepped-down.js';
+import { notifySteppedDown } from './stepped-down.js';
 import { grantVote } from './vote.js';
 
 export interface ZenParts {
@@ -124,7 +124,7 @@
   }
 
   async stop(): Promise<void> {
-    await sayLeave(this.p, this.following, this.leading).catch(() => undefined);
+    await leaveCluster(this.p, this.following, this.leading).catch(() => undefined);
     this.gone.abort();
     this.master?.stepDown('stopping');
     this.wake();
@@ -263,7 +263,7 @@
       master.stepDown(toRpcError(e).message);
     } finally {
       this.master = undefined;
-      if (!electionStore.writable) tellSteppedDown(this.p, master.committed);
+      if (!electionStore.writable) notifySteppedDown(this.p, master.committed);
     }
   }
 
--- a/packages/zen/src/pace.ts
+++ b/packages/zen/src/pace.ts
@@ -1,9 +1,12 @@
-/** How long writes to disk may last on each kind of member, as bounds that are read again may change it. */
+/**
+ * How long writes to disk may last on each kind of member (docs/design.md, "Disk"). The values follow bounds that are
+ * replaced while the process runs.
+ */
 import type { JournalPace } from '@tillerstair/journal';
 import type { Clock, Logger } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 
-/** A control's sync that lasts longer than a publish waits is of no use to any majority. */
+/** For controls: a sync that lasts longer than a publish waits is of no use to any majority. */
 export const controlPace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalPace => ({
   clock,
   log,
@@ -15,7 +18,7 @@
   },
 });
 
-/** A store's slow sync still makes a replica whole, though the slot's writes do not wait for it. */
+/** For stores: a slow sync still makes a replica complete, though the slot's writes do not wait for it. */
 export const storePace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalPace => ({
   clock,
   log,
--- /dev/null
+++ b/packages/zen/src/publication.ts
@@ -0,0 +1,39 @@
+/**
+ * A state on its way to the members, in the forms in which it is sent: the diff to the state before it, or in full,
+ * compressed (docs/zen.md, "Kept, on the ordinary path").
+ */
+import { deflateSync } from 'node:zlib';
+import {
+  diffStates,
+  encodeState,
+  versionOf,
+  type State,
+  type StateVersion,
+} from '@tillerstair/state';
+import type { Payload } from './messages.js';
+
+const pack = (payload: Payload): string => deflateSync(JSON.stringify(payload)).toString('base64');
+
+/** One state to be sent; each form is made once, whatever the number of members. */
+export class Publication {
+  /** The change from `base`, for members that hold that; none when there is no base to start from. */
+  readonly diff: string | undefined;
+  private packedState: string | undefined;
+
+  constructor(
+    readonly state: State,
+    base: State | undefined,
+  ) {
+    this.diff = base && pack({ diff: diffStates(base, state) });
+  }
+
+  /** The whole state. */
+  get full(): string {
+    this.packedState ??= pack({ full: [...encodeState(this.state)] });
+    return this.packedState;
+  }
+
+  get version(): StateVersion {
+    return versionOf(this.state);
+  }
+}
--- a/packages/zen/src/stepped-down.ts
+++ b/packages/zen/src/stepped-down.ts
@@ -1,22 +1,26 @@
-/** Word from a master that gave up, so that its followers need not wait for their next ping to elect another. */
+/**
+ * The notice of a master that stepped down because its disk takes no writes, so that its followers need not wait for
+ * their next ping to elect another (docs/design.md, "Disk"). Owns no state; nothing relies on the notice arriving.
+ */
 import type { Member, State } from '@tillerstair/state';
 import type { Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 
-export interface SteppedDownParts {
+/** What the notice is sent with. */
+export interface SteppedDownOptions {
   readonly me: Member;
   readonly transport: Transport;
-  readonly bounds: ZenBounds;
+  readonly bounds: Pick<ZenBounds, 'heartbeatInterval'>;
 }
 
-export const tellSteppedDown = (
-  { me, transport, bounds }: SteppedDownParts,
-  state: State | undefined,
+/** Notifies all members of the newest committed state; does not wait for their answers. */
+export const notifySteppedDown = (
+  { me, transport, bounds }: SteppedDownOptions,
+  committed: State | undefined,
 ): void => {
-  for (const member of state?.nodes.values() ?? []) {
+  const options = { timeoutMs: bounds.heartbeatInterval };
+  for (const member of committed?.nodes.values() ?? []) {
     if (member.id === me.id) continue;
-    transport
-      .call(member.addr, 'zen/stepped-down', { from: me }, { timeoutMs: bounds.heartbeatInterval })
-      .catch(() => undefined);
+    transport.call(member.addr, 'zen/stepped-down', { from: me }, options).catch(() => undefined);
   }
 };
--- a/tests/src/zen/departure.test.ts
+++ b/tests/src/zen/departure.test.ts
@@ -1,7 +1,7 @@
 /** How a node that stops, and a master that gave up, notify the others. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { sayLeave, tellSteppedDown } from '@tillerstair/zen';
+import { leaveCluster, notifySteppedDown } from '@tillerstair/zen';
 import { bounds, MasterRig, memberOf, roundTrip, stateWith, threeVoters } from './master-rig.js';
 
 const departures = suite('departures');
@@ -9,7 +9,7 @@
 departures('a node that stops asks its master to take it off the list', async () => {
   const rig = await MasterRig.elected();
   const parts = { me: memberOf('a'), clock: rig.clock, transport: rig.transport, bounds };
-  await rig.clock.finish('leave', sayLeave(parts, memberOf('b'), undefined), roundTrip);
+  await rig.clock.finish('leave', leaveCluster(parts, memberOf('b'), undefined), roundTrip);
   assert.equal(
     rig.sent.map(({ to, kind, body }) => ({ to, kind, body })),
     [{ to: 'b', kind: 'zen/leave', body: { from: memberOf('a') } }],
@@ -19,7 +19,7 @@
 departures('a master that stops commits its own leave first', async () => {
   const rig = await MasterRig.begun();
   const parts = { me: memberOf('a'), clock: rig.clock, transport: rig.transport, bounds };
-  await rig.clock.finish('leave', sayLeave(parts, undefined, rig.master), roundTrip);
+  await rig.clock.finish('leave', leaveCluster(parts, undefined, rig.master), roundTrip);
   assert.not(rig.master.committed?.nodes.has('a'));
 });
 
@@ -28,7 +28,7 @@
   for (const id of ['b', 'c']) rig.peer(id).silent = true;
   const parts = { me: memberOf('a'), clock: rig.clock, transport: rig.transport, bounds };
   const outcome = await rig.outcome(
-    sayLeave(parts, undefined, rig.master),
+    leaveCluster(parts, undefined, rig.master),
     bounds.heartbeatInterval,
   );
   assert.is(outcome, 'request-timeout unknown');
@@ -39,7 +39,7 @@
     newest: stateWith(threeVoters, [memberOf('s', 'store')]),
   });
   rig.peer('b').refusing = true;
-  tellSteppedDown({ me: memberOf('a'), transport: rig.transport, bounds }, rig.newest);
+  notifySteppedDown({ me: memberOf('a'), transport: rig.transport, bounds }, rig.newest);
   await rig.clock.run(roundTrip);
   assert.equal(
     rig.sent.map(({ to, kind }) => [to, kind]),
@@ -49,7 +49,7 @@
 
 departures('a master that never committed a state notifies nobody', async () => {
   const rig = await MasterRig.elected();
-  tellSteppedDown({ me: memberOf('a'), transport: rig.transport, bounds }, undefined);
+  notifySteppedDown({ me: memberOf('a'), transport: rig.transport, bounds }, undefined);
   await rig.clock.run(roundTrip);
   assert.is(rig.sent.length, 0);
 });
--- a/tests/src/zen/master-rig.ts
+++ b/tests/src/zen/master-rig.ts
@@ -53,7 +53,7 @@
 
 export const noVersion: StateVersion = { term: -1, version: 0 };
 
-/** The state that the master starts with: the given voters, all of them and the given others as nodes. */
+/** The state that the master starts with: the given voters, with all of them and the given others on the list of nodes. */
 export const stateWith = (voters: VotingConfiguration, others: readonly Member[] = []): State => {
   const votingMembers = [...new Set([...voters.current, ...voters.next])].map((id) => memberOf(id));
   return {
