--- a/packages/wire/src/clock.ts
+++ b/packages/wire/src/clock.ts
@@ -1,61 +1,68 @@
+/** Time as the programs see it: a steady clock that can be replaced, and waits on it. */
 import { setMaxListeners } from 'node:events';
 
+/** A timer that can be stopped before it fires. */
 export interface TimerHandle {
   stop(): void;
 }
 
+/** A steady clock: it never goes back and has nothing to do with the time of day. */
 export interface Clock {
+  /** Milliseconds since an arbitrary moment, with fractions. */
   now(): number;
+  /** Runs something once, after `ms` milliseconds. */
   after(ms: number, run: () => void): TimerHandle;
 }
 
+const nanosecondsPerMillisecond = 1e6;
+
+/** The clock of the machine. */
 export const hostClock: Clock = {
-  now: () => Number(process.hrtime.bigint()) / 1e6,
+  now: () => Number(process.hrtime.bigint()) / nanosecondsPerMillisecond,
   after: (ms, run) => {
-    const t = setTimeout(run, ms);
-    return { stop: () => clearTimeout(t) };
+    const timer = setTimeout(run, ms);
+    return { stop: () => clearTimeout(timer) };
   },
 };
 
 /** Rounds to whole milliseconds, never below one: platform timers refuse fractions. */
 export const toTimerMs = (ms: number): number => Math.max(1, Math.round(ms));
 
-export const delay = (clock: Clock, ms: number, gone?: AbortSignal): Promise<void> =>
-  new Promise((done) => {
-    if (gone?.aborted) return done();
+/** Waits `ms` milliseconds, or until the signal is aborted; it never throws. */
+export const delay = (clock: Clock, ms: number, signal?: AbortSignal): Promise<void> =>
+  new Promise((resolve) => {
+    if (signal?.aborted) {
+      resolve();
+      return;
+    }
     const timer = clock.after(ms, () => {
-      gone?.removeEventListener('abort', early);
-      done();
+      signal?.removeEventListener('abort', onAbort);
+      resolve();
     });
-    const early = () => {
+    const onAbort = (): void => {
       timer.stop();
-      done();
+      resolve();
     };
-    gone?.addEventListener('abort', early, { once: true });
+    signal?.addEventListener('abort', onAbort, { once: true });
   });
 
+/** Waits for `work` for at most `ms` milliseconds, then throws what `timeoutError` makes; the work itself goes on. */
 export const withTimeout = <T>(
   clock: Clock,
   ms: number,
   work: Promise<T>,
-  late: () => Error,
+  timeoutError: () => Error,
 ): Promise<T> =>
-  new Promise((done, fail) => {
-    const timer = clock.after(ms, () => fail(late()));
-    work.then(
-      (v) => {
-        timer.stop();
-        done(v);
-      },
-      (e: unknown) => {
-        timer.stop();
-        fail(e);
-      },
-    );
+  new Promise((resolve, reject) => {
+    const timer = clock.after(ms, () => reject(timeoutError()));
+    const stopTimer = (): void => timer.stop();
+    work.then(stopTimer, stopTimer);
+    work.then(resolve, reject);
   });
 
+/** An abort controller for the life of a program, which any number of waits may listen to. */
 export const createAbortController = (): AbortController => {
-  const ctl = new AbortController();
-  setMaxListeners(0, ctl.signal);
-  return ctl;
+  const controller = new AbortController();
+  setMaxListeners(0, controller.signal);
+  return controller;
 };
--- a/packages/wire/src/http.ts
+++ b/packages/wire/src/http.ts
@@ -1,5 +1,5 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { parseAddress } from './tcp.js';
+import { parseAddress } from './address.js';
 
 export type HttpHandler = (req: IncomingMessage, res: ServerResponse, url: URL) => Promise<void>;
 
--- a/packages/wire/src/log.ts
+++ b/packages/wire/src/log.ts
@@ -1,33 +1,36 @@
+/** Logs of the programs: one JSON line for each message, written by `roarr`. */
 import './log-on.js';
 import { ROARR, Roarr } from 'roarr';
 
+/** The levels, from the least to the most important. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
+
+/** Writes a message at a level. */
 export type Logger = Readonly<Record<LogLevel, (text: string) => void>>;
 
-const rank: ReadonlyMap<LogLevel, number> = new Map([
-  ['debug', 0],
-  ['info', 1],
-  ['warn', 2],
-  ['error', 3],
-]);
+const rankOfLevel: Readonly<Record<LogLevel, number>> = { debug: 0, info: 1, warn: 2, error: 3 };
 
+/**
+ * Makes the logger of a program.
+ *
+ * @param part - the name of the program, told in each line
+ * @param leastLevel - messages of lower levels are not written
+ * @param write - takes each line, without its end
+ */
 export const createLogger = (
   part: string,
-  least: LogLevel,
+  leastLevel: LogLevel,
   write: (line: string) => void,
 ): Logger => {
   ROARR.write = write;
-  const out = Roarr.child({ part });
-  const at = (level: LogLevel) => (text: string) => {
-    if ((rank.get(level) ?? 0) >= (rank.get(least) ?? 0)) out[level](`${part}: ${text}`);
+  const roarr = Roarr.child({ part });
+  const logAt = (level: LogLevel) => (text: string) => {
+    if (rankOfLevel[level] >= rankOfLevel[leastLevel]) roarr[level](`${part}: ${text}`);
   };
-  return { debug: at('debug'), info: at('info'), warn: at('warn'), error: at('error') };
+  return { debug: logAt('debug'), info: logAt('info'), warn: logAt('warn'), error: logAt('error') };
 };
 
-const nothing = (): void => undefined;
-export const silentLogger: Logger = {
-  debug: nothing,
-  info: nothing,
-  warn: nothing,
-  error: nothing,
-};
+const ignore = (): void => undefined;
+
+/** Writes nothing. */
+export const silentLogger: Logger = { debug: ignore, info: ignore, warn: ignore, error: ignore };
--- /dev/null
+++ b/packages/wire/src/tcp-transport.ts
@@ -0,0 +1,88 @@
+/** Requests between processes over TCP: one connection for each direction and pair of processes. */
+import { createServer, type Server, type Socket } from 'node:net';
+import { parseAddress } from './address.js';
+import { RequestCancelledError } from './errors/index.js';
+import { IncomingConnection } from './incoming-connection.js';
+import { OutgoingConnection } from './outgoing-connection.js';
+import type { CallOptions, RequestHandler, Transport } from './transport.js';
+
+const defaultOpenTimeoutMs = 1000;
+const defaultMaxLineBytes = 64 << 20;
+
+/** The transport of the real programs; the simulator has its own. */
+export class TcpTransport implements Transport {
+  private readonly outgoing = new Map<string, OutgoingConnection>();
+  private readonly incoming = new Set<Socket>();
+  private server: Server | undefined;
+  private lastRequestId = 0;
+  private readonly lossListeners = new Set<(to: string) => void>();
+
+  /**
+   * @param self - the address that others reach this process at
+   * @param listenAddress - where it listens, if that is another
+   * @param openTimeoutMs - how long opening a connection may last
+   * @param maxLineBytes - the longest message; a longer one ends its connection
+   */
+  constructor(
+    readonly self: string,
+    private readonly listenAddress = self,
+    private readonly openTimeoutMs = defaultOpenTimeoutMs,
+    private readonly maxLineBytes = defaultMaxLineBytes,
+  ) {}
+
+  onConnectionLost(listener: (to: string) => void): void {
+    this.lossListeners.add(listener);
+  }
+
+  serve(handler: RequestHandler): Promise<void> {
+    const server = createServer((socket) => this.accept(socket, handler));
+    this.server = server;
+    const { host, port } = parseAddress(this.listenAddress);
+    return new Promise((resolve, reject) => {
+      server.once('error', reject);
+      server.listen(port, host, () => resolve());
+    });
+  }
+
+  async call(to: string, kind: string, body: unknown, options: CallOptions): Promise<unknown> {
+    if (options.signal?.aborted) throw new RequestCancelledError('no');
+    const connection = this.connectionTo(to);
+    await connection.ready();
+    if (options.signal?.aborted) throw new RequestCancelledError('no');
+    return connection.send(++this.lastRequestId, kind, body, options);
+  }
+
+  async close(): Promise<void> {
+    for (const connection of this.outgoing.values()) connection.close();
+    for (const socket of this.incoming) socket.destroy();
+    const { server } = this;
+    if (server) await new Promise<void>((resolve) => server.close(() => resolve()));
+  }
+
+  private accept(socket: Socket, handler: RequestHandler): void {
+    this.incoming.add(socket);
+    socket.on('error', () => socket.destroy());
+    socket.on('close', () => this.incoming.delete(socket));
+    const connection = new IncomingConnection(socket, handler, this.maxLineBytes);
+    void connection.serve().finally(() => socket.destroy());
+  }
+
+  private connectionTo(to: string): OutgoingConnection {
+    const open = this.outgoing.get(to);
+    if (open) return open;
+    const connection = new OutgoingConnection({
+      self: this.self,
+      to,
+      openTimeoutMs: this.openTimeoutMs,
+      maxLineBytes: this.maxLineBytes,
+      onClosed: (closed) => this.forget(to, closed),
+    });
+    this.outgoing.set(to, connection);
+    return connection;
+  }
+
+  private forget(to: string, closed: OutgoingConnection): void {
+    if (this.outgoing.get(to) === closed) this.outgoing.delete(to);
+    for (const listener of this.lossListeners) listener(to);
+  }
+}
