--- /dev/null
+++ b/tests/src/support/session-owner-rig.ts
@@ -0,0 +1,448 @@
+/** One session owner over stores and servers that a test scripts: every message, put and send is recorded in its order. */
+import type { Backend, Ended, Message, Passing, Sink } from '@tillerstair/session-owner';
+import { SessionOwner } from '@tillerstair/session-owner';
+import { SimClock } from '@tillerstair/sim';
+import {
+  bootstrapState,
+  checkConfig,
+  digestOf,
+  type Member,
+  type Server,
+  type Slot,
+  type State,
+} from '@tillerstair/state';
+import { noLog, RpcError, type Transport } from '@tillerstair/wire';
+import { z } from 'zod';
+
+const ownId = 'f1';
+const storeIds = ['a', 'b', 'c'] as const;
+export const host = 'a.example';
+
+const StoredItem = z.object({
+  key: z.string(),
+  ownershipEpoch: z.number(),
+  seq: z.number(),
+  value: z.unknown(),
+});
+type StoredItem = z.infer<typeof StoredItem>;
+
+const StoreRequest = z.object({
+  slot: z.number().optional(),
+  key: z.string().optional(),
+  turn: z.string().optional(),
+  slots: z.array(z.number()).optional(),
+  items: z.array(StoredItem).optional(),
+});
+
+const StatusValue = z.object({ status: z.string() });
+
+/** The status of a stored value; empty for one that has none. */
+export const statusOf = (value: unknown): string => {
+  const parsed = StatusValue.safeParse(value);
+  return parsed.success ? parsed.data.status : '';
+};
+
+const memberOf = (id: string, kind: Member['kind']): Member => ({
+  id,
+  kind,
+  addr: id,
+  http: '',
+  zone: '',
+  data: id,
+  name: '',
+});
+
+const serverOf = (id: string, pool: string): Server => ({
+  id,
+  pool,
+  url: `http://${id}`,
+  draining: false,
+  down: false,
+  zone: '',
+  places: 0,
+});
+
+export const configuration = {
+  base: 0,
+  pools: [
+    { name: 'models', kind: 'model' },
+    { name: 'shop', kind: 'service' },
+    { name: 'memo', kind: 'service', remembersKeys: true },
+  ],
+  routes: [
+    {
+      name: 'chat',
+      match: { kind: 'turn', path: '/chat' },
+      shares: [{ pool: 'models', share: 1 }],
+    },
+    {
+      name: 'act',
+      match: { kind: 'call', path: '/act' },
+      acting: true,
+      shares: [{ pool: 'shop', share: 1 }],
+    },
+    { name: 'look', match: { kind: 'call', path: '/look' }, shares: [{ pool: 'shop', share: 1 }] },
+    ...(
+      [
+        ['keyed', { manner: 'keyed', tries: 2 }, 'shop'],
+        ['recorded', { manner: 'keyed', tries: 2 }, 'memo'],
+        ['once', { manner: 'once', tries: 2 }, 'shop'],
+        ['again', { manner: 'repeatable', tries: 2 }, 'shop'],
+        ['turn', { manner: 'stream', tries: 2, turnRetentionMs: 60000 }, 'models'],
+        ['flow', { manner: 'stream', tries: 1 }, 'models'],
+        ['live', { manner: 'stream', tries: 2, resumable: true }, 'models'],
+      ] as const
+    ).map(([name, pass, pool]) => ({
+      name: `pass-${name}`,
+      match: { kind: 'pass', host, path: `/${name}/` },
+      pass: { deadlineMs: 8000, ...pass },
+      shares: [{ pool, share: 1 }],
+    })),
+  ],
+  budgets: { program: 100, turn: 8 },
+  bounds: { turnMs: 8000, callMs: 4000, queue: 256, perServer: 16 },
+};
+
+const recordOf = (config: object, version: number): State['config'] => {
+  const text = JSON.stringify(config);
+  const checked = checkConfig(text);
+  if (!checked.config) throw new Error(JSON.stringify(checked.findings));
+  return {
+    version,
+    text,
+    digest: digestOf(text),
+    compiled: JSON.stringify(checked.config),
+    changeId: '',
+  };
+};
+
+const ownedSlot = (epoch: number): Slot => ({
+  owner: ownId,
+  ownershipEpoch: epoch,
+  ownedSinceEpoch: epoch,
+  transferTarget: '',
+  replicas: [...storeIds],
+  joiningReplicas: [],
+  replacedReplica: '',
+});
+
+/** What a scripted server gets of a request that reached it. */
+export interface Sent {
+  readonly kind: 'turn' | 'call' | 'pass';
+  readonly server: string;
+  readonly key: string;
+  readonly body: string;
+  readonly messages: readonly Message[];
+  readonly maxTokens: number;
+  readonly resume: string;
+  readonly stop: AbortSignal;
+}
+
+/** What a scripted server answers with: chunks of a turn or bytes of a stream go out before its end. */
+export interface Reply {
+  readonly ended: Ended;
+  readonly chunks?: readonly (readonly [number, string])[];
+  readonly status?: number;
+  readonly contentType?: string;
+  readonly bytes?: readonly string[];
+  /** The answer comes once this has resolved. */
+  readonly after?: Promise<void>;
+}
+
+/** The three chunks of a turn, or one event of a stream, answered whole. */
+export const wholeReply: Reply = {
+  ended: { kind: 'done', code: 200, body: 3 },
+  chunks: [
+    [0, 'x'],
+    [1, 'y'],
+    [2, 'z'],
+  ],
+  bytes: ['id: 1\ndata: one\n\n'],
+};
+export const lostReply: Reply = { ended: { kind: 'lost', text: 'cut' } };
+export const declinedReply: Reply = { ended: { kind: 'declined', text: 'no' } };
+
+/** A gate that work waits at until the test opens it. */
+export const gate = (): { readonly opened: Promise<void>; readonly open: () => void } => {
+  const opening = new AbortController();
+  const opened = new Promise<void>((resolve) => {
+    opening.signal.addEventListener('abort', () => resolve(), { once: true });
+  });
+  return { opened, open: () => opening.abort() };
+};
+
+const headOf = (reply: Reply) => ({
+  status: reply.status ?? 200,
+  headers: [['content-type', reply.contentType ?? 'text/event-stream'] as const],
+});
+
+export class SessionOwnerRig {
+  readonly clock = new SimClock();
+  readonly owner: SessionOwner;
+  readonly stores = new Map<string, Map<string, StoredItem>>(
+    storeIds.map((id) => [id, new Map<string, StoredItem>()]),
+  );
+  /** `put KEY STATUS` when a store has synced a value, `send SERVER` when a request reaches a server. */
+  readonly trail: string[] = [];
+  readonly sent: Sent[] = [];
+  /** Stores that refuse everything. */
+  readonly down = new Set<string>();
+  /** Called before a store syncs a value; one that returns false refuses the write. */
+  onPut: (key: string, status: string) => boolean = () => true;
+  /** Answers each request that reaches a server; `n` counts them from 0. */
+  reply: (n: number, sent: Sent) => Reply = () => wholeReply;
+  /** When set, servers ask just before the first byte whether the request may still go, as the real client does. */
+  beforeSend: (() => void) | undefined;
+  leaseMs = 60000;
+  readonly emitted: string[] = [];
+  private state: State;
+
+  constructor() {
+    const base = bootstrapState('x', [], 1);
+    this.state = {
+      ...base,
+      nodes: new Map([
+        [ownId, memberOf(ownId, 'front')],
+        ...storeIds.map((id) => [id, memberOf(id, 'store')] as const),
+      ]),
+      config: recordOf(configuration, 1),
+      slots: [ownedSlot(1)],
+      servers: new Map(
+        [
+          serverOf('m1', 'models'),
+          serverOf('m2', 'models'),
+          serverOf('s1', 'shop'),
+          serverOf('s2', 'shop'),
+          serverOf('k1', 'memo'),
+          serverOf('k2', 'memo'),
+        ].map((server) => [server.id, server]),
+      ),
+    };
+    const lease = (): number => this.leaseMs;
+    this.owner = new SessionOwner({
+      id: ownId,
+      clock: this.clock,
+      transport: this.transport(),
+      backend: this.backend(),
+      log: noLog,
+      affinity: false,
+      bounds: {
+        heartbeatInterval: 500,
+        putWithin: 500,
+        get readLease() {
+          return lease();
+        },
+        poll: 0,
+        retentionMs: 600000,
+        stopWithin: 5000,
+      },
+    });
+  }
+
+  /** An owner whose slot is open. */
+  static async opened(): Promise<SessionOwnerRig> {
+    const rig = new SessionOwnerRig();
+    rig.change({});
+    rig.owner.renewLease(rig.clock.now());
+    await rig.slotOpen();
+    return rig;
+  }
+
+  async slotOpen(): Promise<void> {
+    await this.clock.until('slot open', () => this.takesRequests, 10000);
+  }
+
+  get takesRequests(): boolean {
+    try {
+      this.owner.replicator('p/x');
+      return true;
+    } catch (error) {
+      if (error instanceof RpcError) return false;
+      throw error;
+    }
+  }
+
+  get current(): State {
+    return this.state;
+  }
+
+  change(change: Partial<State>): void {
+    this.state = { ...this.state, ...change, version: this.state.version + 1 };
+    this.owner.take(this.state);
+  }
+
+  changeSlot(change: Partial<Slot>): void {
+    this.change({ slots: this.state.slots.map((slot) => ({ ...slot, ...change })) });
+  }
+
+  changeServer(id: string, change: Partial<Server>): void {
+    this.change({
+      servers: new Map(
+        [...this.state.servers].map(([key, server]) => [
+          key,
+          key === id ? { ...server, ...change } : server,
+        ]),
+      ),
+    });
+  }
+
+  removeServers(...ids: readonly string[]): void {
+    this.change({
+      servers: new Map([...this.state.servers].filter(([id]) => !ids.includes(id))),
+    });
+  }
+
+  configure(config: object): void {
+    this.change({ config: recordOf(config, (this.state.config?.version ?? 0) + 1) });
+  }
+
+  /** The slot goes to another front and comes back: a later ownership of the same process. */
+  async ownAgain(): Promise<void> {
+    const epoch = (this.state.slots[0]?.ownershipEpoch ?? 0) + 1;
+    this.changeSlot({ owner: 'f2', ownershipEpoch: epoch, ownedSinceEpoch: epoch });
+    this.changeSlot({ owner: ownId, ownershipEpoch: epoch + 1, ownedSinceEpoch: epoch + 1 });
+    await this.slotOpen();
+  }
+
+  finish<T>(work: Promise<T>): Promise<T> {
+    return this.clock.finish('outcome', work, 120000);
+  }
+
+  /** The newest value of a key that a quorum of stores has, as the stores have it. */
+  stored(key: string): unknown {
+    const values = [...this.stores.values()].flatMap((items) => {
+      const item = items.get(key);
+      return item ? [item.value] : [];
+    });
+    return values.length >= 2 ? values[0] : undefined;
+  }
+
+  store(key: string, value: unknown, ids: readonly string[] = storeIds): void {
+    for (const id of ids) this.stores.get(id)?.set(key, { key, ownershipEpoch: 0, seq: 1, value });
+  }
+
+  /** Makes what one store has of a key newer than what the others have. */
+  raise(key: string, id: string): void {
+    const items = this.stores.get(id);
+    const item = items?.get(key);
+    if (items && item) items.set(key, { ...item, seq: item.seq + 1 });
+  }
+
+  readonly emit = (n: number, text: string): void => {
+    this.emitted[n] = text;
+  };
+
+  private transport(): Transport {
+    return {
+      self: ownId,
+      call: async (to, kind, body) => {
+        await Promise.resolve();
+        return this.answer(to, kind, StoreRequest.parse(body));
+      },
+      serve: () => Promise.resolve(),
+      onLost: () => undefined,
+      close: () => Promise.resolve(),
+    };
+  }
+
+  private answer(to: string, kind: string, request: z.infer<typeof StoreRequest>): unknown {
+    const items = this.stores.get(to);
+    if (!items || this.down.has(to)) throw new RpcError('connection-refused', `${to} is down`);
+    switch (kind) {
+      case 'store/fence':
+        return { items: [...items.values()], next: '' };
+      case 'store/put':
+        for (const item of request.items ?? []) this.write(items, item);
+        return {};
+      case 'store/read':
+        return { item: items.get(request.key ?? '') ?? null };
+      case 'store/find':
+        return { items: this.found(items, request.turn ?? '') };
+      default:
+        return {};
+    }
+  }
+
+  /** A turn by its attempt alone, whatever its program. */
+  private found(items: ReadonlyMap<string, StoredItem>, attempt: string): readonly StoredItem[] {
+    const first = [...items.values()].find((item) => item.key.endsWith(`/t/${attempt}`));
+    return first ? [first] : [];
+  }
+
+  private write(items: Map<string, StoredItem>, item: StoredItem): void {
+    const status = statusOf(item.value);
+    if (!this.onPut(item.key, status)) throw new RpcError('disk', 'the disk takes no writes');
+    items.set(item.key, item);
+    this.trail.push(`put ${item.key} ${status}`);
+  }
+
+  private async carried(
+    sent: Sent,
+    still: () => boolean,
+    play: (reply: Reply) => void,
+  ): Promise<Ended> {
+    await Promise.resolve();
+    if (this.beforeSend) {
+      this.beforeSend();
+      if (!still()) return { kind: 'never-left', text: 'not allowed any more' };
+    }
+    this.trail.push(`send ${sent.server}`);
+    const reply = this.reply(this.sent.push(sent) - 1, sent);
+    if (reply.after) await reply.after;
+    play(reply);
+    return reply.ended;
+  }
+
+  private backend(): Backend {
+    const nothing = { key: '', body: '', messages: [], maxTokens: 0, resume: '' };
+    return {
+      generate: (server, request, onChunk, stop, _within, still) =>
+        this.carried(
+          {
+            ...nothing,
+            kind: 'turn',
+            server: server.id,
+            messages: request.messages,
+            maxTokens: request.maxTokens,
+            stop,
+          },
+          still,
+          (reply) => {
+            for (const [n, text] of reply.chunks ?? []) onChunk(n, text);
+          },
+        ),
+      act: (server, request, stop, _within, still) =>
+        this.carried(
+          {
+            ...nothing,
+            kind: 'call',
+            server: server.id,
+            key: request.key,
+            body: request.body,
+            stop,
+          },
+          still,
+          () => undefined,
+        ),
+      pass: (server: Server, request: Passing, sink: Sink, stop, _left, still) =>
+        this.carried(
+          {
+            ...nothing,
+            kind: 'pass',
+            server: server.id,
+            body: Buffer.from(request.body).toString('latin1'),
+            resume: request.resume,
+            stop,
+          },
+          still,
+          (reply) => {
+            if (reply.ended.kind === 'declined') return;
+            if (!reply.bytes && reply.ended.kind === 'lost') return;
+            sink.head(headOf(reply));
+            for (const text of reply.bytes ?? []) sink.bytes(text);
+          },
+        ),
+      load: () => Promise.resolve({ busy: 0, draining: false }),
+    };
+  }
+}
