--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -18,7 +18,7 @@
 const key = opKeyOf('t', 'k');
 
 const call = (rig: SessionOwnerRig, change: { path?: string; key?: string; body?: string } = {}) =>
-  rig.owner.calls.call(
+  rig.owner.calls.runCall(
     { tenant: 't', path: '/act', key: 'k', body: '1', requestId: '', ...change },
     never,
   );
@@ -28,7 +28,7 @@
   change: { path?: string; key?: string; body?: string; left?: number } = {},
   stop = never,
 ) =>
-  rig.owner.calls.pass(
+  rig.owner.calls.runPass(
     {
       tenant: 't',
       host,
@@ -123,7 +123,9 @@
     const first = pass(rig);
     await rig.clock.run(10);
     const joined = pass(rig);
-    assert.is(brief(await rig.finish(pass(rig, { left: 50 }))), 'refused 409 running');
+    const before = rig.clock.now();
+  assert.is(brief(await rig.finish(pass(rig, { left: 50 }))), 'refused 409 running');
+  assert.is(rig.clock.now() - before, 50);
     server.open();
     assert.equal(await rig.finish(joined), await rig.finish(first));
     assert.is(rig.sent.length, 1);
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-rig.ts
@@ -1,5 +1,5 @@
 /** One session owner over stores and servers that a test scripts: every message, put and send is recorded in its order. */
-import type { Backend, Ended, Message, Passing, Sink } from '@tillerstair/session-owner';
+import type { Backend, Ended, Message } from '@tillerstair/session-owner';
 import { SessionOwner } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
 import {
@@ -396,7 +396,7 @@
   private backend(): Backend {
     const nothing = { key: '', body: '', messages: [], maxTokens: 0, resume: '' };
     return {
-      generate: (server, request, onChunk, stop, _within, still) =>
+      generate: (...[server, request, onChunk, stop, , still]: Parameters<Backend['generate']>) =>
         this.carried(
           {
             ...nothing,
@@ -424,7 +424,7 @@
           still,
           () => undefined,
         ),
-      pass: (server: Server, request: Passing, sink: Sink, stop, _left, still) =>
+      pass: (...[server, request, sink, stop, , still]: Parameters<Backend['pass']>) =>
         this.carried(
           {
             ...nothing,
