--- a/tests/src/session-owner/replica-quorum.test.ts
+++ b/tests/src/session-owner/replica-quorum.test.ts
@@ -72,4 +72,35 @@
   assert.equal([...answers.keys()].sort(), ['d', 'e']);
 });
 
+quorumAsk('an answer after the end is left out, and a failure after it asks nobody', async () => {
+  const clock = new SimClock();
+  const asked: string[] = [];
+  const answers = await clock.finish(
+    'question',
+    askQuorum({
+      clock,
+      ids,
+      quorum: 1,
+      hedgeAfterMs,
+      ask: (id) => {
+        asked.push(id);
+        if (id === 'a') return after(clock, hedgeAfterMs * 2.5, id);
+        if (id === 'b') return after(clock, hedgeAfterMs * 3, id);
+        return after(clock, hedgeAfterMs * 3, id).then(failure);
+      },
+    }),
+    10000,
+  );
+  assert.equal([...answers.keys()], ['a']);
+  await clock.run(10000);
+  assert.equal([...answers.keys()], ['a']);
+  assert.equal(asked, ['a', 'b', 'c']);
+});
+
+quorumAsk('without anybody to ask the question ends empty', async () => {
+  const clock = new SimClock();
+  const question = askQuorum({ clock, ids: [], quorum, hedgeAfterMs, ask: failure });
+  assert.is((await clock.finish('question', question, 1)).size, 0);
+});
+
 quorumAsk.run();
--- /dev/null
+++ b/tests/src/session-owner/slot-writes.test.ts
@@ -0,0 +1,319 @@
+/** When a write counts, when it is refused, and what becomes of a replica that missed it. */
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { RpcError } from '@tillerstair/wire';
+import {
+  DelayedReply,
+  emptyReply,
+  failWith,
+  heartbeatIntervalMs,
+  ReplicatorFixture,
+  retentionMs,
+  silence,
+  slotAt,
+  type ReplicaRequest,
+} from '../support/fake-replicas.js';
+
+const writes = suite('writes of a slot');
+
+/** Lets each put wait until its replica's turn comes. */
+const delayedPuts = (fixture: ReplicatorFixture): Map<string, DelayedReply> => {
+  const puts = new Map(['s1', 's2', 's3', 's4'].map((id) => [id, new DelayedReply()]));
+  fixture.replicas.reply = (request: ReplicaRequest) =>
+    request.kind === 'store/put'
+      ? (puts.get(request.replica)?.wait() ?? silence(request))
+      : emptyReply(request);
+  return puts;
+};
+
+const errorOf = (work: Promise<unknown>): Promise<string> =>
+  work.then(
+    () => 'done',
+    (error: unknown) => (error instanceof RpcError ? error.code : String(error)),
+  );
+
+writes('a write counts once a quorum has synced it, and not before', async () => {
+  const fixture = await ReplicatorFixture.open();
+  const puts = delayedPuts(fixture);
+  const put = fixture.put('o/k', 'value');
+  puts.get('s1')?.accept();
+  await fixture.clock.run(1000);
+  assert.is(put.outcome, 'pending');
+  assert.is(fixture.replicator.get('o/k'), undefined);
+  puts.get('s3')?.accept();
+  await fixture.clock.settle();
+  assert.is(put.outcome, 'done');
+  assert.is(fixture.replicator.get('o/k'), 'value');
+});
+
+writes('a write that too few replicas synced is refused', async () => {
+  const fixture = await ReplicatorFixture.open();
+  const puts = delayedPuts(fixture);
+  const put = fixture.put('o/k', 'value');
+  puts.get('s1')?.accept();
+  puts.get('s2')?.reject('connection-lost');
+  puts.get('s3')?.reject('connection-lost');
+  await fixture.clock.settle();
+  assert.is(put.outcome, 'unavailable');
+  assert.is(fixture.replicator.get('o/k'), undefined);
+});
+
+writes(
+  'while a replica joins a write needs a quorum of the replicas before and after',
+  async () => {
+    const joining = slotAt(1, { joiningReplicas: ['s4'], replacedReplica: 's1' });
+    for (const [early, last] of [
+      [['s1', 's2'], 's4'],
+      [['s1', 's2'], 's3'],
+      [['s4', 's2'], 's1'],
+      [['s4', 's3'], 's2'],
+    ] as const) {
+      const fixture = await ReplicatorFixture.open(joining);
+      const puts = delayedPuts(fixture);
+      const put = fixture.put('o/k', 'value');
+      for (const id of early) puts.get(id)?.accept();
+      await fixture.clock.settle();
+      assert.is(put.outcome, 'pending', early.join(' '));
+      puts.get(last)?.accept();
+      await fixture.clock.settle();
+      assert.is(put.outcome, 'done', last);
+    }
+  },
+);
+
+writes('a replica that knows a newer ownership epoch closes the slot', async () => {
+  const fixture = await ReplicatorFixture.open();
+  fixture.replicas.reply = (request) =>
+    request.replica === 's3' ? failWith('stale-epoch') : emptyReply(request);
+  const put = fixture.put('o/k', 'value');
+  await fixture.clock.settle();
+  assert.is(put.outcome, 'done');
+  assert.is(fixture.replicator.open, false);
+  assert.is(fixture.put('o/l', 'value').outcome, 'pending');
+  const sent = fixture.replicas.of('store/put').length;
+  await fixture.clock.settle();
+  assert.is(fixture.replicas.of('store/put').length, sent);
+});
+
+writes('a write that ends after the slot closed is not read from memory', async () => {
+  const fixture = await ReplicatorFixture.open();
+  const puts = delayedPuts(fixture);
+  const put = fixture.put('o/k', 'value');
+  puts.get('s3')?.reject('stale-epoch');
+  await fixture.clock.settle();
+  puts.get('s1')?.accept();
+  puts.get('s2')?.accept();
+  await fixture.clock.settle();
+  assert.is(put.outcome, 'done');
+  assert.is(fixture.replicator.get('o/k'), undefined);
+});
+
+writes('a late refusal of an earlier ownership epoch does not close the newer one', async () => {
+  const fixture = await ReplicatorFixture.open();
+  const puts = delayedPuts(fixture);
+  fixture.put('o/k', 'value');
+  fixture.replicator.take(slotAt(2));
+  await fixture.clock.settle();
+  assert.is(fixture.replicator.open, true);
+  puts.get('s3')?.reject('stale-epoch');
+  await fixture.clock.settle();
+  assert.is(fixture.replicator.open, true);
+});
+
+writes('a replicator whose ownership was lost refuses puts of earlier jobs', async () => {
+  const fixture = await ReplicatorFixture.open();
+  await fixture.replicator.put('o/k', 'value');
+  const sent = fixture.replicas.requests.length;
+  fixture.replicator.release();
+  assert.is(fixture.replicator.open, false);
+  assert.is(fixture.replicator.taking, false);
+  assert.is(fixture.replicator.get('o/k'), undefined);
+  assert.is(await errorOf(fixture.replicator.put('o/k', 'other')), 'unavailable');
+  assert.is(await errorOf(fixture.replicator.putSoon('o/k', 'other', 20)), 'unavailable');
+  assert.is(await errorOf(fixture.replicator.confirmMissing('o/k')), 'unavailable');
+  assert.is(fixture.replicas.requests.length, sent);
+});
+
+writes('a put that is retried ends after its number of attempts', async () => {
+  const fixture = await ReplicatorFixture.open();
+  fixture.replicas.reply = () => failWith('connection-refused');
+  const ended = errorOf(fixture.replicator.putSoon('o/k', 'value', 3));
+  await fixture.clock.run(heartbeatIntervalMs * 10);
+  assert.is(fixture.replicas.of('store/put').length, 9);
+  assert.is(await ended, 'unavailable');
+});
+
+writes('a put that is retried ends when the slot is lost', async () => {
+  const fixture = await ReplicatorFixture.open();
+  fixture.replicas.reply = () => failWith('connection-refused');
+  const ended = errorOf(fixture.replicator.putSoon('o/k', 'value', 20));
+  await fixture.clock.settle();
+  fixture.replicator.release();
+  await fixture.clock.run(heartbeatIntervalMs / 10 + 1);
+  assert.is(
+    await Promise.race([ended, fixture.clock.settle().then(() => 'still retried')]),
+    'unavailable',
+  );
+});
+
+writes(
+  'one healthy replica stores the hint for one that missed a write, after all replied',
+  async () => {
+    const fixture = await ReplicatorFixture.open();
+    const puts = delayedPuts(fixture);
+    fixture.put('o/k', 'value');
+    puts.get('s1')?.reject('connection-lost');
+    puts.get('s2')?.accept();
+    await fixture.clock.settle();
+    assert.is(fixture.replicas.of('store/hint').length, 0);
+    puts.get('s3')?.accept();
+    await fixture.clock.settle();
+    assert.equal(
+      fixture.replicas.of('store/hint').map(({ replica, to }) => [replica, to]),
+      [['s2', 's1']],
+    );
+  },
+);
+
+writes(
+  'a hint that one replica refuses goes to the next, and to no replica that missed it',
+  async () => {
+    const fixture = await ReplicatorFixture.open();
+    const puts = delayedPuts(fixture);
+    const delayed = fixture.replicas.reply;
+    fixture.replicas.reply = (request) =>
+      request.kind === 'store/hint' ? failWith('disk-full') : delayed(request);
+    fixture.put('o/k', 'value');
+    puts.get('s1')?.reject('connection-lost');
+    puts.get('s2')?.accept();
+    puts.get('s3')?.accept();
+    await fixture.clock.run(1000);
+    assert.equal(
+      fixture.replicas.of('store/hint').map(({ replica, to }) => [replica, to]),
+      [
+        ['s2', 's1'],
+        ['s3', 's1'],
+      ],
+    );
+  },
+);
+
+writes(
+  'a write that no replica synced leaves no hint, nor does a replica of a newer epoch',
+  async () => {
+    for (const [first, others] of [
+      ['connection-lost', ['connection-lost', 'connection-lost']],
+      ['stale-epoch', [undefined, undefined]],
+    ] as const) {
+      const fixture = await ReplicatorFixture.open();
+      const puts = delayedPuts(fixture);
+      fixture.put('o/k', 'value');
+      puts.get('s1')?.reject(first);
+      ['s2', 's3'].forEach((id, at) => {
+        const code = others[at];
+        if (code === undefined) puts.get(id)?.accept();
+        else puts.get(id)?.reject(code);
+      });
+      await fixture.clock.run(1000);
+      assert.is(fixture.replicas.of('store/hint').length, 0);
+    }
+  },
+);
+
+writes('a key is confirmed missing only by a quorum of which none has it', async () => {
+  const stored = { item: { key: 'o/k', ownershipEpoch: 1, seq: 1, value: 1 } };
+  for (const [replies, outcome] of [
+    [
+      ['null', 'null', 'null'],
+      ['done', true],
+    ],
+    [
+      ['null', 'null', 'lost'],
+      ['done', true],
+    ],
+    [
+      ['null', 'lost', 'lost'],
+      ['unavailable', undefined],
+    ],
+    [
+      ['null', 'null', 'stored'],
+      ['done', false],
+    ],
+  ] as const) {
+    const fixture = await ReplicatorFixture.open();
+    fixture.replicas.reply = ({ replica }) => {
+      const reply = replies[Number(replica.slice(1)) - 1];
+      if (reply === 'lost') return failWith('connection-lost');
+      return Promise.resolve(reply === 'stored' ? stored : { item: null });
+    };
+    let missing: boolean | undefined;
+    const ended = await errorOf(
+      fixture.replicator.confirmMissing('o/k').then((confirmed) => {
+        missing = confirmed;
+      }),
+    );
+    assert.equal([ended, missing], outcome, replies.join(' '));
+  }
+});
+
+writes('a key is not confirmed missing across a change of the ownership epoch', async () => {
+  const fixture = await ReplicatorFixture.open();
+  const read = new DelayedReply();
+  fixture.replicas.reply = (request) =>
+    request.kind === 'store/read' ? read.wait() : emptyReply(request);
+  const confirmed = errorOf(fixture.replicator.confirmMissing('o/k'));
+  fixture.replicator.take(slotAt(2));
+  await fixture.clock.settle();
+  read.accept({ item: null });
+  assert.is(await confirmed, 'unavailable');
+});
+
+writes('a slot is released only when it is to be, is open, and has nothing inside', async () => {
+  const leaving = slotAt(1, { transferTarget: 'next' });
+  const fixture = await ReplicatorFixture.open();
+  assert.is(fixture.replicator.tryRelease(), undefined);
+  fixture.replicator.take(leaving);
+  const leave = fixture.replicator.enter();
+  assert.is(fixture.replicator.tryRelease(), undefined);
+  assert.is(fixture.replicator.taking, true);
+  leave();
+  assert.equal(fixture.replicator.tryRelease(), [0, 1]);
+  assert.is(fixture.replicator.taking, false);
+  fixture.replicator.take(slotAt(1));
+  assert.is(fixture.replicator.taking, true);
+  const closed = new ReplicatorFixture();
+  closed.replicas.reply = silence;
+  closed.replicator.take(leaving);
+  await closed.clock.settle();
+  assert.is(closed.replicator.tryRelease(), undefined);
+});
+
+writes('what was put stays for nine tenths of its retention and is dropped after', async () => {
+  const fixture = await ReplicatorFixture.open();
+  await fixture.replicator.put('p/one', 1);
+  await fixture.clock.run(retentionMs * 0.5);
+  await fixture.replicator.put('p/two', 2);
+  await fixture.replicator.put('p/one/t/x', { cost: 1 });
+  await fixture.replicator.put('o/three', 3);
+  await fixture.clock.run(retentionMs * 0.9);
+  assert.is(fixture.replicator.expire(), 0);
+  assert.is(fixture.replicator.get('p/one'), 1);
+  await fixture.replicator.put('o/three', 3);
+  await fixture.clock.run(1);
+  assert.is(fixture.replicator.expire(), 2);
+  assert.is(fixture.replicator.get('p/one'), undefined);
+  assert.is(fixture.replicator.get('o/three'), 3);
+  assert.is(fixture.replicator.size, 1);
+});
+
+writes('what turns of a program and its sub-agents cost is summed once a turn', async () => {
+  const fixture = await ReplicatorFixture.open();
+  await fixture.replicator.put('p/one/t/x', { cost: 5 });
+  await fixture.replicator.put('p/one~sub/t/y', { cost: 2 });
+  await fixture.replicator.put('p/one/t/x', { cost: 3 });
+  await fixture.replicator.put('p/other/t/z', { cost: 9 });
+  assert.is(fixture.replicator.spent('one'), 5);
+  assert.equal(fixture.replicator.turnsOf('one'), ['p/one/t/x']);
+});
+
+writes.run();
--- /dev/null
+++ b/tests/src/support/placement-fixture.ts
@@ -0,0 +1,139 @@
+/** Placement over a list of servers whose load and draining a test sets, in simulated time. */
+import {
+  chainOf,
+  Placement,
+  tableOf,
+  type Backend,
+  type LoadReport,
+} from '@tillerstair/session-owner';
+import { SimClock } from '@tillerstair/sim';
+import {
+  bootstrapState,
+  checkConfig,
+  digestOf,
+  reduce,
+  type Route,
+  type Server,
+  type State,
+} from '@tillerstair/state';
+
+const text = JSON.stringify({
+  base: 0,
+  pools: [
+    { name: 'first', kind: 'model' },
+    { name: 'second', kind: 'model' },
+    { name: 'unshared', kind: 'model' },
+  ],
+  routes: [
+    {
+      name: 'chat',
+      match: { kind: 'turn', path: '/chat' },
+      shares: [
+        { pool: 'first', share: 1 },
+        { pool: 'second', share: 1 },
+        { pool: 'unshared', share: 0 },
+      ],
+    },
+  ],
+});
+
+export const serverAt = (id: string, change: Partial<Server> = {}): Server => ({
+  id,
+  pool: 'first',
+  url: `http://127.0.0.1:1/${id}`,
+  draining: false,
+  down: false,
+  zone: '',
+  places: 0,
+  ...change,
+});
+
+export const pollIntervalMs = 100;
+export const loadValidForMs = 400;
+export const retryAfterMs = 1000;
+export const placesOfServer = 2;
+
+const unused = (): never => {
+  throw new Error('a placement test sends nothing');
+};
+
+export class PlacementFixture {
+  readonly clock = new SimClock();
+  /** Asked servers, in order, and what each says; one that is not here fails. */
+  readonly polled: string[] = [];
+  readonly loads = new Map<string, LoadReport>();
+  readonly placement: Placement;
+  readonly route: Route;
+  private state: State;
+
+  constructor(servers: readonly Server[], poll: number = pollIntervalMs) {
+    const { config } = checkConfig(text);
+    const route = config?.routes[0];
+    if (!route) throw new Error('no route');
+    this.route = route;
+    this.state = {
+      ...bootstrapState('test', [], 1),
+      config: {
+        version: 1,
+        text,
+        digest: digestOf(text),
+        compiled: JSON.stringify(config),
+        changeId: '',
+      },
+    };
+    for (const server of servers) this.list(server);
+    const backend: Backend = {
+      generate: unused,
+      act: unused,
+      pass: unused,
+      load: (server) => {
+        this.polled.push(server.id);
+        const load = this.loads.get(server.id);
+        return load ? Promise.resolve(load) : Promise.reject(new Error('no reply'));
+      },
+    };
+    this.placement = new Placement(
+      this.clock,
+      backend,
+      chainOf(true),
+      {
+        poll,
+        pollWithin: 50,
+        retryBad: retryAfterMs,
+        sightWithin: loadValidForMs,
+        reportValidFor: loadValidForMs,
+      },
+      () => tableOf(this.state, undefined),
+      () => placesOfServer,
+      'owner',
+    );
+  }
+
+  /** All servers are idle and have just said so. */
+  static async polled(servers: readonly Server[]): Promise<PlacementFixture> {
+    const fixture = new PlacementFixture(servers);
+    for (const { id } of servers) fixture.loads.set(id, { busy: 0, draining: false });
+    await fixture.placement.poll();
+    return fixture;
+  }
+
+  list(server: Server): void {
+    this.state = reduce(this.state, { kind: 'server', server });
+  }
+
+  remove(id: string): void {
+    this.state = reduce(this.state, { kind: 'server-gone', id });
+  }
+
+  pick(skip: readonly string[] = []): string | undefined {
+    return this.placement.pick(this.route, [], '', new Set(skip))?.id;
+  }
+
+  usable(skip: readonly string[] = []): boolean {
+    return this.placement.usable(this.route, new Set(skip));
+  }
+
+  fail(server: Server, times: number): void {
+    for (let n = 0; n < times; n++) this.placement.end(server, false);
+  }
+}
