--- a/tests/src/session-owner/server-eligibility.test.ts
+++ b/tests/src/session-owner/server-eligibility.test.ts
@@ -139,10 +139,10 @@
   fixture.fail(a, 3);
   fixture.remove('a');
   await fixture.placement.poll();
+  assert.is(fixture.placement.failuresOf('a'), 0);
   fixture.list(a);
   await fixture.placement.poll();
   assert.is(fixture.pick(), 'a');
-  assert.is(fixture.placement.failuresOf('a'), 0);
 });
 
 eligibility('a poll of new servers alone asks no other', async () => {
@@ -192,4 +192,19 @@
   assert.is(pick(0), unknown);
 });
 
+eligibility('a block behind one that a server was not sent counts for nothing', async () => {
+  const fixture = await PlacementFixture.polled([a, b]);
+  const blocks = [
+    { name: 'p0', tokens: 10 },
+    { name: 'p1', tokens: 10 },
+    { name: 'p2', tokens: 980 },
+  ];
+  const sent = blocks.filter(({ name }) => name !== 'p1');
+  const pick = (prompt: typeof blocks) =>
+    fixture.placement.pick(fixture.route, prompt, '', new Set())?.id;
+  fixture.placement.begin(b, sent);
+  assert.is(pick(sent), 'b');
+  assert.is(pick(blocks), 'a');
+});
+
 eligibility.run();
--- a/tests/src/session-owner/slot-fencing.test.ts
+++ b/tests/src/session-owner/slot-fencing.test.ts
@@ -124,9 +124,12 @@
   assert.is(fixture.replicator.taking, false);
   assert.is(fixture.replicas.of('store/put').length, 0);
   const put = fixture.put('o/k', 1);
+  const confirmed = fixture.confirmMissing('o/k');
   await fixture.clock.settle();
   assert.is(put.outcome, 'unavailable');
+  assert.is(confirmed.outcome, 'unavailable');
   assert.is(fixture.replicas.of('store/put').length, 0);
+  assert.is(fixture.replicas.of('store/read').length, 0);
 });
 
 fencing('an ownership epoch is fenced once, however often it is applied', async () => {
--- a/tests/src/session-owner/slot-writes.test.ts
+++ b/tests/src/session-owner/slot-writes.test.ts
@@ -89,10 +89,14 @@
   await fixture.clock.settle();
   assert.is(put.outcome, 'done');
   assert.is(fixture.replicator.open, false);
-  assert.is(fixture.put('o/l', 'value').outcome, 'pending');
-  const sent = fixture.replicas.of('store/put').length;
+  const sent = fixture.replicas.requests.length;
+  const refused = [fixture.put('o/l', 'value'), fixture.confirmMissing('o/l')];
   await fixture.clock.settle();
-  assert.is(fixture.replicas.of('store/put').length, sent);
+  assert.equal(
+    refused.map(({ outcome }) => outcome),
+    ['unavailable', 'unavailable'],
+  );
+  assert.is(fixture.replicas.requests.length, sent);
 });
 
 writes('a write that ends after the slot closed is not read from memory', async () => {
--- a/tests/src/support/fake-replicas.ts
+++ b/tests/src/support/fake-replicas.ts
@@ -106,6 +106,24 @@
   ...change,
 });
 
+/** How some work ended so far: `pending`, `done`, or the code of its error. */
+export interface Observed {
+  readonly outcome: string;
+}
+
+const observe = (work: Promise<unknown>): Observed => {
+  const seen = { outcome: 'pending' };
+  work.then(
+    () => {
+      seen.outcome = 'done';
+    },
+    (error: unknown) => {
+      seen.outcome = error instanceof RpcError ? error.code : String(error);
+    },
+  );
+  return seen;
+};
+
 /** A replicator of slot 0 with three replicas and a quorum of two. */
 export class ReplicatorFixture {
   readonly clock = new SimClock();
@@ -130,16 +148,12 @@
   }
 
   /** How a put ends, written down when it does. */
-  put(key: string, value: unknown): { outcome: string } {
-    const seen = { outcome: 'pending' };
-    this.replicator.put(key, value).then(
-      () => {
-        seen.outcome = 'done';
-      },
-      (error: unknown) => {
-        seen.outcome = error instanceof RpcError ? error.code : String(error);
-      },
-    );
-    return seen;
+  put(key: string, value: unknown): Observed {
+    return observe(this.replicator.put(key, value));
+  }
+
+  /** How a confirmation ends, written down when it does. */
+  confirmMissing(key: string): Observed {
+    return observe(this.replicator.confirmMissing(key));
   }
 }
