--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -9,14 +9,14 @@
   type State,
 } from '@tillerstair/state';
 import {
-  CallAsk,
-  HistoryAsk,
+  CallRequest,
+  HistoryRequest,
   outcomeOfError,
-  PassAsk,
-  ProgramAsk,
+  PassRequest,
+  ProgramRequest,
   refused,
   SessionOwner,
-  TurnAsk,
+  TurnRequest,
   unknown,
   CallOutcome,
   type EmitChunk,
@@ -158,17 +158,17 @@
     try {
       switch (kind) {
         case 'front/program':
-          return await this.owner.turns.program(ProgramAsk.parse(body));
+          return await this.owner.turns.createProgram(ProgramRequest.parse(body));
         case 'front/turn':
-          return await this.owner.turns.turn(TurnAsk.parse(body), emit, gone);
+          return await this.owner.turns.runTurn(TurnRequest.parse(body), emit, gone);
         case 'front/history':
-          return await this.owner.turns.history(HistoryAsk.parse(body));
+          return await this.owner.turns.readHistory(HistoryRequest.parse(body));
         case 'front/call':
-          return await this.owner.calls.call(CallAsk.parse(body), gone);
+          return await this.owner.calls.runCall(CallRequest.parse(body), gone);
         case 'front/keyed':
-          return await this.owner.calls.pass(PassAsk.parse(body), gone);
+          return await this.owner.calls.runPass(PassRequest.parse(body), gone);
         case 'front/stream':
-          return await this.owner.streams.stream(PassAsk.parse(body), emit, gone);
+          return await this.owner.streams.runStream(PassRequest.parse(body), emit, gone);
         default:
           return refused(404, 'unknown-kind', kind);
       }
@@ -179,7 +179,7 @@
 
   /** Carries a request that needs no owner straight to a server. */
   async carry(
-    ask: PassAsk,
+    ask: PassRequest,
     streamed: boolean,
     emit: EmitChunk,
     gone: AbortSignal,
--- a/packages/proxy/src/pages.ts
+++ b/packages/proxy/src/pages.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
 import { rootProgramId } from '@tillerstair/state';
-import { opKeyOf, type CallOutcome } from '@tillerstair/session-owner';
+import { opKeyOf, programSlotKey, type CallOutcome } from '@tillerstair/session-owner';
 import { readBody, sendJson, type HttpHandler } from '@tillerstair/wire';
 import type { Front } from './front.js';
 import type { Carry } from './passing.js';
@@ -78,7 +78,7 @@
   const ownPid = (): string => {
     for (let n = 0; ; n++) {
       const pid = `p-${randomBytes(8).toString('hex')}`;
-      const slot = front.owner.slotFor(front.owner.programSlotKey(pid));
+      const slot = front.owner.slotFor(programSlotKey(pid));
       if (n >= 200 || front.owner.ownerOf(slot) === front.p.id) return pid;
     }
   };
@@ -163,7 +163,7 @@
     const slotKey = opKeyOf(tenant, key);
     if (key === '') {
       front.owner.requireLease();
-      return sendOutcome(res, await front.owner.calls.call(ask, goneOf(res)));
+      return sendOutcome(res, await front.owner.calls.runCall(ask, goneOf(res)));
     }
     sendOutcome(
       res,
--- a/packages/proxy/src/passing.ts
+++ b/packages/proxy/src/passing.ts
@@ -1,15 +1,15 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
   opKeyOf,
-  packed,
-  Passed,
-  passPath,
+  encodeBody,
+  ForwardedResponse,
+  passRoutePath,
   refused,
   streamSlotKey,
-  unpacked,
+  decodeBody,
   type EmitChunk,
   type Head,
-  type PassAsk,
+  type PassRequest,
   type CallOutcome,
 } from '@tillerstair/session-owner';
 import { BodyTooLargeError, toRpcError } from '@tillerstair/wire';
@@ -32,7 +32,7 @@
     if (size > most) throw new BodyTooLargeError(`body is over ${most} bytes`);
     parts.push(b);
   }
-  return packed(Buffer.concat(parts));
+  return encodeBody(Buffer.concat(parts));
 };
 
 const partsIn = (text: string): [string, number][] =>
@@ -76,9 +76,9 @@
   res.end(body);
 };
 
-const sendPassed = (res: ServerResponse, p: Passed): void => {
+const sendPassed = (res: ServerResponse, p: ForwardedResponse): void => {
   if (res.destroyed || res.headersSent) return;
-  const body = unpacked(p.body);
+  const body = decodeBody(p.body);
   const bodiless = p.status === 204 || p.status === 304;
   res.writeHead(
     p.status,
@@ -90,12 +90,12 @@
 /** Carries a request by the rules of its route: to its owner if it has one, or straight to a server. */
 export const passOn = async (
   front: Front,
-  ask: PassAsk,
+  ask: PassRequest,
   emit: EmitChunk,
   gone: AbortSignal,
 ): Promise<CallOutcome> => {
   front.owner.requireLease();
-  const route = front.owner.findRoute('pass', passPath(ask));
+  const route = front.owner.findRoute('pass', passRoutePath(ask));
   if (!route?.pass) return refused(404, 'no-route', 'no route takes this host and path');
   const body = { ...ask, left: Math.min(ask.left, route.pass.deadlineMs) };
   if (route.pass.manner === 'stream') {
@@ -118,7 +118,7 @@
 export const carrier = (front: Front, d: Dialect, bodyMost: () => number): Carry => {
   const { clock } = front.p;
 
-  const askOf = async (req: IncomingMessage, arrived: number): Promise<PassAsk> => {
+  const askOf = async (req: IncomingMessage, arrived: number): Promise<PassRequest> => {
     const word = (name: string): string => {
       const v = name === '' ? undefined : req.headers[name];
       return typeof v === 'string' ? v : '';
@@ -150,7 +150,7 @@
   };
 
   const answer = (res: ServerResponse, v: CallOutcome): void => {
-    const whole = Passed.safeParse(v.body);
+    const whole = ForwardedResponse.safeParse(v.body);
     if (v.outcome === 'done' && whole.success) return sendPassed(res, whole.data);
     if (res.headersSent) {
       if (v.outcome === 'done') res.end();
--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -1,176 +1,186 @@
+/**
+ * Requests that are answered as a whole: calls of the product's own interface, and those of pass routes.
+ *
+ * Owns the keyed operations that are running here; their intents and results are in the slot's replicas. A key runs at
+ * most once, stands for one body, and answers from its record once it is done.
+ */
 import { createHash } from 'node:crypto';
-import type { RouteKind, Server } from '@tillerstair/state';
-import { RpcError, toRpcError, UnavailableError, withTimeout } from '@tillerstair/wire';
-import type { Ended, Head } from './backend.js';
-import type { SlotReplicator } from './slot-replicator.js';
-import type { SessionOwner } from './session-owner.js';
+import type { Server } from '@tillerstair/state';
+import { toRpcError, UnavailableError, withTimeout } from '@tillerstair/wire';
+import { AttemptMachine } from './attempt-machine.js';
+import type { Ended, Head, ServerLoad, Sink } from './backend.js';
 import {
-  done,
-  routeUnknown,
-  outcomeOfError,
-  OpValue,
-  packed,
-  passPath,
-  refused,
-  unknown,
-  unpacked,
-  type CallAsk,
-  type PassAsk,
+  encodeBody,
+  passRoutePath,
+  decodeBody,
+  type CallRequest,
   type CallOutcome,
+  type PassRequest,
 } from './messages.js';
+import { done, outcomeOfError, refused, routeUnknown, unknown } from './outcomes.js';
+import { OpValue } from './stored-values.js';
+import {
+  OperationAttempts,
+  routeRecordsKeys,
+  type Operation,
+  type OperationHistory,
+} from './operation-attempts.js';
+import type { OwnerServices } from './owner-services.js';
+import { retryAfterSeconds, status } from './refusals.js';
 
+/** An operation's name at servers that record keys. */
 export const operationOf = (tenant: string, key: string): string =>
   `${encodeURIComponent(tenant)}/${encodeURIComponent(key)}`;
+
+/** The key under which replicas store an operation. */
 export const opKeyOf = (tenant: string, key: string): string => `o/${operationOf(tenant, key)}`;
 
+const digestLength = 16;
+
 const digestOf = (...parts: readonly string[]): string =>
-  createHash('sha256').update(parts.join('\n')).digest('hex').slice(0, 16);
+  createHash('sha256').update(parts.join('\n')).digest('hex').slice(0, digestLength);
+
+/** The share of a call's time limit in which it is sent to servers; the rest is for the answer. */
+const attemptShare = 1 / 2;
+
+const neverAborted = (): AbortSignal => new AbortController().signal;
+
+const otherBody = (): CallOutcome =>
+  refused(status.otherBody, 'other-body', 'this key was used with another body');
+
+const inProgress = 'an operation with this key is in progress';
+
+/** A server's whole answer, collected from its parts. */
+class CollectedResponse implements Sink {
+  private received: Head = { status: 0, headers: [] };
+  private readonly parts: Buffer[] = [];
+
+  constructor(private readonly onLoad: (load: ServerLoad) => void) {}
 
-/** One thing to be run at a server, at most once unless `repeatable`. `end` is on the owner's clock, in ms. */
-interface Job {
-  readonly kind: RouteKind;
-  readonly path: string;
-  readonly opKey: string;
+  head(head: Head): void {
+    this.received = head;
+  }
+
+  bytes(text: string): void {
+    this.parts.push(Buffer.from(text, 'latin1'));
+  }
+
+  load(load: ServerLoad): void {
+    this.onLoad(load);
+  }
+
+  /** The end with the answer in it, if there is one. */
+  finish(ended: Ended): Ended {
+    if (ended.kind !== 'done') return ended;
+    const { status: code, headers } = this.received;
+    const body = {
+      status: code,
+      headers: [...headers],
+      body: encodeBody(Buffer.concat(this.parts)),
+    };
+    return { kind: 'done', code, body };
+  }
+}
+
+interface RunningOperation {
   readonly digest: string;
-  readonly end: number;
-  readonly tries: number;
-  readonly repeatable: boolean;
-  send(server: Server, gone: AbortSignal, still: () => boolean): Promise<Ended>;
+  readonly outcome: Promise<CallOutcome>;
 }
 
+/** Serves the operations of the slots that this front owns, and requests without a key. */
 export class Calls {
-  private readonly running = new Map<
-    string,
-    { readonly digest: string; readonly outcome: Promise<CallOutcome> }
-  >();
-  private made = 0;
+  private readonly running = new Map<string, RunningOperation>();
+  private callCount = 0;
 
-  constructor(private readonly s: SessionOwner) {}
+  constructor(private readonly owner: OwnerServices) {}
 
-  async call(ask: CallAsk, gone: AbortSignal): Promise<CallOutcome> {
-    const { config } = this.s.requireLease();
-    if (!config) return refused(503, 'not-ready', 'no configuration yet', 1);
-    const route = this.s.findRoute('call', ask.path);
-    if (!route) return refused(404, 'no-route', `no route takes calls at ${ask.path}`);
-    if (ask.key === '' && route.acting)
-      return refused(400, 'no-key', 'this route needs an Operation-Key');
-    const key = ask.key === '' ? '' : operationOf(ask.tenant, ask.key);
-    const job: Job = {
+  /** Runs a call of the product's own interface; an acting one needs a key. */
+  async runCall(request: CallRequest, signal: AbortSignal): Promise<CallOutcome> {
+    const { config } = this.owner.requireLease();
+    const route = this.owner.findRoute('call', request.path);
+    if (!route)
+      return refused(status.notFound, 'no-route', `no route takes calls at ${request.path}`);
+    if (request.key === '' && route.acting)
+      return refused(status.badRequest, 'no-key', 'this route needs an Operation-Key');
+    const { callMs } = config.bounds;
+    const operation: Operation = {
       kind: 'call',
-      path: ask.path,
-      opKey: opKeyOf(ask.tenant, ask.key),
-      digest: digestOf(ask.path, ask.body),
-      end: this.s.p.clock.now() + config.bounds.callMs / 2,
+      path: request.path,
+      key: opKeyOf(request.tenant, request.key),
+      digest: digestOf(request.path, request.body),
+      deadline: this.owner.clock.now() + callMs * attemptShare,
       tries: Infinity,
-      repeatable: false,
-      send: (server, stop, still) =>
-        this.s.p.backend.act(
-          server,
-          {
-            id: `call-${++this.made}`,
-            key,
-            path: ask.path,
-            body: ask.body,
-            requestId: ask.requestId,
-          },
-          stop,
-          config.bounds.callMs,
-          still,
-        ),
+      idempotent: false,
+      send: (server, stop, mayStillRun) =>
+        this.owner.backend.act(server, this.actRequest(request), stop, callMs, mayStillRun),
     };
-    return ask.key === '' ? this.run(job, undefined, gone) : this.once(job);
+    return request.key === '' ? this.runWithoutKey(operation, signal) : this.runOnce(operation);
   }
 
-  /** Carries a request that is answered whole: keyed, once per try, or repeatable. */
-  async pass(ask: PassAsk, gone: AbortSignal): Promise<CallOutcome> {
-    this.s.requireLease();
-    const path = passPath(ask);
-    const route = this.s.findRoute('pass', path);
-    const rules = route?.pass;
+  /** Runs a request of a pass route. Rejects with an `OwnershipError` where the route or the slot is not served here. */
+  async runPass(request: PassRequest, signal: AbortSignal): Promise<CallOutcome> {
+    this.owner.requireLease();
+    const path = passRoutePath(request);
+    const rules = this.owner.findRoute('pass', path)?.pass;
     if (!rules) throw routeUnknown(path);
-    const keyed = rules.manner === 'keyed';
-    if (keyed && ask.key === '') return refused(400, 'no-key', 'this route needs an operation key');
-    const end = this.s.p.clock.now() + Math.min(ask.left, rules.deadlineMs);
-    const repeatable = rules.manner === 'repeatable';
-    const job: Job = {
+    const isKeyed = rules.manner === 'keyed';
+    if (isKeyed && request.key === '')
+      return refused(status.badRequest, 'no-key', 'this route needs an operation key');
+    const deadline = this.owner.clock.now() + Math.min(request.left, rules.deadlineMs);
+    const idempotent = rules.manner === 'repeatable';
+    const operation: Operation = {
       kind: 'pass',
       path,
-      opKey: opKeyOf(ask.tenant, ask.key),
-      digest: digestOf(ask.method, ask.host, ask.path, ask.body),
-      end,
+      key: opKeyOf(request.tenant, request.key),
+      digest: digestOf(request.method, request.host, request.path, request.body),
+      deadline,
       tries: rules.tries,
-      repeatable,
-      send: (server, stop, still) => this.sendWhole(server, ask, end, stop, still),
+      idempotent,
+      send: (server, stop, mayStillRun) =>
+        this.forward(server, request, deadline, stop, mayStillRun),
     };
-    if (keyed) return this.once(job);
-    return this.run(job, undefined, repeatable ? gone : new AbortController().signal);
+    if (isKeyed) return this.runOnce(operation);
+    return this.runWithoutKey(operation, idempotent ? signal : neverAborted());
+  }
+
+  private actRequest({ tenant, key, path, body, requestId }: CallRequest) {
+    const id = `call-${++this.callCount}`;
+    return { id, key: key === '' ? '' : operationOf(tenant, key), path, body, requestId };
   }
 
-  private async sendWhole(
+  private async forward(
     server: Server,
-    ask: PassAsk,
-    end: number,
-    gone: AbortSignal,
-    still: () => boolean,
+    request: PassRequest,
+    deadline: number,
+    signal: AbortSignal,
+    mayStillRun: () => boolean,
   ): Promise<Ended> {
-    let head: Head = { status: 0, headers: [] };
-    const parts: Buffer[] = [];
-    const { backend, clock } = this.s.p;
-    const sink = {
-      head: (h: Head) => {
-        head = h;
-      },
-      bytes: (text: string) => {
-        parts.push(Buffer.from(text, 'latin1'));
-      },
-      load: (b: { running: number; waiting: number; places: number }) =>
-        this.s.placement.reported(server, b),
-    };
-    const ended = await backend.pass(
+    const response = new CollectedResponse((load) => this.owner.reportLoad(server, load));
+    const ended = await this.owner.backend.pass(
       server,
-      { ...ask, body: unpacked(ask.body) },
-      sink,
-      gone,
-      end - clock.now(),
-      still,
+      { ...request, body: decodeBody(request.body) },
+      response,
+      signal,
+      deadline - this.owner.clock.now(),
+      mayStillRun,
     );
-    return ended.kind === 'done'
-      ? {
-          kind: 'done',
-          code: head.status,
-          body: {
-            status: head.status,
-            headers: [...head.headers],
-            body: packed(Buffer.concat(parts)),
-          },
-        }
-      : ended;
+    return response.finish(ended);
   }
 
-  private async once(job: Job): Promise<CallOutcome> {
-    const replicator = this.s.replicator(job.opKey);
-    const key = job.opKey;
-    const run = this.running.get(key);
-    if (run) {
-      if (run.digest !== job.digest)
-        return refused(422, 'other-body', 'this key was used with another body');
-      const left = job.end - this.s.p.clock.now();
-      const late = () => new UnavailableError('running', 'this key is at work');
-      return withTimeout(this.s.p.clock, left, run.outcome, late).catch(() =>
-        refused(409, 'running', 'this key is at work', 0.2),
-      );
-    }
+  private async runOnce(operation: Operation): Promise<CallOutcome> {
+    const { key, digest } = operation;
+    const replicator = this.owner.replicator(key);
+    const running = this.running.get(key);
+    if (running) return this.join(operation, running);
     const old = OpValue.safeParse(replicator.get(key));
-    if (old.success && old.data.status !== 'void') {
-      if (old.data.digest !== job.digest)
-        return refused(422, 'other-body', 'this key was used with another body');
-      if (old.data.status === 'done') return done(old.data.body, old.data.code);
-      if (!old.data.recorded || !this.remembers(job))
-        return unknown('this operation may have run; it is not run again');
-    }
     const mayHaveRun = old.success && old.data.status !== 'void';
-    const outcome = this.run(job, replicator, new AbortController().signal, mayHaveRun);
-    this.running.set(key, { digest: job.digest, outcome });
+    if (mayHaveRun) {
+      const outcome = this.outcomeOfRecord(operation, old.data);
+      if (outcome) return outcome;
+    }
+    // It outlives its caller: what was begun for a key has to be known.
+    const outcome = this.run(operation, { replicator, mayHaveRun }, neverAborted());
+    this.running.set(key, { digest, outcome });
     const leave = replicator.enter();
     return outcome.finally(() => {
       leave();
@@ -178,113 +188,39 @@
     });
   }
 
-  private remembers(job: Job): boolean {
-    const route = this.s.findRoute(job.kind, job.path);
-    return route !== undefined && route.shares.every((x) => x.share === 0 || this.records(x.pool));
+  private async join(operation: Operation, running: RunningOperation): Promise<CallOutcome> {
+    if (running.digest !== operation.digest) return otherBody();
+    const { clock } = this.owner;
+    const remainingMs = operation.deadline - clock.now();
+    const late = (): Error => new UnavailableError('running', inProgress);
+    return withTimeout(clock, remainingMs, running.outcome, late).catch(() =>
+      refused(status.conflict, 'running', inProgress, retryAfterSeconds.otherAttempt),
+    );
   }
 
-  private records(pool: string): boolean {
-    return this.s.current?.config?.pools.some((p) => p.name === pool && p.remembersKeys) ?? false;
+  /** What the record of an operation that may have run answers; undefined where it may be sent again. */
+  private outcomeOfRecord(operation: Operation, record: OpValue): CallOutcome | undefined {
+    if (record.digest !== operation.digest) return otherBody();
+    if (record.status === 'done') return done(record.body, record.code);
+    return record.recorded && routeRecordsKeys(this.owner, operation)
+      ? undefined
+      : unknown('this operation may have run; it is not run again');
   }
 
-  private async run(
-    job: Job,
-    replicator: SlotReplicator | undefined,
-    gone: AbortSignal,
-    mayHaveRun = false,
-  ): Promise<CallOutcome> {
-    try {
-      return await this.tryServers(job, replicator, gone, mayHaveRun);
-    } catch (e) {
-      return outcomeOfError(toRpcError(e));
-    }
+  private runWithoutKey(operation: Operation, signal: AbortSignal): Promise<CallOutcome> {
+    return this.run(operation, { replicator: undefined, mayHaveRun: false }, signal);
   }
 
-  private async tryServers(
-    job: Job,
-    replicator: SlotReplicator | undefined,
-    gone: AbortSignal,
-    mayHaveRun: boolean,
+  private async run(
+    operation: Operation,
+    history: OperationHistory,
+    signal: AbortSignal,
   ): Promise<CallOutcome> {
-    const { clock } = this.s.p;
-    const { kind, path, digest, end } = job;
-    let recorded = true;
-    const note = (status: OpValue['status'], code: number, body: unknown): Promise<void> =>
-      replicator
-        ? replicator.putSoon(
-            job.opKey,
-            { t: 'op', status, digest, code, body, recorded } satisfies OpValue,
-            status === 'intent' ? 1 : 20,
-          )
-        : Promise.resolve();
-    const skip = new Set<string>();
-    let noted = false;
-    let sent = 0;
-    let lost: Ended | undefined;
-    const again = (): boolean =>
-      (job.repeatable || (replicator !== undefined && recorded && this.remembers(job))) &&
-      sent < job.tries;
-    const notRun = async (text: string, retryAfter = 1): Promise<CallOutcome> => {
-      if (lost) return unknown(lost.kind === 'lost' ? lost.text : text);
-      if (noted) await note(mayHaveRun ? 'unknown' : 'void', 0, null).catch(() => undefined);
-      return refused(503, 'no-server', text, retryAfter);
-    };
-    for (;;) {
-      const left = end - clock.now();
-      if (left <= 0) return notRun('no server came free in time');
-      if (sent >= job.tries) return notRun('the servers tried did not run it', 0.2);
-      const server = await this.s
-        .place(kind, path, [], '', skip, left, gone)
-        .catch((e: unknown) => toRpcError(e));
-      if (server instanceof RpcError) {
-        if (skip.size > 0 && lost && job.repeatable) {
-          skip.clear();
-          continue;
-        }
-        const v = await notRun(server.message);
-        return v.outcome === 'refused' ? { ...v, ...outcomeOfError(server) } : v;
-      }
-      let ok = true;
-      try {
-        const record: boolean = recorded && this.records(server.pool);
-        if (!noted || record !== recorded) {
-          recorded = record;
-          const failure = await note('intent', 0, null).then(() => undefined, toRpcError);
-          if (failure) return lost ? unknown(failure.message) : outcomeOfError(failure);
-        }
-        noted = true;
-        if (!this.s.mayRun(server, kind, path)) {
-          skip.add(server.id);
-          if (!this.s.leaseValid) return await notRun('the control link is down');
-          continue;
-        }
-        const ended = await job.send(server, gone, () => this.s.mayRun(server, kind, path));
-        ok = ended.kind === 'done' || ended.kind === 'declined';
-        if (ended.kind !== 'never-left') sent++;
-        skip.add(server.id);
-        if (ended.kind === 'done') {
-          if (ended.code >= 500 && job.repeatable && again()) {
-            lost = ended;
-            continue;
-          }
-          try {
-            await note('done', ended.code, ended.body);
-          } catch (e) {
-            return unknown(
-              `the operation ran but its outcome could not be kept: ${toRpcError(e).message}`,
-            );
-          }
-          return done(ended.body, ended.code);
-        }
-        if (ended.kind === 'lost') {
-          lost = ended;
-          if (!gone.aborted && again()) continue;
-          await note('unknown', 0, null).catch(() => undefined);
-          return unknown(ended.text);
-        }
-      } finally {
-        this.s.finished(server, ok);
-      }
+    try {
+      const attempts = new OperationAttempts(this.owner, operation, history, signal);
+      return await new AttemptMachine(this.owner, attempts).run();
+    } catch (error) {
+      return outcomeOfError(toRpcError(error));
     }
   }
 }
--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '@tillerstair/wire';
 import type { Backend, ServerLoad, Message } from './backend.js';
 import type { Candidate, PlaceContext, Policy, Seen } from './policies.js';
-import type { Table } from './table.js';
+import type { CompiledState } from './compiled-state.js';
 
 interface Sight {
   readonly url: string;
@@ -85,7 +85,7 @@
     private readonly backend: Backend,
     private readonly chain: readonly Policy[],
     private readonly bounds: PlacementBounds,
-    private readonly table: () => Table | undefined,
+    private readonly table: () => CompiledState | undefined,
     private readonly perServer: () => number,
     private readonly self = '',
   ) {}
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -1,8 +1,11 @@
+/**
+ * The session owner of a front: runs the requests of the slots that the cluster state gives it.
+ *
+ * Owns the newest committed state, the read lease, and who watches which front; its parts own the slots, the queues and
+ * the running requests. It serves only while the lease is valid, so that a front that is cut off stops before another
+ * one takes its slots over (`docs/design.md`).
+ */
 import {
-  FindTurnResponse,
-  findRoute,
-  isNewerItem,
-  rootProgramId,
   slotForKey,
   type Route,
   type RouteKind,
@@ -10,44 +13,52 @@
   type State,
 } from '@tillerstair/state';
 import {
-  AdmissionError,
-  type Clock,
   createAbortController,
   delay,
+  UnavailableError,
+  type Clock,
   type Logger,
-  OwnershipError,
-  ReplicaError,
   type Transport,
-  UnavailableError,
 } from '@tillerstair/wire';
-import type { Backend } from './backend.js';
+import type { PlacementRequest } from './attempt-machine.js';
+import type { Backend, ServerLoad } from './backend.js';
 import { Calls } from './calls.js';
-import { AdmissionQueue } from './admission-queue.js';
-import { SlotReplicator } from './slot-replicator.js';
-import { Placement, type Part } from './placement.js';
+import { OwnedSlots } from './owned-slots.js';
+import type { FoundTurn, OwnerServices, ConfiguredState } from './owner-services.js';
+import { Placement } from './placement.js';
 import { chainOf } from './policies.js';
+import { ServerDispatch } from './server-dispatch.js';
+import { SlotReplicator } from './slot-replicator.js';
 import { Streams } from './streams.js';
-import { tableOf, type Table } from './table.js';
+import { compileState, type CompiledState } from './compiled-state.js';
+import { findFinishedTurn } from './turn-search.js';
 import { Turns } from './turns.js';
-import { PassTurn } from './messages.js';
 
+/** Time limits of a session owner, in ms. */
 export interface SessionOwnerBounds {
   readonly heartbeatInterval: number;
+  /** How long a replica may take for a write. */
   readonly putWithin: number;
+  /** How long after its last renewal the read lease is valid. */
   readonly readLease: number;
+  /** The interval at which servers are asked for their load; 0 where they report it themselves. */
   readonly poll: number;
+  /** How long values stay in memory after their last use. */
   readonly retentionMs: number;
-  /** How long a front that is told to stop may take, in ms. */
+  /** How long a front that is told to stop may take. */
   readonly stopWithin: number;
 }
 
+/** What a session owner is made from. */
 export interface SessionOwnerParts {
+  /** The front's id in the cluster state. */
   readonly id: string;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly backend: Backend;
   readonly bounds: SessionOwnerBounds;
   readonly log: Logger;
+  /** Whether servers are chosen by what their prefix cache has. */
   readonly affinity: boolean;
 }
 
@@ -56,302 +67,229 @@
   readonly lost: AbortController;
 }
 
-export class SessionOwner {
-  private table: Table | undefined;
-  private closing = false;
-  private leaseRenewedAt = -Infinity;
-  private readonly replicators = new Map<number, SlotReplicator>();
-  private readonly watches = new Set<Watch>();
-  private readonly gone = createAbortController();
+/** Whether requests can be served, and why not. */
+export interface Readiness {
+  readonly ready: boolean;
+  readonly why: string;
+}
+
+/** How much an owner has to do and to remember. */
+export interface OwnerSizes {
+  readonly slots: number;
+  readonly items: number;
+  readonly waiting: number;
+}
+
+/** Requests at one server at once, before there is a configuration. */
+const defaultPerServer = 16;
+/** What a server said of itself counts for this share of the read lease. */
+const sightShare = 4 / 5;
+
+const isConfigured = (table: CompiledState): table is ConfiguredState => table.config !== undefined;
+
+/** Runs the requests of the slots that the cluster state gives to this front. */
+export class SessionOwner implements OwnerServices {
+  readonly clock: Clock;
+  readonly backend: Backend;
   readonly placement: Placement;
-  private readonly admissionQueues = new Map<string, AdmissionQueue<Server>>();
   readonly streams: Streams;
   readonly turns: Turns;
   readonly calls: Calls;
+  private readonly id: string;
+  private readonly transport: Transport;
+  private readonly bounds: SessionOwnerBounds;
+  private readonly slots: OwnedSlots;
+  private readonly dispatch: ServerDispatch;
+  private readonly watches = new Set<Watch>();
+  private readonly stopping = createAbortController();
+  private table: CompiledState | undefined;
+  private leaseRenewedAt = -Infinity;
 
-  constructor(readonly p: SessionOwnerParts) {
-    const table = () => this.table;
+  constructor(parts: SessionOwnerParts) {
+    const { id, clock, transport, backend, bounds, log } = parts;
+    this.id = id;
+    this.clock = clock;
+    this.transport = transport;
+    this.backend = backend;
+    this.bounds = bounds;
+    const table = (): CompiledState | undefined => this.table;
     this.placement = new Placement(
-      p.clock,
-      p.backend,
-      chainOf(p.affinity),
+      clock,
+      backend,
+      chainOf(parts.affinity),
       {
-        poll: p.bounds.poll,
-        pollWithin: p.bounds.poll,
-        retryBad: p.bounds.heartbeatInterval,
-        sightWithin: (p.bounds.readLease * 4) / 5,
-        reportValidFor: p.bounds.heartbeatInterval / 2,
+        poll: bounds.poll,
+        pollWithin: bounds.poll,
+        retryBad: bounds.heartbeatInterval,
+        sightWithin: bounds.readLease * sightShare,
+        reportValidFor: bounds.heartbeatInterval / 2,
       },
       table,
-      () => this.table?.config?.bounds.perServer ?? 16,
-      p.id,
+      () => this.table?.config?.bounds.perServer ?? defaultPerServer,
+      id,
     );
+    const leaseValid = (): boolean => this.leaseValid;
+    this.dispatch = new ServerDispatch({ clock, placement: this.placement, table, leaseValid });
+    this.slots = new OwnedSlots(id, (n, ownedSinceEpoch) => {
+      // Read anew for each replicator: the bounds follow the settings file.
+      const { putWithin, heartbeatInterval, retentionMs } = bounds;
+      const options = { clock, transport, log, table, putWithin, heartbeatInterval, retentionMs };
+      return new SlotReplicator(n, ownedSinceEpoch, options);
+    });
     this.streams = new Streams(this);
     this.turns = new Turns(this);
     this.calls = new Calls(this);
   }
 
+  /** Begins to look after servers, queues and old values; ends with `stop`. */
   start(): void {
-    void this.pollServers();
+    void this.maintain();
   }
 
+  /** Ends what `start` began. */
   stop(): void {
-    this.gone.abort();
-  }
-
-  private async pollServers(): Promise<void> {
-    while (!this.gone.signal.aborted) {
-      await this.placement.poll();
-      for (const admissionQueue of this.admissionQueues.values()) {
-        admissionQueue.pump();
-        admissionQueue.review();
-      }
-      for (const k of this.replicators.values()) k.expire();
-      await delay(
-        this.p.clock,
-        this.p.bounds.poll > 0 ? this.p.bounds.poll : this.p.bounds.heartbeatInterval / 4,
-        this.gone.signal,
-      );
-    }
+    this.stopping.abort();
   }
 
-  get current(): Table | undefined {
+  get current(): CompiledState | undefined {
     return this.table;
   }
 
-  take(state: State): void {
-    this.table = tableOf(state, this.table);
-    void this.placement.poll(true).then(() => this.pump());
-    for (const w of [...this.watches]) if (!state.nodes.has(w.front)) w.lost.abort();
-    state.slots.forEach((slot, n) => {
-      const old = this.replicators.get(n);
-      if (slot.owner === this.p.id) {
-        const same = old?.ownedSinceEpoch === slot.ownedSinceEpoch ? old : undefined;
-        if (old && !same) old.release();
-        (same ?? this.makeReplicator(n, slot.ownedSinceEpoch)).take(slot);
-      } else if (old) {
-        old.release();
-        this.replicators.delete(n);
-      }
-    });
-    this.pump();
-  }
-
-  private pump(): void {
-    for (const admissionQueue of this.admissionQueues.values()) admissionQueue.pump();
+  get leaseValid(): boolean {
+    return this.clock.now() - this.leaseRenewedAt < this.bounds.readLease;
   }
 
-  private admissionQueueOf(route: Route): AdmissionQueue<Server> {
-    const name = route.shares
-      .map((x) => x.pool)
-      .sort()
-      .join(' ');
-    const admissionQueue =
-      this.admissionQueues.get(name) ??
-      new AdmissionQueue<Server>(this.p.clock, () => this.table?.config?.bounds.queue ?? 256);
-    this.admissionQueues.set(name, admissionQueue);
-    return admissionQueue;
+  /** Whether any slot is owned. */
+  get holdsSlots(): boolean {
+    return this.slots.count > 0;
   }
 
+  /** How many requests wait for a server. */
   get waiting(): number {
-    return [...this.admissionQueues.values()].reduce((n, g) => n + g.waiting, 0);
+    return this.dispatch.waiting;
   }
 
-  private makeReplicator(n: number, ownedSinceEpoch: number): SlotReplicator {
-    const { clock, transport, log, bounds } = this.p;
-    const replicator = new SlotReplicator(n, ownedSinceEpoch, {
-      clock,
-      transport,
-      log,
-      table: () => this.table,
-      putWithin: bounds.putWithin,
-      heartbeatInterval: bounds.heartbeatInterval,
-      retentionMs: bounds.retentionMs,
-    });
-    this.replicators.set(n, replicator);
-    return replicator;
+  /** Follows a newer committed state. */
+  take(state: State): void {
+    this.table = compileState(state, this.table);
+    void this.placement.poll(true).then(() => this.dispatch.admit());
+    for (const watch of [...this.watches]) if (!state.nodes.has(watch.front)) watch.lost.abort();
+    this.slots.apply(state.slots);
+    this.dispatch.admit();
   }
 
+  /** Renews the read lease as of a time on this clock, in ms; an older one changes nothing. */
   renewLease(at: number): void {
     this.leaseRenewedAt = Math.max(this.leaseRenewedAt, at);
   }
 
+  /** Replaces the servers that get nothing until they are listed anew. */
   bar(ids: ReadonlySet<string>): void {
     this.placement.barred = ids;
   }
 
-  get leaseValid(): boolean {
-    return this.p.clock.now() - this.leaseRenewedAt < this.p.bounds.readLease;
-  }
-
-  readiness(): { ready: boolean; why: string } {
-    if (!this.table) return { ready: false, why: 'no committed state yet' };
-    if (!this.table.config) return { ready: false, why: 'no configuration yet' };
-    if (!this.leaseValid)
-      return { ready: false, why: 'the control link is down and its read lease ran out' };
-    if (!this.table.state.nodes.has(this.p.id))
-      return { ready: false, why: 'not listed in the cluster state' };
-    if (this.table.state.retiring.has(this.p.id)) return { ready: false, why: 'being drained' };
-    return { ready: true, why: 'serving' };
+  /** Whether requests can be served now. */
+  readiness(): Readiness {
+    const why = this.whyNotReady();
+    return why === undefined ? { ready: true, why: 'serving' } : { ready: false, why };
   }
 
-  requireLease(): Table {
-    const r = this.readiness();
-    if (!this.table || (!r.ready && this.table.config === undefined))
-      throw new UnavailableError('not-ready', r.why);
-    if (!this.leaseValid) throw new UnavailableError('not-ready', r.why);
-    return this.table;
+  requireLease(): ConfiguredState {
+    const { table } = this;
+    if (!table || !isConfigured(table) || !this.leaseValid)
+      throw new UnavailableError('not-ready', this.readiness().why);
+    return table;
   }
 
+  /** The slot of a key. Throws an `UnavailableError` before the first state. */
   slotFor(key: string): number {
-    const state = this.table?.state;
-    if (!state) throw new UnavailableError('not-ready', 'no committed state yet');
-    return slotForKey(key, state.slots.length);
+    return slotForKey(key, this.requireState().slots.length);
   }
 
+  /** The id of the front that owns a slot; empty where there is none. */
   ownerOf(slot: number): string {
     return this.table?.state.slots[slot]?.owner ?? '';
   }
 
-  /**
-   * Takes no further requests into its slots; what is under way goes on. A slot that always has a request
-   * under way would otherwise never be released, and its last ones would end with the process.
-   */
+  /** Takes no further requests into its slots; those in progress go on. */
   stopTaking(): void {
-    this.closing = true;
+    this.slots.stopTaking();
   }
 
   replicator(key: string): SlotReplicator {
-    const n = this.slotFor(key);
-    const replicator = this.replicators.get(n);
-    if (!replicator) throw new OwnershipError('not-owner', `slot ${n} has another owner`);
-    if (this.closing || !replicator.taking)
-      throw new OwnershipError('taking-over', `slot ${n} is being taken over`);
-    return replicator;
+    return this.slots.replicator(this.slotFor(key));
   }
 
-  watch(front: string): { lost: AbortSignal; end: () => void } {
-    const w: Watch = { front, lost: new AbortController() };
-    this.watches.add(w);
-    return { lost: w.lost.signal, end: () => this.watches.delete(w) };
+  /** Watches a front until `end` is called: `lost` is aborted when it leaves the cluster state. */
+  watch(front: string): { readonly lost: AbortSignal; readonly end: () => void } {
+    const watch: Watch = { front, lost: new AbortController() };
+    this.watches.add(watch);
+    return { lost: watch.lost.signal, end: () => this.watches.delete(watch) };
   }
 
-  /**
-   * Asks every store that keeps a replica for a finished turn named by its try alone, and what it goes on from.
-   * Empty only when so many replicas of every slot say that there is none that any write quorum holds one of them.
-   */
-  async findTurn(attempt: string): Promise<readonly (readonly [string, PassTurn])[]> {
-    const state = this.table?.state;
-    if (!state) throw new UnavailableError('not-ready', 'no committed state yet');
-    const slotsOn = new Map<string, number[]>();
-    state.slots.forEach((slot, n) =>
-      slot.replicas.forEach((id) => slotsOn.set(id, [...(slotsOn.get(id) ?? []), n])),
-    );
-    const replied = new Set<string>();
-    const asked = await Promise.allSettled(
-      [...slotsOn].map(async ([id, slots]) => {
-        const member = state.nodes.get(id);
-        if (!member) throw new ReplicaError('away', `copy ${id} is away`);
-        const found = FindTurnResponse.parse(
-          await this.p.transport.call(
-            member.addr,
-            'store/find',
-            { turn: attempt, slots },
-            { timeoutMs: this.p.bounds.putWithin },
-          ),
-        );
-        replied.add(id);
-        return found;
-      }),
-    );
-    const good = asked.flatMap((r) => (r.status === 'fulfilled' ? [r.value.items] : []));
-    const turns = good.flat().flatMap((item) => {
-      const turn = PassTurn.safeParse(item.value);
-      return turn.success ? [{ item, turn: turn.data, name: item.key.split('/')[3] ?? '' }] : [];
-    });
-    const finished = turns.filter((t) => t.turn.status === 'done');
-    if (finished.some((t) => t.name === attempt)) return finished.map((t) => [t.name, t.turn]);
-    const { quorum } = state.replication;
-    const covered = (replicas: readonly string[]): boolean =>
-      replicas.filter((id) => replied.has(id)).length > replicas.length - quorum;
-    if (
-      slotsOn.size === 0 ||
-      !state.slots.every((slot) => slot.replicas.length === 0 || covered(slot.replicas))
-    )
-      throw new UnavailableError('unavailable', 'too few stores can tell');
-    const newest = turns
-      .filter((t) => t.name === attempt)
-      .reduce<(typeof turns)[number] | undefined>(
-        (a, b) => (a && !isNewerItem(b.item, a.item) ? a : b),
-        undefined,
-      );
-    if (newest?.turn.status === 'reserved')
-      throw new UnavailableError('not-finished', 'this turn has not finished');
-    return [];
+  async findTurn(attempt: string): Promise<readonly FoundTurn[]> {
+    const { transport, bounds } = this;
+    const state = this.requireState();
+    return findFinishedTurn({ transport, state, timeoutMs: bounds.putWithin }, attempt);
   }
 
-  get holdsSlots(): boolean {
-    return this.replicators.size > 0;
+  /** Slots, with their ownership epochs, that can go to their transfer target. */
+  releases(): readonly (readonly [number, number])[] {
+    return this.slots.releases();
   }
 
-  releases(): readonly (readonly [number, number])[] {
-    return [...this.replicators.values()].flatMap((k) => {
-      const r = k.tryRelease();
-      return r ? [r] : [];
-    });
+  findRoute(kind: RouteKind, path: string): Route | undefined {
+    return this.dispatch.findRoute(kind, path);
   }
 
-  programSlotKey(pid: string): string {
-    return `p/${rootProgramId(pid)}`;
+  place(request: PlacementRequest): Promise<Server> {
+    return this.dispatch.place(request);
   }
 
-  findRoute(kind: RouteKind, path: string): Route | undefined {
-    return this.table && findRoute(this.table.routes, kind, path);
+  mayRun(server: Server, kind: RouteKind, path: string): boolean {
+    return this.dispatch.mayRun(server, kind, path);
   }
 
-  routeOf(kind: RouteKind, path: string): Route {
-    const route = this.findRoute(kind, path);
-    if (!route) throw new AdmissionError('no-route', `no route takes ${kind}s at ${path}`);
-    return route;
+  releaseServer(server: Server, healthy: boolean, tokensPerSecond?: number): void {
+    this.dispatch.release(server, healthy, tokensPerSecond);
   }
 
-  async place(
-    kind: RouteKind,
-    path: string,
-    parts: readonly Part[],
-    sticky: string,
-    skip: ReadonlySet<string>,
-    within: number,
-    gone: AbortSignal,
-  ): Promise<Server> {
-    const usable = (): Route => {
-      const route = this.routeOf(kind, path);
-      if (!this.placement.usable(route, skip))
-        throw new AdmissionError('no-server', `no server of route ${route.name} is usable`);
-      return route;
-    };
-    const route = usable();
-    return this.admissionQueueOf(route).enter(route.urgent, within, gone, () => {
-      if (!this.leaseValid) return undefined;
-      const server = this.placement.pick(usable(), parts, sticky, skip);
-      if (server) this.placement.begin(server, parts);
-      return server;
-    });
+  reportLoad(server: Server, load: ServerLoad): void {
+    this.placement.reported(server, load);
   }
 
-  mayRun(server: Server, kind: RouteKind, path: string): boolean {
-    const route = this.findRoute(kind, path);
-    return this.leaseValid && route !== undefined && this.placement.allowed(server, route);
+  /** How much there is to do and to remember. */
+  sizes(): OwnerSizes {
+    const { count, itemCount } = this.slots;
+    return { slots: count, items: itemCount, waiting: this.waiting };
   }
 
-  finished(server: Server, ok: boolean, pace?: number): void {
-    this.placement.end(server, ok, pace);
-    this.pump();
+  private async maintain(): Promise<void> {
+    while (!this.stopping.signal.aborted) {
+      await this.placement.poll();
+      this.dispatch.review();
+      this.slots.expire();
+      await delay(this.clock, this.maintenanceIntervalMs, this.stopping.signal);
+    }
+  }
+
+  private get maintenanceIntervalMs(): number {
+    const { poll, heartbeatInterval } = this.bounds;
+    return poll > 0 ? poll : heartbeatInterval / 4;
+  }
+
+  private requireState(): State {
+    const state = this.table?.state;
+    if (!state) throw new UnavailableError('not-ready', 'no committed state yet');
+    return state;
   }
 
-  sizes(): { slots: number; items: number; waiting: number } {
-    let items = 0;
-    for (const k of this.replicators.values()) items += k.size;
-    return { slots: this.replicators.size, items, waiting: this.waiting };
+  private whyNotReady(): string | undefined {
+    const { table } = this;
+    if (!table) return 'no committed state yet';
+    if (!table.config) return 'no configuration yet';
+    if (!this.leaseValid) return 'the control link is down and its read lease ran out';
+    if (!table.state.nodes.has(this.id)) return 'not listed in the cluster state';
+    return table.state.retiring.has(this.id) ? 'being drained' : undefined;
   }
 }
--- a/packages/session-owner/src/slot-replicator.ts
+++ b/packages/session-owner/src/slot-replicator.ts
@@ -24,8 +24,8 @@
   UnavailableError,
 } from '@tillerstair/wire';
 import { askQuorum } from './quorum-ask.js';
-import type { Table } from './table.js';
-import { Cost } from './messages.js';
+import type { CompiledState } from './compiled-state.js';
+import { TurnCost } from './stored-values.js';
 
 /** A further replica is asked once this share of the time for a write has passed without a quorum. */
 const hedgeShare = 1 / 3;
@@ -34,7 +34,7 @@
   readonly clock: Clock;
   readonly transport: Transport;
   readonly log: Logger;
-  readonly table: () => Table | undefined;
+  readonly table: () => CompiledState | undefined;
   readonly putWithin: number;
   readonly heartbeatInterval: number;
   readonly retentionMs: number;
@@ -213,7 +213,7 @@
     const [kind, pid = '', t] = item.key.split('/');
     if (kind === 'p' && t === 't') {
       const cost = (v: unknown): number => {
-        const turn = Cost.safeParse(v);
+        const turn = TurnCost.safeParse(v);
         return turn.success ? turn.data.cost : 0;
       };
       const root = rootProgramId(pid);
--- /dev/null
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -0,0 +1,259 @@
+/**
+ * A streamed request of a pass route on its way through the `AttemptMachine`.
+ *
+ * All attempts share one reservation of the tokens that the caller named. A request that was sent goes to another server
+ * only where that one declined it, or where the stream can be resumed behind its last event.
+ */
+import type { Config, Server } from '@tillerstair/state';
+import { toRpcError, type RpcError } from '@tillerstair/wire';
+import type { Attempts } from './attempt-machine.js';
+import type { Ended } from './backend.js';
+import { passRoutePath, type CallOutcome, type PassRequest } from './messages.js';
+import { done, outcomeOfError, refused, unknown } from './outcomes.js';
+import type { PassTurn } from './stored-values.js';
+import type { OwnerServices } from './owner-services.js';
+import type { PendingReservations } from './pending-reservations.js';
+import { partsOf, type Part } from './placement.js';
+import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
+import type { SlotReplicator } from './slot-replicator.js';
+import { streamProgram } from './stream-records.js';
+import { isSuccess, StreamRelay } from './stream-relay.js';
+import { endWriteAttempts, type EmitChunk } from './turn-attempts.js';
+
+/** How a pass route has its streamed requests served. */
+export interface StreamRules {
+  readonly tries: number;
+  readonly deadlineMs: number;
+  readonly resumable: boolean;
+  /** How long a turn can be gone on from, in ms; 0 where turns are not kept. */
+  readonly turnRetentionMs: number;
+}
+
+/** A streamed request whose history has been looked up. */
+export interface StreamJob {
+  readonly request: PassRequest;
+  readonly rules: StreamRules;
+  readonly config: Config;
+  /** The slot's replicator; undefined where any front may serve the request and nothing of it is stored. */
+  readonly replicator: SlotReplicator | undefined;
+  /** The key of the turn's record. */
+  readonly key: string;
+  /** What the server gets: the whole conversation. */
+  readonly body: Uint8Array;
+  readonly emit: EmitChunk;
+  readonly signal: AbortSignal;
+}
+
+/** Takes one streamed request through its attempts. */
+export class StreamAttempts implements Attempts<Ended> {
+  readonly kind = 'pass';
+  readonly path: string;
+  readonly promptParts: readonly Part[];
+  readonly stickyPool = '';
+  readonly deadline: number;
+  readonly signal: AbortSignal;
+  private readonly program: string;
+  private readonly relay: StreamRelay;
+  private readonly reservation: PassTurn;
+  private reserved = false;
+  /** Attempts that reached a server. */
+  private offered = 0;
+  /** Why the newest attempt that was lost was lost; empty if none was. */
+  private lostText = '';
+  /** Tokens that have been generated. */
+  private cost = 0;
+  private serverHealthy = true;
+
+  constructor(
+    private readonly owner: OwnerServices,
+    private readonly pending: PendingReservations,
+    private readonly job: StreamJob,
+  ) {
+    const { request, rules } = job;
+    this.path = passRoutePath(request);
+    this.promptParts = partsOf(request.parts);
+    this.deadline = owner.clock.now() + Math.min(request.left, rules.deadlineMs);
+    this.signal = job.signal;
+    this.program = streamProgram(request);
+    this.relay = new StreamRelay(job.emit, (server, load) => owner.reportLoad(server, load));
+    this.reservation = {
+      t: 'pass',
+      status: 'reserved',
+      after: request.after,
+      cost: request.most,
+      input: '',
+      output: '',
+    };
+  }
+
+  get cancelled(): boolean {
+    return this.signal.aborted;
+  }
+
+  refuseBeforePlacing(remainingMs: number): CallOutcome | Promise<CallOutcome> | undefined {
+    if (remainingMs <= 0)
+      return this.giveUp(
+        refused(
+          status.unavailable,
+          'queue-timeout',
+          'no server came free in time',
+          retryAfterSeconds.capacity,
+        ),
+      );
+    if (this.offered >= this.job.rules.tries)
+      return this.giveUp(
+        refused(
+          status.unavailable,
+          'no-server',
+          'the servers tried did not run it',
+          retryAfterSeconds.otherAttempt,
+        ),
+      );
+    return this.exceedsBudget ? budgetSpent() : undefined;
+  }
+
+  placementFailed(error: RpcError): Promise<CallOutcome> {
+    return this.giveUp(outcomeOfError(error));
+  }
+
+  async record(): Promise<CallOutcome | undefined> {
+    this.serverHealthy = true;
+    const { replicator, request, key } = this.job;
+    if (!this.reserved && replicator) {
+      if (this.exceedsBudget) return budgetSpent();
+      await this.pending.during(this.program, request.most, () =>
+        replicator.put(key, this.reservation),
+      );
+    }
+    this.reserved = true;
+    return undefined;
+  }
+
+  async notAllowed(): Promise<CallOutcome | undefined> {
+    if (this.cancelled) return this.giveUp(callerGone('the caller is gone'));
+    return this.owner.leaseValid
+      ? undefined
+      : this.giveUp(leaseExpired('the control link is down'));
+  }
+
+  async send(server: Server, mayStillRun: () => boolean): Promise<Ended> {
+    const { request, body, signal } = this.job;
+    const { events } = this.relay;
+    const response = this.relay.openResponse(server);
+    const onCallerGone = (): void => response.cancel();
+    signal.addEventListener('abort', onCallerGone, { once: true });
+    const resume = events.lastId === '' ? request.resume : events.lastId;
+    const ended = await this.owner.backend
+      .pass(
+        server,
+        { ...request, body, resume },
+        response,
+        response.stopped,
+        this.deadline - this.owner.clock.now(),
+        mayStillRun,
+      )
+      .finally(() => signal.removeEventListener('abort', onCallerGone));
+    return response.finish(ended);
+  }
+
+  async complete(server: Server, ended: Ended): Promise<CallOutcome | undefined> {
+    this.serverHealthy = ended.kind === 'done' || ended.kind === 'declined' || this.signal.aborted;
+    if (ended.kind !== 'never-left') this.offered++;
+    switch (ended.kind) {
+      case 'never-left':
+      case 'declined':
+        return undefined;
+      case 'done':
+        this.cost = this.generatedTokens(server);
+        return this.storeEnd(ended.code);
+      case 'lost':
+        this.cost = this.generatedTokens(server);
+        this.lostText = ended.text;
+        return this.resumeOrFail(ended.text);
+    }
+  }
+
+  release(server: Server): void {
+    this.owner.releaseServer(server, this.serverHealthy);
+  }
+
+  /** Whether this request, not yet reserved, would take its program beyond the budget that the caller named. */
+  private get exceedsBudget(): boolean {
+    const { replicator, request } = this.job;
+    if (this.reserved || !replicator || request.budget === null) return false;
+    const reserved = replicator.spent(this.program) + this.pending.of(this.program);
+    return reserved + request.most > request.budget;
+  }
+
+  private get isKept(): boolean {
+    return this.job.rules.turnRetentionMs > 0;
+  }
+
+  private generatedTokens(server: Server): number {
+    const pool = this.job.config.pools.find(({ name }) => name === server.pool);
+    return this.relay.events.count * (pool?.engine?.blockTokens ?? 1);
+  }
+
+  private store(turn: PassTurn): Promise<void> {
+    const { replicator, key } = this.job;
+    return replicator ? replicator.putSoon(key, turn, endWriteAttempts) : Promise.resolve();
+  }
+
+  /** Ends without a result: a reservation that never ran becomes void, a stream that was lost stays unknown. */
+  private async giveUp(refusal: CallOutcome): Promise<CallOutcome> {
+    const lost = this.lostText !== '';
+    if (this.reserved)
+      await this.store({
+        ...this.reservation,
+        status: lost ? 'failed' : 'void',
+        cost: this.cost,
+      }).catch(() => undefined);
+    return lost ? unknown(this.lostText, 'broken-off') : refusal;
+  }
+
+  /**
+   * Resumes a stream that was lost, or ends it. Whether the caller is still there, attempts and time are over is looked at
+   * before the next request is sent anyway; it is asked here so that the caller hears without waiting for a server.
+   */
+  private resumeOrFail(text: string): CallOutcome | undefined {
+    const { rules } = this.job;
+    if (
+      rules.resumable &&
+      this.relay.resumable &&
+      !this.signal.aborted &&
+      this.offered < rules.tries &&
+      this.deadline > this.owner.clock.now()
+    ) {
+      this.relay.events.dropIncompleteEvent();
+      return undefined;
+    }
+    // The caller hears at once; that the record says `reserved` until the write is through changes nothing for it.
+    void this.store({ ...this.reservation, status: 'failed', cost: this.cost }).catch(
+      () => undefined,
+    );
+    return unknown(text, 'broken-off');
+  }
+
+  /** A turn that can be gone on from is done only once a quorum of replicas has it. */
+  private async storeEnd(code: number): Promise<CallOutcome> {
+    const { request } = this.job;
+    const succeeded = isSuccess(code);
+    const mustBeStored = this.isKept && succeeded;
+    const stored = this.store({
+      t: 'pass',
+      status: succeeded ? 'done' : 'failed',
+      after: request.after,
+      cost: this.cost,
+      input: mustBeStored ? request.body : '',
+      output: mustBeStored ? this.relay.events.data : '',
+    });
+    if (mustBeStored) {
+      try {
+        await stored;
+      } catch (error) {
+        return unknown(`the turn ran but could not be stored: ${toRpcError(error).message}`);
+      }
+    } else void stored.catch(() => undefined);
+    return done({ end: { chunks: this.relay.chunks } });
+  }
+}
--- /dev/null
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -0,0 +1,232 @@
+/**
+ * A turn of the product's own interface on its way through the `AttemptMachine`.
+ *
+ * Each attempt at a server has a reservation of its own, which is made void when that server did not run the turn. A
+ * turn that was sent is never sent again: it ends as done, or as failed with what had arrived.
+ */
+import { rootProgramId, type Config, type Server } from '@tillerstair/state';
+import { toRpcError, type RpcError } from '@tillerstair/wire';
+import type { Attempts } from './attempt-machine.js';
+import type { Ended, Message } from './backend.js';
+import type { CallOutcome, TurnRequest } from './messages.js';
+import { done, outcomeOfError, refused, unknown } from './outcomes.js';
+import { ProgramValue, type TurnValue } from './stored-values.js';
+import type { OwnerServices } from './owner-services.js';
+import type { PendingReservations } from './pending-reservations.js';
+import { prefixesOf, type Part } from './placement.js';
+import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
+import type { SlotReplicator } from './slot-replicator.js';
+import { programKey, turnKey, turnSummary } from './turn-records.js';
+
+/** Receives the chunks of an answer as they arrive, numbered from 0. */
+export type EmitChunk = (n: number, text: string) => void;
+
+/** How often an end is written before it is given up. */
+export const endWriteAttempts = 20;
+
+/** The share of a turn's time limit that it may wait for a server. */
+const placementShare = 1 / 4;
+const shortestRunSeconds = 0.001;
+
+/** A turn whose program and history have been looked up. */
+export interface TurnJob {
+  readonly request: TurnRequest;
+  readonly turn: string;
+  /** The digest of what the turn was asked with; a key stands for one digest. */
+  readonly bodyDigest: string;
+  readonly config: Config;
+  readonly replicator: SlotReplicator;
+  /** The whole conversation, oldest first. */
+  readonly messages: readonly Message[];
+  /** The pool of the turn before; empty without one. */
+  readonly stickyPool: string;
+  readonly emit: EmitChunk;
+  readonly signal: AbortSignal;
+}
+
+interface GeneratedTurn {
+  readonly ended: Ended;
+  readonly chunks: string[];
+  /** The answer was stopped: its chunks were out of order or too many, or the caller had gone. */
+  readonly stopped: boolean;
+}
+
+/** Takes one turn through its attempts. */
+export class TurnAttempts implements Attempts<GeneratedTurn> {
+  readonly kind = 'turn';
+  readonly path: string;
+  readonly promptParts: readonly Part[];
+  readonly stickyPool: string;
+  readonly deadline: number;
+  readonly signal: AbortSignal;
+  private readonly key: string;
+  private readonly rootProgram: string;
+  private reservation: TurnValue;
+  private startedAt = 0;
+  /** How the server ended, once that has been stored. */
+  private ended: Ended | undefined;
+  private tokens: number | undefined;
+
+  constructor(
+    private readonly owner: OwnerServices,
+    private readonly pending: PendingReservations,
+    private readonly job: TurnJob,
+  ) {
+    const { request, turn, config } = job;
+    this.path = request.path;
+    this.promptParts = prefixesOf(job.messages);
+    this.stickyPool = job.stickyPool;
+    this.deadline = owner.clock.now() + config.bounds.turnMs * placementShare;
+    this.signal = job.signal;
+    this.key = turnKey(request.pid, turn);
+    this.rootProgram = rootProgramId(request.pid);
+    this.reservation = {
+      t: 'turn',
+      status: 'reserved',
+      after: request.after,
+      digest: job.bodyDigest,
+      words: request.words,
+      pool: '',
+      server: '',
+      cost: 0,
+      chunks: [],
+    };
+  }
+
+  get cancelled(): boolean {
+    return this.signal.aborted;
+  }
+
+  refuseBeforePlacing(remainingMs: number): CallOutcome | undefined {
+    if (remainingMs <= 0)
+      return refused(
+        status.unavailable,
+        'queue-timeout',
+        'no server came free in time',
+        retryAfterSeconds.turnCapacity,
+      );
+    return this.remainingTokens <= 0 ? budgetSpent() : undefined;
+  }
+
+  placementFailed(error: RpcError): Promise<CallOutcome> {
+    return Promise.resolve(outcomeOfError(error));
+  }
+
+  async record(server: Server): Promise<CallOutcome | undefined> {
+    this.startedAt = this.owner.clock.now();
+    this.ended = undefined;
+    this.tokens = undefined;
+    const { request, config, replicator } = this.job;
+    const turnLimit = config.budgets.turn;
+    const cost = Math.min(request.maxTokens ?? turnLimit, turnLimit, this.remainingTokens);
+    if (cost <= 0) return budgetSpent();
+    const reservation = { ...this.reservation, pool: server.pool, server: server.id, cost };
+    this.reservation = reservation;
+    await this.pending.during(this.rootProgram, cost, () => replicator.put(this.key, reservation));
+    return undefined;
+  }
+
+  async notAllowed(): Promise<CallOutcome | undefined> {
+    await this.storeVoid();
+    if (this.cancelled) return callerGone('nothing was run');
+    return this.owner.leaseValid ? undefined : leaseExpired('nothing was run');
+  }
+
+  async send(server: Server, mayStillRun: () => boolean): Promise<GeneratedTurn> {
+    const { request, turn, messages, config, emit, signal } = this.job;
+    const maxTokens = this.reservation.cost;
+    const chunks: string[] = [];
+    const stop = new AbortController();
+    const onCallerGone = (): void => stop.abort();
+    signal.addEventListener('abort', onCallerGone, { once: true });
+    const onChunk = (n: number, text: string): void => {
+      if (n !== chunks.length || chunks.length >= maxTokens) {
+        stop.abort();
+        return;
+      }
+      chunks.push(text);
+      emit(n, text);
+    };
+    const ended = await this.owner.backend
+      .generate(
+        server,
+        { id: `${request.pid}/${turn}`, messages, maxTokens, requestId: request.requestId },
+        onChunk,
+        stop.signal,
+        config.bounds.turnMs,
+        mayStillRun,
+      )
+      .finally(() => signal.removeEventListener('abort', onCallerGone));
+    return { ended, chunks, stopped: stop.signal.aborted };
+  }
+
+  async complete(_server: Server, result: GeneratedTurn): Promise<CallOutcome | undefined> {
+    const { ended, chunks, stopped } = result;
+    switch (ended.kind) {
+      case 'never-left':
+      case 'declined':
+        await this.storeVoid();
+        this.ended = ended;
+        return undefined;
+      case 'lost':
+        return this.storeFailure(ended.text, chunks);
+      case 'done':
+        return stopped || ended.body !== chunks.length
+          ? this.storeFailure('the stream was not complete', chunks)
+          : this.storeDone(ended, chunks);
+    }
+  }
+
+  release(server: Server): void {
+    const { ended, tokens } = this;
+    const seconds = (this.owner.clock.now() - this.startedAt) / 1000;
+    const healthy =
+      !ended || ended.kind === 'done' || ended.kind === 'declined' || this.signal.aborted;
+    this.owner.releaseServer(
+      server,
+      healthy,
+      tokens === undefined ? undefined : tokens / Math.max(shortestRunSeconds, seconds),
+    );
+  }
+
+  /** What the root program's budget has over, reservations that are being written included. */
+  private get remainingTokens(): number {
+    const { replicator } = this.job;
+    const root = this.rootProgram;
+    const program = ProgramValue.parse(replicator.get(programKey(root)));
+    return program.budget - replicator.spent(root) - this.pending.of(root);
+  }
+
+  private store(value: TurnValue): Promise<void> {
+    return this.job.replicator.putSoon(this.key, value, endWriteAttempts);
+  }
+
+  private storeVoid(): Promise<void> {
+    return this.store({ ...this.reservation, status: 'void', cost: 0 });
+  }
+
+  private async storeFailure(text: string, chunks: string[]): Promise<CallOutcome> {
+    const failed: TurnValue = { ...this.reservation, status: 'failed', chunks };
+    await this.store(failed).catch(() => undefined);
+    this.ended = { kind: 'lost', text };
+    return unknown(text, 'broken-off');
+  }
+
+  /** A turn is done only once a quorum of replicas has its text. */
+  private async storeDone(ended: Ended, chunks: string[]): Promise<CallOutcome> {
+    const value: TurnValue = {
+      ...this.reservation,
+      status: 'done',
+      cost: chunks.length,
+      chunks,
+    };
+    try {
+      await this.store(value);
+    } catch (error) {
+      return unknown(`the turn ran but could not be stored: ${toRpcError(error).message}`);
+    }
+    this.ended = ended;
+    this.tokens = chunks.length;
+    return done({ end: turnSummary(this.job.turn, value) });
+  }
+}
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -1,352 +1,238 @@
-import { createHash } from 'node:crypto';
-import { rootProgramId, type Config, type Server } from '@tillerstair/state';
-import { ProtocolError, toRpcError } from '@tillerstair/wire';
-import type { Ended, Message } from './backend.js';
+/**
+ * Programs and turns of the product's own interface: a turn is named by its program and key and runs at most once.
+ *
+ * Owns the turns that are running here, by the key of their record; programs and finished turns are in the slot's
+ * replicas. A key stands for one body, and what a finished turn answered is repeated from its record.
+ */
+import { rootProgramId, type Config } from '@tillerstair/state';
+import { toRpcError } from '@tillerstair/wire';
+import { AttemptMachine } from './attempt-machine.js';
+import type { Message } from './backend.js';
+import type { CallOutcome, HistoryRequest, ProgramRequest, TurnRequest } from './messages.js';
+import { done, outcomeOfError, refused, unknown } from './outcomes.js';
+import { ProgramValue, TurnValue } from './stored-values.js';
+import type { OwnerServices } from './owner-services.js';
+import { PendingReservations } from './pending-reservations.js';
+import { retryAfterSeconds, status, unreadable } from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
-import { prefixesOf } from './placement.js';
-import type { SessionOwner } from './session-owner.js';
+import { TurnAttempts, type EmitChunk } from './turn-attempts.js';
 import {
-  done,
-  outcomeOfError,
-  ProgramValue,
-  refused,
-  TurnValue,
-  unknown,
-  type HistoryAsk,
-  type ProgramAsk,
-  type TurnAsk,
-  type CallOutcome,
-} from './messages.js';
+  programKey,
+  programSlotKey,
+  shortDigest,
+  turnIdOf,
+  turnKey,
+  turnSummary,
+} from './turn-records.js';
 
-export type EmitChunk = (n: number, text: string) => void;
+const created = 201;
 
-const digest = (text: string): string =>
-  createHash('sha256').update(text).digest('hex').slice(0, 16);
-export const turnIdOf = (pid: string, key: string): string => `t-${digest(`${pid}\n${key}`)}`;
-export const textDigest = (chunks: readonly string[]): string => digest(chunks.join(''));
+const programMissing = (): CallOutcome => refused(status.notFound, 'missing', 'no such program');
 
-const programKey = (pid: string): string => `p/${pid}`;
-const turnKey = (pid: string, turn: string): string => `p/${pid}/t/${turn}`;
+type ProgramLookup = { readonly program: ProgramValue } | { readonly refusal: CallOutcome };
 
-const endOf = (turn: string, v: TurnValue): object => ({
-  turn,
-  chunks: v.chunks.length,
-  tokens: v.cost,
-  digest: textDigest(v.chunks),
-});
+/** What a turn is asked on top of. */
+interface Conversation {
+  /** Oldest first, the new words included. */
+  readonly messages: readonly Message[];
+  /** The pool of the turn before; empty without one. */
+  readonly stickyPool: string;
+}
 
-interface Job {
+/** One request for a turn, with its record's place. */
+interface TurnLookup {
+  readonly request: TurnRequest;
+  readonly config: Config;
   readonly replicator: SlotReplicator;
-  readonly ask: TurnAsk;
   readonly turn: string;
-  readonly body: string;
-  readonly config: Config;
-  readonly messages: readonly Message[];
-  readonly sticky: string;
+  readonly key: string;
+  readonly bodyDigest: string;
+  readonly emit: EmitChunk;
 }
 
+/** Serves the programs and turns of the slots that this front owns. */
 export class Turns {
   private readonly running = new Map<string, Promise<CallOutcome>>();
-  private readonly reserving = new Map<string, number>();
+  private readonly pending = new PendingReservations();
 
-  constructor(private readonly s: SessionOwner) {}
+  constructor(private readonly owner: OwnerServices) {}
 
-  async program(ask: ProgramAsk): Promise<CallOutcome> {
-    const table = this.s.requireLease();
-    const replicator = this.s.replicator(this.s.programSlotKey(ask.pid));
-    const key = programKey(ask.pid);
-    const budget = Math.min(
-      ask.budget ?? table.config?.budgets.program ?? 1,
-      table.config?.budgets.program ?? 1,
-    );
-    const old = ProgramValue.safeParse(replicator.get(key));
+  /** Creates a program, or answers with the one that is there. A sub-program (`parent`) spends its root's budget. */
+  async createProgram(request: ProgramRequest): Promise<CallOutcome> {
+    const { pid, tenant, parent } = request;
+    const { budgets } = this.owner.requireLease().config;
+    const replicator = this.replicatorOf(pid);
+    const budget = Math.min(request.budget ?? budgets.program, budgets.program);
+    const old = ProgramValue.safeParse(replicator.get(programKey(pid)));
     if (old.success) {
-      if (old.data.tenant !== ask.tenant) return refused(404, 'missing', 'no such program');
-      return done({ program: ask.pid, budget: old.data.budget }, 201);
+      if (old.data.tenant !== tenant) return programMissing();
+      return done({ program: pid, budget: old.data.budget }, created);
     }
-    if (ask.parent !== undefined) {
-      const parent = await this.lookUp(replicator, ask.parent, ask.tenant);
-      if (!parent.program) return parent.outcome;
+    if (parent !== undefined) {
+      const lookup = await this.findProgram(replicator, parent, tenant);
+      if ('refusal' in lookup) return lookup.refusal;
     }
-    const value: ProgramValue = {
-      t: 'program',
-      tenant: ask.tenant,
-      budget,
-      parent: ask.parent ?? null,
-    };
-    await replicator.put(key, value);
-    return done({ program: ask.pid, budget: ask.parent === undefined ? budget : null }, 201);
+    const value: ProgramValue = { t: 'program', tenant, budget, parent: parent ?? null };
+    await replicator.put(programKey(pid), value);
+    return done({ program: pid, budget: parent === undefined ? budget : null }, created);
   }
 
-  private async lookUp(
-    replicator: SlotReplicator,
-    pid: string,
-    tenant: string,
-  ): Promise<{ program?: ProgramValue; outcome: CallOutcome }> {
-    const got = ProgramValue.safeParse(replicator.get(programKey(pid)));
-    if (!got.success) {
-      if (await replicator.confirmMissing(programKey(pid)))
-        return { outcome: refused(404, 'missing', 'no such program') };
-      return { outcome: refused(503, 'unavailable', 'the program cannot be read just now', 1) };
-    }
-    if (got.data.tenant !== tenant) return { outcome: refused(404, 'missing', 'no such program') };
-    return { program: got.data, outcome: done(got.data) };
+  /** A program with its finished turns, or one turn with its text. */
+  async readHistory(request: HistoryRequest): Promise<CallOutcome> {
+    const replicator = this.replicatorOf(request.pid);
+    const lookup = await this.findProgram(replicator, request.pid, request.tenant);
+    if ('refusal' in lookup) return lookup.refusal;
+    return request.turn === undefined
+      ? this.describeProgram(replicator, request.pid, lookup.program)
+      : this.describeTurn(replicator, request.pid, request.turn);
   }
 
-  async history(ask: HistoryAsk): Promise<CallOutcome> {
-    const replicator = this.s.replicator(this.s.programSlotKey(ask.pid));
-    const { program, outcome } = await this.lookUp(replicator, ask.pid, ask.tenant);
-    if (!program) return outcome;
-    if (ask.turn === undefined) {
-      const turns = replicator.turnsOf(ask.pid).flatMap((key) => {
-        const v = TurnValue.safeParse(replicator.get(key));
-        return v.success && v.data.status === 'done'
-          ? [{ turn: key.split('/')[3], after: v.data.after, tokens: v.data.cost }]
-          : [];
-      });
-      return done({
-        program: ask.pid,
-        parent: program.parent,
-        budget: program.budget,
-        spent: replicator.spent(rootProgramId(ask.pid)),
-        turns,
-      });
-    }
-    const v = TurnValue.safeParse(replicator.get(turnKey(ask.pid, ask.turn)));
-    if (v.success && v.data.status === 'done')
-      return done({
-        ...endOf(ask.turn, v.data),
-        after: v.data.after,
-        words: v.data.words,
-        text: v.data.chunks.join(''),
-      });
-    if (v.success && this.running.has(turnKey(ask.pid, ask.turn)))
-      return refused(409, 'running', 'the turn is still running', 1);
-    if (v.success && v.data.status !== 'void') return unknown('the turn broke off', 'broken-off');
-    if (v.success || (await replicator.confirmMissing(turnKey(ask.pid, ask.turn))))
-      return refused(404, 'missing', 'no such turn');
-    return refused(503, 'unavailable', 'the turn cannot be read just now', 1);
-  }
-
-  async turn(ask: TurnAsk, emit: EmitChunk, gone: AbortSignal): Promise<CallOutcome> {
-    const { config } = this.s.requireLease();
-    if (!config) return refused(503, 'not-ready', 'no configuration yet', 1);
-    const replicator = this.s.replicator(this.s.programSlotKey(ask.pid));
-    const turn = turnIdOf(ask.pid, ask.key);
-    const key = turnKey(ask.pid, turn);
-    const body = digest(JSON.stringify([ask.after, ask.path, ask.words]));
-    const run = this.running.get(key);
-    if (run) {
-      const first = await run;
-      const { program, outcome } = await this.lookUp(replicator, ask.pid, ask.tenant);
-      if (!program) return outcome;
-      return first.outcome === 'done' ? this.replay(replicator, key, turn, body, emit) : first;
-    }
-    const going = this.attempt(replicator, config, ask, turn, body, emit, gone).catch(
-      (e: unknown) => outcomeOfError(toRpcError(e)),
+  /** Runs a turn, joins one that runs, or repeats one that is done. */
+  async runTurn(request: TurnRequest, emit: EmitChunk, signal: AbortSignal): Promise<CallOutcome> {
+    const { config } = this.owner.requireLease();
+    const replicator = this.replicatorOf(request.pid);
+    const turn = turnIdOf(request.pid, request.key);
+    const key = turnKey(request.pid, turn);
+    const bodyDigest = shortDigest(JSON.stringify([request.after, request.path, request.words]));
+    const lookup: TurnLookup = { request, config, replicator, turn, key, bodyDigest, emit };
+    const running = this.running.get(key);
+    if (running) return this.joinTurn(lookup, running);
+    const outcome = this.startTurn(lookup, signal).catch((error: unknown) =>
+      outcomeOfError(toRpcError(error)),
     );
-    this.running.set(key, going);
+    this.running.set(key, outcome);
     const leave = replicator.enter();
-    return going.finally(() => {
+    return outcome.finally(() => {
       leave();
       this.running.delete(key);
     });
   }
 
-  private async attempt(
+  private replicatorOf(pid: string): SlotReplicator {
+    return this.owner.replicator(programSlotKey(pid));
+  }
+
+  private async findProgram(
     replicator: SlotReplicator,
-    config: Config,
-    ask: TurnAsk,
-    turn: string,
-    body: string,
-    emit: EmitChunk,
-    gone: AbortSignal,
-  ): Promise<CallOutcome> {
-    const { program, outcome } = await this.lookUp(replicator, ask.pid, ask.tenant);
-    if (!program) return outcome;
-    const old = TurnValue.safeParse(replicator.get(turnKey(ask.pid, turn)));
-    if (old.success && old.data.status !== 'void')
-      return this.replay(replicator, turnKey(ask.pid, turn), turn, body, emit);
-    if (!this.s.findRoute('turn', ask.path))
-      return refused(404, 'no-route', `no route takes turns at ${ask.path}`);
-    const chain = await this.conversation(replicator, ask);
-    if ('outcome' in chain) return chain.outcome;
-    return this.place({ replicator, ask, turn, body, config, ...chain }, emit, gone);
+    pid: string,
+    tenant: string,
+  ): Promise<ProgramLookup> {
+    const key = programKey(pid);
+    const value = ProgramValue.safeParse(replicator.get(key));
+    if (!value.success) {
+      if (await replicator.confirmMissing(key)) return { refusal: programMissing() };
+      return { refusal: unreadable('the program') };
+    }
+    if (value.data.tenant !== tenant) return { refusal: programMissing() };
+    return { program: value.data };
   }
 
-  private replay(
+  private describeProgram(
     replicator: SlotReplicator,
-    key: string,
-    turn: string,
-    body: string,
-    emit: EmitChunk,
+    pid: string,
+    program: ProgramValue,
   ): CallOutcome {
-    const v = TurnValue.safeParse(replicator.get(key));
-    if (!v.success || v.data.status === 'void')
-      return refused(503, 'unavailable', 'the turn cannot be read just now', 1);
-    if (v.data.digest !== body)
-      return refused(422, 'other-body', 'this key was used with other words');
-    if (v.data.status !== 'done')
-      return unknown('the turn broke off and is not run again', 'broken-off');
-    v.data.chunks.forEach((text, n) => emit(n, text));
-    return done({ end: endOf(turn, v.data) });
+    const turns = replicator.turnsOf(pid).flatMap((key) => {
+      const value = TurnValue.safeParse(replicator.get(key));
+      return value.success && value.data.status === 'done'
+        ? [{ turn: key.split('/')[3], after: value.data.after, tokens: value.data.cost }]
+        : [];
+    });
+    return done({
+      program: pid,
+      parent: program.parent,
+      budget: program.budget,
+      spent: replicator.spent(rootProgramId(pid)),
+      turns,
+    });
   }
 
-  private async conversation(
+  private async describeTurn(
     replicator: SlotReplicator,
-    ask: TurnAsk,
-  ): Promise<{ messages: readonly Message[]; sticky: string } | { outcome: CallOutcome }> {
-    const out: Message[] = [{ role: 'user', text: ask.words }];
-    let sticky = '';
-    for (let at = ask.after; at !== null;) {
-      const v = TurnValue.safeParse(replicator.get(turnKey(ask.pid, at)));
-      if (!v.success || v.data.status === 'void') {
-        if (v.success || (await replicator.confirmMissing(turnKey(ask.pid, at))))
-          return { outcome: refused(404, 'missing-turn', `no such turn: ${at}`) };
-        return { outcome: refused(503, 'unavailable', 'the history cannot be read just now', 1) };
-      }
-      if (v.data.status !== 'done')
-        return { outcome: refused(409, 'not-finished', `turn ${at} has not finished`) };
-      sticky ||= v.data.pool;
-      out.push(
-        { role: 'assistant', text: v.data.chunks.join('') },
-        { role: 'user', text: v.data.words },
+    pid: string,
+    turn: string,
+  ): Promise<CallOutcome> {
+    const key = turnKey(pid, turn);
+    const value = TurnValue.safeParse(replicator.get(key));
+    if (value.success && value.data.status === 'done')
+      return done({
+        ...turnSummary(turn, value.data),
+        after: value.data.after,
+        words: value.data.words,
+        text: value.data.chunks.join(''),
+      });
+    if (value.success && this.running.has(key))
+      return refused(
+        status.conflict,
+        'running',
+        'the turn is still running',
+        retryAfterSeconds.recovery,
       );
-      at = v.data.after;
-    }
-    return { messages: out.reverse(), sticky };
+    if (value.success && value.data.status !== 'void')
+      return unknown('the turn broke off', 'broken-off');
+    if (value.success || (await replicator.confirmMissing(key)))
+      return refused(status.notFound, 'missing', 'no such turn');
+    return unreadable('the turn');
   }
 
-  private async place(job: Job, emit: EmitChunk, gone: AbortSignal): Promise<CallOutcome> {
-    const { config, messages, sticky } = job;
-    const prefixes = prefixesOf(messages);
-    const skip = new Set<string>();
-    const end = this.s.p.clock.now() + config.bounds.turnMs / 4;
-    const prefixKey = `${rootProgramId(job.ask.pid)}`;
-    for (;;) {
-      const left = end - this.s.p.clock.now();
-      if (left <= 0) return refused(503, 'queue-timeout', 'no server came free in time', 2);
-      if (this.left(job, prefixKey) <= 0)
-        return refused(402, 'budget-spent', 'the budget is spent');
-      const server = await this.s.place('turn', job.ask.path, prefixes, sticky, skip, left, gone);
-      const t0 = this.s.p.clock.now();
-      let ended: (Ended & { tokens?: number }) | undefined;
-      try {
-        const reserve = this.reserve(job, prefixKey);
-        if (reserve <= 0) return refused(402, 'budget-spent', 'the budget is spent');
-        const value: TurnValue = {
-          t: 'turn',
-          status: 'reserved',
-          after: job.ask.after,
-          digest: job.body,
-          words: job.ask.words,
-          pool: server.pool,
-          server: server.id,
-          cost: reserve,
-          chunks: [],
-        };
-        try {
-          await job.replicator.put(turnKey(job.ask.pid, job.turn), value);
-        } finally {
-          this.reserving.set(prefixKey, (this.reserving.get(prefixKey) ?? 0) - reserve);
-        }
-        if (gone.aborted || !this.s.mayRun(server, 'turn', job.ask.path)) {
-          await this.settle(job, { ...value, status: 'void', cost: 0 });
-          if (gone.aborted || !this.s.leaseValid)
-            return refused(503, gone.aborted ? 'gone' : 'not-ready', 'nothing was run', 1);
-          skip.add(server.id);
-          continue;
-        }
-        const out = await this.run(job, server, value, emit, gone);
-        ended = out.ended;
-        if (out.outcome) return out.outcome;
-        skip.add(server.id);
-      } finally {
-        const took = (this.s.p.clock.now() - t0) / 1000;
-        const tokens = ended?.kind === 'done' ? ended.tokens : undefined;
-        this.s.finished(
-          server,
-          !ended || ended.kind === 'done' || ended.kind === 'declined' || gone.aborted,
-          tokens === undefined ? undefined : tokens / Math.max(0.001, took),
-        );
-      }
-    }
+  /** Who joins a turn is looked up like who started it, and gets a finished turn from its record. */
+  private async joinTurn(lookup: TurnLookup, running: Promise<CallOutcome>): Promise<CallOutcome> {
+    const { request, replicator } = lookup;
+    const first = await running;
+    const program = await this.findProgram(replicator, request.pid, request.tenant);
+    if ('refusal' in program) return program.refusal;
+    return first.outcome === 'done' ? this.repeatTurn(lookup) : first;
   }
 
-  private left(job: Job, root: string): number {
-    const program = ProgramValue.parse(job.replicator.get(programKey(root)));
-    return program.budget - job.replicator.spent(root) - (this.reserving.get(root) ?? 0);
-  }
-
-  private reserve(job: Job, root: string): number {
-    const want = Math.min(
-      job.ask.maxTokens ?? job.config.budgets.turn,
-      job.config.budgets.turn,
-      this.left(job, root),
-    );
-    if (want > 0) this.reserving.set(root, (this.reserving.get(root) ?? 0) + want);
-    return want;
+  private async startTurn(lookup: TurnLookup, signal: AbortSignal): Promise<CallOutcome> {
+    const { request, replicator, key } = lookup;
+    const program = await this.findProgram(replicator, request.pid, request.tenant);
+    if ('refusal' in program) return program.refusal;
+    const old = TurnValue.safeParse(replicator.get(key));
+    if (old.success && old.data.status !== 'void') return this.repeatTurn(lookup);
+    if (!this.owner.findRoute('turn', request.path))
+      return refused(status.notFound, 'no-route', `no route takes turns at ${request.path}`);
+    const conversation = await this.readConversation(replicator, request);
+    if ('refusal' in conversation) return conversation.refusal;
+    const job = { ...lookup, ...conversation, signal };
+    return new AttemptMachine(this.owner, new TurnAttempts(this.owner, this.pending, job)).run();
   }
 
-  private async settle(job: Job, value: TurnValue): Promise<void> {
-    await job.replicator.putSoon(turnKey(job.ask.pid, job.turn), value, 20);
+  private repeatTurn({ replicator, key, turn, bodyDigest, emit }: TurnLookup): CallOutcome {
+    const value = TurnValue.safeParse(replicator.get(key));
+    if (!value.success || value.data.status === 'void') return unreadable('the turn');
+    if (value.data.digest !== bodyDigest)
+      return refused(status.otherBody, 'other-body', 'this key was used with other words');
+    if (value.data.status !== 'done')
+      return unknown('the turn broke off and is not run again', 'broken-off');
+    value.data.chunks.forEach((text, n) => emit(n, text));
+    return done({ end: turnSummary(turn, value.data) });
   }
 
-  private async run(
-    job: Job,
-    server: Server,
-    value: TurnValue,
-    emit: EmitChunk,
-    gone: AbortSignal,
-  ): Promise<{ ended: Ended & { tokens?: number }; outcome?: CallOutcome }> {
-    const chunks: string[] = [];
-    const stop = new AbortController();
-    const onGone = () => stop.abort();
-    gone.addEventListener('abort', onGone, { once: true });
-    const ended = await this.s.p.backend
-      .generate(
-        server,
-        {
-          id: `${job.ask.pid}/${job.turn}`,
-          messages: job.messages,
-          maxTokens: value.cost,
-          requestId: job.ask.requestId,
-        },
-        (n, text) => {
-          if (n !== chunks.length || chunks.length >= value.cost) {
-            stop.abort();
-            return;
-          }
-          chunks.push(text);
-          emit(n, text);
-        },
-        stop.signal,
-        job.config.bounds.turnMs,
-        () => this.s.mayRun(server, 'turn', job.ask.path),
-      )
-      .finally(() => gone.removeEventListener('abort', onGone));
-    if (ended.kind === 'never-left' || ended.kind === 'declined') {
-      await this.settle(job, { ...value, status: 'void', cost: 0 });
-      return { ended };
-    }
-    if (ended.kind === 'lost' || stop.signal.aborted || ended.body !== chunks.length) {
-      const text = ended.kind === 'lost' ? ended.text : 'the stream did not hold together';
-      await this.settle(job, { ...value, status: 'failed', chunks }).catch(() => undefined);
-      return { ended: { kind: 'lost', text }, outcome: unknown(text, 'broken-off') };
-    }
-    const whole: TurnValue = { ...value, status: 'done', cost: chunks.length, chunks };
-    try {
-      await this.settle(job, whole);
-    } catch (e) {
-      throw new ProtocolError(
-        'unknown',
-        `the turn ran but could not be kept: ${toRpcError(e).message}`,
-        'unknown',
+  private async readConversation(
+    replicator: SlotReplicator,
+    { pid, after, words }: TurnRequest,
+  ): Promise<Conversation | { readonly refusal: CallOutcome }> {
+    const newestFirst: Message[] = [{ role: 'user', text: words }];
+    let stickyPool = '';
+    for (let at = after; at !== null;) {
+      const value = TurnValue.safeParse(replicator.get(turnKey(pid, at)));
+      if (!value.success || value.data.status === 'void') {
+        if (value.success || (await replicator.confirmMissing(turnKey(pid, at))))
+          return { refusal: refused(status.notFound, 'missing-turn', `no such turn: ${at}`) };
+        return { refusal: unreadable('the history') };
+      }
+      if (value.data.status !== 'done')
+        return {
+          refusal: refused(status.conflict, 'not-finished', `turn ${at} has not finished`),
+        };
+      stickyPool ||= value.data.pool;
+      newestFirst.push(
+        { role: 'assistant', text: value.data.chunks.join('') },
+        { role: 'user', text: value.data.words },
       );
+      at = value.data.after;
     }
-    return {
-      ended: { ...ended, tokens: chunks.length },
-      outcome: done({ end: endOf(job.turn, whole) }),
-    };
+    return { messages: newestFirst.reverse(), stickyPool };
   }
 }
--- a/packages/sim/src/pass.ts
+++ b/packages/sim/src/pass.ts
@@ -1,10 +1,10 @@
 import type { PassRecord } from '@tillerstair/checker';
 import { passOn } from '@tillerstair/proxy';
 import {
-  packed,
-  unpacked,
-  Passed,
-  type PassAsk,
+  encodeBody,
+  decodeBody,
+  ForwardedResponse,
+  type PassRequest,
   type CallOutcome,
 } from '@tillerstair/session-owner';
 import { toRpcError } from '@tillerstair/wire';
@@ -62,7 +62,7 @@
         : 'stream';
 };
 
-const askOf = (w: World, spec: PassSpec): PassAsk => {
+const askOf = (w: World, spec: PassSpec): PassRequest => {
   const { path, key = '', program = '', budget = null, most = 10 } = spec;
   const attempt = spec.attempt ?? `r${w.freshId()}`;
   const streamed = mannerOf(path) === 'stream';
@@ -76,7 +76,7 @@
     method: 'POST',
     path,
     headers,
-    body: packed(Buffer.from(spec.body ?? '', 'latin1')),
+    body: encodeBody(Buffer.from(spec.body ?? '', 'latin1')),
     attempt,
     key,
     left: spec.left ?? 8000,
@@ -113,7 +113,7 @@
       else got += text;
     },
   );
-  const whole = Passed.safeParse(v.body);
+  const whole = ForwardedResponse.safeParse(v.body);
   const row: PassRecord = {
     manner: mannerOf(ask.path),
     path: ask.path,
@@ -131,7 +131,7 @@
     status: whole.success ? whole.data.status : v.outcome === 'done' ? 200 : v.status,
     errorCode: v.errorCode ?? '',
     retryAfter: v.retryAfter ?? 0,
-    body: whole.success ? unpacked(whole.data.body).toString('latin1') : got,
+    body: whole.success ? decodeBody(whole.data.body).toString('latin1') : got,
   };
   w.passes.push(row);
   return row;
--- a/tests/src/session-owner/batch-placement.test.ts
+++ b/tests/src/session-owner/batch-placement.test.ts
@@ -9,7 +9,7 @@
   type Server,
   type State,
 } from '@tillerstair/state';
-import { chainOf, partsOf, Placement, tableOf, type Part } from '@tillerstair/session-owner';
+import { chainOf, partsOf, Placement, compileState, type Part } from '@tillerstair/session-owner';
 
 const batches = suite('placement among servers that run batches');
 
@@ -66,7 +66,7 @@
       },
     },
   );
-  const table = tableOf(state, undefined);
+  const table = compileState(state, undefined);
   const sims = new SimServers(clock, seededRng(1));
   const bounds = {
     poll: 0,
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -1,7 +1,7 @@
 /** A keyed operation is never run twice, and what is reported of it is what is known of it. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { opKeyOf, OpValue, packed, type CallOutcome } from '@tillerstair/session-owner';
+import { opKeyOf, OpValue, encodeBody, type CallOutcome } from '@tillerstair/session-owner';
 import { RpcError } from '@tillerstair/wire';
 import {
   configuration,
@@ -45,7 +45,7 @@
       after: '',
       resume: '',
       ...change,
-      body: packed(Buffer.from(change.body ?? 'b')),
+      body: encodeBody(Buffer.from(change.body ?? 'b')),
     },
     stop,
   );
@@ -124,8 +124,8 @@
     await rig.clock.run(10);
     const joined = pass(rig);
     const before = rig.clock.now();
-  assert.is(brief(await rig.finish(pass(rig, { left: 50 }))), 'refused 409 running');
-  assert.is(rig.clock.now() - before, 50);
+    assert.is(brief(await rig.finish(pass(rig, { left: 50 }))), 'refused 409 running');
+    assert.is(rig.clock.now() - before, 50);
     server.open();
     assert.equal(await rig.finish(joined), await rig.finish(first));
     assert.is(rig.sent.length, 1);
--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -118,7 +118,16 @@
 readiness('no server is picked without a read lease or once none is usable', async () => {
   const rig = await SessionOwnerRig.opened();
   const never = new AbortController().signal;
-  const place = () => rig.owner.place('turn', '/chat', [], '', new Set(), 300, never);
+  const place = () =>
+    rig.owner.place({
+      kind: 'turn',
+      path: '/chat',
+      promptParts: [],
+      stickyPool: '',
+      excluded: new Set(),
+      timeoutMs: 300,
+      signal: never,
+    });
   rig.leaseMs = 0;
   assert.is(await codeOf(() => rig.finish(place())), 'queue-timeout');
   rig.leaseMs = 60000;
@@ -135,7 +144,11 @@
   rig.down.add('b');
   assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r0'))), 'unavailable');
   rig.store('p/x-q/t/r0', turn());
-  assert.equal(await rig.finish(rig.owner.findTurn('r0')), [['r0', turn()]]);
+  const found = await rig.finish(rig.owner.findTurn('r0'));
+  assert.equal(
+    found.map(({ attempt, turn: value }) => [attempt, value]),
+    [['r0', turn()]],
+  );
   rig.changeSlot({ replicas: [] });
   assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r1'))), 'unavailable');
 });
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -16,7 +16,7 @@
   AdmissionQueue,
   Placement,
   prefixesOf,
-  tableOf,
+  compileState,
 } from '@tillerstair/session-owner';
 import { createAbortController, RpcError } from '@tillerstair/wire';
 import { five, recordsOf, worldUp } from '../support/world-helpers.js';
@@ -81,7 +81,7 @@
 
 const placing = (s: State, affinity = true) => {
   const clock = new SimClock();
-  const table = tableOf(s, undefined);
+  const table = compileState(s, undefined);
   const servers = new SimServers(clock, seededRng(1));
   const bounds = {
     poll: 250,
--- a/tests/src/session-owner/stream-events.test.ts
+++ b/tests/src/session-owner/stream-events.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { seededRng } from '@tillerstair/sim';
-import { Events } from '@tillerstair/session-owner';
+import { EventSplitter } from '@tillerstair/session-owner';
 
 const events = suite('events of a stream');
 
@@ -14,9 +14,9 @@
 }
 
 const fed = (parts: readonly string[]): Seen => {
-  const e = new Events();
-  const passed = parts.map((p) => e.take(p)).join('');
-  return { passed, count: e.count, lastId: e.lastId, data: e.data, torn: e.torn };
+  const e = new EventSplitter();
+  const passed = parts.map((p) => e.push(p)).join('');
+  return { passed, count: e.count, lastId: e.lastId, data: e.data, torn: e.endsWithinEvent };
 };
 
 const made = (
@@ -96,21 +96,21 @@
 });
 
 events('what another server goes on with joins after the last whole event', () => {
-  const e = new Events();
-  let out = e.take('id: 1\ndata: a\n\nid: 2\nda');
-  e.drop();
-  out += e.take('id: 2\ndata: b\n\n');
+  const e = new EventSplitter();
+  let out = e.push('id: 1\ndata: a\n\nid: 2\nda');
+  e.dropIncompleteEvent();
+  out += e.push('id: 2\ndata: b\n\n');
   assert.is(out, 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n');
-  assert.equal([e.count, e.data, e.torn], [2, 'a\nb\n', false]);
+  assert.equal([e.count, e.data, e.endsWithinEvent], [2, 'a\nb\n', false]);
 });
 
 events('bytes after the last event are kept, and an event without an id is known', () => {
-  const e = new Events();
-  e.take('id: 1\ndata: a\n\n\r\n ');
-  assert.equal([e.tail, e.torn, e.unnamed], [' ', false, false]);
-  const f = new Events();
-  f.take('id: 1\ndata: a\n\ndata: b\n\n');
-  assert.equal([f.tail, f.lastId, f.unnamed], ['', '1', true]);
+  const e = new EventSplitter();
+  e.push('id: 1\ndata: a\n\n\r\n ');
+  assert.equal([e.tail, e.endsWithinEvent, e.lastEventHasNoId], [' ', false, false]);
+  const f = new EventSplitter();
+  f.push('id: 1\ndata: a\n\ndata: b\n\n');
+  assert.equal([f.tail, f.lastId, f.lastEventHasNoId], ['', '1', true]);
 });
 
 events('data may be empty and may begin with spaces', () => {
--- a/tests/src/session-owner/streamed-turns.test.ts
+++ b/tests/src/session-owner/streamed-turns.test.ts
@@ -1,7 +1,12 @@
 /** A streamed request is reserved before it is sent, and goes on at another server only where nothing can be told twice. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { packed, PassTurn, type CallOutcome, type PassAsk } from '@tillerstair/session-owner';
+import {
+  encodeBody,
+  PassTurn,
+  type CallOutcome,
+  type PassRequest,
+} from '@tillerstair/session-owner';
 import { RpcError } from '@tillerstair/wire';
 import {
   configuration,
@@ -17,8 +22,8 @@
 const never = new AbortController().signal;
 const key = 'p/x-p/t/r1';
 
-const run = (rig: SessionOwnerRig, change: Partial<PassAsk> = {}, stop = never) =>
-  rig.owner.streams.stream(
+const run = (rig: SessionOwnerRig, change: Partial<PassRequest> = {}, stop = never) =>
+  rig.owner.streams.runStream(
     {
       tenant: 't',
       host,
@@ -35,7 +40,7 @@
       after: '',
       resume: '',
       ...change,
-      body: packed(Buffer.from(change.body ?? 'in;')),
+      body: encodeBody(Buffer.from(change.body ?? 'in;')),
     },
     rig.emit,
     stop,
@@ -60,7 +65,7 @@
   status: 'done',
   after: '',
   cost: 4,
-  input: packed(Buffer.from('before;')),
+  input: encodeBody(Buffer.from('before;')),
   output: 'said\n',
   ...change,
 });
--- a/tests/src/session-owner/turns.test.ts
+++ b/tests/src/session-owner/turns.test.ts
@@ -29,7 +29,7 @@
 }
 
 const run = (rig: SessionOwnerRig, change: TurnChange = {}, stop = never) =>
-  rig.owner.turns.turn(
+  rig.owner.turns.runTurn(
     {
       tenant: 't',
       pid: 'p1',
@@ -45,7 +45,7 @@
   );
 
 const history = (rig: SessionOwnerRig, change: { tenant?: string; turn?: string } = {}) =>
-  rig.owner.turns.history({ tenant: 't', pid: 'p1', ...change });
+  rig.owner.turns.readHistory({ tenant: 't', pid: 'p1', ...change });
 
 const brief = (outcome: CallOutcome): string =>
   `${outcome.outcome} ${outcome.status} ${outcome.errorCode ?? ''}`.trim();
@@ -62,7 +62,7 @@
 /** An owner with program p1 of tenant t. */
 const withProgram = async (budget = 50): Promise<SessionOwnerRig> => {
   const rig = await SessionOwnerRig.opened();
-  await rig.finish(rig.owner.turns.program({ tenant: 't', pid: 'p1', budget }));
+  await rig.finish(rig.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget }));
   return rig;
 };
 
@@ -101,7 +101,7 @@
   const rig = await withProgram();
   const other = { tenant: 'other' };
   assert.is(
-    brief(await rig.finish(rig.owner.turns.program({ tenant: 'other', pid: 'p1' }))),
+    brief(await rig.finish(rig.owner.turns.createProgram({ tenant: 'other', pid: 'p1' }))),
     'refused 404 missing',
   );
   assert.is(brief(await rig.finish(run(rig, other))), 'refused 404 missing');
@@ -132,7 +132,7 @@
     ['t', 'p1', 'done 201'],
   ] as const)
     assert.is(
-      brief(await rig.finish(rig.owner.turns.program({ tenant, pid: 'p1~1', parent }))),
+      brief(await rig.finish(rig.owner.turns.createProgram({ tenant, pid: 'p1~1', parent }))),
       expected,
     );
 });
@@ -148,7 +148,9 @@
       spent: 0,
       turns: [],
     });
-    const again = await rig.finish(rig.owner.turns.program({ tenant: 't', pid: 'p1', budget: 7 }));
+    const again = await rig.finish(
+      rig.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget: 7 }),
+    );
     assert.equal(again.body, { program: 'p1', budget: 100 });
   },
 );
@@ -267,7 +269,7 @@
     chunks: Array.from({ length: 8 }, (_, n) => [n, 'x'] as const),
     after: server.opened,
   });
-  await rig.finish(rig.owner.turns.program({ tenant: 't', pid: 'p2', budget: 50 }));
+  await rig.finish(rig.owner.turns.createProgram({ tenant: 't', pid: 'p2', budget: 50 }));
   const busy = run(rig, { pid: 'p2' });
   await rig.clock.run(10);
   const [second, third] = [run(rig, { key: 'second' }), run(rig, { key: 'third' })];
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-rig.ts
@@ -5,13 +5,13 @@
 import {
   bootstrapState,
   checkConfig,
-  digestOf,
+  configDigest,
   type Member,
   type Server,
   type Slot,
   type State,
 } from '@tillerstair/state';
-import { noLog, RpcError, type Transport } from '@tillerstair/wire';
+import { silentLogger, RpcError, type Transport } from '@tillerstair/wire';
 import { z } from 'zod';
 
 const ownId = 'f1';
@@ -110,7 +110,7 @@
   return {
     version,
     text,
-    digest: digestOf(text),
+    digest: configDigest(text),
     compiled: JSON.stringify(checked.config),
     changeId: '',
   };
@@ -224,7 +224,7 @@
       clock: this.clock,
       transport: this.transport(),
       backend: this.backend(),
-      log: noLog,
+      log: silentLogger,
       affinity: false,
       bounds: {
         heartbeatInterval: 500,
@@ -340,7 +340,7 @@
         return this.answer(to, kind, StoreRequest.parse(body));
       },
       serve: () => Promise.resolve(),
-      onLost: () => undefined,
+      onConnectionLost: () => undefined,
       close: () => Promise.resolve(),
     };
   }
@@ -371,7 +371,8 @@
 
   private write(items: Map<string, StoredItem>, item: StoredItem): void {
     const status = statusOf(item.value);
-    if (!this.onPut(item.key, status)) throw new RpcError('disk', 'the disk takes no writes');
+    if (!this.onPut(item.key, status))
+      throw new RpcError('unavailable', 'the disk takes no writes');
     items.set(item.key, item);
     this.trail.push(`put ${item.key} ${status}`);
   }
