--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -2,7 +2,7 @@
  * A turn of the product's own interface on its way through the `AttemptMachine`.
  *
  * Each attempt at a server has a reservation of its own, which is made void when that server did not run the turn. A
- * turn that was sent is never sent again: it ends as done, or as failed with what had arrived.
+ * turn that was sent is never sent again: it is done then, or failed with what had arrived.
  */
 import { rootProgramId, type Config, type Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -1,17 +1,17 @@
 /** A keyed operation is never run twice, and what is reported of it is what is known of it. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { opKeyOf, OpValue, encodeBody, type CallOutcome } from '@tillerstair/session-owner';
-import { RpcError } from '@tillerstair/wire';
+import { opKeyOf, OpValue, encodeBody } from '@tillerstair/session-owner';
 import {
-  configuration,
+  brief,
+  codeOf,
   declinedReply,
   gate,
-  host,
   lostReply,
   SessionOwnerRig,
   statusOf,
 } from '../support/session-owner-rig.js';
+import { configuration, host } from '../support/session-owner-state.js';
 
 const operations = suite('keyed operations');
 const never = new AbortController().signal;
@@ -50,22 +50,10 @@
     stop,
   );
 
-const codeOf = async (work: Promise<unknown>): Promise<string> => {
-  try {
-    await work;
-    return 'no error';
-  } catch (error) {
-    return error instanceof RpcError ? error.code : String(error);
-  }
-};
-
-const brief = (outcome: CallOutcome): string =>
-  `${outcome.outcome} ${outcome.status} ${outcome.errorCode ?? ''}`.trim();
-
 operations('a call without a route is refused', async () => {
   const rig = await SessionOwnerRig.opened();
   assert.is(brief(await rig.finish(call(rig, { path: '/none' }))), 'refused 404 no-route');
-  assert.is(await codeOf(rig.finish(pass(rig, { path: '/none/' }))), 'route-unknown');
+  assert.is(await codeOf(() => rig.finish(pass(rig, { path: '/none/' }))), 'route-unknown');
 });
 
 operations('an acting call and a keyed pass need a key', async () => {
@@ -357,7 +345,7 @@
   server.open();
   await rig.finish(work);
   assert.equal(rig.owner.releases(), [[0, 1]]);
-  assert.is(await codeOf(rig.finish(call(rig, { key: 'next' }))), 'taking-over');
+  assert.is(await codeOf(() => rig.finish(call(rig, { key: 'next' }))), 'taking-over');
 });
 
 operations('a request that waits in line longer than it may is refused as not run', async () => {
--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -2,20 +2,10 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PassTurn } from '@tillerstair/session-owner';
-import { RpcError } from '@tillerstair/wire';
-import { SessionOwnerRig } from '../support/session-owner-rig.js';
+import { codeOf, SessionOwnerRig } from '../support/session-owner-rig.js';
 
 const readiness = suite('what an owner may serve');
 
-const codeOf = async (work: () => unknown): Promise<string> => {
-  try {
-    await work();
-    return 'no error';
-  } catch (error) {
-    return error instanceof RpcError ? error.code : String(error);
-  }
-};
-
 const turn = (change: Partial<PassTurn> = {}): PassTurn => ({
   t: 'pass',
   status: 'done',
--- a/tests/src/session-owner/streamed-turns.test.ts
+++ b/tests/src/session-owner/streamed-turns.test.ts
@@ -1,22 +1,17 @@
 /** A streamed request is reserved before it is sent, and goes on at another server only where nothing can be told twice. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
+import { encodeBody, PassTurn, type PassRequest } from '@tillerstair/session-owner';
 import {
-  encodeBody,
-  PassTurn,
-  type CallOutcome,
-  type PassRequest,
-} from '@tillerstair/session-owner';
-import { RpcError } from '@tillerstair/wire';
-import {
-  configuration,
+  brief,
+  codeOf,
   declinedReply,
   gate,
-  host,
   SessionOwnerRig,
   statusOf,
   wholeReply,
 } from '../support/session-owner-rig.js';
+import { configuration, host } from '../support/session-owner-state.js';
 
 const streams = suite('streamed turns');
 const never = new AbortController().signal;
@@ -46,18 +41,6 @@
     stop,
   );
 
-const brief = (outcome: CallOutcome): string =>
-  `${outcome.outcome} ${outcome.status} ${outcome.errorCode ?? ''}`.trim();
-
-const codeOf = async (work: Promise<unknown>): Promise<string> => {
-  try {
-    await work;
-    return 'no error';
-  } catch (error) {
-    return error instanceof RpcError ? error.code : String(error);
-  }
-};
-
 const turnAt = (rig: SessionOwnerRig, at = key): PassTurn => PassTurn.parse(rig.stored(at));
 
 const stored = (change: Partial<PassTurn> = {}): PassTurn => ({
@@ -72,7 +55,7 @@
 
 streams('a path without a route is another error than a refusal', async () => {
   const rig = await SessionOwnerRig.opened();
-  assert.is(await codeOf(run(rig, { path: '/none/' })), 'route-unknown');
+  assert.is(await codeOf(() => run(rig, { path: '/none/' })), 'route-unknown');
 });
 
 streams('the reservation is on a quorum before the request is sent', async () => {
--- a/tests/src/session-owner/turns.test.ts
+++ b/tests/src/session-owner/turns.test.ts
@@ -1,80 +1,34 @@
 /** A turn is reserved before it is sent, sent at most once, and called done only once it is on a quorum. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { turnIdOf, TurnValue, type CallOutcome } from '@tillerstair/session-owner';
-import { RpcError } from '@tillerstair/wire';
 import {
-  configuration,
+  brief,
+  codeOf,
   declinedReply,
   gate,
   lostReply,
-  SessionOwnerRig,
   statusOf,
   wholeReply,
 } from '../support/session-owner-rig.js';
+import { configuration } from '../support/session-owner-state.js';
+import {
+  readHistory,
+  runTurn,
+  turn,
+  turnKey,
+  turnValue,
+  withProgram,
+} from '../support/session-owner-turns.js';
 
 const turns = suite('turns of the own interface');
-const never = new AbortController().signal;
-const turn = turnIdOf('p1', 'k');
-const key = `p/p1/t/${turn}`;
-
-interface TurnChange {
-  readonly tenant?: string;
-  readonly pid?: string;
-  readonly after?: string | null;
-  readonly path?: string;
-  readonly words?: string;
-  readonly key?: string;
-  readonly maxTokens?: number;
-}
-
-const run = (rig: SessionOwnerRig, change: TurnChange = {}, stop = never) =>
-  rig.owner.turns.runTurn(
-    {
-      tenant: 't',
-      pid: 'p1',
-      after: null,
-      path: '/chat',
-      words: 'hello',
-      key: 'k',
-      requestId: '',
-      ...change,
-    },
-    rig.emit,
-    stop,
-  );
-
-const history = (rig: SessionOwnerRig, change: { tenant?: string; turn?: string } = {}) =>
-  rig.owner.turns.readHistory({ tenant: 't', pid: 'p1', ...change });
-
-const brief = (outcome: CallOutcome): string =>
-  `${outcome.outcome} ${outcome.status} ${outcome.errorCode ?? ''}`.trim();
-
-const codeOf = async (work: Promise<unknown>): Promise<string> => {
-  try {
-    await work;
-    return 'no error';
-  } catch (error) {
-    return error instanceof RpcError ? error.code : String(error);
-  }
-};
-
-/** An owner with program p1 of tenant t. */
-const withProgram = async (budget = 50): Promise<SessionOwnerRig> => {
-  const rig = await SessionOwnerRig.opened();
-  await rig.finish(rig.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget }));
-  return rig;
-};
-
-const valueOf = (rig: SessionOwnerRig, at = key): TurnValue => TurnValue.parse(rig.stored(at));
 
 turns('the reservation is on a quorum before the turn is sent', async () => {
   const rig = await withProgram();
-  assert.is(brief(await rig.finish(run(rig))), 'done 200');
+  assert.is(brief(await rig.finish(runTurn(rig))), 'done 200');
   const sentAt = rig.trail.findIndex((line) => line.startsWith('send'));
-  const before = rig.trail.slice(0, sentAt).filter((line) => line === `put ${key} reserved`);
+  const before = rig.trail.slice(0, sentAt).filter((line) => line === `put ${turnKey} reserved`);
   assert.ok(before.length >= 2, rig.trail.join(', '));
-  assert.is(valueOf(rig).cost, 3);
+  assert.is(turnValue(rig).cost, 3);
   assert.equal(rig.emitted, ['x', 'y', 'z']);
 });
 
@@ -83,10 +37,10 @@
   async () => {
     const rig = await withProgram(10);
     rig.onPut = () => false;
-    assert.is(brief(await rig.finish(run(rig, { maxTokens: 8 }))), 'refused 503 unavailable');
+    assert.is(brief(await rig.finish(runTurn(rig, { maxTokens: 8 }))), 'refused 503 unavailable');
     assert.is(rig.sent.length, 0);
     rig.onPut = () => true;
-    assert.is(brief(await rig.finish(run(rig, { maxTokens: 8, key: 'other' }))), 'done 200');
+    assert.is(brief(await rig.finish(runTurn(rig, { maxTokens: 8, key: 'other' }))), 'done 200');
     assert.is(rig.sent[0]?.maxTokens, 8);
   },
 );
@@ -94,119 +48,64 @@
 turns('a turn is done only once it is on a quorum', async () => {
   const rig = await withProgram();
   rig.onPut = (_, status) => status !== 'done';
-  assert.is(brief(await rig.finish(run(rig))), 'unknown 504 unknown');
-});
-
-turns('a program of another tenant is not there', async () => {
-  const rig = await withProgram();
-  const other = { tenant: 'other' };
-  assert.is(
-    brief(await rig.finish(rig.owner.turns.createProgram({ tenant: 'other', pid: 'p1' }))),
-    'refused 404 missing',
-  );
-  assert.is(brief(await rig.finish(run(rig, other))), 'refused 404 missing');
-  assert.is(brief(await rig.finish(history(rig, other))), 'refused 404 missing');
-  assert.is(rig.sent.length, 0);
+  assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 unknown');
 });
 
 turns('who joins a turn that runs is looked up too', async () => {
   const rig = await withProgram();
   const server = gate();
   rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const first = run(rig);
+  const first = runTurn(rig);
   await rig.clock.run(10);
-  const stranger = run(rig, { tenant: 'other' });
-  const joined = run(rig);
+  const stranger = runTurn(rig, { tenant: 'other' });
+  const joined = runTurn(rig);
   server.open();
   assert.is(brief(await rig.finish(first)), 'done 200');
   assert.is(brief(await rig.finish(stranger)), 'refused 404 missing');
-  assert.equal(await rig.finish(joined), await rig.finish(run(rig)));
+  assert.equal(await rig.finish(joined), await rig.finish(runTurn(rig)));
   assert.is(rig.sent.length, 1);
 });
 
-turns('a parent must be there and of the same tenant', async () => {
-  const rig = await withProgram();
-  for (const [tenant, parent, expected] of [
-    ['t', 'p2', 'refused 404 missing'],
-    ['other', 'p1', 'refused 404 missing'],
-    ['t', 'p1', 'done 201'],
-  ] as const)
-    assert.is(
-      brief(await rig.finish(rig.owner.turns.createProgram({ tenant, pid: 'p1~1', parent }))),
-      expected,
-    );
-});
-
-turns(
-  "a program's budget is at most the configuration's, and a second request does not change it",
-  async () => {
-    const rig = await withProgram(1000);
-    assert.equal((await rig.finish(history(rig))).body, {
-      program: 'p1',
-      parent: null,
-      budget: 100,
-      spent: 0,
-      turns: [],
-    });
-    const again = await rig.finish(
-      rig.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget: 7 }),
-    );
-    assert.equal(again.body, { program: 'p1', budget: 100 });
-  },
-);
-
-turns(
-  'a program is missing only if a quorum has none; else it cannot be read just now',
-  async () => {
-    const rig = await SessionOwnerRig.opened();
-    assert.is(brief(await rig.finish(run(rig))), 'refused 404 missing');
-    rig.store('p/p1', { t: 'program', tenant: 't', budget: 50, parent: null });
-    assert.is(brief(await rig.finish(run(rig))), 'refused 503 unavailable');
-    assert.is(brief(await rig.finish(history(rig))), 'refused 503 unavailable');
-    assert.is(rig.sent.length, 0);
-  },
-);
-
 turns('a turn that is done is answered from its record, whoever asks again', async () => {
   const rig = await withProgram();
-  const first = await rig.finish(run(rig));
+  const first = await rig.finish(runTurn(rig));
   rig.emitted.length = 0;
-  assert.equal(await rig.finish(run(rig)), first);
+  assert.equal(await rig.finish(runTurn(rig)), first);
   assert.equal(rig.emitted, ['x', 'y', 'z']);
   assert.is(rig.sent.length, 1);
 });
 
 turns('the same key with other words is refused', async () => {
   const rig = await withProgram();
-  await rig.finish(run(rig));
-  assert.is(brief(await rig.finish(run(rig, { words: 'else' }))), 'refused 422 other-body');
+  await rig.finish(runTurn(rig));
+  assert.is(brief(await rig.finish(runTurn(rig, { words: 'else' }))), 'refused 422 other-body');
   assert.is(rig.sent.length, 1);
 });
 
 turns('a turn that broke off, or of an earlier ownership, is not run again', async () => {
   const rig = await withProgram();
   rig.reply = () => lostReply;
-  assert.is(brief(await rig.finish(run(rig))), 'unknown 504 broken-off');
-  assert.is(statusOf(rig.stored(key)), 'failed');
-  assert.is(brief(await rig.finish(run(rig))), 'unknown 504 broken-off');
-  assert.is(brief(await rig.finish(history(rig, { turn }))), 'unknown 504 broken-off');
-  rig.store(key, { ...valueOf(rig), status: 'reserved' });
+  assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
+  assert.is(statusOf(rig.stored(turnKey)), 'failed');
+  assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
+  assert.is(brief(await rig.finish(readHistory(rig, { turn }))), 'unknown 504 broken-off');
+  rig.store(turnKey, { ...turnValue(rig), status: 'reserved' });
   await rig.ownAgain();
-  assert.is(brief(await rig.finish(run(rig))), 'unknown 504 broken-off');
+  assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
   assert.is(rig.sent.length, 1);
 });
 
 turns('a turn without a route is refused', async () => {
   const rig = await withProgram();
-  assert.is(brief(await rig.finish(run(rig, { path: '/none' }))), 'refused 404 no-route');
+  assert.is(brief(await rig.finish(runTurn(rig, { path: '/none' }))), 'refused 404 no-route');
 });
 
 turns('what it goes on from must be there and have finished', async () => {
   const rig = await withProgram();
-  assert.is(brief(await rig.finish(run(rig, { after: 't-none' }))), 'refused 404 missing-turn');
+  assert.is(brief(await rig.finish(runTurn(rig, { after: 't-none' }))), 'refused 404 missing-turn');
   const first = { t: 'turn', after: null, digest: '', words: 'w', pool: 'models', server: 'm1' };
   rig.store('p/p1/t/t-late', { ...first, status: 'done', cost: 0, chunks: [] });
-  assert.is(brief(await rig.finish(run(rig, { after: 't-late' }))), 'refused 503 unavailable');
+  assert.is(brief(await rig.finish(runTurn(rig, { after: 't-late' }))), 'refused 503 unavailable');
   for (const [status, expected] of [
     ['reserved', 'refused 409 not-finished'],
     ['failed', 'refused 409 not-finished'],
@@ -215,7 +114,7 @@
   ] as const) {
     rig.store(`p/p1/t/t-${status}`, { ...first, status, cost: 0, chunks: ['said'] });
     await rig.ownAgain();
-    const outcome = await rig.finish(run(rig, { after: `t-${status}`, key: status }));
+    const outcome = await rig.finish(runTurn(rig, { after: `t-${status}`, key: status }));
     assert.is(brief(outcome), expected);
   }
   assert.equal(
@@ -234,7 +133,7 @@
   'no turn is reserved beyond the budget, and one that spends it is cut to what there is',
   async () => {
     const rig = await withProgram(5);
-    assert.is(brief(await rig.finish(run(rig))), 'done 200');
+    assert.is(brief(await rig.finish(runTurn(rig))), 'done 200');
     assert.is(rig.sent[0]?.maxTokens, 5);
     rig.reply = () => ({
       ...wholeReply,
@@ -244,16 +143,16 @@
       ],
       ended: { kind: 'done', code: 200, body: 2 },
     });
-    await rig.finish(run(rig, { key: 'second' }));
+    await rig.finish(runTurn(rig, { key: 'second' }));
     assert.is(rig.sent[1]?.maxTokens, 2);
-    assert.is(brief(await rig.finish(run(rig, { key: 'third' }))), 'refused 402 budget-spent');
+    assert.is(brief(await rig.finish(runTurn(rig, { key: 'third' }))), 'refused 402 budget-spent');
     assert.is(rig.sent.length, 2);
   },
 );
 
 turns('a reservation that is being written counts against the budget', async () => {
   const rig = await withProgram(8);
-  const [first, second] = [run(rig), run(rig, { key: 'second' })];
+  const [first, second] = [runTurn(rig), runTurn(rig, { key: 'second' })];
   const outcomes = [brief(await rig.finish(first)), brief(await rig.finish(second))];
   assert.equal(outcomes.sort(), ['done 200', 'refused 402 budget-spent']);
   assert.is(rig.sent.length, 1);
@@ -270,9 +169,9 @@
     after: server.opened,
   });
   await rig.finish(rig.owner.turns.createProgram({ tenant: 't', pid: 'p2', budget: 50 }));
-  const busy = run(rig, { pid: 'p2' });
+  const busy = runTurn(rig, { pid: 'p2' });
   await rig.clock.run(10);
-  const [second, third] = [run(rig, { key: 'second' }), run(rig, { key: 'third' })];
+  const [second, third] = [runTurn(rig, { key: 'second' }), runTurn(rig, { key: 'third' })];
   await rig.clock.run(10);
   server.open();
   const outcomes = [];
@@ -285,11 +184,11 @@
   const rig = await withProgram();
   rig.reply = () => declinedReply;
   rig.removeServers('m2');
-  assert.is(brief(await rig.finish(run(rig))), 'refused 503 no-server');
-  assert.is(statusOf(rig.stored(key)), 'void');
-  assert.is(valueOf(rig).cost, 0);
+  assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 no-server');
+  assert.is(statusOf(rig.stored(turnKey)), 'void');
+  assert.is(turnValue(rig).cost, 0);
   rig.reply = () => wholeReply;
-  assert.is(brief(await rig.finish(run(rig))), 'done 200');
+  assert.is(brief(await rig.finish(runTurn(rig))), 'done 200');
 });
 
 turns(
@@ -307,7 +206,7 @@
       putAt.push(rig.clock.now());
       return true;
     };
-    assert.is(brief(await rig.finish(run(rig))), 'refused 503 queue-timeout');
+    assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 queue-timeout');
     assert.is(rig.sent.length, 1);
   },
 );
@@ -319,9 +218,9 @@
     caller.abort();
     return true;
   };
-  assert.is(brief(await rig.finish(run(rig, {}, caller.signal))), 'refused 503 gone');
+  assert.is(brief(await rig.finish(runTurn(rig, {}, caller.signal))), 'refused 503 gone');
   assert.is(rig.sent.length, 0);
-  assert.is(statusOf(rig.stored(key)), 'void');
+  assert.is(statusOf(rig.stored(turnKey)), 'void');
 });
 
 turns('an owner whose read lease ran out sends nothing', async () => {
@@ -330,7 +229,7 @@
     rig.leaseMs = 0;
     return true;
   };
-  assert.is(brief(await rig.finish(run(rig))), 'refused 503 not-ready');
+  assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 not-ready');
   assert.is(rig.sent.length, 0);
 });
 
@@ -341,7 +240,7 @@
     if (status === 'reserved') rig.changeServer('m1', { draining: true });
     return true;
   };
-  assert.is(brief(await rig.finish(run(rig))), 'refused 503 no-server');
+  assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 no-server');
   assert.is(rig.sent.length, 0);
 });
 
@@ -350,18 +249,18 @@
   rig.beforeSend = () => {
     rig.leaseMs = 0;
   };
-  assert.is((await rig.finish(run(rig))).outcome, 'refused');
+  assert.is((await rig.finish(runTurn(rig))).outcome, 'refused');
   assert.is(rig.sent.length, 0);
 });
 
 turns('declined, it goes to another server; lost, it does not', async () => {
   const declined = await withProgram();
   declined.reply = (n) => (n === 0 ? declinedReply : wholeReply);
-  assert.is(brief(await declined.finish(run(declined))), 'done 200');
+  assert.is(brief(await declined.finish(runTurn(declined))), 'done 200');
   assert.is(new Set(declined.sent.map((sent) => sent.server)).size, 2);
   const lost = await withProgram();
   lost.reply = (n) => (n === 0 ? lostReply : wholeReply);
-  assert.is(brief(await lost.finish(run(lost))), 'unknown 504 broken-off');
+  assert.is(brief(await lost.finish(runTurn(lost))), 'unknown 504 broken-off');
   assert.is(lost.sent.length, 1);
 });
 
@@ -385,8 +284,8 @@
     ]) {
       const rig = await withProgram();
       rig.reply = () => reply;
-      assert.is(brief(await rig.finish(run(rig))), 'unknown 504 broken-off');
-      assert.is(statusOf(rig.stored(key)), 'failed');
+      assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
+      assert.is(statusOf(rig.stored(turnKey)), 'failed');
       assert.ok(rig.emitted.length <= 8);
     }
   },
@@ -400,39 +299,22 @@
     assert.is(sent.stop.aborted, true);
     return wholeReply;
   };
-  assert.is(brief(await rig.finish(run(rig, {}, caller.signal))), 'unknown 504 broken-off');
-});
-
-turns('the history tells running, missing and unreadable turns apart', async () => {
-  const rig = await withProgram();
-  const server = gate();
-  rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const work = run(rig);
-  await rig.clock.run(10);
-  assert.is(brief(await rig.finish(history(rig, { turn }))), 'refused 409 running');
-  server.open();
-  await rig.finish(work);
-  assert.is(brief(await rig.finish(history(rig, { turn }))), 'done 200');
-  assert.is(brief(await rig.finish(history(rig, { turn: 't-none' }))), 'refused 404 missing');
-  rig.store('p/p1/t/t-late', valueOf(rig));
-  assert.is(brief(await rig.finish(history(rig, { turn: 't-late' }))), 'refused 503 unavailable');
-  rig.store('p/p1/t/t-void', { ...valueOf(rig), status: 'void' });
-  await rig.ownAgain();
-  assert.is(brief(await rig.finish(history(rig, { turn: 't-void' }))), 'refused 404 missing');
+  assert.is(brief(await rig.finish(runTurn(rig, {}, caller.signal))), 'unknown 504 broken-off');
 });
 
 turns('a slot is not released while one of its turns is under way', async () => {
   const rig = await withProgram();
   const server = gate();
   rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const work = run(rig);
+  const work = runTurn(rig);
   await rig.clock.run(10);
   rig.changeSlot({ transferTarget: 'f2' });
   assert.equal(rig.owner.releases(), []);
   server.open();
   await rig.finish(work);
   assert.equal(rig.owner.releases(), [[0, 1]]);
-  assert.is(await codeOf(run(rig, { key: 'next' })), 'taking-over');
+  assert.is(await codeOf(() => runTurn(rig, { key: 'next' })), 'taking-over');
 });
 
 turns.run();
+turns.run();
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-rig.ts
@@ -1,22 +1,19 @@
 /** One session owner over stores and servers that a test scripts: every message, put and send is recorded in its order. */
-import type { Backend, Ended, Message } from '@tillerstair/session-owner';
+import type { Backend, CallOutcome, Ended, Message } from '@tillerstair/session-owner';
 import { SessionOwner } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
-import {
-  bootstrapState,
-  checkConfig,
-  configDigest,
-  type Member,
-  type Server,
-  type Slot,
-  type State,
-} from '@tillerstair/state';
+import { bootstrapState, type Server, type Slot, type State } from '@tillerstair/state';
 import { silentLogger, RpcError, type Transport } from '@tillerstair/wire';
 import { z } from 'zod';
-
-const ownId = 'f1';
-const storeIds = ['a', 'b', 'c'] as const;
-export const host = 'a.example';
+import {
+  configRecordOf,
+  configuration,
+  memberOf,
+  ownedSlot,
+  rigFront,
+  rigStores,
+  serverOf,
+} from './session-owner-state.js';
 
 const StoredItem = z.object({
   key: z.string(),
@@ -42,90 +39,6 @@
   return parsed.success ? parsed.data.status : '';
 };
 
-const memberOf = (id: string, kind: Member['kind']): Member => ({
-  id,
-  kind,
-  addr: id,
-  http: '',
-  zone: '',
-  data: id,
-  name: '',
-});
-
-const serverOf = (id: string, pool: string): Server => ({
-  id,
-  pool,
-  url: `http://${id}`,
-  draining: false,
-  down: false,
-  zone: '',
-  places: 0,
-});
-
-export const configuration = {
-  base: 0,
-  pools: [
-    { name: 'models', kind: 'model' },
-    { name: 'shop', kind: 'service' },
-    { name: 'memo', kind: 'service', remembersKeys: true },
-  ],
-  routes: [
-    {
-      name: 'chat',
-      match: { kind: 'turn', path: '/chat' },
-      shares: [{ pool: 'models', share: 1 }],
-    },
-    {
-      name: 'act',
-      match: { kind: 'call', path: '/act' },
-      acting: true,
-      shares: [{ pool: 'shop', share: 1 }],
-    },
-    { name: 'look', match: { kind: 'call', path: '/look' }, shares: [{ pool: 'shop', share: 1 }] },
-    ...(
-      [
-        ['keyed', { manner: 'keyed', tries: 2 }, 'shop'],
-        ['recorded', { manner: 'keyed', tries: 2 }, 'memo'],
-        ['once', { manner: 'once', tries: 2 }, 'shop'],
-        ['again', { manner: 'repeatable', tries: 2 }, 'shop'],
-        ['turn', { manner: 'stream', tries: 2, turnRetentionMs: 60000 }, 'models'],
-        ['flow', { manner: 'stream', tries: 1 }, 'models'],
-        ['live', { manner: 'stream', tries: 2, resumable: true }, 'models'],
-      ] as const
-    ).map(([name, pass, pool]) => ({
-      name: `pass-${name}`,
-      match: { kind: 'pass', host, path: `/${name}/` },
-      pass: { deadlineMs: 8000, ...pass },
-      shares: [{ pool, share: 1 }],
-    })),
-  ],
-  budgets: { program: 100, turn: 8 },
-  bounds: { turnMs: 8000, callMs: 4000, queue: 256, perServer: 16 },
-};
-
-const recordOf = (config: object, version: number): State['config'] => {
-  const text = JSON.stringify(config);
-  const checked = checkConfig(text);
-  if (!checked.config) throw new Error(JSON.stringify(checked.findings));
-  return {
-    version,
-    text,
-    digest: configDigest(text),
-    compiled: JSON.stringify(checked.config),
-    changeId: '',
-  };
-};
-
-const ownedSlot = (epoch: number): Slot => ({
-  owner: ownId,
-  ownershipEpoch: epoch,
-  ownedSinceEpoch: epoch,
-  transferTarget: '',
-  replicas: [...storeIds],
-  joiningReplicas: [],
-  replacedReplica: '',
-});
-
 /** What a scripted server gets of a request that reached it. */
 export interface Sent {
   readonly kind: 'turn' | 'call' | 'pass';
@@ -162,6 +75,20 @@
 export const lostReply: Reply = { ended: { kind: 'lost', text: 'cut' } };
 export const declinedReply: Reply = { ended: { kind: 'declined', text: 'no' } };
 
+/** An outcome in short: what became of the request, the status and the error code. */
+export const brief = (outcome: CallOutcome): string =>
+  `${outcome.outcome} ${outcome.status} ${outcome.errorCode ?? ''}`.trim();
+
+/** The code of the `RpcError` that some work ends with. */
+export const codeOf = async (work: () => unknown): Promise<string> => {
+  try {
+    await work();
+    return 'no error';
+  } catch (error) {
+    return error instanceof RpcError ? error.code : String(error);
+  }
+};
+
 /** A gate that work waits at until the test opens it. */
 export const gate = (): { readonly opened: Promise<void>; readonly open: () => void } => {
   const opening = new AbortController();
@@ -180,7 +107,7 @@
   readonly clock = new SimClock();
   readonly owner: SessionOwner;
   readonly stores = new Map<string, Map<string, StoredItem>>(
-    storeIds.map((id) => [id, new Map<string, StoredItem>()]),
+    rigStores.map((id) => [id, new Map<string, StoredItem>()]),
   );
   /** `put KEY STATUS` when a store has synced a value, `send SERVER` when a request reaches a server. */
   readonly trail: string[] = [];
@@ -202,10 +129,10 @@
     this.state = {
       ...base,
       nodes: new Map([
-        [ownId, memberOf(ownId, 'front')],
-        ...storeIds.map((id) => [id, memberOf(id, 'store')] as const),
+        [rigFront, memberOf(rigFront, 'front')],
+        ...rigStores.map((id) => [id, memberOf(id, 'store')] as const),
       ]),
-      config: recordOf(configuration, 1),
+      config: configRecordOf(configuration, 1),
       slots: [ownedSlot(1)],
       servers: new Map(
         [
@@ -220,7 +147,7 @@
     };
     const lease = (): number => this.leaseMs;
     this.owner = new SessionOwner({
-      id: ownId,
+      id: rigFront,
       clock: this.clock,
       transport: this.transport(),
       backend: this.backend(),
@@ -293,14 +220,14 @@
   }
 
   configure(config: object): void {
-    this.change({ config: recordOf(config, (this.state.config?.version ?? 0) + 1) });
+    this.change({ config: configRecordOf(config, (this.state.config?.version ?? 0) + 1) });
   }
 
   /** The slot goes to another front and comes back: a later ownership of the same process. */
   async ownAgain(): Promise<void> {
     const epoch = (this.state.slots[0]?.ownershipEpoch ?? 0) + 1;
     this.changeSlot({ owner: 'f2', ownershipEpoch: epoch, ownedSinceEpoch: epoch });
-    this.changeSlot({ owner: ownId, ownershipEpoch: epoch + 1, ownedSinceEpoch: epoch + 1 });
+    this.changeSlot({ owner: rigFront, ownershipEpoch: epoch + 1, ownedSinceEpoch: epoch + 1 });
     await this.slotOpen();
   }
 
@@ -317,7 +244,7 @@
     return values.length >= 2 ? values[0] : undefined;
   }
 
-  store(key: string, value: unknown, ids: readonly string[] = storeIds): void {
+  store(key: string, value: unknown, ids: readonly string[] = rigStores): void {
     for (const id of ids) this.stores.get(id)?.set(key, { key, ownershipEpoch: 0, seq: 1, value });
   }
 
@@ -334,7 +261,7 @@
 
   private transport(): Transport {
     return {
-      self: ownId,
+      self: rigFront,
       call: async (to, kind, body) => {
         await Promise.resolve();
         return this.answer(to, kind, StoreRequest.parse(body));
--- /dev/null
+++ b/tests/src/support/session-owner-state.ts
@@ -0,0 +1,99 @@
+/** The cluster state and configuration that a `SessionOwnerRig` begins with. */
+import {
+  checkConfig,
+  configDigest,
+  type Member,
+  type Server,
+  type Slot,
+  type State,
+} from '@tillerstair/state';
+
+/** The front whose session owner is tested. */
+export const rigFront = 'f1';
+export const rigStores = ['a', 'b', 'c'] as const;
+/** The host of all pass routes. */
+export const host = 'a.example';
+
+export const memberOf = (id: string, kind: Member['kind']): Member => ({
+  id,
+  kind,
+  addr: id,
+  http: '',
+  zone: '',
+  data: id,
+  name: '',
+});
+
+export const serverOf = (id: string, pool: string): Server => ({
+  id,
+  pool,
+  url: `http://${id}`,
+  draining: false,
+  down: false,
+  zone: '',
+  places: 0,
+});
+
+export const configuration = {
+  base: 0,
+  pools: [
+    { name: 'models', kind: 'model' },
+    { name: 'shop', kind: 'service' },
+    { name: 'memo', kind: 'service', remembersKeys: true },
+  ],
+  routes: [
+    {
+      name: 'chat',
+      match: { kind: 'turn', path: '/chat' },
+      shares: [{ pool: 'models', share: 1 }],
+    },
+    {
+      name: 'act',
+      match: { kind: 'call', path: '/act' },
+      acting: true,
+      shares: [{ pool: 'shop', share: 1 }],
+    },
+    { name: 'look', match: { kind: 'call', path: '/look' }, shares: [{ pool: 'shop', share: 1 }] },
+    ...(
+      [
+        ['keyed', { manner: 'keyed', tries: 2 }, 'shop'],
+        ['recorded', { manner: 'keyed', tries: 2 }, 'memo'],
+        ['once', { manner: 'once', tries: 2 }, 'shop'],
+        ['again', { manner: 'repeatable', tries: 2 }, 'shop'],
+        ['turn', { manner: 'stream', tries: 2, turnRetentionMs: 60000 }, 'models'],
+        ['flow', { manner: 'stream', tries: 1 }, 'models'],
+        ['live', { manner: 'stream', tries: 2, resumable: true }, 'models'],
+      ] as const
+    ).map(([name, pass, pool]) => ({
+      name: `pass-${name}`,
+      match: { kind: 'pass', host, path: `/${name}/` },
+      pass: { deadlineMs: 8000, ...pass },
+      shares: [{ pool, share: 1 }],
+    })),
+  ],
+  budgets: { program: 100, turn: 8 },
+  bounds: { turnMs: 8000, callMs: 4000, queue: 256, perServer: 16 },
+};
+
+export const configRecordOf = (config: object, version: number): State['config'] => {
+  const text = JSON.stringify(config);
+  const checked = checkConfig(text);
+  if (!checked.config) throw new Error(JSON.stringify(checked.findings));
+  return {
+    version,
+    text,
+    digest: configDigest(text),
+    compiled: JSON.stringify(checked.config),
+    changeId: '',
+  };
+};
+
+export const ownedSlot = (epoch: number): Slot => ({
+  owner: rigFront,
+  ownershipEpoch: epoch,
+  ownedSinceEpoch: epoch,
+  transferTarget: '',
+  replicas: [...rigStores],
+  joiningReplicas: [],
+  replacedReplica: '',
+});
