--- a/tests/src/session-owner/streamed-turns.test.ts
+++ b/tests/src/session-owner/streamed-turns.test.ts
@@ -1,24 +1,24 @@
 /** A streamed request is reserved before it is sent, and goes on at another server only where nothing can be told twice. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { packed, PassTurn, type CallOutcome, type PassAsk } from '@tillerstair/session-owner';
-import { RpcError } from '@tillerstair/wire';
+import { encodeBody, PassTurn, type PassRequest } from '@tillerstair/session-owner';
 import {
-  configuration,
+  brief,
+  codeOf,
   declinedReply,
   gate,
-  host,
   SessionOwnerRig,
   statusOf,
   wholeReply,
 } from '../support/session-owner-rig.js';
+import { configuration, host } from '../support/session-owner-state.js';
 
 const streams = suite('streamed turns');
 const never = new AbortController().signal;
 const key = 'p/x-p/t/r1';
 
-const run = (rig: SessionOwnerRig, change: Partial<PassAsk> = {}, stop = never) =>
-  rig.owner.streams.stream(
+const run = (rig: SessionOwnerRig, change: Partial<PassRequest> = {}, stop = never) =>
+  rig.owner.streams.runStream(
     {
       tenant: 't',
       host,
@@ -35,24 +35,12 @@
       after: '',
       resume: '',
       ...change,
-      body: packed(Buffer.from(change.body ?? 'in;')),
+      body: encodeBody(Buffer.from(change.body ?? 'in;')),
     },
     rig.emit,
     stop,
   );
 
-const brief = (outcome: CallOutcome): string =>
-  `${outcome.outcome} ${outcome.status} ${outcome.errorCode ?? ''}`.trim();
-
-const codeOf = async (work: Promise<unknown>): Promise<string> => {
-  try {
-    await work;
-    return 'no error';
-  } catch (error) {
-    return error instanceof RpcError ? error.code : String(error);
-  }
-};
-
 const turnAt = (rig: SessionOwnerRig, at = key): PassTurn => PassTurn.parse(rig.stored(at));
 
 const stored = (change: Partial<PassTurn> = {}): PassTurn => ({
@@ -60,14 +48,14 @@
   status: 'done',
   after: '',
   cost: 4,
-  input: packed(Buffer.from('before;')),
+  input: encodeBody(Buffer.from('before;')),
   output: 'said\n',
   ...change,
 });
 
 streams('a path without a route is another error than a refusal', async () => {
   const rig = await SessionOwnerRig.opened();
-  assert.is(await codeOf(run(rig, { path: '/none/' })), 'route-unknown');
+  assert.is(await codeOf(() => run(rig, { path: '/none/' })), 'route-unknown');
 });
 
 streams('the reservation is on a quorum before the request is sent', async () => {
