--- /dev/null
+++ b/tests/src/repository/stored-data.test.ts
@@ -0,0 +1,178 @@
+/** Data folders of earlier versions are read by this one: votes, state, turns, budgets, operation keys. */
+import { readFile } from 'node:fs/promises';
+import { join } from 'node:path';
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { request } from 'undici';
+import { ask, closeAsking, until } from '@tillerstair/fleet';
+import { FolderDisk, hostPace } from '@tillerstair/journal';
+import { Caller } from '@tillerstair/stand-ins';
+import { flatten } from '@tillerstair/state';
+import { openStoreDisk } from '@tillerstair/store';
+import { hostClock } from '@tillerstair/wire';
+import { DiskElectionStore, type PersistentState } from '@tillerstair/zen';
+import { startStoredCluster } from '../support/stored-cluster.js';
+import { readExpected, withStoredData, type Expected } from '../support/stored-fixture.js';
+
+const stored = suite('stored data of earlier versions');
+
+const longAt = 1 << 30;
+const storeBounds = { journalLongAt: longAt, retentionMs: 3600000, hintsMost: 1000 };
+const noFreshId = (): string => {
+  throw new Error('stored data must not be taken for a new member');
+};
+
+type ExpectedNode = Expected['nodes'][string];
+
+const sortedEntries = (
+  entries: Iterable<readonly [string, string]>,
+): readonly (readonly [string, unknown])[] =>
+  [...entries]
+    .sort(([a], [b]) => (a < b ? -1 : 1))
+    .map(([key, text]) => [key, JSON.parse(text)] as const);
+
+const assertElection = (persisted: PersistentState, { election }: ExpectedNode): void => {
+  const { id, term, votedFor, bootstrapVote, accepted } = persisted;
+  assert.equal([id, term, votedFor], [election.id, election.term, election.votedFor]);
+  assert.equal(bootstrapVote, election.bootstrapVote);
+  assert.ok(accepted);
+  assert.equal(sortedEntries(flatten(accepted)), sortedEntries(election.accepted));
+};
+
+const nodesOf = (expected: Expected, kind: string): readonly (readonly [string, ExpectedNode])[] =>
+  Object.entries(expected.nodes).filter(([name]) => name.startsWith(kind));
+
+stored(
+  'a control reads its id, its votes and the accepted state, and leaves its log as it was',
+  () =>
+    withStoredData(async (folderOf) => {
+      const controls = nodesOf(await readExpected(), 'control');
+      assert.is(controls.length, 3);
+      for (const [name, expected] of controls) {
+        const log = join(folderOf(name), 'zen.log');
+        const before = await readFile(log);
+        const disk = await FolderDisk.take(folderOf(name));
+        const electionStore = await DiskElectionStore.open(disk, noFreshId, longAt);
+        assertElection(electionStore.persisted, expected);
+        await disk.free();
+        assert.equal(await readFile(log), before);
+      }
+    }),
+);
+
+stored('a store reads all items, fences and hints, and leaves its logs as they were', () =>
+  withStoredData(async (folderOf) => {
+    const stores = nodesOf(await readExpected(), 'store');
+    assert.is(stores.length, 3);
+    for (const [name, expected] of stores) {
+      const folder = folderOf(name);
+      const before = await readFile(join(folder, 'store.log'));
+      const disk = await FolderDisk.take(folder);
+      const { electionStore, replicaStore } = await openStoreDisk({
+        disk,
+        clock: hostClock,
+        pace: hostPace,
+        bounds: storeBounds,
+        freshId: noFreshId,
+        longAt,
+      });
+      assertElection(electionStore.persisted, expected);
+      const { fences, items, hints } = expected.replicas ?? { fences: [], items: [], hints: [] };
+      assert.ok(fences.length > 0 && items.length > 0);
+      for (const [slot, epoch] of fences) {
+        assert.throws(
+          () => replicaStore.pull(slot, epoch + 1, ''),
+          (e: unknown) => e instanceof Error && 'code' in e && e.code === 'not-fenced',
+        );
+        const page = replicaStore.pull(slot, epoch, '');
+        assert.is(page.next, '');
+        const inSlot = items.filter((i) => i.slot === slot).map((i) => i.item);
+        const byKey = (a: { key: string }, b: { key: string }): number => (a.key < b.key ? -1 : 1);
+        assert.equal([...page.items].sort(byKey), inSlot.sort(byKey));
+        const refused = await replicaStore.read(slot, epoch - 1, 'none').then(
+          () => 'read',
+          (e: unknown) => (e instanceof Error && 'code' in e ? e.code : ''),
+        );
+        assert.is(refused, 'stale-epoch');
+      }
+      const read = [...replicaStore.hintTargets()].flatMap((to) => replicaStore.hintsFor(to));
+      const byNumber = (a: { n: number }, b: { n: number }): number => a.n - b.n;
+      assert.equal(
+        read
+          .map(({ n, to, slot, items: hinted }) => ({ n, to, slot, items: hinted }))
+          .sort(byNumber),
+        hints.sort(byNumber),
+      );
+      await disk.free();
+      assert.equal(await readFile(join(folder, 'store.log')), before);
+    }
+    assert.ok(stores.some(([, s]) => (s.replicas?.hints.length ?? 0) > 0));
+  }),
+);
+
+const sendKeyed = async (caller: string, path: string, key: string): Promise<string> => {
+  const response = await request(`http://${caller}${path}`, {
+    method: 'POST',
+    headers: {
+      host: 'a.example',
+      'x-tenant': 'shop',
+      'x-request-id': path,
+      'operation-key': key,
+    },
+    body: 'hello',
+  });
+  return `${response.statusCode} ${await response.body.text()}`;
+};
+
+stored(
+  'programs started on the folders serve the configuration, turns, budgets and keys in them',
+  () =>
+    withStoredData(async (folderOf) => {
+      const { config, answers, tenant } = await readExpected();
+      const cluster = await startStoredCluster(folderOf);
+      try {
+        const [operator = ''] = cluster.operators;
+        const [first = '', second = ''] = cluster.callers;
+        const got = await ask('GET', `http://${operator}/v1/config`);
+        assert.is(got.status, 200);
+        assert.equal(got.body, config);
+        const caller = new Caller(tenant, () => undefined);
+        const firstProgram = answers.programs[0]?.program ?? '';
+        await until('the slots', 20000, async () => {
+          const page = `http://${first}/v1/programs/${firstProgram}`;
+          const reply = await request(page, { headers: { 'x-tenant': tenant } });
+          await reply.body.dump();
+          return reply.statusCode === 200;
+        });
+        for (const { program, history } of answers.programs) {
+          const page = `http://${second}/v1/programs/${program}`;
+          const reply = await request(page, { headers: { 'x-tenant': tenant } });
+          assert.equal(await reply.body.json(), history);
+        }
+        for (const { program, after, turn, key, text, sent } of answers.turns) {
+          assert.is((await caller.fetch(first, program, turn)).text, text);
+          const again = await caller.turn(second, program, after, sent, key);
+          assert.equal([again.reported, again.turn, again.text], ['done', turn, text]);
+        }
+        for (const { key, body, text } of answers.calls) {
+          assert.is((await caller.call(first, '/shop/stock/hold', body, key)).text, text);
+          const other = await caller.call(first, '/shop/stock/hold', { item: 'another' }, key);
+          assert.is(other.status, 422);
+        }
+        for (const { path, key, body } of answers.keyed)
+          assert.is(await sendKeyed(first, path, key), `200 ${body}`);
+        const put = await ask('PUT', `http://${operator}/v1/config`, config.text);
+        assert.is(put.status, 200, JSON.stringify(put.body));
+        assert.equal((await ask('GET', `http://${operator}/v1/config`)).body, config);
+      } finally {
+        await cluster.stop();
+      }
+    }),
+);
+
+stored.after(async () => {
+  await closeAsking();
+  await Caller.close();
+});
+
+stored.run();
