--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto';
-import { slotOf, weightKey, type Route, type Server } from '@tillerstair/state';
+import { slotForKey, weightKey, type Route, type Server } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import type { Backend, ServerLoad, Message } from './backend.js';
 import type { Candidate, PlaceContext, Policy, Seen } from './policies.js';
-import type { Table } from './table.js';
+import type { CompiledState } from './compiled-state.js';
 
 interface Sight {
   readonly url: string;
@@ -85,7 +85,7 @@
     private readonly backend: Backend,
     private readonly chain: readonly Policy[],
     private readonly bounds: PlacementBounds,
-    private readonly table: () => Table | undefined,
+    private readonly table: () => CompiledState | undefined,
     private readonly perServer: () => number,
     private readonly self = '',
   ) {}
@@ -197,7 +197,7 @@
     const total = shares.reduce((n, s) => n + s.share, 0);
     const zone = state.nodes.get(this.self)?.zone ?? '';
     const tokens = parts.reduce((n, p) => n + p.tokens, 0);
-    const tie = (id: string): number => slotOf(`${this.self}|${id}`, 1 << 20);
+    const tie = (id: string): number => slotForKey(`${this.self}|${id}`, 1 << 20);
     const ctx: PlaceContext = {
       route,
       seen: (s) => this.seen(s),
