--- a/tests/src/repository/stored-data.test.ts
+++ b/tests/src/repository/stored-data.test.ts
@@ -7,7 +7,7 @@
 import { ask, closeAsking, until } from '@tillerstair/fleet';
 import { FolderDisk, hostPace } from '@tillerstair/journal';
 import { Caller } from '@tillerstair/stand-ins';
-import { flatten } from '@tillerstair/state';
+import { encodeState } from '@tillerstair/state';
 import { openStoreDisk } from '@tillerstair/store';
 import { hostClock } from '@tillerstair/wire';
 import { DiskElectionStore, type PersistentState } from '@tillerstair/zen';
@@ -36,7 +36,7 @@
   assert.equal([id, term, votedFor], [election.id, election.term, election.votedFor]);
   assert.equal(bootstrapVote, election.bootstrapVote);
   assert.ok(accepted);
-  assert.equal(sortedEntries(flatten(accepted)), sortedEntries(election.accepted));
+  assert.equal(sortedEntries(encodeState(accepted)), sortedEntries(election.accepted));
 };
 
 const nodesOf = (expected: Expected, kind: string): readonly (readonly [string, ExpectedNode])[] =>
