--- /dev/null
+++ b/tests/src/state/accepted-changes.test.ts
@@ -0,0 +1,40 @@
+/** The record of accepted configuration changes: what it knows, what it forgets, and how it stays bounded. */
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { takenLeast, takenOutcome, withTaken, type TakenChanges } from '@tillerstair/state';
+
+const record = suite('record of accepted changes');
+
+const recordOf = (count: number): TakenChanges => {
+  let changes: TakenChanges = new Map();
+  for (let version = 1; version <= count; version++)
+    changes = withTaken(changes, version, `change ${version}`);
+  return changes;
+};
+
+record('a version accepted under another change id is not taken for this one', () => {
+  const changes = recordOf(2);
+  assert.is(takenOutcome(changes, 2, 'change 2'), 'taken');
+  assert.is(takenOutcome(changes, 2, 'change 1'), 'not-taken');
+  assert.is(takenOutcome(changes, 3, 'change 2'), 'not-taken');
+});
+
+record('a version older than the record is in doubt, a newer one is not', () => {
+  const changes = recordOf(takenLeast + 100);
+  assert.is(takenOutcome(changes, 1, 'change 1'), 'forgotten');
+  assert.is(takenOutcome(changes, takenLeast + 101, 'another'), 'not-taken');
+});
+
+record('while nothing was forgotten no version is in doubt', () => {
+  assert.is(takenOutcome(new Map(), 1, 'a'), 'not-taken');
+  assert.is(takenOutcome(withTaken(new Map(), 5, 'a'), 1, 'b'), 'not-taken');
+});
+
+record('the record holds at most 64 blocks of at most 32 changes', () => {
+  const changes = recordOf(takenLeast + 300);
+  assert.ok(changes.size <= 64, `${changes.size} blocks`);
+  for (const block of changes.values()) assert.ok(block.split(' ').length <= 32);
+  assert.is(takenOutcome(changes, 301, 'change 301'), 'taken');
+});
+
+record.run();
--- /dev/null
+++ b/tests/src/state/reduce.test.ts
@@ -0,0 +1,170 @@
+/** The reducer: which actions are refused because the state has moved on, and what a member's arrival changes. */
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { reduce, settleVoters } from '@tillerstair/state';
+import { sampleMember, sampleSlot, sampleState } from '../support/sample-state.js';
+
+const reducing = suite('reducer');
+
+reducing('a member that joins again unchanged alters nothing', () => {
+  const state = sampleState();
+  const member = sampleMember('f1', 'front');
+  assert.is(reduce(state, { kind: 'join', member }), state);
+});
+
+reducing('a member takes over the address of an earlier one', () => {
+  const member = sampleMember('f9', 'front', { addr: 'f1:1' });
+  const { nodes } = reduce(sampleState(), { kind: 'join', member });
+  assert.not(nodes.has('f1'));
+  assert.ok(nodes.has('f9') && nodes.has('f2'));
+});
+
+reducing('only a voting member is copied to the voting members', () => {
+  const moved = sampleMember('c1', 'control', { addr: 'c1:9' });
+  const spare = sampleMember('c4', 'control');
+  const state = reduce(reduce(sampleState(), { kind: 'join', member: moved }), {
+    kind: 'join',
+    member: spare,
+  });
+  assert.is(state.votingMembers.get('c1')?.addr, 'c1:9');
+  assert.not(state.votingMembers.has('c4'));
+});
+
+reducing('a store that comes back with another disk inherits the order to empty its name', () => {
+  const retiring = new Map([['s1', 's1-name']]);
+  const state = sampleState(undefined, { retiring });
+  const again = sampleMember('s9', 'store', { name: 's1-name' });
+  assert.ok(reduce(state, { kind: 'join', member: again }).retiring.has('s9'));
+});
+
+reducing('neither a front of that name nor a store without a name inherits the order', () => {
+  const retiring = new Map([
+    ['s1', 's1-name'],
+    ['s2', ''],
+  ]);
+  const state = sampleState(undefined, { retiring });
+  for (const member of [
+    sampleMember('f9', 'front', { name: 's1-name' }),
+    sampleMember('s9', 'store', { name: '' }),
+  ])
+    assert.not(reduce(state, { kind: 'join', member }).retiring.has(member.id));
+});
+
+reducing('a front that leaves is no longer drained, a store that leaves still is', () => {
+  const retiring = new Map([
+    ['f1', 'f1-name'],
+    ['s1', 's1-name'],
+  ]);
+  const state = sampleState(undefined, { retiring });
+  const later = reduce(reduce(state, { kind: 'leave', id: 'f1' }), { kind: 'leave', id: 's1' });
+  assert.equal([...later.retiring.keys()], ['s1']);
+  assert.is(reduce(later, { kind: 'leave', id: 's1' }), later);
+});
+
+reducing('an order to empty that is taken back ends for every node of that name', () => {
+  const retiring = new Map([
+    ['s1', 'twin'],
+    ['s2', 'twin'],
+    ['s3', 's3-name'],
+    ['f1', ''],
+    ['f2', ''],
+  ]);
+  const state = sampleState(undefined, { retiring });
+  const taken = reduce(state, { kind: 'retire', id: 's1', on: false });
+  assert.equal([...taken.retiring.keys()], ['s3', 'f1', 'f2']);
+  const nameless = reduce(state, { kind: 'retire', id: 'f1', on: false });
+  assert.ok(nameless.retiring.has('f2'));
+});
+
+reducing('an order to empty that is given twice alters nothing', () => {
+  const state = sampleState(undefined, { retiring: new Map([['s1', 's1-name']]) });
+  assert.is(reduce(state, { kind: 'retire', id: 's1', on: true }), state);
+});
+
+reducing('the voters are not changed while another change of voters is under way', () => {
+  const voters = { current: ['c1', 'c2', 'c3'], next: ['c1', 'c2'] };
+  const state = sampleState(undefined, { voters });
+  const spare = sampleMember('c4', 'control');
+  assert.is(reduce(state, { kind: 'voters', out: 'c1', in: spare }), state);
+});
+
+reducing('the last voter is not taken out', () => {
+  const voters = { current: ['c1'], next: ['c1'] };
+  const state = sampleState(undefined, { voters });
+  assert.is(reduce(state, { kind: 'voters', out: 'c1', in: undefined }), state);
+});
+
+reducing('a control that votes already is not counted twice', () => {
+  const member = sampleMember('c1', 'control');
+  const { voters } = reduce(sampleState(), { kind: 'voters', out: '', in: member });
+  assert.equal(voters.next, ['c1', 'c2', 'c3']);
+});
+
+reducing('voters that are settled name the next ones only, and drop the members that went', () => {
+  const voters = { current: ['c1', 'c2', 'c3'], next: ['c1', 'c2'] };
+  const settled = settleVoters(sampleState(undefined, { voters }));
+  assert.equal(settled.voters, { current: ['c1', 'c2'], next: ['c1', 'c2'] });
+  assert.equal([...settled.votingMembers.keys()], ['c1', 'c2']);
+  assert.is(settleVoters(settled), settled);
+});
+
+const filling = sampleSlot({ joiningReplicas: ['s4'], replacedReplica: 's1' });
+
+reducing('a filled replica counts under a raised ownership epoch', () => {
+  const state = reduce(sampleState([filling]), {
+    kind: 'filled',
+    store: 's4',
+    slot: 0,
+    ownershipEpoch: 3,
+  });
+  assert.equal(state.slots[0]?.replicas, ['s2', 's3', 's4']);
+  assert.is(state.slots[0]?.ownershipEpoch, 4);
+  assert.is(state.slots[0]?.ownedSinceEpoch, 2);
+});
+
+reducing('a replica filled under another ownership epoch does not count', () => {
+  const state = sampleState([filling]);
+  assert.is(reduce(state, { kind: 'filled', store: 's4', slot: 0, ownershipEpoch: 2 }), state);
+});
+
+reducing('a store that was not named to join does not count as filled', () => {
+  const state = sampleState([filling]);
+  assert.is(reduce(state, { kind: 'filled', store: 's2', slot: 0, ownershipEpoch: 3 }), state);
+});
+
+const moving = sampleSlot({ transferTarget: 'f2' });
+
+reducing('a slot that is released goes to its target under a raised ownership epoch', () => {
+  const state = reduce(sampleState([moving]), { kind: 'transferred', slot: 0, ownershipEpoch: 3 });
+  assert.equal(state.slots[0], {
+    ...moving,
+    owner: 'f2',
+    ownershipEpoch: 4,
+    ownedSinceEpoch: 4,
+    transferTarget: '',
+  });
+});
+
+reducing('a release of another ownership epoch moves nothing', () => {
+  const state = sampleState([moving]);
+  assert.is(reduce(state, { kind: 'transferred', slot: 0, ownershipEpoch: 2 }), state);
+});
+
+reducing('a slot is not given to a front that is not a member', () => {
+  for (const slot of [sampleSlot({ transferTarget: 'f9' }), sampleSlot()]) {
+    const state = sampleState([slot]);
+    assert.is(reduce(state, { kind: 'transferred', slot: 0, ownershipEpoch: 3 }), state);
+  }
+});
+
+reducing('marks on a server keep what they do not name, and an unknown server gets none', () => {
+  const server = { id: 'a', pool: 'p', url: 'u', draining: true, down: false, zone: '', places: 0 };
+  const state = sampleState(undefined, { servers: new Map([['a', server]]) });
+  const down = reduce(state, { kind: 'server-mark', id: 'a', down: true });
+  assert.equal(down.servers.get('a'), { ...server, down: true });
+  assert.is(reduce(state, { kind: 'server-mark', id: 'b', down: true }), state);
+  assert.is(reduce(state, { kind: 'server-mark', id: 'a', draining: true }), state);
+  assert.is(reduce(state, { kind: 'server-gone', id: 'b' }), state);
+});
+
+reducing.run();
--- /dev/null
+++ b/tests/src/support/scripted-master.ts
@@ -0,0 +1,74 @@
+/** A master whose publishes and confirmations succeed at once, or fail as a test says, with a record of the calls. */
+import type { State } from '@tillerstair/state';
+import type { MasterView } from '@tillerstair/zen';
+
+export interface MasterScript {
+  /** What a publish fails with, after the change was made and accepted. */
+  readonly publishError?: Error;
+  /** What a confirmation by a majority fails with. */
+  readonly confirmError?: Error;
+  readonly syncedNodes?: readonly string[];
+  readonly heardNodes?: readonly string[];
+  readonly repliedNodes?: readonly string[];
+  readonly unresponsiveFor?: (id: string) => number;
+}
+
+/** Accepts every change, publishes to nobody and counts what was asked of it. */
+export class ScriptedMaster implements MasterView {
+  readonly term = 2;
+  readonly committedAt = 0;
+  readonly calls: string[] = [];
+  readonly steppedDown = new AbortController();
+
+  constructor(
+    public state: State,
+    private readonly script: MasterScript = {},
+  ) {}
+
+  get lost(): AbortSignal {
+    return this.steppedDown.signal;
+  }
+
+  get committed(): State {
+    return this.state;
+  }
+
+  readonly submit: MasterView['submit'] = (change) => this.apply('submit', change);
+  readonly decide: MasterView['decide'] = (change) => this.apply('decide', change);
+
+  async confirm(): Promise<State> {
+    this.calls.push('confirm');
+    if (this.script.confirmError) return Promise.reject(this.script.confirmError);
+    return Promise.resolve(this.state);
+  }
+
+  async inForce(): Promise<void> {
+    this.calls.push('inForce');
+    return Promise.resolve();
+  }
+
+  unresponsiveFor(id: string): number {
+    return this.script.unresponsiveFor?.(id) ?? 0;
+  }
+
+  heard(id: string): boolean {
+    return this.script.heardNodes?.includes(id) ?? true;
+  }
+
+  async reach(): Promise<ReadonlySet<string>> {
+    this.calls.push('reach');
+    return Promise.resolve(new Set(this.script.repliedNodes ?? this.state.nodes.keys()));
+  }
+
+  synced(id: string): boolean {
+    return this.script.syncedNodes?.includes(id) ?? true;
+  }
+
+  private async apply(name: string, change: (state: State) => State) {
+    this.calls.push(name);
+    await Promise.resolve();
+    this.state = change(this.state);
+    if (this.script.publishError) throw this.script.publishError;
+    return { state: this.state, at: 0 };
+  }
+}
