--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -1,36 +1,43 @@
-import { z } from 'zod';
-import { allocate, replicasToWrite, reduce, type State } from '@tillerstair/state';
-import { pause, type TimerHandle, type Clock, type Log } from '@tillerstair/wire';
+/**
+ * What a master does about slots, servers and voters as nodes come, go and report: it assigns owners and replicas,
+ * marks servers as down, and passes the votes of lost controls on.
+ *
+ * Its own state is in memory only and serves decisions about time: who was silent since when, who arrived when. The
+ * decisions go into the cluster state, whose reducers keep the invariants (design.md, "Slots, owners, ownership epochs").
+ */
+import { allocate, reduce, replicasToWrite, type Member, type State } from '@tillerstair/state';
+import type { Clock, Log, TimerHandle } from '@tillerstair/wire';
 import type { MasterView, ZenBounds } from '@tillerstair/zen';
-
-export const FrontReport = z.object({
-  seen: z.array(
-    z.object({ id: z.string(), url: z.string(), ok: z.boolean(), pace: z.number().optional() }),
-  ),
-  released: z.array(z.tuple([z.number(), z.number()])),
-});
-export type FrontReport = z.infer<typeof FrontReport>;
-
-interface Sight {
-  readonly url: string;
-  readonly ok: boolean;
-  readonly pace: number | undefined;
-  readonly at: number;
-}
-
-const votersSettled = (s: State): boolean => s.voters.current.join() === s.voters.next.join();
-
+import { AddressHistory } from './address-history.js';
+import { Arrivals } from './arrivals.js';
+import { repeatWhileMaster, submitOrRetryLater } from './master-loop.js';
+import { FrontReport } from './messages.js';
+import { ServerHealth } from './server-health.js';
+import { SlotTransfers, transferReleased } from './slot-transfers.js';
+import { findVoterReplacement } from './voter-replacement.js';
+
+/** The part of a heartbeat for which further fronts are waited for, while some front serves slots and while none does. */
+const frontArrivalDivisor = { whileServed: 2, whileUnserved: 5 } as const;
+/** The part of the slots whose owners may change at once. */
+const ownerMoveDivisor = 16;
+/** The part of the slots to which a replica may be added at once. */
+const replicaFillDivisor = 2;
+/** How many failure timeouts an owner gets to release a slot that is to move. */
+const transferTimeouts = 4;
+
+const idsOf = (state: State, kind: Member['kind']): readonly string[] =>
+  [...state.nodes.values()].filter((member) => member.kind === kind).map((member) => member.id);
+
+/** Allocates for one control, whenever it is master. */
 export class AllocationController {
-  private readonly sights = new Map<string, Map<string, Sight>>();
+  private readonly addresses = new AddressHistory();
+  private readonly health = new ServerHealth();
+  private readonly transfers = new SlotTransfers();
+  private readonly frontArrivals = new Arrivals();
+  private readonly storeArrivals = new Arrivals();
   private unresponsiveStores: ReadonlySet<string> = new Set();
-  private fronts = new Set<string>();
-  private frontJoinedAt = -Infinity;
-  private stores = new Set<string>();
-  private storeJoinedAt = -Infinity;
   private master: MasterView | undefined;
-  private soon: TimerHandle | undefined;
-  private transferSince = new Map<number, number>();
-  private readonly addrs = new Map<string, string>();
+  private nextAllocation: TimerHandle | undefined;
 
   constructor(
     private readonly clock: Clock,
@@ -38,204 +45,129 @@
     private readonly log: Log,
   ) {}
 
-  readonly learn = (s: State): void => {
-    for (const m of [...s.votingMembers.values(), ...s.nodes.values()])
-      this.addrs.set(m.id, m.addr);
-    const named = new Set([
-      ...s.votingMembers.keys(),
-      ...s.nodes.keys(),
-      ...s.slots.flatMap(replicasToWrite),
-    ]);
-    for (const id of this.addrs.keys()) if (!named.has(id)) this.addrs.delete(id);
+  /** Takes over the addresses of an applied state; called for every state, also on controls that are not master. */
+  readonly learn = (state: State): void => {
+    this.addresses.learn(state);
   };
 
-  private diskLost(s: State, ids: readonly string[]): ReadonlySet<string> {
-    const held = new Set([...s.nodes.values()].map((m) => m.addr));
-    return new Set(ids.filter((id) => !s.nodes.has(id) && held.has(this.addrs.get(id) ?? '')));
-  }
-
-  readonly settle = (s: State): State => {
-    this.learn(s);
-    return this.allotted(this.replaceVoter(s));
+  /** Adds to a state that is about to be published what follows from it: votes passed on, slots allocated. */
+  readonly settle = (state: State): State => {
+    this.learn(state);
+    return this.allocateSlots(this.replaceVoter(state));
   };
 
-  private allotted(s: State): State {
-    const fronts = [...s.nodes.values()].filter((m) => m.kind === 'front').map((m) => m.id);
-    const now = this.clock.now();
-    if (fronts.some((id) => !this.fronts.has(id))) this.frontJoinedAt = now;
-    this.fronts = new Set(fronts);
-    const served = s.slots.some((slot) => s.nodes.has(slot.owner));
-    const rest = this.frontJoinedAt + this.bounds.heartbeatInterval / (served ? 2 : 5) - now;
-    if (rest > 0) {
-      this.settleIn(rest);
-      return s;
+  /** Takes over a front's report; one that is malformed is dropped. */
+  readonly onReport = (front: string, report: unknown): void => {
+    const parsed = FrontReport.safeParse(report);
+    if (!parsed.success) return;
+    const { seen, released } = parsed.data;
+    const { master } = this;
+    if (released.length > 0 && master) {
+      const releases = released.map(([slot, ownershipEpoch]) => ({ slot, ownershipEpoch }));
+      void submitOrRetryLater(master, (state) => transferReleased(state, releases));
     }
-    const moves = Math.max(1, Math.ceil(s.slots.length / 16));
-    const fills = Math.max(1, Math.floor(s.slots.length / 2));
-    const lost = this.diskLost(s, [...new Set(s.slots.flatMap(replicasToWrite))]);
-    return allocate(s, {
-      leastStores: this.leastStores(s),
-      moves,
-      fills,
-      unresponsiveStores: new Set([...this.unresponsiveStores, ...lost]),
-    });
-  }
+    this.health.record(front, seen, this.clock.now());
+  };
 
-  /** Slots get their first replicas once all can be placed, or a quorum of them when no further store comes. */
-  private leastStores(s: State): number {
-    const now = this.clock.now();
-    const stores = [...s.nodes.values()].filter((m) => m.kind === 'store').map((m) => m.id);
-    if (stores.some((id) => !this.stores.has(id))) this.storeJoinedAt = now;
-    this.stores = new Set(stores);
-    return now - this.storeJoinedAt > this.bounds.failureTimeout
-      ? s.replication.quorum
-      : s.replication.replicas;
+  /** The median pace that fronts report of each server. */
+  paces(state: State): ReadonlyMap<string, number> {
+    return this.health.paces(state);
   }
 
-  private settleIn(ms: number): void {
-    this.soon?.stop();
-    this.soon = this.clock.after(
-      ms,
-      () => void this.master?.submit((s) => s).catch(() => undefined),
+  /** Marks servers and moves overdue slots every half heartbeat, until the master steps down. */
+  async run(master: MasterView): Promise<void> {
+    this.master = master;
+    await repeatWhileMaster(
+      this.clock,
+      master,
+      () => this.bounds.heartbeatInterval / 2,
+      (committed) => this.review(committed, master),
     );
+    this.health.clear();
   }
 
-  readonly onReport = (front: string, report: unknown): void => {
-    const got = FrontReport.safeParse(report);
-    if (!got.success) return;
-    const at = this.clock.now();
-    if (got.data.released.length > 0) this.onReleased(got.data.released);
-    this.sights.set(
-      front,
-      new Map(got.data.seen.map((x) => [x.id, { url: x.url, ok: x.ok, pace: x.pace, at }])),
-    );
-  };
+  private review(committed: State, master: MasterView): Promise<void> {
+    const { failureTimeout } = this.bounds;
+    const now = this.clock.now();
+    this.unresponsiveStores = this.findUnresponsiveStores(committed, master);
+    const downMarks = this.health.downMarks(committed, now, failureTimeout);
+    const overdue = this.transfers.overdue(committed, now, failureTimeout * transferTimeouts);
+    return submitOrRetryLater(master, (state) => {
+      let marked = state;
+      for (const [id, down] of downMarks)
+        marked = reduce(marked, { kind: 'server-mark', id, down });
+      return transferReleased(marked, overdue);
+    });
+  }
 
-  paces(s: State): ReadonlyMap<string, number> {
-    const out = new Map<string, number>();
-    for (const v of s.servers.values()) {
-      const paces = [...this.sights.values()].flatMap((m) => {
-        const sight = m.get(v.id);
-        return sight && sight.url === v.url && sight.pace !== undefined ? [sight.pace] : [];
-      });
-      const mid = paces.sort((a, b) => a - b)[Math.floor(paces.length / 2)];
-      if (mid !== undefined) out.set(v.id, mid);
+  private allocateSlots(state: State): State {
+    const waitMs = this.waitForFronts(state);
+    if (waitMs > 0) {
+      this.allocateIn(waitMs);
+      return state;
     }
-    return out;
+    const slotCount = state.slots.length;
+    const replicaIds = [...new Set(state.slots.flatMap(replicasToWrite))];
+    const lostDisks = this.addresses.lostDisks(state, replicaIds);
+    return allocate(state, {
+      leastStores: this.leastStores(state),
+      moves: Math.max(1, Math.ceil(slotCount / ownerMoveDivisor)),
+      fills: Math.max(1, Math.floor(slotCount / replicaFillDivisor)),
+      unresponsiveStores: new Set([...this.unresponsiveStores, ...lostDisks]),
+    });
   }
 
-  private onReleased(released: readonly (readonly [number, number])[]): void {
-    this.master
-      ?.submit((s) =>
-        released.reduce(
-          (t, [slot, ownershipEpoch]) => reduce(t, { kind: 'transferred', slot, ownershipEpoch }),
-          s,
-        ),
-      )
-      .catch(() => undefined);
+  /** How long to wait yet for further fronts, in ms; not above 0 when allocation may go on. */
+  private waitForFronts(state: State): number {
+    const now = this.clock.now();
+    const arrivedAt = this.frontArrivals.observe(idsOf(state, 'front'), now);
+    const isServed = state.slots.some((slot) => state.nodes.has(slot.owner));
+    const divisor = isServed ? frontArrivalDivisor.whileServed : frontArrivalDivisor.whileUnserved;
+    return arrivedAt + this.bounds.heartbeatInterval / divisor - now;
   }
 
-  private overdue(s: State): readonly (readonly [number, number])[] {
+  /** Slots get their first replicas once all can be placed, or a quorum of them when no further store comes. */
+  private leastStores(state: State): number {
     const now = this.clock.now();
-    const since = new Map<number, number>();
-    s.slots.forEach((slot, n) => {
-      if (slot.transferTarget !== '') since.set(n, this.transferSince.get(n) ?? now);
-    });
-    this.transferSince = since;
-    return [...since].flatMap(([n, at]) =>
-      now - at > this.bounds.failureTimeout * 4
-        ? [[n, s.slots[n]?.ownershipEpoch ?? -1] as const]
-        : [],
-    );
+    const arrivedAt = this.storeArrivals.observe(idsOf(state, 'store'), now);
+    return now - arrivedAt > this.bounds.failureTimeout
+      ? state.replication.quorum
+      : state.replication.replicas;
   }
 
-  async run(master: MasterView): Promise<void> {
-    this.master = master;
-    while (!master.lost.aborted) {
-      await pause(this.clock, this.bounds.heartbeatInterval / 2, master.lost);
-      const s = master.committed;
-      if (master.lost.aborted || !s) continue;
-      this.unresponsiveStores = this.lostStores(s, master);
-      const downs = this.downs(s);
-      const overdue = this.overdue(s);
-      await master
-        .submit((t) => {
-          const marked = [...downs].reduce(
-            (u, [id, down]) => reduce(u, { kind: 'server-mark', id, down }),
-            t,
-          );
-          return overdue.reduce(
-            (u, [slot, ownershipEpoch]) => reduce(u, { kind: 'transferred', slot, ownershipEpoch }),
-            marked,
-          );
-        })
-        .catch(() => undefined);
-    }
-    this.sights.clear();
+  /** An empty change is settled like any other, which allocates. */
+  private allocateIn(ms: number): void {
+    this.nextAllocation?.stop();
+    this.nextAllocation = this.clock.after(ms, () => {
+      if (this.master) void submitOrRetryLater(this.master, (state) => state);
+    });
   }
 
   /**
-   * Replicas that are not waited for any longer: silent for too long, or away while a store stands by that holds
-   * no slot, as one does that was started in place of another.
+   * Stores whose replicas are not waited for any longer: silent for too long, or absent while a store stands by that
+   * holds no slot, as one does that was started in place of another.
    */
-  private lostStores(s: State, master: MasterView): ReadonlySet<string> {
-    const kept = new Set(s.slots.flatMap(replicasToWrite));
-    const standsBy = [...s.nodes.values()].some(
-      (m) => m.kind === 'store' && !kept.has(m.id) && !s.retiring.has(m.id),
+  private findUnresponsiveStores(state: State, master: MasterView): ReadonlySet<string> {
+    const holders = new Set(state.slots.flatMap(replicasToWrite));
+    const hasStandby = [...state.nodes.values()].some(
+      ({ id, kind }) => kind === 'store' && !holders.has(id) && !state.retiring.has(id),
     );
-    const isLost = (id: string): boolean =>
-      standsBy ||
+    const isUnresponsive = (id: string): boolean =>
+      hasStandby ||
       this.unresponsiveStores.has(id) ||
       master.unresponsiveFor(id) > this.bounds.replaceAfter;
-    return new Set([...kept].filter((id) => !s.nodes.has(id) && isLost(id)));
+    return new Set([...holders].filter((id) => !state.nodes.has(id) && isUnresponsive(id)));
   }
 
-  private downs(s: State): ReadonlyMap<string, boolean> {
-    const out = new Map<string, boolean>();
-    const now = this.clock.now();
-    for (const v of s.servers.values()) {
-      let good = 0;
-      let bad = 0;
-      for (const m of this.sights.values()) {
-        const sight = m.get(v.id);
-        if (!sight || sight.url !== v.url || now - sight.at > this.bounds.failureTimeout) continue;
-        if (sight.ok) good++;
-        else bad++;
-      }
-      if (good + bad > 0) out.set(v.id, bad > good);
-    }
-    return out;
-  }
-
-  /** Passes the vote of a control that left, failed or lost its disk to a spare that holds the newest state on disk. */
-  private replaceVoter(s: State): State {
+  private replaceVoter(state: State): State {
     const { master } = this;
-    if (
-      !master ||
-      master.lost.aborted ||
-      !votersSettled(s) ||
-      (master.committed && !votersSettled(master.committed))
-    )
-      return s;
-    const lost = this.diskLost(s, s.voters.current);
-    const out =
-      s.voters.current.find((id) => lost.has(id)) ??
-      s.voters.current.find((id) => !s.nodes.has(id));
-    if (out === undefined) return s;
-    const zone = s.votingMembers.get(out)?.zone;
-    const spare = [...s.nodes.values()]
-      .filter(
-        (m) =>
-          m.kind === 'control' &&
-          !s.voters.current.includes(m.id) &&
-          master.heard(m.id) &&
-          master.synced(m.id),
-      )
-      .sort(
-        (a, b) => Number(b.zone === zone) - Number(a.zone === zone) || (a.id < b.id ? -1 : 1),
-      )[0];
-    if (!spare) return s;
-    this.log.info(`Control ${out} is lost, ${spare.addr} takes its place.`);
-    return reduce(s, { kind: 'voters', out, in: spare });
+    if (!master || master.lost.aborted) return state;
+    const replacement = findVoterReplacement(state, master, (ids) =>
+      this.addresses.lostDisks(state, ids),
+    );
+    if (!replacement) return state;
+    const { lostId, spare } = replacement;
+    this.log.info(`Control ${lostId} is lost, ${spare.addr} takes its place.`);
+    return reduce(state, { kind: 'voters', out: lostId, in: spare });
   }
 }
--- /dev/null
+++ b/packages/control/src/cluster-reports.ts
@@ -0,0 +1,94 @@
+/** What operators are shown of the cluster state: its status, and how far the emptying of a store is. */
+import {
+  liveNodes,
+  replicasToWrite,
+  replicasWhole,
+  type IsLive,
+  type Member,
+  type Server,
+  type State,
+} from '@tillerstair/state';
+
+/** How far the emptying of a store is, in slots; `done` when it may be switched off for good. */
+export interface EmptyingProgress {
+  readonly store: string;
+  readonly retiring: boolean;
+  readonly slotsHeld: number;
+  readonly slotsJoining: number;
+  readonly done: boolean;
+}
+
+/**
+ * How far the emptying of a store is. It is done only when the loss of all that may be lost at once would be borne
+ * without it (design.md, "Emptying a store").
+ */
+export const emptyingProgress = (
+  state: State,
+  storeId: string,
+  isLive: IsLive,
+): EmptyingProgress => {
+  const slotsHeld = state.slots.filter((slot) => replicasToWrite(slot).includes(storeId)).length;
+  const slotsJoining = state.slots.filter((slot) => slot.joiningReplicas.length > 0).length;
+  const retiring = state.retiring.has(storeId);
+  return {
+    store: storeId,
+    retiring,
+    slotsHeld,
+    slotsJoining,
+    done: retiring && slotsHeld === 0 && replicasWhole(state, liveNodes(state, isLive)),
+  };
+};
+
+/** How far the draining of a front is, in slots that it still owns. */
+export interface DrainingProgress {
+  readonly front: string;
+  readonly retiring: boolean;
+  readonly slotsHeld: number;
+}
+
+/** How far the draining of a front is. */
+export const drainingProgress = (state: State, frontId: string): DrainingProgress => ({
+  front: frontId,
+  retiring: state.retiring.has(frontId),
+  slotsHeld: state.slots.filter((slot) => slot.owner === frontId).length,
+});
+
+/** The cluster at a glance, as `GET /v1/status` shows it. */
+export interface StatusReport {
+  readonly clusterId: string;
+  readonly term: number;
+  readonly version: number;
+  readonly master: string;
+  readonly controls: State['voters'];
+  readonly config: { readonly version: number; readonly digest: string } | null;
+  readonly nodes: readonly Member[];
+  readonly servers: readonly Server[];
+  readonly stores: readonly EmptyingProgress[];
+  readonly slots: {
+    readonly count: number;
+    readonly owned: number;
+    readonly joiningReplicas: number;
+  };
+  readonly weights: readonly (readonly [string, number])[];
+}
+
+/** The cluster at a glance, with the stores counted as live that `isLive` names. */
+export const statusReport = (state: State, isLive: IsLive): StatusReport => ({
+  clusterId: state.clusterId,
+  term: state.term,
+  version: state.version,
+  master: state.master,
+  controls: state.voters,
+  config: state.config ? { version: state.config.version, digest: state.config.digest } : null,
+  nodes: [...state.nodes.values()],
+  servers: [...state.servers.values()],
+  stores: [...state.nodes.values()]
+    .filter((member) => member.kind === 'store')
+    .map((member) => emptyingProgress(state, member.id, isLive)),
+  slots: {
+    count: state.slots.length,
+    owned: state.slots.filter((slot) => state.nodes.has(slot.owner)).length,
+    joiningReplicas: state.slots.filter((slot) => slot.joiningReplicas.length > 0).length,
+  },
+  weights: [...state.weights],
+});
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,6 +1,9 @@
-export * from './operate.js';
+/** The control program's parts: the node, the operators' interface, allocation, the list of servers, weight tuning. */
+export * from './messages.js';
+export * from './operations/operations.js';
 export * from './allocation-controller.js';
-export * from './list.js';
+export * from './list-poll.js';
+export * from './list-reader.js';
 export * from './node.js';
-export * from './weights.js';
+export * from './weight-tuning.js';
 export * from './start.js';
--- a/packages/control/src/main.ts
+++ b/packages/control/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The program `control-node`. */
 import { ControlSettings, runDaemon } from '@tillerstair/settings';
 import { startControl } from './start.js';
 
--- /dev/null
+++ b/packages/control/src/master-loop.ts
@@ -0,0 +1,35 @@
+/** Periodic work of a master, from its election until it steps down. */
+import type { State } from '@tillerstair/state';
+import { pause, type Clock } from '@tillerstair/wire';
+import type { MasterView } from '@tillerstair/zen';
+
+/**
+ * Runs `work` on the newest committed state, pausing `intervalMs()` before each run, until the master steps down.
+ * Rejects only if `work` does.
+ */
+export const repeatWhileMaster = async (
+  clock: Clock,
+  master: MasterView,
+  intervalMs: () => number,
+  work: (committed: State) => Promise<unknown>,
+): Promise<void> => {
+  const steppedDown = (): boolean => master.lost.aborted;
+  while (!steppedDown()) {
+    await pause(clock, intervalMs(), master.lost);
+    const { committed } = master;
+    if (steppedDown() || !committed) continue;
+    await work(committed);
+  }
+};
+
+/** Submits a change that is made again at the next interval if it fails now, so its failure is of no concern. */
+export const submitOrRetryLater = async (
+  master: MasterView,
+  change: (state: State) => State,
+): Promise<void> => {
+  try {
+    await master.submit(change);
+  } catch {
+    // The master lost its majority or its office; the next interval, or the next master, makes the change.
+  }
+};
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -1,12 +1,27 @@
-import { z } from 'zod';
-import { nodeViewOf, checkConfig, reduce, type NodeView, type Member } from '@tillerstair/state';
+/**
+ * One control: takes part in zen, serves the other nodes' requests to the master, and answers operators, by itself, as
+ * master, or by forwarding to the master. What it says to an operator never claims more than is known: a change whose
+ * end is unclear is never called undone.
+ */
+import { nodeViewOf, reduce, type Member, type NodeView } from '@tillerstair/state';
 import { RpcError, toRpcError, type RpcRequest } from '@tillerstair/wire';
 import { ZenNode, type MasterView, type ZenParts } from '@tillerstair/zen';
 import { AllocationController } from './allocation-controller.js';
-import { ListPoll, ListReader, type ServerList } from './list.js';
-import { isRead, operate, Operation, Outcome } from './operate.js';
-import { tuneWeights } from './weights.js';
+import { ListPoll } from './list-poll.js';
+import { ListReader, type ServerList } from './list-reader.js';
+import {
+  ControlRequestKind,
+  DepartureNotice,
+  FilledNotice,
+  OperatorRequest,
+  OperatorResponse,
+} from './messages.js';
+import { operateLocally } from './operations/local-operations.js';
+import { isReadOnly, operate } from './operations/operations.js';
+import { failedForward, lateDrainingMark, notCarriedOut } from './operations/responses.js';
+import { tuneWeights } from './weight-tuning.js';
 
+/** What a control is made of: what zen needs, and the deployment's list of servers if there is one. */
 export interface ControlParts extends Omit<
   ZenParts,
   'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead' | 'listReport' | 'onListReport'
@@ -14,152 +29,160 @@
   readonly list?: ServerList | undefined;
 }
 
-const Departs = z.object({ id: z.string() });
-const Filled = z.object({ store: z.string(), slot: z.number(), ownershipEpoch: z.number() });
+interface PolledList {
+  readonly reader: ListReader;
+  readonly poll: ListPoll;
+}
+
+/** What a control without a list of servers replies to who asks for its reading. */
+const noList = { open: [], draining: [] };
+
+const drainingPath = /^\/v1\/servers\/[^/]+\/draining$/;
 
+const isDrainingMark = ({ method, path }: OperatorRequest): boolean =>
+  method === 'POST' && drainingPath.test(path);
+
+/** A member of the cluster that may become its master. */
 export class ControlNode {
+  /** This control's part in zen. */
   readonly zen: ZenNode;
   private readonly allocationController: AllocationController;
-  private readonly list: { readonly reader: ListReader; readonly poll: ListPoll } | undefined;
-
-  constructor(private readonly p: ControlParts) {
-    this.allocationController = new AllocationController(p.clock, p.bounds, p.log);
-    const old = p.electionStore.persisted.accepted;
-    if (old) this.allocationController.learn(old);
-    if (p.list) {
-      const reader = new ListReader(p.clock, p.list, p.bounds, p.log);
-      this.list = { reader, poll: new ListPoll(p.clock, reader) };
+  private readonly list: PolledList | undefined;
+  private readonly me: Member;
+  private readonly clock: ControlParts['clock'];
+  private readonly transport: ControlParts['transport'];
+  private readonly bounds: ControlParts['bounds'];
+
+  constructor(parts: ControlParts) {
+    const { me, clock, transport, bounds, log, electionStore } = parts;
+    this.me = me;
+    this.clock = clock;
+    this.transport = transport;
+    this.bounds = bounds;
+    this.allocationController = new AllocationController(clock, bounds, log);
+    const { accepted } = electionStore.persisted;
+    if (accepted) this.allocationController.learn(accepted);
+    if (parts.list) {
+      const reader = new ListReader(clock, parts.list, bounds, log);
+      this.list = { reader, poll: new ListPoll(clock, reader) };
     }
     const poll = this.list?.poll;
     this.zen = new ZenNode({
-      ...p,
+      ...parts,
       settle: this.allocationController.settle,
-      onApplied: async (s) => this.allocationController.learn(s),
+      onApplied: (state) => {
+        this.allocationController.learn(state);
+        return Promise.resolve();
+      },
       onReport: this.allocationController.onReport,
-      onLead: (m) => this.lead(m),
+      onLead: (master) => this.lead(master),
       ...(poll ? { listReport: () => poll.reported(this.zen.leading?.term) } : {}),
     });
   }
 
+  /** The id that lies on this control's disk. */
   get id(): string {
-    return this.p.me.id;
-  }
-
-  private lead(m: MasterView): void {
-    void this.allocationController.run(m);
-    void this.list?.poll.run(m);
-    void tuneWeights(m, this.allocationController, this.p.clock, this.p.bounds);
+    return this.me.id;
   }
 
+  /** Serves requests and takes part in zen from now on. */
   async start(): Promise<void> {
-    await this.p.transport.serve((rpc) => this.handle(rpc));
+    await this.transport.serve((request) => this.handle(request));
     this.zen.start();
   }
 
+  /** Leaves the cluster and closes the transport. */
   async stop(): Promise<void> {
     await this.zen.stop();
-    await this.p.transport.close();
+    await this.transport.close();
   }
 
-  async handle(rpc: RpcRequest): Promise<unknown> {
-    if (rpc.kind.startsWith('zen/')) return this.zen.handle(rpc);
-    if (rpc.kind === 'control/list') return this.list?.reader.reply() ?? { open: [], draining: [] };
-    if (rpc.kind === 'control/operate') {
-      const m = this.zen.leading;
-      if (!m) throw new RpcError('not-master', 'this control is not master');
-      return operate(m, Operation.parse(rpc.body));
-    }
-    if (rpc.kind === 'control/depart') {
-      const m = this.zen.leading;
-      if (!m) throw new RpcError('not-master', 'this control is not master');
-      const { id } = Departs.parse(rpc.body);
-      await m.submit((s) =>
-        s.nodes.get(id)?.kind === 'front' ? reduce(s, { kind: 'retire', id, on: true }) : s,
-      );
-      return {};
+  /** Answers a request of the inner wire. Throws `RpcError`: `not-master` where only a master could, `unknown-kind`. */
+  async handle(request: RpcRequest): Promise<unknown> {
+    if (request.kind.startsWith('zen/')) return this.zen.handle(request);
+    switch (request.kind) {
+      case ControlRequestKind.list:
+        return this.list?.reader.reply() ?? noList;
+      case ControlRequestKind.operate:
+        return operate(this.leadingMaster(), OperatorRequest.parse(request.body));
+      case ControlRequestKind.depart:
+        return this.drainDeparting(this.leadingMaster(), DepartureNotice.parse(request.body).id);
+      case ControlRequestKind.filled:
+        return this.countFilled(this.leadingMaster(), FilledNotice.parse(request.body));
+      default:
+        throw new RpcError('unknown-kind', `no such request: ${request.kind}`);
     }
-    if (rpc.kind === 'control/filled') {
-      const m = this.zen.leading;
-      if (!m) throw new RpcError('not-master', 'this control is not master');
-      const f = Filled.parse(rpc.body);
-      await m.submit((s) => reduce(s, { kind: 'filled', ...f }));
-      return {};
-    }
-    throw new RpcError('unknown-kind', `no such request: ${rpc.kind}`);
   }
 
-  async operate(o: Operation): Promise<Outcome> {
-    const from = this.p.clock.now();
-    const out = await this.passOn(o);
-    const mark = o.method === 'POST' && /^\/v1\/servers\/[^/]+\/draining$/.test(o.path);
-    if (
-      !mark ||
-      out.status !== 200 ||
-      this.p.clock.now() - from <= this.p.bounds.drainingCommitWithin
-    )
-      return out;
-    const text =
-      'the mark was taken, but too late for its bound to count from this request; ask again';
-    return {
-      status: 504,
-      body: { executed: 'unknown', errorCode: 'late', text, how: 'POST it again' },
-      retryAfter: 1,
-    };
+  /**
+   * Answers an operator. A server's draining mark that took longer than its bound is answered as unclear, since the
+   * bound within which fronts stop would no longer count from the request (never-list.md, draining servers).
+   */
+  async operate(request: OperatorRequest): Promise<OperatorResponse> {
+    const receivedAt = this.clock.now();
+    const response = await this.dispatch(request);
+    const isMarked = isDrainingMark(request) && response.status === 200;
+    const isInTime = this.clock.now() - receivedAt <= this.bounds.drainingCommitWithin;
+    return !isMarked || isInTime ? response : lateDrainingMark();
+  }
+
+  private async dispatch(request: OperatorRequest): Promise<OperatorResponse> {
+    const local = operateLocally(request, () => this.localView());
+    if (local) return local;
+    const { leading, masterSeen } = this.zen;
+    if (leading) return operate(leading, request);
+    if (!masterSeen)
+      return notCarriedOut('no-master', 'no master is known', this.bounds.failureTimeout);
+    return this.forward(masterSeen, request);
   }
 
-  private async passOn(o: Operation): Promise<Outcome> {
-    if (o.method === 'GET' && o.path === '/v1/view') return { status: 200, body: this.localView() };
-    if (o.method === 'POST' && o.path === '/v1/config/check') {
-      const { findings } = checkConfig(o.body);
-      return { status: findings.length > 0 ? 422 : 200, body: { findings } };
+  /** Asks the master, for no longer than it may publish twice; a change without a clear answer may have been made. */
+  private async forward(master: Member, request: OperatorRequest): Promise<OperatorResponse> {
+    const { failureTimeout } = this.bounds;
+    try {
+      const response = await this.transport.call(master.addr, ControlRequestKind.operate, request, {
+        within: failureTimeout,
+      });
+      return OperatorResponse.parse(response);
+    } catch (error) {
+      const { executed, code, message } = toRpcError(error);
+      if (executed === 'no' || isReadOnly(request))
+        return notCarriedOut(code, message, failureTimeout, { master: master.http });
+      return failedForward(message);
     }
-    const m = this.zen.leading;
-    if (m) return operate(m, o);
-    const master = this.zen.masterSeen;
-    if (!master) return this.notRun('no-master', 'no master is known');
-    return this.forward(master, o);
   }
 
   /** What this control alone holds, which may be old: it names the state's version and waits for no majority. */
   private localView(): NodeView {
-    return nodeViewOf(
-      this.p.me.id,
-      'control',
-      this.zen.term,
-      this.zen.masterSeen?.id ?? '',
-      this.zen.applied,
+    const { term, masterSeen, applied } = this.zen;
+    return nodeViewOf(this.me.id, 'control', term, masterSeen?.id ?? '', applied);
+  }
+
+  private leadingMaster(): MasterView {
+    const { leading } = this.zen;
+    if (!leading) throw new RpcError('not-master', 'this control is not master');
+    return leading;
+  }
+
+  /** A front that shuts down is drained; a node of another kind is not, since its replicas or vote are still needed. */
+  private async drainDeparting(master: MasterView, id: string): Promise<object> {
+    await master.submit((state) =>
+      state.nodes.get(id)?.kind === 'front'
+        ? reduce(state, { kind: 'retire', id, on: true })
+        : state,
     );
+    return {};
   }
 
-  private notRun(errorCode: string, text: string, more: object = {}): Outcome {
-    return {
-      status: 503,
-      body: { executed: 'no', errorCode, text, ...more },
-      retryAfter: Math.ceil(this.p.bounds.failureTimeout / 1000),
-    };
+  private async countFilled(master: MasterView, notice: FilledNotice): Promise<object> {
+    await master.submit((state) => reduce(state, { kind: 'filled', ...notice }));
+    return {};
   }
 
-  /** Asks the master, for no longer than it may publish twice; a change without a clear answer may have been made. */
-  private async forward(master: Member, o: Operation): Promise<Outcome> {
-    try {
-      return Outcome.parse(
-        await this.p.transport.call(master.addr, 'control/operate', o, {
-          within: this.p.bounds.failureTimeout,
-        }),
-      );
-    } catch (e) {
-      const x = toRpcError(e);
-      if (x.executed === 'no' || isRead(o))
-        return this.notRun(x.code, x.message, { master: master.http });
-      return {
-        status: 504,
-        body: {
-          executed: 'unknown',
-          errorCode: 'unknown',
-          text: x.message,
-          how: 'GET /v1/status or GET /v1/config',
-        },
-      };
-    }
+  /** Starts what a master does periodically; each ends by itself when the master steps down. */
+  private lead(master: MasterView): void {
+    void this.allocationController.run(master);
+    void this.list?.poll.run(master);
+    void tuneWeights(master, this.allocationController, this.clock, this.bounds);
   }
 }
--- /dev/null
+++ b/packages/control/src/operations/configuration.ts
@@ -0,0 +1,144 @@
+/** Operations on the configuration: putting a file in place, reading it, and asking before a change is derived. */
+import { z } from 'zod';
+import {
+  changeIdOf,
+  checkConfig,
+  digestOf,
+  reduce,
+  type Config,
+  type ConfigRecord,
+  type State,
+} from '@tillerstair/state';
+import type { MasterView } from '@tillerstair/zen';
+import type { OperatorResponse } from '../messages.js';
+import { wasAccepted, type ChangeIdentity } from './accepted-change.js';
+import { NotFoundError, OperationError } from './errors.js';
+import {
+  defineOperation,
+  jsonOf,
+  noBody,
+  readConfirmed,
+  type BodySchema,
+  type Operation,
+} from './operation.js';
+import { failedChange, HttpStatus, refused, succeeded } from './responses.js';
+
+const noConfiguration = 'no configuration has been handed in';
+
+interface ConfigurationFile {
+  readonly text: string;
+  readonly config: Config;
+}
+
+const configurationSchema: BodySchema<ConfigurationFile> = (text) => {
+  const { config, findings } = checkConfig(text);
+  if (config) return { valid: true, body: { text, config } };
+  const response = refused(HttpStatus.unprocessable, 'findings', `${findings.length} findings`, {
+    findings,
+  });
+  return { valid: false, response };
+};
+
+/** The record of a file; what only its sender needs is left out of the compiled form. */
+const recordOf = ({ text, config }: ConfigurationFile): ConfigRecord => ({
+  version: config.version ?? config.base + 1,
+  text,
+  digest: digestOf(text),
+  compiled: JSON.stringify({ ...config, origin: undefined, order: undefined }),
+  changeId: config.changeId ?? '',
+});
+
+const putConfiguration = async (
+  master: MasterView,
+  file: ConfigurationFile,
+): Promise<OperatorResponse> => {
+  const record = recordOf(file);
+  const { version, digest } = record;
+  const identity = { base: file.config.base, version, changeId: changeIdOf(record) };
+  try {
+    const committed = await master.decide((state) =>
+      wasAccepted(state, identity) ? state : reduce(state, { kind: 'config', record }),
+    );
+    await master.inForce(committed);
+    const newest = committed.state.config?.version ?? 0;
+    return succeeded(newest === version ? { version, digest } : { version, digest, newest });
+  } catch (error) {
+    if (error instanceof OperationError) return error.toResponse();
+    const how = 'GET /v1/config and compare the digest, or hand in the same file again';
+    return failedChange(error, how, { digest });
+  }
+};
+
+const PreparedChange = z.strictObject({
+  base: z.number(),
+  version: z.number(),
+  changeId: z.string().min(1),
+});
+
+const preparedChangeSchema: BodySchema<ChangeIdentity> = (text) => {
+  const parsed = PreparedChange.safeParse(jsonOf(text));
+  return parsed.success
+    ? { valid: true, body: parsed.data }
+    : {
+        valid: false,
+        response: refused(
+          HttpStatus.unprocessable,
+          'findings',
+          'base, version and order are needed',
+        ),
+      };
+};
+
+/**
+ * Whether a change was accepted, and if not, the text that it builds on. A sender that derives its change from the
+ * present text asks this first: a change that was accepted is acknowledged, and one whose base has passed is refused
+ * without a text.
+ */
+const prepareChange = async (
+  master: MasterView,
+  identity: ChangeIdentity,
+): Promise<OperatorResponse> => {
+  try {
+    const state = await master.confirm();
+    if (!wasAccepted(state, identity))
+      return state.config
+        ? succeeded({ taken: false, text: state.config.text })
+        : refused(HttpStatus.notFound, 'missing', noConfiguration);
+    await master.inForce({ state, at: master.committedAt });
+    return succeeded({ taken: true, version: identity.version });
+  } catch (error) {
+    if (error instanceof OperationError) return error.toResponse();
+    return failedChange(error, 'ask again');
+  }
+};
+
+const viewConfiguration = (state: State): unknown => {
+  if (!state.config) throw new NotFoundError(noConfiguration);
+  const { version, text, digest, changeId } = state.config;
+  return { version, text, digest, changeId };
+};
+
+/** `/v1/config`, `/v1/config/prepare`. */
+export const configurationOperations: readonly Operation[] = [
+  defineOperation({
+    method: 'PUT',
+    matches: ({ section, id }) => section === 'config' && id === '',
+    authority: 'commit',
+    schema: configurationSchema,
+    handler: ({ master, body }) => putConfiguration(master, body),
+  }),
+  defineOperation({
+    method: 'GET',
+    matches: ({ section, id }) => section === 'config' && id === '',
+    authority: 'quorum-read',
+    schema: noBody,
+    handler: ({ master }) => readConfirmed(master, viewConfiguration),
+  }),
+  defineOperation({
+    method: 'POST',
+    matches: ({ section, id }) => section === 'config' && id === 'prepare',
+    authority: 'quorum-read',
+    schema: preparedChangeSchema,
+    handler: ({ master, body }) => prepareChange(master, body),
+  }),
+];
--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -1,53 +1,68 @@
+/**
+ * Starts a control from its settings: opens its data folder, joins zen, serves operators' HTTP. Whoever stops it closes
+ * what was opened here, in reverse order.
+ */
 import { randomBytes } from 'node:crypto';
+import type { Server } from 'node:http';
 import {
   closeHttp,
   servePages,
   stderrLog,
   type ControlSettings,
+  type Readiness,
   type Running,
 } from '@tillerstair/settings';
 import { FolderDisk } from '@tillerstair/journal';
-import { replicationFor } from '@tillerstair/state';
-import { hostClock, readBody, sendJson, TcpTransport } from '@tillerstair/wire';
-import { controlPace, DiskElectionStore, reloadableBounds } from '@tillerstair/zen';
-import type { ServerList } from './list.js';
+import { replicationFor, type Member } from '@tillerstair/state';
+import { hostClock, readBody, sendJson, TcpTransport, type Log } from '@tillerstair/wire';
+import { controlPace, DiskElectionStore, reloadableBounds, type ZenBounds } from '@tillerstair/zen';
+import type { ServerList } from './list-reader.js';
 import { ControlNode } from './node.js';
 
-export interface ControlDoor {
+/** A further address at which operators are served. */
+export interface OperatorListener {
+  /** Stops serving there. */
   close(): Promise<void>;
 }
 
-export interface ControlMore {
+/** What a deployment adds to a control. */
+export interface ControlExtensions {
+  /** The deployment's list of servers. */
   readonly list?: ServerList;
-  /** A further door for operators, beside the product's own pages. */
-  readonly door?: (node: ControlNode) => Promise<ControlDoor>;
+  /** Opens a further address for operators, beside the product's own pages. */
+  readonly door?: (node: ControlNode) => Promise<OperatorListener>;
 }
 
-export const startControl = async (
+/** The largest body that an operator may send, in bytes. */
+const maxBodyBytes = 16 << 20;
+
+const freshControlId = (): string => `c-${randomBytes(6).toString('hex')}`;
+
+const memberFor = (id: string, settings: ControlSettings): Member => ({
+  id,
+  kind: 'control',
+  addr: settings.addr,
+  http: settings.http,
+  zone: settings.zone,
+  data: '',
+  name: settings.name,
+});
+
+const openNode = async (
+  disk: FolderDisk,
   settings: ControlSettings,
-  more: ControlMore = {},
-): Promise<Running<ControlSettings>> => {
-  const log = stderrLog('control', settings.log);
-  const disk = await FolderDisk.take(settings.data);
-  const { bounds, replace } = reloadableBounds(settings.bounds);
-  const pace = controlPace(hostClock, bounds, log);
+  bounds: ZenBounds,
+  log: Log,
+  list: ServerList | undefined,
+): Promise<ControlNode> => {
   const electionStore = await DiskElectionStore.open(
     disk,
-    () => `c-${randomBytes(6).toString('hex')}`,
+    freshControlId,
     settings.journalLongAt,
-    pace,
+    controlPace(hostClock, bounds, log),
   );
-  const me = {
-    id: electionStore.persisted.id,
-    kind: 'control' as const,
-    addr: settings.addr,
-    http: settings.http,
-    zone: settings.zone,
-    data: '',
-    name: settings.name,
-  };
-  const node = new ControlNode({
-    me,
+  return new ControlNode({
+    me: memberFor(electionStore.persisted.id, settings),
     seeds: settings.seeds,
     clock: hostClock,
     transport: new TcpTransport(settings.addr, settings.listen),
@@ -57,34 +72,56 @@
     slots: settings.slots,
     replication: replicationFor(settings.losses),
     mayBootstrap: settings.mayBootstrap,
-    list: more.list,
+    list,
   });
-  await node.start();
-  const readiness = () => {
-    const master = node.zen.masterSeen;
-    return {
-      ready: master !== undefined,
-      why: master ? `master ${master.addr}` : 'no master is known',
-    };
+};
+
+const readinessOf = (node: ControlNode): Readiness => {
+  const { masterSeen } = node.zen;
+  return {
+    ready: masterSeen !== undefined,
+    why: masterSeen ? `master ${masterSeen.addr}` : 'no master is known',
   };
-  const http = await servePages(settings.http, readiness, async (req, res, url) => {
-    const body = await readBody(req, 16 << 20);
-    const out = await node.operate({ method: req.method ?? 'GET', path: url.pathname, body });
-    const headers = new Map(
-      out.retryAfter === undefined ? [] : [['retry-after', String(out.retryAfter)]],
-    );
-    sendJson(res, out.status, out.body, headers);
-  });
-  const door = await more.door?.(node);
-  log.info(`Serving ${me.id} at ${settings.addr}, operators at ${settings.http}.`);
+};
+
+const serveOperators = (address: string, node: ControlNode): Promise<Server> =>
+  servePages(
+    address,
+    () => readinessOf(node),
+    async (request, response, url) => {
+      const body = await readBody(request, maxBodyBytes);
+      const method = request.method ?? 'GET';
+      const outcome = await node.operate({ method, path: url.pathname, body });
+      const headers = new Map<string, string>();
+      if (outcome.retryAfter !== undefined) headers.set('retry-after', String(outcome.retryAfter));
+      sendJson(response, outcome.status, outcome.body, headers);
+    },
+  );
+
+/**
+ * Starts a control and resolves once it serves. Rejects where the data folder is in use or damaged beyond repair, or an
+ * address is taken.
+ */
+export const startControl = async (
+  settings: ControlSettings,
+  extensions: ControlExtensions = {},
+): Promise<Running<ControlSettings>> => {
+  const log = stderrLog('control', settings.log);
+  const disk = await FolderDisk.take(settings.data);
+  const reloadable = reloadableBounds(settings.bounds);
+  const node = await openNode(disk, settings, reloadable.bounds, log, extensions.list);
+  await node.start();
+  const http = await serveOperators(settings.http, node);
+  const furtherListener = await extensions.door?.(node);
+  log.info(`Serving ${node.id} at ${settings.addr}, operators at ${settings.http}.`);
   return {
     reload: (next) => {
-      replace(next.bounds);
+      reloadable.replace(next.bounds);
       node.zen.replaceSeeds(next.seeds);
     },
     stop: async () => {
       await node.stop();
-      await door?.close();
+      await furtherListener?.close();
       await closeHttp(http);
       await disk.free();
     },
--- /dev/null
+++ b/packages/control/src/voter-replacement.ts
@@ -0,0 +1,51 @@
+/** Which vote of a lost control passes to which spare one (zen.md, voting members). */
+import type { Member, State } from '@tillerstair/state';
+import type { MasterView } from '@tillerstair/zen';
+
+/** A vote that passes from one control to another. */
+export interface VoterReplacement {
+  readonly lostId: string;
+  readonly spare: Member;
+}
+
+const votersSettled = (state: State): boolean =>
+  state.voters.current.join() === state.voters.next.join();
+
+/** A control outside the voters that replies and has the newest state on its disk; one of the lost one's zone first. */
+const spareControl = (
+  state: State,
+  master: MasterView,
+  zone: string | undefined,
+): Member | undefined =>
+  [...state.nodes.values()]
+    .filter(
+      (member) =>
+        member.kind === 'control' &&
+        !state.voters.current.includes(member.id) &&
+        master.heard(member.id) &&
+        master.synced(member.id),
+    )
+    .sort(
+      (first, second) =>
+        Number(second.zone === zone) - Number(first.zone === zone) ||
+        (first.id < second.id ? -1 : 1),
+    )[0];
+
+/**
+ * The vote that is to pass from a control that left, failed or lost its disk to a spare one, if there is one. None
+ * while another change of voters is proposed or not yet committed: two changes could leave majorities that do not meet.
+ */
+export const findVoterReplacement = (
+  state: State,
+  master: MasterView,
+  lostDisks: (ids: readonly string[]) => ReadonlySet<string>,
+): VoterReplacement | undefined => {
+  if (!votersSettled(state)) return undefined;
+  if (master.committed && !votersSettled(master.committed)) return undefined;
+  const { current } = state.voters;
+  const lost = lostDisks(current);
+  const lostId = current.find((id) => lost.has(id)) ?? current.find((id) => !state.nodes.has(id));
+  if (lostId === undefined) return undefined;
+  const spare = spareControl(state, master, state.votingMembers.get(lostId)?.zone);
+  return spare && { lostId, spare };
+};
--- a/packages/sim/src/config-calls.ts
+++ b/packages/sim/src/config-calls.ts
@@ -1,11 +1,11 @@
 import type { ConfigAnswer, ConfigCall } from '@tillerstair/checker';
-import type { Operation, Outcome } from '@tillerstair/control';
+import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
 import { digestOf } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import { z } from 'zod';
 
 /** Sends an operation to some control; undefined is no answer at all. */
-export type SendOperation = (o: Operation) => Promise<Outcome | undefined>;
+export type SendOperation = (o: OperatorRequest) => Promise<OperatorResponse | undefined>;
 
 const Change = z.object({ base: z.number(), version: z.number().optional() });
 const Value = z.object({ version: z.number(), text: z.string() });
@@ -18,7 +18,7 @@
     : { kind: 'unclear' };
 };
 
-const answerToRead = (o: Outcome | undefined): ConfigAnswer => {
+const answerToRead = (o: OperatorResponse | undefined): ConfigAnswer => {
   if (o?.status === 404) return { kind: 'value', version: 0, content: '' };
   const got = Value.safeParse(o?.status === 200 ? o.body : undefined);
   return got.success
@@ -54,7 +54,7 @@
     return got;
   }
 
-  put(text: string, send: SendOperation): Promise<Outcome | undefined> {
+  put(text: string, send: SendOperation): Promise<OperatorResponse | undefined> {
     const { base, version = base + 1 } = Change.parse(JSON.parse(text));
     const digest = digestOf(text);
     const what = { kind: 'change' as const, changeId: digest, base, version, content: digest };
@@ -65,7 +65,7 @@
     );
   }
 
-  read(send: SendOperation): Promise<Outcome | undefined> {
+  read(send: SendOperation): Promise<OperatorResponse | undefined> {
     return this.record(
       { kind: 'read' },
       () => send({ method: 'GET', path: '/v1/config', body: '' }),
--- a/packages/sim/src/model-rig.ts
+++ b/packages/sim/src/model-rig.ts
@@ -1,5 +1,5 @@
 /** The simulated controls of a model run, with the operators that call them and the troubles that befall them. */
-import type { Outcome } from '@tillerstair/control';
+import type { OperatorResponse } from '@tillerstair/control';
 import { digestOf } from '@tillerstair/state';
 import { z } from 'zod';
 import type { Machine } from './machine.js';
@@ -312,7 +312,7 @@
     m: Machine,
     method: string,
     body: string,
-    onAnswer: (out: Outcome, start: CallStart) => void,
+    onAnswer: (out: OperatorResponse, start: CallStart) => void,
   ): void {
     const { control, life } = m;
     if (!control) return;
--- a/packages/sim/src/storm-fault.ts
+++ b/packages/sim/src/storm-fault.ts
@@ -1,6 +1,6 @@
 /** What the faults of storms share: what a storm lets them do, and the tools that they are built of. */
 import type { ReplyRecord } from '@tillerstair/checker';
-import type { Outcome } from '@tillerstair/control';
+import type { OperatorResponse } from '@tillerstair/control';
 import type { Machine } from './machine.js';
 import type { CutManner } from './sim-net.js';
 import type { World } from './world.js';
@@ -26,7 +26,9 @@
   /** Called for each answer that a caller got, while set. */
   onDone: ((t: ReplyRecord) => void) | undefined;
   /** Called for each change that an operator sends, while set; `acknowledged` is called with its answer. */
-  onChange: ((at: Machine | undefined, answered: Promise<Outcome | undefined>) => void) | undefined;
+  onChange:
+    | ((at: Machine | undefined, answered: Promise<OperatorResponse | undefined>) => void)
+    | undefined;
   readonly lostAnswers: LostAnswers;
   wait(ms: number): Promise<void>;
   track(work: Promise<unknown>): void;
@@ -35,7 +37,7 @@
     method: string,
     path: string,
     body?: string,
-  ): Promise<Outcome | undefined>;
+  ): Promise<OperatorResponse | undefined>;
   /** Sends a change that adds some routes, to a machine of choice or any. */
   reconfigure(more?: number, at?: Machine): Promise<void>;
   badConfig(n: number): Promise<void>;
--- a/packages/sim/src/storm.ts
+++ b/packages/sim/src/storm.ts
@@ -1,5 +1,5 @@
 import { noRecords, type ConfigRecord, type DrainingRecord, type Records, type RestartRecord, type ReplyRecord } from '@tillerstair/checker';
-import type { Operation, Outcome } from '@tillerstair/control';
+import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
 import { z } from 'zod';
 import { ConfigCalls } from './config-calls.js';
 import type { Machine } from './machine.js';
@@ -21,7 +21,7 @@
 const Current = z.object({ current: z.number() });
 const stormServers = [['m1', 'models'], ['m2', 'models'], ['n1', 'others'], ['s1', 'shop'], ['s2', 'shop']] as const;
 
-const reportedBy = (r: Outcome | undefined): ConfigRecord['reported'] => {
+const reportedBy = (r: OperatorResponse | undefined): ConfigRecord['reported'] => {
   if (r?.status === 200) return 'done';
   return r === undefined || r.status === 504 || r.status === 0 ? 'unknown' : 'refused';
 };
@@ -207,12 +207,12 @@
     this.w.servers.set(record.server, { draining: false });
   }
 
-  async operate(at: Machine | undefined, method: string, path: string, body = ''): Promise<Outcome | undefined> {
+  async operate(at: Machine | undefined, method: string, path: string, body = ''): Promise<OperatorResponse | undefined> {
     const lost = this.wait(25000).then(() => undefined);
     return Promise.race([at?.control?.operate({ method, path, body }), lost]);
   }
 
-  private sendTo(at: Machine | undefined): (o: Operation) => Promise<Outcome | undefined> {
+  private sendTo(at: Machine | undefined): (o: OperatorRequest) => Promise<OperatorResponse | undefined> {
     return (o) => this.operate(at, o.method, o.path, o.body);
   }
 
@@ -251,7 +251,7 @@
   }
 
   /** Sends a change as an operator does: where the answer is lost, again, to other machines first. */
-  private async sendChange(first: Machine | undefined, text: string): Promise<Outcome | undefined> {
+  private async sendChange(first: Machine | undefined, text: string): Promise<OperatorResponse | undefined> {
     const mostTries = 5;
     let at = first;
     let wasTaken = false;
--- a/packages/sim/src/world.ts
+++ b/packages/sim/src/world.ts
@@ -1,4 +1,4 @@
-import type { Outcome } from '@tillerstair/control';
+import type { OperatorResponse } from '@tillerstair/control';
 import type { PassRecord, ReplyRecord } from '@tillerstair/checker';
 import type { Front } from '@tillerstair/proxy';
 import { rootOf, type State } from '@tillerstair/state';
@@ -158,7 +158,7 @@
     body = '',
     at?: Machine,
     within = 20000,
-  ): Promise<Outcome> {
+  ): Promise<OperatorResponse> {
     const m = at ?? this.master ?? this.of('control').find((x) => x.up);
     const node = m?.control;
     if (!node) return { status: 0, body: null };
--- a/tests/src/control/operations.test.ts
+++ b/tests/src/control/operations.test.ts
@@ -1,7 +1,7 @@
 /** The operators' interface against a scripted master: statuses, bodies, refusals, and what each answer waits for. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { isRead, operate, type Outcome } from '@tillerstair/control';
+import { isReadOnly, operate, type OperatorResponse } from '@tillerstair/control';
 import { takenLeast, withTaken, type State, type TakenChanges } from '@tillerstair/state';
 import { RpcError } from '@tillerstair/wire';
 import { sampleSlot, sampleState } from '../support/sample-state.js';
@@ -24,16 +24,16 @@
   method: string,
   path: string,
   body: string | object = '',
-): Promise<Outcome> =>
+): Promise<OperatorResponse> =>
   operate(master, { method, path, body: typeof body === 'string' ? body : JSON.stringify(body) });
 
 const masterOf = (more: Partial<State> = {}, script: MasterScript = {}): ScriptedMaster =>
   new ScriptedMaster(sampleState(undefined, more), script);
 
-const codeOf = (outcome: Outcome): string =>
+const codeOf = (outcome: OperatorResponse): string =>
   /"errorCode":"([^"]*)"/.exec(JSON.stringify(outcome.body))?.[1] ?? '';
 
-const statusAndCode = (outcome: Outcome): readonly [number, string] => [
+const statusAndCode = (outcome: OperatorResponse): readonly [number, string] => [
   outcome.status,
   codeOf(outcome),
 ];
@@ -340,7 +340,7 @@
 });
 
 operations('reads are those that alter nothing however they end', () => {
-  const read = (method: string, path: string): boolean => isRead({ method, path, body: '' });
+  const read = (method: string, path: string): boolean => isReadOnly({ method, path, body: '' });
   assert.ok(read('GET', '/v1/status'));
   assert.ok(read('POST', '/v1/config/prepare'));
   assert.not(read('PUT', '/v1/config'));
--- a/tests/src/control/operator-answers.test.ts
+++ b/tests/src/control/operator-answers.test.ts
@@ -1,7 +1,7 @@
 /** What operators are told: findings, unknown outcomes, stores emptied by name, the page. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import type { Outcome } from '@tillerstair/control';
+import type { OperatorResponse } from '@tillerstair/control';
 import { freePorts } from '@tillerstair/fleet';
 import { OperatorDesk, operatorPage } from '@tillerstair/platform';
 import { serveHttp } from '@tillerstair/wire';
@@ -141,7 +141,7 @@
 
 telling("the page speaks the platform's dialect", async () => {
   const asked: string[] = [];
-  const outcomes = new Map<string, Outcome>([
+  const outcomes = new Map<string, OperatorResponse>([
     ['PUT /v1/config', { status: 409, body: {} }],
     [
       'GET /v1/config',
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { configHistory, type ConfigAnswer } from '@tillerstair/checker';
-import type { Operation, Outcome } from '@tillerstair/control';
+import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
 import { OperatorDesk } from '@tillerstair/platform';
 import { ConfigCalls, seededRng, World, type Machine } from '@tillerstair/sim';
 import {
@@ -54,7 +54,7 @@
   body: patch(version, name),
 });
 
-const answerOf = (o: Outcome | undefined): ConfigAnswer => {
+const answerOf = (o: OperatorResponse | undefined): ConfigAnswer => {
   if (o?.status === 200) return { kind: 'taken' };
   if (o?.status === 412) return { kind: 'refused' };
   return o?.status === 503 || o?.status === 400 ? { kind: 'no-effect' } : { kind: 'unclear' };
@@ -68,7 +68,7 @@
     this.calls = new ConfigCalls(w.clock);
   }
 
-  send(o: Order, at: Machine | undefined = this.w.master): Promise<Outcome | undefined> {
+  send(o: Order, at: Machine | undefined = this.w.master): Promise<OperatorResponse | undefined> {
     const node = at?.control;
     const what = {
       kind: 'change' as const,
@@ -78,7 +78,7 @@
       content: undefined,
     };
     const desk = new OperatorDesk(
-      async (x: Operation) => (await node?.operate(x)) ?? { status: 504, body: null },
+      async (x: OperatorRequest) => (await node?.operate(x)) ?? { status: 504, body: null },
     );
     return this.calls.record(what, () => desk.change(o.method, String(o.base), o.body), answerOf);
   }
@@ -205,7 +205,7 @@
     const node = w.master?.control;
     if (!node) throw new Error('no master');
     const patched = patching(1, 3, 'r2');
-    const midway = (between: () => Promise<Outcome | undefined>) =>
+    const midway = (between: () => Promise<OperatorResponse | undefined>) =>
       new OperatorDesk(async (o) => {
         if (o.method === 'PUT') await between();
         return node.operate(o);
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { tuned } from '@tillerstair/control';
+import { tunedWeights } from '@tillerstair/control';
 import { checkRecords } from '@tillerstair/checker';
 import { Life, seededRng, SimClock, SimServers, stormConfig } from '@tillerstair/sim';
 import {
@@ -188,7 +188,7 @@
   const paces = new Map(six.map(([id]) => [id, id === 'n1' ? 50 : 200]));
   let steps = 0;
   for (; steps < 60; steps++) {
-    const next = tuned(s, paces);
+    const next = tunedWeights(s, paces);
     const old = s.weights.get(weightKey('new', 'n1')) ?? 1;
     assert.ok(Math.abs((next.get(weightKey('new', 'n1')) ?? 1) - old) <= 0.3);
     if ([...next].every(([k, w]) => s.weights.get(k) === w)) break;
@@ -197,7 +197,7 @@
   assert.ok(steps < 60, 'never settles');
   assert.ok(Math.abs((s.weights.get(weightKey('new', 'n1')) ?? 1) - 0.25) <= 0.06);
   assert.is(s.weights.get(weightKey('new', 'n2')), 1);
-  assert.equal(tuned(s, new Map()), s.weights);
+  assert.equal(tunedWeights(s, new Map()), s.weights);
 });
 
 place(
--- a/tests/src/support/operator-world.ts
+++ b/tests/src/support/operator-world.ts
@@ -1,5 +1,5 @@
 /** Configurations in the platform's words, and the desk that takes them. */
-import type { Outcome } from '@tillerstair/control';
+import type { OperatorResponse } from '@tillerstair/control';
 import { OperatorDesk } from '@tillerstair/platform';
 import { World } from '@tillerstair/sim';
 import { small } from './world-helpers.js';
@@ -82,7 +82,11 @@
   if (!node) throw new Error('no control');
   const desk = new OperatorDesk((o) => node.operate(o));
   return {
-    change: (method: 'PUT' | 'PATCH', base: number | string, body: unknown): Promise<Outcome> =>
+    change: (
+      method: 'PUT' | 'PATCH',
+      base: number | string,
+      body: unknown,
+    ): Promise<OperatorResponse> =>
       w.clock.finish(
         method,
         desk.change(method, String(base), typeof body === 'string' ? body : text(body)),
--- a/tests/src/zen/partitioned-control.test.ts
+++ b/tests/src/zen/partitioned-control.test.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import * as assert from 'uvu/assert';
 import { configHistory, type ConfigCall } from '@tillerstair/checker';
-import type { Operation } from '@tillerstair/control';
+import type { OperatorRequest } from '@tillerstair/control';
 import { ConfigCalls, seededRng, type Machine, type World } from '@tillerstair/sim';
 import { configText, small, worldUp } from '../support/world-helpers.js';
 
@@ -18,7 +18,7 @@
 
 interface Answered {
   readonly at: Machine;
-  readonly operation: Operation;
+  readonly operation: OperatorRequest;
   readonly status: number;
   readonly from: number;
   readonly to: number;
@@ -57,7 +57,7 @@
   }
 
   send(at: Machine) {
-    return async (operation: Operation) => {
+    return async (operation: OperatorRequest) => {
       const from = this.w.clock.now();
       const got = await at.control?.operate(operation);
       this.answered.push({ at, operation, status: got?.status ?? 0, from, to: this.w.clock.now() });
@@ -208,8 +208,8 @@
   const old = w.master;
   const oldNode = old?.control;
   if (!old || !oldNode) throw new Error('no master');
-  const toOld = (o: Operation) => oldNode.operate(o);
-  const toNew = async (o: Operation) => w.master?.control?.operate(o);
+  const toOld = (o: OperatorRequest) => oldNode.operate(o);
+  const toNew = async (o: OperatorRequest) => w.master?.control?.operate(o);
   await w.clock.finish('first', calls.put(configText(0), toOld), 5000);
   const others = w.of('control').filter((m) => m !== old);
   for (const m of others) m.kill();
@@ -275,8 +275,8 @@
       const old = w.master;
       const oldNode = old?.control;
       if (!old || !oldNode) throw new Error('no master');
-      const toOld = (o: Operation) => oldNode.operate(o);
-      const toNew = async (o: Operation) => w.master?.control?.operate(o);
+      const toOld = (o: OperatorRequest) => oldNode.operate(o);
+      const toNew = async (o: OperatorRequest) => w.master?.control?.operate(o);
       await w.clock.finish('first', calls.put(configText(0), toOld), 5000);
       old.freeze();
       await w.clock.until(
