--- a/tests/src/state/allocate.test.ts
+++ b/tests/src/state/allocate.test.ts
@@ -94,14 +94,14 @@
 
 allocation('a slot with too few replicas gets one more and loses none', () => {
   const state = sampleState([sampleSlot({ replicas: ['s1', 's2'] })]);
-  const slot = allocate(state, bounds()).slots[0];
+  const slot = allocate(state, bounds()).slots.at(0);
   assert.equal([slot?.replicas, slot?.joiningReplicas], [['s1', 's2'], ['s3']]);
   assert.is(slot?.replacedReplica, '');
 });
 
 allocation('a slot whose owner is no member goes to another front at once', () => {
   const state = withoutNodes(sampleState(), 'f1');
-  const slot = allocate(state, bounds()).slots[0];
+  const slot = allocate(state, bounds()).slots.at(0);
   assert.equal([slot?.owner, slot?.ownershipEpoch, slot?.ownedSinceEpoch], ['f2', 4, 4]);
 });
 
