--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -5,8 +5,14 @@
  * Its own state is in memory only and serves decisions about time: who was silent since when, who arrived when. The
  * decisions go into the cluster state, whose reducers keep the invariants (design.md, "Slots, owners, ownership epochs").
  */
-import { allocate, reduce, replicasToWrite, type Member, type State } from '@tillerstair/state';
-import type { Clock, Log, TimerHandle } from '@tillerstair/wire';
+import {
+  allocate,
+  reduceState,
+  replicasToWrite,
+  type Member,
+  type State,
+} from '@tillerstair/state';
+import type { Clock, Logger, TimerHandle } from '@tillerstair/wire';
 import type { MasterView, ZenBounds } from '@tillerstair/zen';
 import { AddressHistory } from './address-history.js';
 import { Arrivals } from './arrivals.js';
@@ -42,7 +48,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly bounds: ZenBounds,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   /** Takes over the addresses of an applied state; called for every state, also on controls that are not master. */
@@ -95,7 +101,7 @@
     return submitOrRetryLater(master, (state) => {
       let marked = state;
       for (const [id, down] of downMarks)
-        marked = reduce(marked, { kind: 'server-mark', id, down });
+        marked = reduceState(marked, { kind: 'server-mark', id, down });
       return transferReleased(marked, overdue);
     });
   }
@@ -168,6 +174,6 @@
     if (!replacement) return state;
     const { lostId, spare } = replacement;
     this.log.info(`Control ${lostId} is lost, ${spare.addr} takes its place.`);
-    return reduce(state, { kind: 'voters', out: lostId, in: spare });
+    return reduceState(state, { kind: 'voters', out: lostId, in: spare });
   }
 }
--- a/packages/control/src/cluster-reports.ts
+++ b/packages/control/src/cluster-reports.ts
@@ -2,7 +2,7 @@
 import {
   liveNodes,
   replicasToWrite,
-  replicasWhole,
+  allSlotsAtFullMargin,
   type IsLive,
   type Member,
   type Server,
@@ -35,7 +35,7 @@
     retiring,
     slotsHeld,
     slotsJoining,
-    done: retiring && slotsHeld === 0 && replicasWhole(state, liveNodes(state, isLive)),
+    done: retiring && slotsHeld === 0 && allSlotsAtFullMargin(state, liveNodes(state, isLive)),
   };
 };
 
--- a/packages/control/src/list-poll.ts
+++ b/packages/control/src/list-poll.ts
@@ -2,8 +2,8 @@
  * The master's poll of the list of servers: each reading that differs is committed, and its age is what fronts are told
  * of the list. Only readings that began in this term count: an older one may lack what the last master had committed.
  */
-import { listInto, type ListReport } from '@tillerstair/state';
-import { pause, type Clock } from '@tillerstair/wire';
+import { applyServerList, type ServerListReport } from '@tillerstair/state';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { MasterView } from '@tillerstair/zen';
 import {
   ageReport,
@@ -36,12 +36,12 @@
       if (reading.triedAt >= startedAt) await this.commit(master, reading).catch(() => undefined);
       const { intervalMs } = this.reader;
       const untilNext = reading.triedAt + intervalMs - this.clock.now();
-      await pause(this.clock, Math.max(intervalMs / leastPauseDivisor, untilNext), master.lost);
+      await delay(this.clock, Math.max(intervalMs / leastPauseDivisor, untilNext), master.lost);
     }
   }
 
   /** The ages of the newest reading that this term has committed; nulls for another term. */
-  reported(term: number | undefined): ListReport {
+  reported(term: number | undefined): ServerListReport {
     return term === this.term
       ? ageReport(this.committed, this.clock.now())
       : { age: null, readAge: null };
@@ -52,8 +52,8 @@
     const isNew = readAt === triedAt;
     const { committed } = master;
     if (!committed) return;
-    if (isNew && listInto(committed, servers) !== committed)
-      await master.submit((state) => listInto(state, servers));
+    if (isNew && applyServerList(committed, servers) !== committed)
+      await master.submit((state) => applyServerList(state, servers));
     if (master.lost.aborted || this.term !== master.term) return;
     this.committed = { triedAt, readAt: isNew ? readAt : this.committed.readAt };
   }
--- a/packages/control/src/list-reader.ts
+++ b/packages/control/src/list-reader.ts
@@ -2,24 +2,24 @@
  * Reads the list of servers of the deployment, as rarely as its bound allows and with one reading at a time, whoever
  * asks. Owns the newest reading of this control.
  */
-import type { Listed, ListReply, ListReport } from '@tillerstair/state';
+import type { ListedServer, ServerListReply, ServerListReport } from '@tillerstair/state';
 import {
   isProgrammingError,
-  pause,
+  delay,
   RequestTimeoutError,
   toRpcError,
-  within,
+  withTimeout,
   type Clock,
-  type Log,
+  type Logger,
 } from '@tillerstair/wire';
 import type { ZenBounds } from '@tillerstair/zen';
 
-export type { Listed } from '@tillerstair/state';
+export type { ListedServer } from '@tillerstair/state';
 
 /** A list of servers that the deployment keeps elsewhere. */
 export interface ServerList {
   /** Reads all of it. Rejects when it cannot be read; an answer after `withinMs` comes too late. */
-  read(withinMs: number): Promise<readonly Listed[]>;
+  read(withinMs: number): Promise<readonly ListedServer[]>;
 }
 
 /** When the list was last asked for and when the newest answer was asked for, in ms of the clock; -Infinity for never. */
@@ -30,7 +30,7 @@
 
 /** The newest answer of the list, and its times. */
 export interface ListReading extends ReadingTimes {
-  readonly servers: readonly Listed[];
+  readonly servers: readonly ListedServer[];
 }
 
 /** The times of a list that was never asked. */
@@ -39,7 +39,7 @@
 const ageOf = (at: number, now: number): number | null => (at === -Infinity ? null : now - at);
 
 /** The ages of a reading, in ms; null for never. */
-export const ageReport = ({ triedAt, readAt }: ReadingTimes, now: number): ListReport => ({
+export const ageReport = ({ triedAt, readAt }: ReadingTimes, now: number): ServerListReport => ({
   age: ageOf(triedAt, now),
   readAge: ageOf(readAt, now),
 });
@@ -57,7 +57,7 @@
     private readonly clock: Clock,
     private readonly list: ServerList,
     private readonly bounds: Pick<ZenBounds, 'listEvery'>,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   /** The pause between two readings, in ms. */
@@ -76,8 +76,8 @@
   }
 
   /** What a node that asks is told; when the list is slow, the last answer with the age of the attempt. */
-  async reply(): Promise<ListReply> {
-    const late = pause(this.clock, this.intervalMs / replyDivisor).then(() => ({
+  async reply(): Promise<ServerListReply> {
+    const late = delay(this.clock, this.intervalMs / replyDivisor).then(() => ({
       ...this.newest,
       triedAt: this.attemptedAt,
     }));
@@ -95,7 +95,7 @@
     const triedAt = this.clock.now();
     this.attemptedAt = triedAt;
     try {
-      const servers = await within(
+      const servers = await withTimeout(
         this.clock,
         this.intervalMs,
         this.list.read(this.intervalMs),
--- a/packages/control/src/master-loop.ts
+++ b/packages/control/src/master-loop.ts
@@ -1,6 +1,6 @@
 /** Periodic work of a master, from its election until it steps down. */
 import type { State } from '@tillerstair/state';
-import { pause, type Clock } from '@tillerstair/wire';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { MasterView } from '@tillerstair/zen';
 
 /**
@@ -15,7 +15,7 @@
 ): Promise<void> => {
   const steppedDown = (): boolean => master.lost.aborted;
   while (!steppedDown()) {
-    await pause(clock, intervalMs(), master.lost);
+    await delay(clock, intervalMs(), master.lost);
     const { committed } = master;
     if (steppedDown() || !committed) continue;
     await work(committed);
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -3,8 +3,8 @@
  * master, or by forwarding to the master. What it says to an operator never claims more than is known: a change whose
  * end is unclear is never called undone.
  */
-import { nodeViewOf, reduce, type Member, type NodeView } from '@tillerstair/state';
-import { RpcError, toRpcError, type RpcRequest } from '@tillerstair/wire';
+import { nodeViewOf, reduceState, type Member, type NodeView } from '@tillerstair/state';
+import { ElectionError, ProtocolError, toRpcError, type RpcRequest } from '@tillerstair/wire';
 import { ZenNode, type MasterView, type ZenParts } from '@tillerstair/zen';
 import { AllocationController } from './allocation-controller.js';
 import { ListPoll } from './list-poll.js';
@@ -97,7 +97,7 @@
     await this.transport.close();
   }
 
-  /** Answers a request of the inner wire. Throws `RpcError`: `not-master` where only a master could, `unknown-kind`. */
+  /** Answers a request of the inner wire. Throws `ElectionError` (`not-master`) and `ProtocolError` (`unknown-kind`). */
   async handle(request: RpcRequest): Promise<unknown> {
     if (request.kind.startsWith('zen/')) return this.zen.handle(request);
     switch (request.kind) {
@@ -110,7 +110,7 @@
       case ControlRequestKind.filled:
         return this.countFilled(this.leadingMaster(), FilledNotice.parse(request.body));
       default:
-        throw new RpcError('unknown-kind', `no such request: ${request.kind}`);
+        throw new ProtocolError('unknown-kind', `no such request: ${request.kind}`);
     }
   }
 
@@ -141,7 +141,7 @@
     const { failureTimeout } = this.bounds;
     try {
       const response = await this.transport.call(master.addr, ControlRequestKind.operate, request, {
-        within: failureTimeout,
+        timeoutMs: failureTimeout,
       });
       return OperatorResponse.parse(response);
     } catch (error) {
@@ -160,7 +160,7 @@
 
   private leadingMaster(): MasterView {
     const { leading } = this.zen;
-    if (!leading) throw new RpcError('not-master', 'this control is not master');
+    if (!leading) throw new ElectionError('not-master', 'this control is not master');
     return leading;
   }
 
@@ -168,14 +168,14 @@
   private async drainDeparting(master: MasterView, id: string): Promise<object> {
     await master.submit((state) =>
       state.nodes.get(id)?.kind === 'front'
-        ? reduce(state, { kind: 'retire', id, on: true })
+        ? reduceState(state, { kind: 'retire', id, on: true })
         : state,
     );
     return {};
   }
 
   private async countFilled(master: MasterView, notice: FilledNotice): Promise<object> {
-    await master.submit((state) => reduce(state, { kind: 'filled', ...notice }));
+    await master.submit((state) => reduceState(state, { kind: 'filled', ...notice }));
     return {};
   }
 
--- a/packages/control/src/operations/accepted-change.ts
+++ b/packages/control/src/operations/accepted-change.ts
@@ -1,5 +1,5 @@
 /** Whether a change of the configuration was accepted before, so that one that is sent again is acknowledged again. */
-import { takenOutcome, type State } from '@tillerstair/state';
+import { acceptedChangeOutcome, type State } from '@tillerstair/state';
 import { ForgottenChangeError, WrongBaseError } from './errors.js';
 
 /** What tells a change apart: the version it builds on, the version that it makes, and its sender's change id. */
@@ -14,7 +14,7 @@
  * Throws `WrongBaseError` where it can no longer be made, `ForgottenChangeError` where the record is younger than it.
  */
 export const wasAccepted = (state: State, change: ChangeIdentity): boolean => {
-  const outcome = takenOutcome(state.taken, change.version, change.changeId);
+  const outcome = acceptedChangeOutcome(state.acceptedChanges, change.version, change.changeId);
   if (outcome === 'taken') return true;
   if (outcome === 'forgotten') throw new ForgottenChangeError(change.version);
   const currentVersion = state.config?.version ?? 0;
--- a/packages/control/src/operations/configuration.ts
+++ b/packages/control/src/operations/configuration.ts
@@ -3,8 +3,8 @@
 import {
   changeIdOf,
   checkConfig,
-  digestOf,
-  reduce,
+  configDigest,
+  reduceState,
   type Config,
   type ConfigRecord,
   type State,
@@ -12,7 +12,7 @@
 import type { MasterView } from '@tillerstair/zen';
 import type { OperatorResponse } from '../messages.js';
 import { wasAccepted, type ChangeIdentity } from './accepted-change.js';
-import { NotFoundError, OperationError } from './errors.js';
+import { NotFoundError, OperatorRequestError } from './errors.js';
 import {
   defineOperation,
   jsonOf,
@@ -43,7 +43,7 @@
 const recordOf = ({ text, config }: ConfigurationFile): ConfigRecord => ({
   version: config.version ?? config.base + 1,
   text,
-  digest: digestOf(text),
+  digest: configDigest(text),
   compiled: JSON.stringify({ ...config, origin: undefined, order: undefined }),
   changeId: config.changeId ?? '',
 });
@@ -57,13 +57,13 @@
   const identity = { base: file.config.base, version, changeId: changeIdOf(record) };
   try {
     const committed = await master.decide((state) =>
-      wasAccepted(state, identity) ? state : reduce(state, { kind: 'config', record }),
+      wasAccepted(state, identity) ? state : reduceState(state, { kind: 'config', record }),
     );
     await master.inForce(committed);
     const newest = committed.state.config?.version ?? 0;
     return succeeded(newest === version ? { version, digest } : { version, digest, newest });
   } catch (error) {
-    if (error instanceof OperationError) return error.toResponse();
+    if (error instanceof OperatorRequestError) return error.toResponse();
     const how = 'GET /v1/config and compare the digest, or hand in the same file again';
     return failedChange(error, how, { digest });
   }
@@ -107,7 +107,7 @@
     await master.inForce({ state, at: master.committedAt });
     return succeeded({ taken: true, version: identity.version });
   } catch (error) {
-    if (error instanceof OperationError) return error.toResponse();
+    if (error instanceof OperatorRequestError) return error.toResponse();
     return failedChange(error, 'ask again');
   }
 };
--- a/packages/control/src/operations/errors.ts
+++ b/packages/control/src/operations/errors.ts
@@ -2,18 +2,20 @@
  * Why the state in place forbids an operator's request. These are thrown while the master makes a change or reads the
  * state, and reach the operator once a majority has confirmed the master (`MasterView.decide` and `confirm`).
  */
-import { RpcError } from '@tillerstair/wire';
+import { OperationError } from '@tillerstair/wire';
 import type { OperatorResponse } from '../messages.js';
 import { HttpStatus, refused, unclear } from './responses.js';
 
 /** An error that says itself how the operator is answered. */
-export abstract class OperationError extends RpcError {
+export abstract class OperatorRequestError extends OperationError {
   /** The answer to the operator whose request failed with this error. */
   abstract toResponse(): OperatorResponse;
 }
 
 /** What the request names does not exist. Nothing was altered. */
-export class NotFoundError extends OperationError {
+export class NotFoundError extends OperatorRequestError {
+  override readonly name = 'NotFoundError';
+
   constructor(message: string) {
     super('missing', message);
   }
@@ -24,7 +26,9 @@
 }
 
 /** The state in place forbids the request. Nothing was altered. */
-export class ConflictError extends OperationError {
+export class ConflictError extends OperatorRequestError {
+  override readonly name = 'ConflictError';
+
   constructor(message: string) {
     super('refused', message);
   }
@@ -35,7 +39,9 @@
 }
 
 /** A configuration builds on another version than the one in place. Nothing was altered. */
-export class WrongBaseError extends OperationError {
+export class WrongBaseError extends OperatorRequestError {
+  override readonly name = 'WrongBaseError';
+
   constructor(readonly currentVersion: number) {
     super('wrong-base', `the configuration is at version ${currentVersion}`);
   }
@@ -46,7 +52,9 @@
 }
 
 /** A change is older than the record of accepted changes; whether it was accepted is not known any more. */
-export class ForgottenChangeError extends OperationError {
+export class ForgottenChangeError extends OperatorRequestError {
+  override readonly name = 'ForgottenChangeError';
+
   constructor(version: number) {
     super('forgotten', `version ${version} is older than the record of taken changes`, 'unknown');
   }
--- a/packages/control/src/operations/operation.ts
+++ b/packages/control/src/operations/operation.ts
@@ -6,7 +6,7 @@
 import { toRpcError } from '@tillerstair/wire';
 import type { MasterView } from '@tillerstair/zen';
 import type { OperatorResponse } from '../messages.js';
-import { NotFoundError, OperationError } from './errors.js';
+import { NotFoundError, OperatorRequestError } from './errors.js';
 import { failedChange, HttpStatus, refused, succeeded } from './responses.js';
 
 /**
@@ -108,7 +108,7 @@
     const { state } = await master.decide(change);
     return succeeded(view(state));
   } catch (error) {
-    if (error instanceof OperationError) return error.toResponse();
+    if (error instanceof OperatorRequestError) return error.toResponse();
     return failedChange(error, 'GET /v1/status');
   }
 };
--- a/packages/control/src/operations/retirement.ts
+++ b/packages/control/src/operations/retirement.ts
@@ -1,5 +1,5 @@
 /** Operations that empty a store or drain a front, and take that back; nothing is lost, and no slot is left unserved. */
-import { reduce, type IsLive, type Member, type State } from '@tillerstair/state';
+import { reduceState, type IsLive, type Member, type State } from '@tillerstair/state';
 import { drainingProgress, emptyingProgress } from '../cluster-reports.js';
 import { ConflictError, NotFoundError } from './errors.js';
 import { findMember, retiringIdOf } from './members.js';
@@ -51,12 +51,12 @@
   if (state.retiring.has(id)) return state;
   if (!member) throw new NotFoundError(`no node ${reference}`);
   assertOthersSuffice(state, member);
-  return reduce(state, { kind: 'retire', id, on: true });
+  return reduceState(state, { kind: 'retire', id, on: true });
 };
 
 const reinstated = (state: State, { reference, id, member }: RetirementTarget): State => {
   if (!member) throw new NotFoundError(`no node ${reference}`);
-  return reduce(state, { kind: 'retire', id, on: false });
+  return reduceState(state, { kind: 'retire', id, on: false });
 };
 
 const planRetirement = (
--- a/packages/control/src/operations/servers.ts
+++ b/packages/control/src/operations/servers.ts
@@ -1,6 +1,6 @@
 /** Operations on servers that operators name by hand: adding one, marking it as draining, removing it. */
 import { z } from 'zod';
-import { reduce, type Server, type State } from '@tillerstair/state';
+import { reduceState, type Server, type State } from '@tillerstair/state';
 import { NotFoundError } from './errors.js';
 import {
   commitChange,
@@ -47,19 +47,22 @@
 
 const addServer = (id: string, given: NewServer): PlannedChange => {
   const server: Server = { id, ...given, draining: false, down: false, zone: '', places: 0 };
-  return { change: (state) => reduce(state, { kind: 'server', server }), view: viewServer(id) };
+  return {
+    change: (state) => reduceState(state, { kind: 'server', server }),
+    view: viewServer(id),
+  };
 };
 
 const drainServer = (id: string): PlannedChange => ({
   change: (state) => {
     if (!state.servers.has(id)) throw new NotFoundError(`no server ${id}`);
-    return reduce(state, { kind: 'server-mark', id, draining: true });
+    return reduceState(state, { kind: 'server-mark', id, draining: true });
   },
   view: viewServer(id),
 });
 
 const removeServer = (id: string): PlannedChange => ({
-  change: (state) => reduce(state, { kind: 'server-gone', id }),
+  change: (state) => reduceState(state, { kind: 'server-gone', id }),
   view: () => ({ id, gone: true }),
 });
 
--- a/packages/control/src/operations/voting-controls.ts
+++ b/packages/control/src/operations/voting-controls.ts
@@ -1,5 +1,5 @@
 /** Operations that give a control a vote or take it away, one control at a time (zen.md, joint consensus). */
-import { reduce, type State } from '@tillerstair/state';
+import { reduceState, type State } from '@tillerstair/state';
 import type { MasterView } from '@tillerstair/zen';
 import { ConflictError, NotFoundError } from './errors.js';
 import { memberOf } from './members.js';
@@ -29,7 +29,7 @@
       throw new ConflictError(
         `${reference} does not hold the newest state on its disk yet; ask again`,
       );
-    return reduce(state, { kind: 'voters', out: '', in: member });
+    return reduceState(state, { kind: 'voters', out: '', in: member });
   },
   view: viewVoters,
 });
@@ -40,7 +40,7 @@
     if (!state.voters.current.includes(id)) throw new NotFoundError(`${id} is no voting control`);
     if (state.voters.current.length <= 1)
       throw new ConflictError('the last control cannot be taken out');
-    return reduce(state, { kind: 'voters', out: id, in: undefined });
+    return reduceState(state, { kind: 'voters', out: id, in: undefined });
   },
   view: viewVoters,
 });
--- a/packages/control/src/slot-transfers.ts
+++ b/packages/control/src/slot-transfers.ts
@@ -1,5 +1,5 @@
 /** Slots that are marked to move to another front, and for how long they have been. */
-import { reduce, type State } from '@tillerstair/state';
+import { reduceState, type State } from '@tillerstair/state';
 
 /** A slot that may go to its transfer target, if it is still under this ownership epoch. */
 export interface SlotRelease {
@@ -11,7 +11,7 @@
 export const transferReleased = (state: State, released: readonly SlotRelease[]): State =>
   released.reduce(
     (current, { slot, ownershipEpoch }) =>
-      reduce(current, { kind: 'transferred', slot, ownershipEpoch }),
+      reduceState(current, { kind: 'transferred', slot, ownershipEpoch }),
     state,
   );
 
--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -14,7 +14,7 @@
 } from '@tillerstair/settings';
 import { FolderDisk } from '@tillerstair/journal';
 import { replicationFor, type Member } from '@tillerstair/state';
-import { hostClock, readBody, sendJson, TcpTransport, type Log } from '@tillerstair/wire';
+import { hostClock, readBody, sendJson, TcpTransport, type Logger } from '@tillerstair/wire';
 import { controlPace, DiskElectionStore, reloadableBounds, type ZenBounds } from '@tillerstair/zen';
 import type { ServerList } from './list-reader.js';
 import { ControlNode } from './node.js';
@@ -52,7 +52,7 @@
   disk: FolderDisk,
   settings: ControlSettings,
   bounds: ZenBounds,
-  log: Log,
+  log: Logger,
   list: ServerList | undefined,
 ): Promise<ControlNode> => {
   const electionStore = await DiskElectionStore.open(
--- a/packages/control/src/weight-tuning.ts
+++ b/packages/control/src/weight-tuning.ts
@@ -2,7 +2,7 @@
  * Tunes the weights of servers to the pace that fronts report: a server that does half the work of the best of its
  * pool gets half its weight. Weights move in small, rounded steps, so that they settle and change the state seldom.
  */
-import { compiledOf, reduce, weightKey, type State } from '@tillerstair/state';
+import { compiledConfig, reduceState, weightKey, type State } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import type { MasterView, ZenBounds } from '@tillerstair/zen';
 import type { AllocationController } from './allocation-controller.js';
@@ -33,7 +33,7 @@
   state: State,
   paces: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> => {
-  const config = compiledOf(state.config);
+  const config = compiledConfig(state.config);
   if (!config) return state.weights;
   if (!config.tuning) return new Map();
   const weights = new Map<string, number>();
@@ -70,7 +70,9 @@
       const paces = allocationController.paces(committed);
       await submitOrRetryLater(master, (state) => {
         const weights = tunedWeights(state, paces);
-        return isSame(weights, state.weights) ? state : reduce(state, { kind: 'weights', weights });
+        return isSame(weights, state.weights)
+          ? state
+          : reduceState(state, { kind: 'weights', weights });
       });
     },
   );
--- a/tests/src/control/allocation-controller.test.ts
+++ b/tests/src/control/allocation-controller.test.ts
@@ -4,7 +4,7 @@
 import { AllocationController } from '@tillerstair/control';
 import { SimClock } from '@tillerstair/sim';
 import { emptySlots, type State } from '@tillerstair/state';
-import { noLog } from '@tillerstair/wire';
+import { silentLogger } from '@tillerstair/wire';
 import { zenBounds } from '@tillerstair/zen';
 import { sampleMember, sampleSlot, sampleState } from '../support/sample-state.js';
 import { ScriptedMaster, type MasterScript } from '../support/scripted-master.js';
@@ -27,7 +27,7 @@
 
 const started = (state: State, script: MasterScript = {}) => {
   const clock = new SimClock();
-  const allocation = new AllocationController(clock, bounds, noLog);
+  const allocation = new AllocationController(clock, bounds, silentLogger);
   const master = new ScriptedMaster(state, script);
   return { clock, allocation, master };
 };
--- a/tests/src/control/list-poll.test.ts
+++ b/tests/src/control/list-poll.test.ts
@@ -1,16 +1,16 @@
 /** The master's poll of the server list: which readings it takes over, and what it reports of them. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { ListPoll, ListReader, type Listed, type ServerList } from '@tillerstair/control';
+import { ListPoll, ListReader, type ListedServer, type ServerList } from '@tillerstair/control';
 import { SimClock } from '@tillerstair/sim';
-import { listInto, type State } from '@tillerstair/state';
-import { noLog } from '@tillerstair/wire';
+import { applyServerList, type State } from '@tillerstair/state';
+import { silentLogger } from '@tillerstair/wire';
 import { sampleState } from '../support/sample-state.js';
 import { ScriptedMaster } from '../support/scripted-master.js';
 
 const poll = suite('poll of the server list');
 
-const listed = (id: string): Listed => ({
+const listed = (id: string): ListedServer => ({
   id,
   pool: 'p',
   url: 'http://127.0.0.1:1',
@@ -21,10 +21,10 @@
 
 /** A list that shows these servers, or fails where there are none. */
 class ScriptedList implements ServerList {
-  servers: readonly Listed[] | undefined = [listed('a')];
+  servers: readonly ListedServer[] | undefined = [listed('a')];
   reads = 0;
 
-  async read(): Promise<readonly Listed[]> {
+  async read(): Promise<readonly ListedServer[]> {
     this.reads++;
     return this.servers ? Promise.resolve(this.servers) : Promise.reject(new Error('list is down'));
   }
@@ -33,7 +33,7 @@
 const started = (state: State = sampleState([])) => {
   const clock = new SimClock();
   const list = new ScriptedList();
-  const reader = new ListReader(clock, list, { listEvery: 500 }, noLog);
+  const reader = new ListReader(clock, list, { listEvery: 500 }, silentLogger);
   return {
     clock,
     list,
@@ -93,18 +93,21 @@
 });
 
 poll('a server that left the list leaves the state, a draining one stays draining', () => {
-  const draining = listInto(sampleState([]), [{ ...listed('a'), draining: true }, listed('b')]);
-  const again = listInto(draining, [listed('a')]);
+  const draining = applyServerList(sampleState([]), [
+    { ...listed('a'), draining: true },
+    listed('b'),
+  ]);
+  const again = applyServerList(draining, [listed('a')]);
   assert.equal([...again.servers.keys()], ['a']);
   assert.is(again.servers.get('a')?.draining, true);
-  const twice = listInto(sampleState([]), [{ ...listed('a'), draining: true }, listed('a')]);
+  const twice = applyServerList(sampleState([]), [{ ...listed('a'), draining: true }, listed('a')]);
   assert.is(twice.servers.get('a')?.draining, true);
   const down = new Map([['a', { ...listed('a'), down: true }]]);
   assert.is(
-    listInto(sampleState([], { servers: down }), [listed('a')]).servers.get('a')?.down,
+    applyServerList(sampleState([], { servers: down }), [listed('a')]).servers.get('a')?.down,
     true,
   );
-  assert.is(listInto(again, [listed('a')]), again);
+  assert.is(applyServerList(again, [listed('a')]), again);
 });
 
 poll.run();
--- a/tests/src/control/operations.test.ts
+++ b/tests/src/control/operations.test.ts
@@ -2,7 +2,12 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { isReadOnly, operate, type OperatorResponse } from '@tillerstair/control';
-import { takenLeast, withTaken, type State, type TakenChanges } from '@tillerstair/state';
+import {
+  minimumRememberedChanges,
+  recordAcceptedChange,
+  type State,
+  type AcceptedChanges,
+} from '@tillerstair/state';
 import { RpcError } from '@tillerstair/wire';
 import { sampleSlot, sampleState } from '../support/sample-state.js';
 import { ScriptedMaster, type MasterScript } from '../support/scripted-master.js';
@@ -39,9 +44,9 @@
 ];
 
 const config = { version: 4, text: 'text 4', digest: 'd4', compiled: '{}', changeId: 'change 4' };
-const accepted: TakenChanges = withTaken(new Map(), 4, 'change 4');
-const notRun = new RpcError('no-quorum', 'no majority replied', 'no');
-const unclear = new RpcError('lost-office', 'not master any more', 'unknown');
+const accepted: AcceptedChanges = recordAcceptedChange(new Map(), 4, 'change 4');
+const notRun = new RpcError('no-majority', 'no majority replied', 'no');
+const unclear = new RpcError('superseded', 'not master any more', 'unknown');
 
 operations('a configuration is acknowledged once it is committed and in force', async () => {
   const master = masterOf();
@@ -60,7 +65,7 @@
 });
 
 operations('a configuration on another base is refused with the version in place', async () => {
-  const master = masterOf({ config, taken: accepted });
+  const master = masterOf({ config, acceptedChanges: accepted });
   const outcome = await ask(master, 'PUT', '/v1/config', fileText({ base: 3 }));
   assert.equal(outcome, {
     status: 409,
@@ -76,7 +81,7 @@
 
 operations('a change that was accepted is acknowledged again and not made again', async () => {
   const later = { ...config, version: 9 };
-  const master = masterOf({ config: later, taken: accepted });
+  const master = masterOf({ config: later, acceptedChanges: accepted });
   const again = fileText({ base: 3, version: 4, changeId: 'change 4' });
   const outcome = await ask(master, 'PUT', '/v1/config', again);
   assert.is(outcome.status, 200);
@@ -86,10 +91,13 @@
 });
 
 operations('a change older than the record is answered as unclear', async () => {
-  let taken: TakenChanges = new Map();
-  for (let version = 1; version <= takenLeast + 100; version++)
-    taken = withTaken(taken, version, `change ${version}`);
-  const master = masterOf({ config: { ...config, version: takenLeast + 100 }, taken });
+  let taken: AcceptedChanges = new Map();
+  for (let version = 1; version <= minimumRememberedChanges + 100; version++)
+    taken = recordAcceptedChange(taken, version, `change ${version}`);
+  const master = masterOf({
+    config: { ...config, version: minimumRememberedChanges + 100 },
+    acceptedChanges: taken,
+  });
   const old = fileText({ base: 0, version: 1, changeId: 'change 1' });
   const outcome = await ask(master, 'PUT', '/v1/config', old);
   assert.equal(statusAndCode(outcome), [504, 'unknown']);
@@ -106,10 +114,10 @@
     '/v1/config',
     fileText(),
   );
-  assert.equal(statusAndCode(refused), [503, 'no-quorum']);
+  assert.equal(statusAndCode(refused), [503, 'no-majority']);
   for (const [error, expected] of [
     [unclear, [504, 'unknown']],
-    [notRun, [503, 'no-quorum']],
+    [notRun, [503, 'no-majority']],
   ] as const) {
     const drain = await ask(masterOf({}, { publishError: error }), 'POST', '/v1/fronts/f1/drain');
     assert.equal(statusAndCode(drain), expected);
@@ -118,13 +126,13 @@
 
 operations('prepare tells whether a change was accepted, else the text it builds on', async () => {
   const body = { base: 4, version: 5, changeId: 'x' };
-  const master = masterOf({ config, taken: accepted });
+  const master = masterOf({ config, acceptedChanges: accepted });
   assert.equal(await ask(master, 'POST', '/v1/config/prepare', body), {
     status: 200,
     body: { taken: false, text: 'text 4' },
   });
   assert.equal(master.calls, ['confirm']);
-  const again = masterOf({ config, taken: accepted });
+  const again = masterOf({ config, acceptedChanges: accepted });
   const asked = { base: 3, version: 4, changeId: 'change 4' };
   assert.equal(await ask(again, 'POST', '/v1/config/prepare', asked), {
     status: 200,
@@ -137,16 +145,16 @@
   const body = { base: 0, version: 5, changeId: 'x' };
   const path = '/v1/config/prepare';
   assert.equal(statusAndCode(await ask(masterOf(), 'POST', path, body)), [404, 'missing']);
-  const placed = masterOf({ config, taken: accepted });
+  const placed = masterOf({ config, acceptedChanges: accepted });
   assert.equal(statusAndCode(await ask(placed, 'POST', path, body)), [409, 'wrong-base']);
   assert.equal(statusAndCode(await ask(placed, 'POST', path, '{')), [422, 'findings']);
   assert.equal(statusAndCode(await ask(placed, 'POST', path, { ...body, changeId: '' })), [
     422,
     'findings',
   ]);
-  const alone = masterOf({ config, taken: accepted }, { confirmError: notRun });
-  assert.equal(statusAndCode(await ask(alone, 'POST', path, body)), [503, 'no-quorum']);
-  const doubtful = masterOf({ config, taken: accepted }, { confirmError: unclear });
+  const alone = masterOf({ config, acceptedChanges: accepted }, { confirmError: notRun });
+  assert.equal(statusAndCode(await ask(alone, 'POST', path, body)), [503, 'no-majority']);
+  const doubtful = masterOf({ config, acceptedChanges: accepted }, { confirmError: unclear });
   const outcome = await ask(doubtful, 'POST', path, body);
   assert.equal(statusAndCode(outcome), [504, 'unknown']);
   assert.match(JSON.stringify(outcome.body), '"how":"ask again"');
--- a/tests/src/state/allocate.test.ts
+++ b/tests/src/state/allocate.test.ts
@@ -1,12 +1,12 @@
 /** Allocation: when a slot gets replicas, when one is replaced, and when its owner changes. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { allocate, emptySlots, type AllocationBounds, type State } from '@tillerstair/state';
+import { allocate, emptySlots, type AllocationLimits, type State } from '@tillerstair/state';
 import { sampleMember, sampleSlot, sampleState } from '../support/sample-state.js';
 
 const allocation = suite('allocation');
 
-const bounds = (more: Partial<AllocationBounds> = {}): AllocationBounds => ({
+const bounds = (more: Partial<AllocationLimits> = {}): AllocationLimits => ({
   leastStores: 3,
   moves: 8,
   fills: 8,
