--- a/tests/src/platform/translation.test.ts
+++ b/tests/src/platform/translation.test.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import type { Operation, Outcome } from '@tillerstair/control';
+import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
 import { freePorts } from '@tillerstair/fleet';
 import { operatorPage, platformDialect, readSettings } from '@tillerstair/platform';
 import { serveHttp } from '@tillerstair/wire';
@@ -132,8 +132,8 @@
 );
 
 /** The operators' page with a product behind it that answers as a test says and records what it is asked. */
-const pageUp = async (answer: (operation: Operation) => Outcome) => {
-  const asked: Operation[] = [];
+const pageUp = async (answer: (operation: OperatorRequest) => OperatorResponse) => {
+  const asked: OperatorRequest[] = [];
   const [port = 0] = await freePorts(1);
   const server = await serveHttp(
     `127.0.0.1:${port}`,
@@ -146,7 +146,7 @@
     server.closeAllConnections();
     server.close();
   };
-  const first = (): Operation => {
+  const first = (): OperatorRequest => {
     const operation = asked.at(0);
     if (!operation) throw new Error('nothing was asked');
     return operation;
