--- /dev/null
+++ b/tests/src/journal/folder-disk.test.ts
@@ -0,0 +1,117 @@
+/** The lock of a data folder, and files that are written anew in it. */
+import { spawn } from 'node:child_process';
+import { mkdtemp, readdir, readFile, rm, writeFile } from 'node:fs/promises';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { FolderDisk, FolderInUseError } from '@tillerstair/journal';
+
+const folders = suite('data folders');
+
+const inFolder = async (use: (folder: string) => Promise<void>): Promise<void> => {
+  const folder = await mkdtemp(join(tmpdir(), 'tillerstair-folder-'));
+  try {
+    await use(folder);
+  } finally {
+    await rm(folder, { recursive: true });
+  }
+};
+
+const isTaken = (folder: string): Promise<boolean> =>
+  FolderDisk.take(folder).then(
+    async (disk) => {
+      await disk.free();
+      return false;
+    },
+    (e: unknown) => {
+      assert.instance(e, FolderInUseError);
+      return true;
+    },
+  );
+
+/** When a process began, as its lock says it. */
+const startOf = async (pid: number): Promise<string> => {
+  const text = await readFile(`/proc/${pid}/stat`, 'utf8');
+  return text.slice(text.lastIndexOf(')') + 2).split(' ')[19] ?? '';
+};
+
+folders('a folder is locked for as long as the process that holds it lives', () =>
+  inFolder(async (folder) => {
+    const holder = spawn('sleep', ['60'], { stdio: 'ignore' });
+    const pid = holder.pid ?? 0;
+    await writeFile(join(folder, 'lock'), `${pid} ${await startOf(pid)}`);
+    assert.is(await isTaken(folder), true);
+    const ended = new Promise((done) => holder.once('close', done));
+    holder.kill('SIGKILL');
+    await ended;
+    assert.is(await isTaken(folder), false);
+  }),
+);
+
+folders('a lock of an earlier process with the same number holds nobody off', () =>
+  inFolder(async (folder) => {
+    await writeFile(join(folder, 'lock'), `${process.pid} 1`);
+    assert.is(await isTaken(folder), false);
+  }),
+);
+
+folders('a lock that names no start holds nobody off', () =>
+  inFolder(async (folder) => {
+    await writeFile(join(folder, 'lock'), `${process.pid}`);
+    assert.is(await isTaken(folder), false);
+  }),
+);
+
+folders('a file that cannot be written anew stays as it was, and leaves nothing beside it', () =>
+  inFolder(async (folder) => {
+    const disk = await FolderDisk.take(folder);
+    const file = await disk.open('a.log');
+    await file.append(Buffer.from('old'));
+    const failing = function* (): Generator<Buffer> {
+      yield Buffer.from('new');
+      throw new Error('no more');
+    };
+    const outcome = await file.replace(failing()).then(
+      () => 'replaced',
+      (e: unknown) => String(e),
+    );
+    assert.is(outcome, 'Error: no more');
+    await file.append(Buffer.from('er'));
+    assert.is(await readFile(join(folder, 'a.log'), 'utf8'), 'older');
+    assert.equal([...(await readdir(folder))].sort(), ['a.log', 'lock']);
+    await file.close();
+    await disk.free();
+  }),
+);
+
+folders('what a rewrite left behind is removed when the file is opened', () =>
+  inFolder(async (folder) => {
+    await writeFile(join(folder, 'a.log.next'), 'half');
+    const disk = await FolderDisk.take(folder);
+    await (await disk.open('a.log')).close();
+    assert.equal([...(await readdir(folder))].sort(), ['a.log', 'lock']);
+    await disk.free();
+  }),
+);
+
+folders('a file that is set aside keeps its bytes; one that is not there is no error', () =>
+  inFolder(async (folder) => {
+    const disk = await FolderDisk.take(folder);
+    await disk.setAside('a.log');
+    await writeFile(join(folder, 'a.log'), 'bytes');
+    await disk.setAside('a.log');
+    assert.is(await readFile(join(folder, 'a.log.damaged'), 'utf8'), 'bytes');
+    assert.equal([...(await readdir(folder))].sort(), ['a.log.damaged', 'lock']);
+    await disk.free();
+    await rm(folder, { recursive: true });
+    const outcome = await disk.setAside('a.log').then(
+      () => 'set aside',
+      (e: unknown) => (e instanceof Error && 'code' in e ? e.code : ''),
+    );
+    assert.is(outcome, 'ENOENT');
+    await FolderDisk.take(folder);
+  }),
+);
+
+folders.run();
--- /dev/null
+++ b/tests/src/journal/frames.test.ts
@@ -0,0 +1,65 @@
+/** Which lines of a log count as written, and which end it. */
+import { crc32 } from 'node:zlib';
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { Digest, frame, JournalCorrupt, Scanner } from '@tillerstair/journal';
+
+const frames = suite('frames of a journal');
+
+const scan = (...lines: readonly Buffer[]): { records: readonly unknown[]; good: number } => {
+  const records: unknown[] = [];
+  const scanner = new Scanner('a.log', (record) => void records.push(record));
+  for (const line of lines) scanner.add(line);
+  return { records, good: scanner.good };
+};
+
+const first = frame([{ n: 1 }]);
+const nothingAfterFirst = { records: [{ n: 1 }], good: first.length };
+
+const checksummed = (json: string, separator = ' '): Buffer =>
+  Buffer.from(`${crc32(json).toString(16).padStart(8, '0')}${separator}${json}\n`);
+
+frames('a batch is read as it was written', () => {
+  const both = frame([{ n: 2 }, { n: 3 }]);
+  assert.equal(scan(first, both), {
+    records: [{ n: 1 }, { n: 2 }, { n: 3 }],
+    good: first.length + both.length,
+  });
+});
+
+frames('a last line with another checksum ends the log', () => {
+  const line = frame([{ n: 2 }]);
+  line[0] = line[0] === 48 ? 49 : 48;
+  assert.equal(scan(first, line), nothingAfterFirst);
+});
+
+frames('a last line without the separator ends the log', () => {
+  assert.equal(scan(first, checksummed('[{"n":2}]', 'x')), nothingAfterFirst);
+});
+
+frames('a last line that is not a batch ends the log, also with a right checksum', () => {
+  for (const json of ['{"n":2}', '7', 'null', '"text"'])
+    assert.equal(scan(first, checksummed(json)), nothingAfterFirst, json);
+});
+
+frames('a good line after a damaged one is damage, not a torn tail', () => {
+  assert.throws(
+    () => scan(first, checksummed('{"n":2}'), frame([{ n: 3 }])),
+    (e: unknown) => e instanceof JournalCorrupt && e.message.includes(`byte ${first.length} `),
+  );
+});
+
+frames('files of other bytes, or of another length, have another digest', () => {
+  const digestOf = (...bytes: readonly number[]): Digest => {
+    const digest = new Digest();
+    digest.add(Buffer.from(bytes));
+    return digest;
+  };
+  assert.is(digestOf(1, 2).equals(digestOf(1, 2)), true);
+  assert.is(digestOf(1, 2).equals(digestOf(1, 3)), false);
+  const zeroChecksum = [0x9d, 0x0a, 0xd9, 0x6d];
+  assert.is(crc32(Buffer.from(zeroChecksum)), crc32(Buffer.alloc(0)));
+  assert.is(digestOf(...zeroChecksum).equals(digestOf()), false);
+});
+
+frames.run();
