--- /dev/null
+++ b/tests/src/store/replica-store.test.ts
@@ -0,0 +1,264 @@
+/** What a store's replicas refuse, keep and drop. */
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import type { Item } from '@tillerstair/state';
+import { openStoreDisk, ReplicaStore } from '@tillerstair/store';
+import { silentLogger } from '@tillerstair/wire';
+
+const replicas = suite('replicas of a store');
+
+const retentionMs = 60000;
+const bounds = { journalLongAt: 1 << 30, retentionMs, hintsMost: 2 };
+
+const item = (key: string, ownershipEpoch: number, seq: number, value: unknown = seq): Item => ({
+  key,
+  ownershipEpoch,
+  seq,
+  value,
+});
+
+const open = (clock: SimClock, platter: SimPlatter): Promise<ReplicaStore> => {
+  const pace = { clock, syncWithin: 1500, retryEvery: 250 };
+  const disk = platter.disk(clock, new Life());
+  return clock.finish('open', ReplicaStore.open(disk, clock, bounds, pace), 5000);
+};
+
+const setUp = async () => {
+  const clock = new SimClock();
+  const platter = new SimPlatter(seededRng(1));
+  const store = await open(clock, platter);
+  const outcomeOf = (work: Promise<unknown>): Promise<string> =>
+    clock.finish(
+      'work',
+      work.then(
+        () => 'done',
+        (e: unknown) => (e instanceof Error && 'code' in e ? String(e.code) : String(e)),
+      ),
+      10000,
+    );
+  return { clock, platter, store, outcomeOf };
+};
+
+const codeOf = (work: () => unknown): string => {
+  try {
+    work();
+    return 'done';
+  } catch (e) {
+    return e instanceof Error && 'code' in e ? String(e.code) : String(e);
+  }
+};
+
+const keysOf = (store: ReplicaStore, slot: number): readonly string[] =>
+  store.pull(slot, 0, '').items.map((i) => i.key);
+
+replicas('puts, fences and reads below the fence are refused, and change nothing', async () => {
+  const { store, outcomeOf } = await setUp();
+  assert.is(await outcomeOf(store.write(1, 5, [item('a', 5, 1)])), 'done');
+  assert.is(await outcomeOf(store.fence(1, 7, '')), 'done');
+  assert.is(await outcomeOf(store.write(1, 6, [item('a', 6, 9)])), 'stale-epoch');
+  assert.is(await outcomeOf(store.fence(1, 6, '')), 'stale-epoch');
+  assert.is(await outcomeOf(store.read(1, 6, 'a')), 'stale-epoch');
+  assert.equal(store.pull(1, 7, '').items, [item('a', 5, 1)]);
+  assert.is(await outcomeOf(store.write(2, 1, [item('a', 1, 1)])), 'done');
+});
+
+replicas(
+  'a put raises the fence to its ownership epoch, an older one never lowers it',
+  async () => {
+    const { store, outcomeOf, clock, platter } = await setUp();
+    assert.is(await outcomeOf(store.write(1, 5, [item('a', 5, 1)])), 'done');
+    assert.is(await outcomeOf(store.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
+    assert.is(await outcomeOf(store.hand(1, [item('c', 2, 1)])), 'done');
+    assert.is(await outcomeOf(store.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
+    platter.powerLoss();
+    const again = await open(clock, platter);
+    assert.is(await outcomeOf(again.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
+    assert.is(await outcomeOf(again.write(1, 5, [item('b', 5, 2)])), 'done');
+  },
+);
+
+replicas(
+  'an item is replaced by a newer one only: by ownership epoch, then by sequence',
+  async () => {
+    const { store, outcomeOf } = await setUp();
+    await outcomeOf(store.hand(1, [item('a', 2, 5)]));
+    for (const older of [item('a', 1, 9), item('a', 2, 4)]) {
+      await outcomeOf(store.write(1, 0, [older]));
+      await outcomeOf(store.hand(1, [older]));
+      assert.equal(store.pull(1, 0, '').items, [item('a', 2, 5)]);
+    }
+    await outcomeOf(store.hand(1, [item('a', 3, 1)]));
+    assert.equal(store.pull(1, 0, '').items, [item('a', 3, 1)]);
+  },
+);
+
+replicas('a pull before the fence is refused', async () => {
+  const { store, outcomeOf } = await setUp();
+  await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+  assert.is(
+    codeOf(() => store.pull(1, 6, '')),
+    'not-fenced',
+  );
+  await outcomeOf(store.fence(1, 6, ''));
+  assert.is(store.pull(1, 6, '').items.length, 1);
+});
+
+replicas('a page after an item that was dropped is refused', async () => {
+  const { store, outcomeOf } = await setUp();
+  await outcomeOf(store.write(1, 5, [item('a', 5, 1), item('b', 5, 2)]));
+  assert.equal(
+    store.pull(1, 5, 'a').items.map((i) => i.key),
+    ['b'],
+  );
+  assert.is(
+    codeOf(() => store.pull(1, 5, 'c')),
+    'page-gone',
+  );
+});
+
+replicas('pages end at their size and go on after their last item', async () => {
+  const { store, outcomeOf } = await setUp();
+  const text = 'x'.repeat(50 << 10);
+  for (let n = 0; n < 7; n++) await outcomeOf(store.write(1, 1, [item(`k${n}`, 1, n, text)]));
+  const first = store.pull(1, 1, '');
+  assert.equal(
+    first.items.map((i) => i.key),
+    ['k0', 'k1', 'k2'],
+  );
+  assert.is(first.next, 'k2');
+  assert.equal(
+    store.pull(1, 1, first.next).items.map((i) => i.key),
+    ['k3', 'k4', 'k5'],
+  );
+});
+
+replicas(
+  'with a disk that takes nothing writes are refused before they change memory',
+  async () => {
+    const { store, outcomeOf, platter } = await setUp();
+    await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+    platter.full = true;
+    assert.is(await outcomeOf(store.write(1, 5, [item('b', 5, 2)])), 'unavailable');
+    assert.is(await outcomeOf(store.write(1, 5, [item('c', 5, 3)])), 'unavailable');
+    assert.is(await outcomeOf(store.fence(1, 9, '')), 'unavailable');
+    assert.equal(keysOf(store, 1), ['a', 'b']);
+    assert.is(await outcomeOf(store.read(1, 5, 'a')), 'done');
+  },
+);
+
+replicas(
+  'a fence and a handoff that change nothing wait for what memory holds to be synced',
+  async () => {
+    const { store, outcomeOf, platter } = await setUp();
+    await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+    platter.failSyncs = true;
+    assert.is(await outcomeOf(store.fence(1, 5, '')), 'unavailable');
+    assert.is(await outcomeOf(store.hand(1, [item('a', 5, 1)])), 'unavailable');
+    assert.is(await outcomeOf(store.synced()), 'unavailable');
+    assert.is(await outcomeOf(store.fence(1, 5, 'a')), 'done');
+  },
+);
+
+replicas('hints are refused once there are as many as may be kept', async () => {
+  const { store, outcomeOf } = await setUp();
+  assert.is(await outcomeOf(store.hint('x', 1, [item('a', 1, 1)])), 'done');
+  assert.is(await outcomeOf(store.hint('y', 1, [item('a', 1, 2)])), 'done');
+  assert.is(await outcomeOf(store.hint('x', 1, [item('a', 1, 3)])), 'hints-full');
+  const [first] = store.hintsFor('x');
+  assert.ok(first);
+  assert.is(await outcomeOf(store.handed(first.n)), 'done');
+  assert.is(await outcomeOf(store.hint('x', 1, [item('a', 1, 3)])), 'done');
+  assert.equal([...store.hintTargets()].sort(), ['x', 'y']);
+});
+
+replicas('hints and their numbers outlive a restart', async () => {
+  const { store, outcomeOf, clock, platter } = await setUp();
+  await outcomeOf(store.hint('x', 1, [item('a', 1, 1)]));
+  await outcomeOf(store.hint('x', 1, [item('a', 1, 2)]));
+  const numbers = store.hintsFor('x').map((h) => h.n);
+  await outcomeOf(store.handed(numbers[0] ?? 0));
+  platter.powerLoss();
+  const again = await open(clock, platter);
+  await outcomeOf(again.hint('x', 2, [item('b', 1, 1)]));
+  const after = again.hintsFor('x').map((h) => h.n);
+  assert.is(after.length, 2);
+  assert.is(after[0], numbers[1]);
+  assert.ok((after[1] ?? 0) > (numbers[1] ?? 0));
+});
+
+replicas(
+  'only what nobody touched for the retention is dropped, and a fence counts as a touch',
+  async () => {
+    const { store, outcomeOf, clock } = await setUp();
+    await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+    await outcomeOf(store.write(2, 5, [item('b', 5, 1)]));
+    await clock.run(retentionMs - 1000);
+    assert.is(await outcomeOf(store.fence(1, 6, '')), 'done');
+    assert.is(await clock.finish('drop', store.dropOld(), 1000), 0);
+    await clock.run(2000);
+    assert.is(await clock.finish('drop', store.dropOld(10 * retentionMs), 1000), 0);
+    assert.is(await clock.finish('drop', store.dropOld(), 1000), 1);
+    assert.equal([keysOf(store, 1), keysOf(store, 2)], [['a'], []]);
+  },
+);
+
+replicas('a slot is forgotten only by a state of its fence or later', async () => {
+  const { store, outcomeOf } = await setUp();
+  await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+  await outcomeOf(store.write(2, 5, [item('b', 5, 1)]));
+  await outcomeOf(store.forgetSlots((slot) => (slot === 1 ? 4 : -1)));
+  assert.equal([keysOf(store, 1), keysOf(store, 2)], [['a'], ['b']]);
+  await outcomeOf(store.forgetSlots((slot) => (slot === 1 ? 5 : -1)));
+  assert.equal([keysOf(store, 1), keysOf(store, 2)], [[], ['b']]);
+  assert.is(await outcomeOf(store.write(1, 4, [item('a', 4, 1)])), 'stale-epoch');
+});
+
+replicas('a turn is found with those before it, and a circle of turns ends', async () => {
+  const { store, outcomeOf } = await setUp();
+  const turn = (name: string, after: string, seq: number): Item =>
+    item(`p/x/t/${name}`, 1, seq, { after });
+  await outcomeOf(store.write(1, 1, [turn('one', 'two', 1)]));
+  await outcomeOf(store.write(2, 1, [turn('two', 'one', 2)]));
+  assert.equal(
+    store.find('one').map((i) => i.key),
+    ['p/x/t/one', 'p/x/t/two'],
+  );
+  await outcomeOf(store.write(3, 1, [item('p/y/t/one', 1, 3, { after: '' })]));
+  await outcomeOf(store.forgetSlots((slot) => (slot === 1 ? 1 : -1)));
+  assert.equal(
+    store.find('one').map((i) => i.seq),
+    [3],
+  );
+  await outcomeOf(store.forgetSlots((slot) => (slot === 3 ? 1 : -1)));
+  assert.equal(store.find('one'), []);
+});
+
+replicas('a store with a damaged log of replicas gives up its id before the log', async () => {
+  const { store, outcomeOf, clock, platter } = await setUp();
+  await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+  await outcomeOf(store.write(1, 5, [item('b', 5, 2)]));
+  const openAs = (freshId: string) =>
+    clock.finish(
+      'open',
+      openStoreDisk({
+        disk: platter.disk(clock, new Life()),
+        clock,
+        pace: { clock, syncWithin: 1500, retryEvery: 250, log: silentLogger },
+        bounds,
+        freshId: () => freshId,
+        longAt: 1 << 30,
+      }),
+      5000,
+    );
+  assert.is((await openAs('first')).electionStore.persisted.id, 'first');
+  platter.corrupt('store.log', 12);
+  const opened = await openAs('second');
+  assert.is(opened.electionStore.persisted.id, 'second');
+  assert.equal(keysOf(opened.replicaStore, 1), []);
+  assert.ok(platter.list().includes('store.log.damaged'));
+  assert.ok(platter.list().includes('zen.log.damaged'));
+  assert.is((await openAs('third')).electionStore.persisted.id, 'second');
+});
+
+replicas.run();
