--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -15,7 +15,7 @@
   decodeState,
   type State,
 } from '@tillerstair/state';
-import { prefixesOf, SlotReplicator, type TurnValue } from '@tillerstair/session-owner';
+import { prefixBlocksOfMessages, SlotReplicator, type TurnValue } from '@tillerstair/session-owner';
 import { ReplicaStore } from '@tillerstair/store';
 import { hostClock, silentLogger, type Transport } from '@tillerstair/wire';
 import { zenBounds } from '@tillerstair/zen';
@@ -157,7 +157,7 @@
     ['history kept, bytes', JSON.stringify(kept).length],
     ['history held by an owner, MB', mb],
     ['bytes to the server for the last turn', JSON.stringify(messages).length],
-    ['owner: prefixes of the last turn, ms', cpuMs(() => prefixesOf(messages))],
+    ['owner: prefixes of the last turn, ms', cpuMs(() => prefixBlocksOfMessages(messages))],
     ['owner: the last turn written out, ms', cpuMs(() => JSON.stringify(messages))],
   ]);
 };
@@ -179,14 +179,14 @@
     transport: stub(),
     log: silentLogger,
     table: () => table,
-    putWithin: 1500,
-    heartbeatInterval: 1000,
+    putTimeoutMs: 1500,
+    heartbeatIntervalMs: 1000,
     retentionMs: 3600000,
   });
   const slot = state.slots[0];
   if (!slot) throw new Error('no slot');
-  k.take(slot);
-  while (!k.open) await new Promise((done) => setImmediate(done));
+  k.apply(slot);
+  while (!k.isOpen) await new Promise((done) => setImmediate(done));
   return k;
 };
 
--- a/packages/proxy/src/backend.ts
+++ b/packages/proxy/src/backend.ts
@@ -4,15 +4,15 @@
 import { z } from 'zod';
 import type { Server } from '@tillerstair/state';
 import type {
-  Act,
+  ToolCallRequest,
   Backend,
-  ServerLoad,
-  LoadReport,
-  Ended,
-  Generate,
+  ReportedLoad,
+  ServerStatus,
+  BackendOutcome,
+  GenerateRequest,
   Header,
-  Passing,
-  Sink,
+  ForwardedRequest,
+  ResponseSink,
 } from '@tillerstair/session-owner';
 import { connectionsTo, type BackendBounds } from './connections.js';
 import { Departure, Withdrawn } from './departure.js';
@@ -28,7 +28,7 @@
 const textOf = (e: unknown): string => (e instanceof Error ? e.message : String(e));
 
 /** What became of a request that failed. A request the HTTP client cannot put into words says nothing about its server. */
-const failed = (e: unknown, departure: Departure): Ended => {
+const failed = (e: unknown, departure: Departure): BackendOutcome => {
   const kind = departure.mayHaveLeft
     ? 'lost'
     : e instanceof Withdrawn || e instanceof errors.InvalidArgumentError
@@ -76,7 +76,7 @@
 const find = (headers: readonly Header[], name: string): string =>
   headers.find(([k]) => k.toLowerCase() === name)?.[1] ?? '';
 
-const loadOf = (text: string): ServerLoad | undefined => {
+const loadOf = (text: string): ReportedLoad | undefined => {
   const [running, waiting, places] = text.split(',').map(Number);
   return text !== '' &&
     running !== undefined &&
@@ -113,12 +113,12 @@
 
   async pass(
     server: Server,
-    p: Passing,
-    sink: Sink,
+    p: ForwardedRequest,
+    sink: ResponseSink,
     gone: AbortSignal,
     left: number,
     still: () => boolean,
-  ): Promise<Ended> {
+  ): Promise<BackendOutcome> {
     if (left <= 0) return { kind: 'declined', text: 'no time is left' };
     const d = this.dialect;
     const stop = AbortSignal.any([gone, AbortSignal.timeout(Math.ceil(left))]);
@@ -147,7 +147,7 @@
       const got = pairsOf(res.headers);
       const reported = loadOf(find(got, d.load));
       if (reported) sink.load(reported);
-      const spoil = (text: string): Ended => {
+      const spoil = (text: string): BackendOutcome => {
         res.body.on('error', () => undefined).destroy();
         return { kind: 'lost', text };
       };
@@ -179,12 +179,12 @@
 
   async generate(
     server: Server,
-    g: Generate,
+    g: GenerateRequest,
     onChunk: (n: number, text: string) => void,
     gone: AbortSignal,
     within: number,
     still: () => boolean,
-  ): Promise<Ended> {
+  ): Promise<BackendOutcome> {
     const stop = AbortSignal.any([gone, AbortSignal.timeout(Math.ceil(within))]);
     const departure = new Departure(still, stop);
     try {
@@ -230,11 +230,11 @@
 
   async act(
     server: Server,
-    a: Act,
+    a: ToolCallRequest,
     gone: AbortSignal,
     within: number,
     still: () => boolean,
-  ): Promise<Ended> {
+  ): Promise<BackendOutcome> {
     const stop = AbortSignal.any([gone, AbortSignal.timeout(Math.ceil(within))]);
     const departure = new Departure(still, stop);
     try {
@@ -269,7 +269,7 @@
     }
   }
 
-  async load(server: Server, within: number): Promise<LoadReport> {
+  async load(server: Server, within: number): Promise<ServerStatus> {
     const res = await request(`${server.url}/load`, {
       dispatcher: this.agent,
       signal: AbortSignal.timeout(Math.ceil(within)),
--- a/packages/proxy/src/passing.ts
+++ b/packages/proxy/src/passing.ts
@@ -8,7 +8,7 @@
   streamSlotKey,
   unpacked,
   type EmitChunk,
-  type Head,
+  type ResponseHead,
   type PassAsk,
   type CallOutcome,
 } from '@tillerstair/session-owner';
@@ -169,7 +169,7 @@
   const headed = (
     res: ServerResponse,
   ): { readonly emit: EmitChunk; end(v: CallOutcome): CallOutcome } => {
-    let head: Head | undefined;
+    let head: ResponseHead | undefined;
     const open = (): void => {
       if (head && !res.headersSent) res.writeHead(head.status, [...head.headers].flat());
     };
--- a/packages/session-owner/src/admission-queue.ts
+++ b/packages/session-owner/src/admission-queue.ts
@@ -1,144 +1,172 @@
-import { AdmissionError, type Clock, RequestCancelledError, toRpcError } from '@tillerstair/wire';
+/**
+ * Requests that wait for a server, in two classes: urgent and ordinary. It owns who waits and in which order. Invariants:
+ * waiting is bounded in number and time (docs/design.md, "A turn"), nobody who comes later overtakes a request of its
+ * own class that could be placed as well, and urgent requests do not starve the ordinary ones.
+ */
+import { AdmissionError, RequestCancelledError, toRpcError, type Clock } from '@tillerstair/wire';
+import { AdmissionRate } from './admission-rate.js';
 
-interface Waiter<T> {
-  readonly until: number;
+/** After so many urgent requests an ordinary one is admitted. */
+const urgentPerOrdinary = 4;
+/** A request is queued if the estimated wait is at most this share of its time. */
+const maxWaitShare = 0.8;
+
+/** A request for admission. */
+export interface AdmissionRequest<T> {
+  readonly isUrgent: boolean;
+  /** It waits so long at most, in ms. */
+  readonly timeoutMs: number;
+  /** Aborts when its caller has gone. */
+  readonly signal: AbortSignal;
+  /** Reserves what the request waits for; undefined if there is none now. An error ends the request. */
   readonly pick: () => T | undefined;
-  done(v: T): void;
-  fail(e: Error): void;
 }
 
-interface Pace {
-  readonly gap: number;
-  readonly movedAt: number;
+interface Waiter<T> {
+  readonly deadline: number;
+  readonly pick: () => T | undefined;
+  resolve(picked: T): void;
+  reject(error: Error): void;
 }
 
-const urgentsPerOrdinary = 4;
-const smoothing = 0.1;
-const admitted = 0.8;
+interface WaiterQueue<T> {
+  readonly waiters: Set<Waiter<T>>;
+  readonly rate: AdmissionRate;
+}
 
+/** The queue before a group of servers. */
 export class AdmissionQueue<T> {
-  private readonly urgent = new Set<Waiter<T>>();
-  private readonly ordinary = new Set<Waiter<T>>();
-  private readonly paces = new Map<ReadonlySet<Waiter<T>>, Pace>();
-  private run = 0;
+  private readonly urgent: WaiterQueue<T>;
+  private readonly ordinary: WaiterQueue<T>;
+  private urgentInARow = 0;
 
+  /** @param maxWaiting - how many requests of each class may wait; read anew for each request */
   constructor(
     private readonly clock: Clock,
-    private readonly most: () => number,
-  ) {}
-
-  get waiting(): number {
-    return this.urgent.size + this.ordinary.size;
+    private readonly maxWaiting: () => number,
+  ) {
+    this.urgent = { waiters: new Set(), rate: new AdmissionRate(clock) };
+    this.ordinary = { waiters: new Set(), rate: new AdmissionRate(clock) };
   }
 
-  private waitOf(queue: ReadonlySet<Waiter<T>>, place: number): number {
-    const p = this.paces.get(queue);
-    return p ? place * p.gap + Math.max(p.gap, this.clock.now() - p.movedAt) : 0;
+  /** The number of requests that wait. */
+  get waiting(): number {
+    return this.urgent.waiters.size + this.ordinary.waiters.size;
   }
 
-  enter(urgent: boolean, within: number, gone: AbortSignal, pick: () => T | undefined): Promise<T> {
+  /**
+   * Resolves with what was picked. Rejects with an `AdmissionError`: `queue-full`, or `queue-timeout` when the wait is or
+   * would be too long; with a `RequestCancelledError` when the caller has gone; with the error of `pick`.
+   */
+  enter(request: AdmissionRequest<T>): Promise<T> {
     if (this.waiting === 0) {
       try {
-        const now = pick();
-        if (now !== undefined) return Promise.resolve(now);
-      } catch (e) {
-        return Promise.reject(toRpcError(e));
+        const picked = request.pick();
+        if (picked !== undefined) return Promise.resolve(picked);
+      } catch (error) {
+        return Promise.reject(toRpcError(error));
       }
     }
-    const queue = urgent ? this.urgent : this.ordinary;
-    if (queue.size === 0)
-      this.paces.set(queue, { gap: this.paces.get(queue)?.gap ?? 0, movedAt: this.clock.now() });
-    const wait = this.waitOf(queue, queue.size);
-    if (queue.size >= this.most())
-      return Promise.reject(new AdmissionError('queue-full', 'the line is full', 'no', wait));
-    if (queue.size > 0 && wait > within * admitted)
-      return Promise.reject(
-        new AdmissionError(
-          'queue-timeout',
-          'the line is too long for the time there is',
-          'no',
-          wait,
-        ),
+    const queue = request.isUrgent ? this.urgent : this.ordinary;
+    if (queue.waiters.size === 0) queue.rate.restart();
+    const refusal = this.refusalOf(request, queue);
+    return refusal ? Promise.reject(refusal) : this.wait(request, queue);
+  }
+
+  /** Rejects the requests whose turn cannot come in time any more, but never the first of a class. */
+  review(): void {
+    const now = this.clock.now();
+    for (const { waiters, rate } of [this.urgent, this.ordinary]) {
+      let position = 0;
+      for (const waiter of waiters) {
+        const waitMs = rate.estimateWaitMs(position);
+        if (position > 0 && now + waitMs > waiter.deadline)
+          waiter.reject(
+            new AdmissionError('queue-timeout', 'no server will be free in time', 'no', waitMs),
+          );
+        else position++;
+      }
+    }
+  }
+
+  /** Admits requests as long as one of them can pick; to be called when a server may have become free. */
+  pump(): void {
+    while (this.admitNext());
+  }
+
+  private refusalOf(
+    request: AdmissionRequest<T>,
+    { waiters, rate }: WaiterQueue<T>,
+  ): AdmissionError | undefined {
+    const waitMs = rate.estimateWaitMs(waiters.size);
+    if (waiters.size >= this.maxWaiting())
+      return new AdmissionError('queue-full', 'the queue is full', 'no', waitMs);
+    if (waiters.size > 0 && waitMs > request.timeoutMs * maxWaitShare)
+      return new AdmissionError(
+        'queue-timeout',
+        'the queue is too long for the time that the request has',
+        'no',
+        waitMs,
       );
-    return new Promise<T>((done, fail) => {
+    return undefined;
+  }
+
+  private wait(
+    { timeoutMs, signal, pick }: AdmissionRequest<T>,
+    { waiters }: WaiterQueue<T>,
+  ): Promise<T> {
+    return new Promise<T>((resolve, reject) => {
+      const onAbort = () => {
+        waiter.reject(new RequestCancelledError('no'));
+      };
+      const timer = this.clock.after(timeoutMs, () => {
+        waiter.reject(new AdmissionError('queue-timeout', 'no server became free in time'));
+      });
       const leave = () => {
-        queue.delete(w);
+        waiters.delete(waiter);
         timer.stop();
-        gone.removeEventListener('abort', onGone);
+        signal.removeEventListener('abort', onAbort);
       };
-      const w: Waiter<T> = {
-        until: this.clock.now() + within,
+      const waiter: Waiter<T> = {
+        deadline: this.clock.now() + timeoutMs,
         pick,
-        done: (v) => {
+        resolve: (picked) => {
           leave();
-          done(v);
+          resolve(picked);
         },
-        fail: (e) => {
+        reject: (error) => {
           leave();
-          fail(e);
+          reject(error);
         },
       };
-      const onGone = () => w.fail(new RequestCancelledError('no'));
-      const timer = this.clock.after(within, () =>
-        w.fail(new AdmissionError('queue-timeout', 'no server came free in time')),
-      );
-      gone.addEventListener('abort', onGone, { once: true });
-      queue.add(w);
+      signal.addEventListener('abort', onAbort, { once: true });
+      waiters.add(waiter);
       this.pump();
     });
   }
 
-  private tryPick(w: Waiter<T>): T | undefined {
-    try {
-      return w.pick();
-    } catch (e) {
-      w.fail(toRpcError(e));
-      return undefined;
-    }
-  }
-
-  private moved(queue: ReadonlySet<Waiter<T>>): void {
-    const now = this.clock.now();
-    const { gap, movedAt } = this.paces.get(queue) ?? { gap: 0, movedAt: now };
-    this.paces.set(queue, {
-      gap: gap === 0 ? now - movedAt : gap + (now - movedAt - gap) * smoothing,
-      movedAt: now,
-    });
-  }
-
-  review(): void {
-    const now = this.clock.now();
-    for (const queue of [this.urgent, this.ordinary]) {
-      let place = 0;
-      for (const w of queue) {
-        const wait = this.waitOf(queue, place);
-        if (place > 0 && now + wait > w.until)
-          w.fail(
-            new AdmissionError('queue-timeout', 'no server will come free in time', 'no', wait),
-          );
-        else place++;
+  /** Admits the first request that can pick; false if none can. */
+  private admitNext(): boolean {
+    const isOrdinaryDue = this.urgentInARow >= urgentPerOrdinary;
+    const order = isOrdinaryDue ? [this.ordinary, this.urgent] : [this.urgent, this.ordinary];
+    for (const queue of order)
+      for (const waiter of queue.waiters) {
+        const picked = this.tryPick(waiter);
+        if (picked === undefined) continue;
+        this.urgentInARow = queue === this.urgent ? this.urgentInARow + 1 : 0;
+        queue.rate.recordAdmission();
+        waiter.resolve(picked);
+        return true;
       }
-    }
+    return false;
   }
 
-  pump(): void {
-    for (;;) {
-      const first =
-        this.run < urgentsPerOrdinary ? [this.urgent, this.ordinary] : [this.ordinary, this.urgent];
-      let moved = false;
-      for (const queue of first) {
-        for (const w of queue) {
-          const v = this.tryPick(w);
-          if (v === undefined) continue;
-          this.run = queue === this.urgent ? this.run + 1 : 0;
-          this.moved(queue);
-          w.done(v);
-          moved = true;
-          break;
-        }
-        if (moved) break;
-      }
-      if (!moved) return;
+  private tryPick(waiter: Waiter<T>): T | undefined {
+    try {
+      return waiter.pick();
+    } catch (error) {
+      waiter.reject(toRpcError(error));
+      return undefined;
     }
   }
 }
--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import type { RouteKind, Server } from '@tillerstair/state';
 import { RpcError, toRpcError, UnavailableError, withTimeout } from '@tillerstair/wire';
-import type { Ended, Head } from './backend.js';
+import type { BackendOutcome, ResponseHead } from './backend.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import type { SessionOwner } from './session-owner.js';
 import {
@@ -35,7 +35,7 @@
   readonly end: number;
   readonly tries: number;
   readonly repeatable: boolean;
-  send(server: Server, gone: AbortSignal, still: () => boolean): Promise<Ended>;
+  send(server: Server, gone: AbortSignal, still: () => boolean): Promise<BackendOutcome>;
 }
 
 export class Calls {
@@ -112,19 +112,19 @@
     end: number,
     gone: AbortSignal,
     still: () => boolean,
-  ): Promise<Ended> {
-    let head: Head = { status: 0, headers: [] };
+  ): Promise<BackendOutcome> {
+    let head: ResponseHead = { status: 0, headers: [] };
     const parts: Buffer[] = [];
     const { backend, clock } = this.s.p;
     const sink = {
-      head: (h: Head) => {
+      head: (h: ResponseHead) => {
         head = h;
       },
       bytes: (text: string) => {
         parts.push(Buffer.from(text, 'latin1'));
       },
       load: (b: { running: number; waiting: number; places: number }) =>
-        this.s.placement.reported(server, b),
+        this.s.placement.recordReportedLoad(server, b),
     };
     const ended = await backend.pass(
       server,
@@ -211,7 +211,7 @@
     let recorded = true;
     const note = (status: OpValue['status'], code: number, body: unknown): Promise<void> =>
       replicator
-        ? replicator.putSoon(
+        ? replicator.putWithRetry(
             job.opKey,
             { t: 'op', status, digest, code, body, recorded } satisfies OpValue,
             status === 'intent' ? 1 : 20,
@@ -220,7 +220,7 @@
     const skip = new Set<string>();
     let noted = false;
     let sent = 0;
-    let lost: Ended | undefined;
+    let lost: BackendOutcome | undefined;
     const again = (): boolean =>
       (job.repeatable || (replicator !== undefined && recorded && this.remembers(job))) &&
       sent < job.tries;
--- a/packages/session-owner/src/policies.ts
+++ b/packages/session-owner/src/policies.ts
@@ -1,117 +1,145 @@
-import type { Route, Server } from '@tillerstair/state';
+/**
+ * The policies by which placement filters and ranks the servers of a pool, applied one after the other
+ * (docs/design.md, "Placement"). A policy keeps no state.
+ */
+import type { Server } from '@tillerstair/state';
 
-export interface Seen {
-  readonly inflight: number;
-  readonly busy: number;
+/** Whether a server answers: `doubtful` after few failures, or when an unhealthy one may be tried again. */
+export type ServerHealth = 'good' | 'doubtful' | 'bad';
+
+/** What this front has observed of a server. */
+export interface ObservedServer {
+  /** Requests of this front that are in flight at the server. */
+  readonly inFlight: number;
+  /** Requests of all fronts that the server runs or queues, by its own account. */
+  readonly requests: number;
+  /** The server drains, or nobody knows that it does not. */
   readonly draining: boolean;
-  readonly health: 'good' | 'doubtful' | 'bad';
+  readonly health: ServerHealth;
 }
 
+/** How the engine of a pool's servers batches requests. */
 export interface Engine {
+  /** Requests that run in one batch. */
   readonly places: number;
   readonly memoryTokens: number;
   readonly blockTokens: number;
 }
 
-export interface PlaceContext {
-  readonly route: Route;
-  seen(server: Server): Seen;
-  /** Tokens of the whole prompt; 0 where it is not known. */
-  readonly tokens: number;
+/** What policies know of the request that is placed, and of the servers. */
+export interface PlacementContext {
+  /** Tokens of the complete prompt; 0 where it is not known. */
+  readonly promptTokens: number;
+  observed(server: Server): ObservedServer;
+  /** The engine of the server's pool; undefined where it does not batch. */
   engine(server: Server): Engine | undefined;
-  places(server: Server): number;
-  /** Whether the server stands in this front's own zone. */
-  near(server: Server): boolean;
-  /** The share of the prompt's tokens, 0 to 1, that the server should hold already. */
-  warmth(server: Server): number;
+  /** Whether the server is in this front's own zone, or one of the zones is not known. */
+  isNear(server: Server): boolean;
+  /** The share of the prompt's tokens, 0 to 1, that the server should have cached. */
+  cachedShare(server: Server): number;
+  /** The server's tuned weight; 1 is normal. */
   weight(server: Server): number;
 }
 
+/** A server that may be picked; the one with the highest score is. */
 export interface Candidate {
   readonly server: Server;
   readonly score: number;
 }
 
-export interface Policy {
-  readonly name: string;
-  apply(cands: readonly Candidate[], ctx: PlaceContext): readonly Candidate[];
-}
+/** Drops candidates, or changes their scores. */
+export type PlacementPolicy = (
+  candidates: readonly Candidate[],
+  context: PlacementContext,
+) => readonly Candidate[];
 
-export const draining: Policy = {
-  name: 'draining',
-  apply: (cands, ctx) => cands.filter((c) => !c.server.draining && !ctx.seen(c.server).draining),
-};
+/** The share of its batch's memory, in tokens for each place, that one more request costs those that run. */
+const stepShareOfPlace = 1 / 25;
+/** What a request beyond a full batch costs, in steps. */
+const queuedCost = 8;
+/** What a server in another zone costs, in steps of its batch. */
+const remoteBatchCost = 1;
+/** What a server in another zone costs where it does not batch, in requests. */
+const remoteCost = 0.25;
+/** Among servers with as many requests the one with fewer of this front's comes first. */
+const inFlightExtra = 0.1;
+const minWeight = 0.05;
+const maxWeightBonus = 0.5;
+const defaultAffinityGain = 4;
+const defaultLoadCost = 1;
 
-export const health: Policy = {
-  name: 'health',
-  apply: (cands, ctx) => {
-    const good = cands.filter((c) => ctx.seen(c.server).health === 'good' && !c.server.down);
-    if (good.length > 0) return good;
-    return cands.filter((c) => ctx.seen(c.server).health !== 'bad');
-  },
-};
+const requestsAt = ({ inFlight, requests }: ObservedServer): number => Math.max(inFlight, requests);
+
+/** Drops servers that the operator drains or that drain by themselves. */
+export const excludeDraining: PlacementPolicy = (candidates, context) =>
+  candidates.filter(({ server }) => !server.draining && !context.observed(server).draining);
 
-const tokensPerPlace = 1 / 25;
-const fullCost = 8;
-const farCost = 1;
-const farTie = 0.25;
-
-/** For servers that run batches: what is to be read anew, against what more there is in the batch, both in tokens. */
-export const batch: Policy = {
-  name: 'batch',
-  apply: (cands, ctx) =>
-    cands.map((c) => {
-      const engine = ctx.engine(c.server);
-      if (!engine || ctx.tokens === 0) return c;
-      const seen = ctx.seen(c.server);
-      const running = Math.max(seen.inflight, seen.busy);
-      const step = (engine.memoryTokens / engine.places) * tokensPerPlace;
-      const over = Math.max(0, running + 1 - engine.places);
-      const cold = ctx.tokens * (1 - ctx.warmth(c.server));
-      const far = ctx.near(c.server) ? 0 : farCost;
-      return {
-        ...c,
-        score: c.score - (cold + running * step + over * fullCost * step) / step - far,
-      };
-    }),
+/** Keeps the healthy servers; where there is none, those that are not known to be unhealthy. */
+export const preferHealthy: PlacementPolicy = (candidates, context) => {
+  const healthy = candidates.filter(
+    ({ server }) => context.observed(server).health === 'good' && !server.down,
+  );
+  if (healthy.length > 0) return healthy;
+  return candidates.filter(({ server }) => context.observed(server).health !== 'bad');
 };
 
-export const affinity = (gain: number): Policy => ({
-  name: 'affinity',
-  apply: (cands, ctx) =>
-    cands.map((c) =>
-      ctx.engine(c.server) ? c : { ...c, score: c.score + gain * ctx.warmth(c.server) },
-    ),
-});
-
-export const load = (cost: number): Policy => ({
-  name: 'load',
-  apply: (cands, ctx) =>
-    cands.map((c) => {
-      if (ctx.engine(c.server) && ctx.tokens > 0) return c;
-      const seen = ctx.seen(c.server);
-      const far = ctx.near(c.server) ? 0 : farTie;
-      return {
-        ...c,
-        score:
-          c.score -
-          far -
-          (cost * (Math.max(seen.inflight, seen.busy) + seen.inflight * 0.1)) /
-            Math.max(0.05, ctx.weight(c.server)),
-      };
-    }),
-});
-
-export const weight: Policy = {
-  name: 'weight',
-  apply: (cands, ctx) =>
-    cands.map((c) => ({ ...c, score: c.score + Math.min(1, ctx.weight(c.server)) * 0.5 })),
+const batchCostOf = (server: Server, engine: Engine, context: PlacementContext): number => {
+  const running = requestsAt(context.observed(server));
+  const stepTokens = (engine.memoryTokens / engine.places) * stepShareOfPlace;
+  const queued = Math.max(0, running + 1 - engine.places);
+  const prefillTokens = context.promptTokens * (1 - context.cachedShare(server));
+  return (prefillTokens + running * stepTokens + queued * queuedCost * stepTokens) / stepTokens;
 };
 
-export const chainOf = (withAffinity: boolean): readonly Policy[] => [
-  draining,
-  health,
-  ...(withAffinity ? [batch, affinity(4)] : []),
-  load(1),
-  weight,
+/**
+ * For servers that batch, where the prompt's size is known: the tokens that the server would have to prefill, against
+ * what more there is in its batch.
+ */
+export const batchCost: PlacementPolicy = (candidates, context) =>
+  candidates.map((candidate) => {
+    const { server, score } = candidate;
+    const engine = context.engine(server);
+    if (!engine || context.promptTokens === 0) return candidate;
+    const remote = context.isNear(server) ? 0 : remoteBatchCost;
+    return { server, score: score - batchCostOf(server, engine, context) - remote };
+  });
+
+/** For servers that do not batch: `gain` for a prompt of which all is cached. */
+export const prefixAffinity =
+  (gain: number): PlacementPolicy =>
+  (candidates, context) =>
+    candidates.map((candidate) => {
+      const { server, score } = candidate;
+      if (context.engine(server)) return candidate;
+      return { server, score: score + gain * context.cachedShare(server) };
+    });
+
+/** Where `batchCost` does not apply: `cost` for each request at the server, the more the lower its weight. */
+export const loadCost =
+  (cost: number): PlacementPolicy =>
+  (candidates, context) =>
+    candidates.map((candidate) => {
+      const { server, score } = candidate;
+      if (context.engine(server) && context.promptTokens > 0) return candidate;
+      const observed = context.observed(server);
+      const remote = context.isNear(server) ? 0 : remoteCost;
+      const requests = requestsAt(observed) + observed.inFlight * inFlightExtra;
+      const weight = Math.max(minWeight, context.weight(server));
+      return { server, score: score - remote - (cost * requests) / weight };
+    });
+
+/** A server that is slow by its tuned weight loses to an equal one. */
+export const weightBonus: PlacementPolicy = (candidates, context) =>
+  candidates.map(({ server, score }) => ({
+    server,
+    score: score + Math.min(1, context.weight(server)) * maxWeightBonus,
+  }));
+
+/** The product's policies in their order; prefix affinity can be switched off by the settings. */
+export const placementPolicies = (withAffinity: boolean): readonly PlacementPolicy[] => [
+  excludeDraining,
+  preferHealthy,
+  ...(withAffinity ? [batchCost, prefixAffinity(defaultAffinityGain)] : []),
+  loadCost(defaultLoadCost),
+  weightBonus,
 ];
--- /dev/null
+++ b/packages/session-owner/src/server-poller.ts
@@ -0,0 +1,56 @@
+/** Polling of all listed servers for their load and whether they drain. */
+import type { Server } from '@tillerstair/state';
+import type { Clock } from '@tillerstair/wire';
+import type { Backend } from './backend.js';
+import type { ObservationBounds, ServerObservations } from './server-observations.js';
+import type { Table } from './table.js';
+
+/** What a `ServerPoller` needs. */
+export interface ServerPollerOptions {
+  readonly clock: Clock;
+  readonly backend: Backend;
+  readonly bounds: ObservationBounds;
+  readonly table: () => Table | undefined;
+  readonly observations: ServerObservations;
+}
+
+/** Polls the listed servers and records what they respond. */
+export class ServerPoller {
+  private readonly clock: Clock;
+  private readonly backend: Backend;
+  private readonly bounds: ObservationBounds;
+  private readonly table: () => Table | undefined;
+  private readonly observations: ServerObservations;
+
+  constructor(options: ServerPollerOptions) {
+    this.clock = options.clock;
+    this.backend = options.backend;
+    this.bounds = options.bounds;
+    this.table = options.table;
+    this.observations = options.observations;
+  }
+
+  /** Resolves when every server, or every one that never responded before, has responded or failed. Never rejects. */
+  async poll(onlyNew: boolean): Promise<void> {
+    const state = this.table()?.state;
+    if (!state) return;
+    this.observations.retain(state.servers);
+    if (this.bounds.pollIntervalMs <= 0) return;
+    await Promise.all(
+      [...state.servers.values()].map(async (server) => {
+        if (onlyNew && this.observations.wasPolled(server)) return;
+        await this.pollServer(server);
+      }),
+    );
+  }
+
+  private async pollServer(server: Server): Promise<void> {
+    const polledAt = this.clock.now();
+    try {
+      const status = await this.backend.load(server, this.bounds.pollTimeoutMs);
+      this.observations.recordPoll(server, status, polledAt);
+    } catch {
+      this.observations.recordPollFailure(server);
+    }
+  }
+}
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -24,8 +24,9 @@
 import { Calls } from './calls.js';
 import { AdmissionQueue } from './admission-queue.js';
 import { SlotReplicator } from './slot-replicator.js';
-import { Placement, type Part } from './placement.js';
-import { chainOf } from './policies.js';
+import { Placement } from './placement.js';
+import type { PrefixBlock } from './prompt-prefix.js';
+import { placementPolicies } from './policies.js';
 import { Streams } from './streams.js';
 import { tableOf, type Table } from './table.js';
 import { Turns } from './turns.js';
@@ -71,21 +72,21 @@
 
   constructor(readonly p: SessionOwnerParts) {
     const table = () => this.table;
-    this.placement = new Placement(
-      p.clock,
-      p.backend,
-      chainOf(p.affinity),
-      {
-        poll: p.bounds.poll,
-        pollWithin: p.bounds.poll,
-        retryBad: p.bounds.heartbeatInterval,
-        sightWithin: (p.bounds.readLease * 4) / 5,
-        reportValidFor: p.bounds.heartbeatInterval / 2,
+    this.placement = new Placement({
+      clock: p.clock,
+      backend: p.backend,
+      policies: placementPolicies(p.affinity),
+      bounds: {
+        pollIntervalMs: p.bounds.poll,
+        pollTimeoutMs: p.bounds.poll,
+        retryUnhealthyAfterMs: p.bounds.heartbeatInterval,
+        pollValidForMs: (p.bounds.readLease * 4) / 5,
+        reportedLoadValidForMs: p.bounds.heartbeatInterval / 2,
       },
       table,
-      () => this.table?.config?.bounds.perServer ?? 16,
-      p.id,
-    );
+      maxInFlightPerServer: () => this.table?.config?.bounds.perServer ?? 16,
+      frontId: p.id,
+    });
     this.streams = new Streams(this);
     this.turns = new Turns(this);
     this.calls = new Calls(this);
@@ -127,10 +128,10 @@
       const old = this.replicators.get(n);
       if (slot.owner === this.p.id) {
         const same = old?.ownedSinceEpoch === slot.ownedSinceEpoch ? old : undefined;
-        if (old && !same) old.release();
-        (same ?? this.makeReplicator(n, slot.ownedSinceEpoch)).take(slot);
+        if (old && !same) old.close();
+        (same ?? this.makeReplicator(n, slot.ownedSinceEpoch)).apply(slot);
       } else if (old) {
-        old.release();
+        old.close();
         this.replicators.delete(n);
       }
     });
@@ -164,8 +165,8 @@
       transport,
       log,
       table: () => this.table,
-      putWithin: bounds.putWithin,
-      heartbeatInterval: bounds.heartbeatInterval,
+      putTimeoutMs: bounds.putWithin,
+      heartbeatIntervalMs: bounds.heartbeatInterval,
       retentionMs: bounds.retentionMs,
     });
     this.replicators.set(n, replicator);
@@ -177,7 +178,7 @@
   }
 
   bar(ids: ReadonlySet<string>): void {
-    this.placement.barred = ids;
+    this.placement.setBarred(ids);
   }
 
   get leaseValid(): boolean {
@@ -225,7 +226,7 @@
     const n = this.slotFor(key);
     const replicator = this.replicators.get(n);
     if (!replicator) throw new OwnershipError('not-owner', `slot ${n} has another owner`);
-    if (this.closing || !replicator.taking)
+    if (this.closing || !replicator.isAccepting)
       throw new OwnershipError('taking-over', `slot ${n} is being taken over`);
     return replicator;
   }
@@ -318,7 +319,7 @@
   async place(
     kind: RouteKind,
     path: string,
-    parts: readonly Part[],
+    parts: readonly PrefixBlock[],
     sticky: string,
     skip: ReadonlySet<string>,
     within: number,
@@ -326,22 +327,27 @@
   ): Promise<Server> {
     const usable = (): Route => {
       const route = this.routeOf(kind, path);
-      if (!this.placement.usable(route, skip))
+      if (!this.placement.hasUsableServer(route, skip))
         throw new AdmissionError('no-server', `no server of route ${route.name} is usable`);
       return route;
     };
     const route = usable();
-    return this.admissionQueueOf(route).enter(route.urgent, within, gone, () => {
-      if (!this.leaseValid) return undefined;
-      const server = this.placement.pick(usable(), parts, sticky, skip);
-      if (server) this.placement.begin(server, parts);
-      return server;
+    return this.admissionQueueOf(route).enter({
+      isUrgent: route.urgent,
+      timeoutMs: within,
+      signal: gone,
+      pick: () => {
+        if (!this.leaseValid) return undefined;
+        const server = this.placement.pick(usable(), parts, sticky, skip);
+        if (server) this.placement.begin(server, parts);
+        return server;
+      },
     });
   }
 
   mayRun(server: Server, kind: RouteKind, path: string): boolean {
     const route = this.findRoute(kind, path);
-    return this.leaseValid && route !== undefined && this.placement.allowed(server, route);
+    return this.leaseValid && route !== undefined && this.placement.isAllowed(server, route);
   }
 
   finished(server: Server, ok: boolean, pace?: number): void {
--- a/packages/session-owner/src/slot-replicator.ts
+++ b/packages/session-owner/src/slot-replicator.ts
@@ -1,354 +1,283 @@
+/**
+ * The replication of one slot at its owner. It owns the slot's ownership epoch as this front applied it, the epoch at
+ * which the slot is open, the sequence of its writes and its items in memory. Invariant: items are read and written only
+ * while the open epoch is the slot's (docs/design.md, "Slots, owners, ownership epochs").
+ */
+import { splitIntoPages, turnRetentionLimitMs, type Item, type Slot } from '@tillerstair/state';
 import {
-  replicasAfterJoin,
-  recordGroup,
-  Item,
-  replicasToWrite,
-  isNewerItem,
-  fetchPages,
-  splitIntoPages,
-  ReadResponse,
-  rootProgramId,
-  isSameItem,
-  turnRetentionLimitMs,
-  type Slot,
-} from '@tillerstair/state';
-import {
-  type Clock,
   delay,
-  type Logger,
   OwnershipError,
-  ReplicaError,
   toRpcError,
-  toTimerMs,
-  type Transport,
   UnavailableError,
+  type Clock,
+  type Logger,
+  type Transport,
 } from '@tillerstair/wire';
-import { askQuorum } from './quorum-ask.js';
+import { itemsBelowQuorum, mergeItems } from './item-merge.js';
+import { QuorumWrite, type QuorumWriteOptions } from './quorum-write.js';
+import { ReplicaClient } from './replica-client.js';
+import { SlotFencing, type FencedReplicas } from './slot-fencing.js';
+import { SlotItems } from './slot-items.js';
 import type { Table } from './table.js';
-import { Cost } from './messages.js';
 
-/** A further replica is asked once this share of the time for a write has passed without a quorum. */
-const hedgeShare = 1 / 3;
+/** A fence or a put that failed is tried again so often in a heartbeat interval. */
+const retriesPerHeartbeat = 10;
+/** The owner drops items from memory before the stores drop them. */
+const memoryShareOfRetention = 0.9;
+const notOpenEpoch = -1;
 
-export interface ReplicatorParts {
+/** What a `SlotReplicator` needs. */
+export interface SlotReplicatorOptions {
   readonly clock: Clock;
   readonly transport: Transport;
   readonly log: Logger;
   readonly table: () => Table | undefined;
-  readonly putWithin: number;
-  readonly heartbeatInterval: number;
+  /** A request to a replica is given up after so many ms. */
+  readonly putTimeoutMs: number;
+  readonly heartbeatIntervalMs: number;
+  /** How long stores retain items, in ms since the last write to their group. */
   readonly retentionMs: number;
 }
 
+/** A slot that its owner has released: its number and the ownership epoch until which it was served. */
+export type ReleasedSlot = readonly [slotNumber: number, ownershipEpoch: number];
+
+/** The owner's side of one slot, from the ownership epoch on since which it holds the slot without a break. */
 export class SlotReplicator {
   private slot: Slot | undefined;
-  private seq = 0;
-  private openEpoch = -1;
-  private inside = 0;
-  private released = false;
-  private held = new Map<string, Item>();
-  private spentBy = new Map<string, number>();
-  private turnsBy = new Map<string, string[]>();
-  private touched = new Map<string, number>();
+  private sequence = 0;
+  private openEpoch = notOpenEpoch;
+  private runningJobs = 0;
+  private isReleased = false;
+  private readonly clock: Clock;
+  private readonly log: Logger;
+  private readonly table: () => Table | undefined;
+  private readonly retryIntervalMs: number;
+  private readonly retentionMs: number;
+  private readonly items: SlotItems;
+  private readonly client: ReplicaClient;
+  private readonly fencing: SlotFencing;
 
   constructor(
-    readonly n: number,
+    readonly slotNumber: number,
     readonly ownedSinceEpoch: number,
-    private readonly p: ReplicatorParts,
-  ) {}
-
-  /** Replicas that must hold a write, or reply to a read; out of reach while no state is known. */
-  private get quorum(): number {
-    return this.p.table()?.state.replication.quorum ?? Infinity;
+    options: SlotReplicatorOptions,
+  ) {
+    const { clock, transport, table, putTimeoutMs } = options;
+    this.clock = clock;
+    this.log = options.log;
+    this.table = table;
+    this.retryIntervalMs = options.heartbeatIntervalMs / retriesPerHeartbeat;
+    this.retentionMs = options.retentionMs;
+    this.items = new SlotItems(clock);
+    this.client = new ReplicaClient(slotNumber, { transport, table, timeoutMs: putTimeoutMs });
+    this.fencing = new SlotFencing(slotNumber, {
+      clock,
+      client: this.client,
+      table,
+      quorum: () => this.quorum,
+      requestTimeoutMs: putTimeoutMs,
+    });
   }
 
-  get open(): boolean {
+  /** Whether items may be read and written: a quorum is fenced at the slot's present ownership epoch. */
+  get isOpen(): boolean {
     return this.slot !== undefined && this.openEpoch === this.slot.ownershipEpoch;
   }
 
-  get taking(): boolean {
-    return this.open && !this.released;
+  /** Whether new jobs may begin: the slot is open and has not been released to its next owner. */
+  get isAccepting(): boolean {
+    return this.isOpen && !this.isReleased;
+  }
+
+  /** The number of items in memory. */
+  get size(): number {
+    return this.items.size;
+  }
+
+  /** Replicas that must sync a write, or respond to a read; out of reach while no state is known. */
+  private get quorum(): number {
+    return this.table()?.state.replication.quorum ?? Infinity;
   }
 
+  /** Counts a job in, which keeps the slot from being released; the returned function counts it out. */
   enter(): () => void {
-    this.inside++;
+    this.runningJobs++;
     return () => {
-      this.inside--;
+      this.runningJobs--;
     };
   }
 
-  tryRelease(): readonly [number, number] | undefined {
-    if (!this.slot || this.slot.transferTarget === '' || !this.open) return undefined;
-    if (this.inside === 0) this.released = true;
-    return this.released ? [this.n, this.slot.ownershipEpoch] : undefined;
+  /**
+   * Releases the slot for a planned move if no job is inside; from then on no job begins. Undefined while it is not to
+   * move or has jobs inside (docs/design.md, "Planned moves").
+   */
+  tryRelease(): ReleasedSlot | undefined {
+    if (!this.slot || this.slot.transferTarget === '' || !this.isOpen) return undefined;
+    if (this.runningJobs === 0) this.isReleased = true;
+    return this.isReleased ? [this.slotNumber, this.slot.ownershipEpoch] : undefined;
   }
 
+  /** The value at a key in memory, or undefined. */
   get(key: string): unknown {
-    return this.held.get(key)?.value;
+    return this.items.get(key);
   }
 
-  spent(root: string): number {
-    return this.spentBy.get(root) ?? 0;
+  /** Tokens that a root program and its sub-agents have spent or reserved. */
+  costOf(rootProgram: string): number {
+    return this.items.costOf(rootProgram);
   }
 
-  turnsOf(pid: string): readonly string[] {
-    return this.turnsBy.get(pid) ?? [];
+  /** Keys of a program's turns, the oldest first. */
+  turnKeysOf(program: string): readonly string[] {
+    return this.items.turnKeysOf(program);
   }
 
-  take(slot: Slot): void {
-    const old = this.slot;
+  /** Applies the slot of a newly committed state. A new ownership epoch closes the slot until it has been fenced. */
+  apply(slot: Slot): void {
+    const previous = this.slot;
     this.slot = slot;
-    if (old?.ownershipEpoch !== slot.ownershipEpoch || slot.transferTarget === '')
-      this.released = false;
-    if (old?.ownershipEpoch === slot.ownershipEpoch) return;
-    this.seq = 0;
-    void this.takeOver(slot.ownershipEpoch);
+    const isNewEpoch = previous?.ownershipEpoch !== slot.ownershipEpoch;
+    if (isNewEpoch || slot.transferTarget === '') this.isReleased = false;
+    if (!isNewEpoch) return;
+    this.sequence = 0;
+    void this.openWhenFenced(slot.ownershipEpoch);
   }
 
-  release(): void {
+  /** The ownership is lost: jobs that still run can read and write nothing any more ("Unbroken ownership"). */
+  close(): void {
     this.slot = undefined;
-    this.openEpoch = -1;
-    this.forget();
+    this.openEpoch = notOpenEpoch;
+    this.items.clear();
   }
 
-  private forget(): void {
-    this.held = new Map();
-    this.spentBy = new Map();
-    this.turnsBy = new Map();
-    this.touched = new Map();
+  /**
+   * Writes a value; resolves when a quorum has synced it.
+   *
+   * @throws UnavailableError `unavailable` if the slot is not open, or too few replicas synced: then it may still count
+   */
+  async put(key: string, value: unknown): Promise<void> {
+    const { ownershipEpoch } = this.requireOpen();
+    const item: Item = { key, ownershipEpoch, seq: ++this.sequence, value };
+    await this.write(ownershipEpoch, [item]);
+    // A replica that was fenced at a higher epoch closed the slot meanwhile: the next owner may have written the key.
+    if (this.openEpoch === ownershipEpoch) this.items.set(item);
   }
 
-  private async takeOver(ownershipEpoch: number): Promise<void> {
-    const { clock, log, heartbeatInterval } = this.p;
-    while (this.slot?.ownershipEpoch === ownershipEpoch) {
+  /** As `put`, in up to `attempts` attempts while the slot is this front's; rejects with the last attempt's error. */
+  async putWithRetry(key: string, value: unknown, attempts: number): Promise<void> {
+    for (let attempt = 1; ; attempt++) {
       try {
-        if (await this.fenceOnce(ownershipEpoch)) return;
-      } catch (e) {
-        log.debug(`Slot ${this.n} is not open yet: ${toRpcError(e).message}.`);
+        await this.put(key, value);
+        return;
+      } catch (error) {
+        if (attempt >= attempts || !this.slot) throw error;
+        await delay(this.clock, this.retryIntervalMs);
       }
-      await delay(clock, heartbeatInterval / 10);
     }
   }
 
-  private async fenceOnce(ownershipEpoch: number): Promise<boolean> {
-    const slot = this.slot;
-    if (!slot) return true;
-    const seen = await askQuorum({
-      clock: this.p.clock,
-      ids: this.preferred(slot.replicas),
-      quorum: this.quorum,
-      hedgeAfterMs: toTimerMs(this.p.putWithin * hedgeShare),
-      ask: (id) => this.fenced(id, ownershipEpoch),
-    });
-    if (seen.size < this.quorum)
-      throw new UnavailableError(
-        'unavailable',
-        `${seen.size} of ${slot.replicas.length} replicas fenced`,
-      );
-    const views = [...seen.values()];
-    const merged = new Map<string, Item>(this.openEpoch >= 0 ? this.held : []);
-    for (const view of views)
-      for (const item of view.values()) {
-        const old = merged.get(item.key);
-        if (!old || isNewerItem(item, old)) merged.set(item.key, item);
-      }
-    const uneven = [...merged.values()].filter((item) => {
-      const same = views.filter((v) => {
-        const theirs = v.get(item.key);
-        return theirs && isSameItem(theirs, item);
-      });
-      return same.length < this.quorum;
-    });
-    if (this.slot?.ownershipEpoch !== ownershipEpoch) return true;
-    const again = uneven.map((item) => ({
-      key: item.key,
-      ownershipEpoch,
-      seq: ++this.seq,
-      value: item.value,
-    }));
-    for (const page of splitIntoPages(again)) await this.spread(ownershipEpoch, page);
-    if (this.slot?.ownershipEpoch !== ownershipEpoch) return true;
-    for (const item of again) merged.set(item.key, item);
-    this.forget();
-    for (const item of merged.values()) this.hold(item);
-    this.openEpoch = ownershipEpoch;
-    this.p.log.debug(
-      `Slot ${this.n} is open at ownership epoch ${ownershipEpoch} with ${merged.size} items.`,
+  /**
+   * Asks all replicas for a key that is not in memory. True if a quorum responded and none of them has it: no write of
+   * it ever counted, or it was dropped by its retention.
+   *
+   * @throws UnavailableError `unavailable` if the slot is not open throughout, or fewer than a quorum responded
+   */
+  async confirmMissing(key: string): Promise<boolean> {
+    const { ownershipEpoch, replicas } = this.requireOpen();
+    const reads = await Promise.allSettled(
+      replicas.map((replica) => this.client.read(replica, ownershipEpoch, key)),
     );
-    this.fenceOthers(slot, ownershipEpoch, seen);
-    return true;
-  }
-
-  /** Live replicas first; each slot begins with another one, so that slots opened together spread their reads. */
-  private preferred(ids: readonly string[]): readonly string[] {
-    const nodes = this.p.table()?.state.nodes;
-    const start = ids.length === 0 ? 0 : this.n % ids.length;
-    const rotated = [...ids.slice(start), ...ids.slice(0, start)];
-    return [...rotated.filter((id) => nodes?.has(id)), ...rotated.filter((id) => !nodes?.has(id))];
-  }
-
-  /** Replicas that were not needed to open the slot are fenced too: a joining replica may read from any. */
-  private fenceOthers(
-    slot: Slot,
-    ownershipEpoch: number,
-    asked: ReadonlyMap<string, unknown>,
-  ): void {
-    for (const id of slot.replicas)
-      if (!asked.has(id))
-        this.ask(id, 'store/fence', { slot: this.n, ownershipEpoch, after: '' }).catch(
-          () => undefined,
-        );
-  }
-
-  private async fenced(id: string, ownershipEpoch: number): Promise<Map<string, Item>> {
-    const items = new Map<string, Item>();
-    for await (const page of fetchPages((after) =>
-      this.ask(id, 'store/fence', { slot: this.n, ownershipEpoch, after }),
-    ))
-      for (const item of page) items.set(item.key, item);
-    return items;
+    const stored = reads.flatMap((read) => (read.status === 'fulfilled' ? [read.value] : []));
+    if (stored.length < this.quorum)
+      throw new UnavailableError('unavailable', 'too few replicas confirm');
+    if (!this.isAt(ownershipEpoch))
+      throw new UnavailableError('unavailable', 'the slot has moved on');
+    return stored.every((item) => item === null);
   }
 
-  private hold(item: Item): void {
-    const [kind, pid = '', t] = item.key.split('/');
-    if (kind === 'p' && t === 't') {
-      const cost = (v: unknown): number => {
-        const turn = Cost.safeParse(v);
-        return turn.success ? turn.data.cost : 0;
-      };
-      const root = rootProgramId(pid);
-      const before = this.held.get(item.key);
-      if (!before) this.turnsBy.set(pid, [...(this.turnsBy.get(pid) ?? []), item.key]);
-      this.spentBy.set(
-        root,
-        this.spent(root) - (before ? cost(before.value) : 0) + cost(item.value),
-      );
-    }
-    this.held.set(item.key, item);
-    this.touched.set(recordGroup(item.key), this.p.clock.now());
+  /** Drops from memory what is past its retention; returns how many programs and operation keys that were. */
+  expire(): number {
+    return this.items.expire(
+      Math.max(
+        this.retentionMs * memoryShareOfRetention,
+        turnRetentionLimitMs(this.table()?.config),
+      ),
+    );
   }
 
-  private ask(id: string, kind: string, body: unknown): Promise<unknown> {
-    const member = this.p.table()?.state.nodes.get(id);
-    if (!member) return Promise.reject(new ReplicaError('away', `copy ${id} is away`));
-    return this.p.transport.call(member.addr, kind, body, { timeoutMs: this.p.putWithin });
+  private isAt(ownershipEpoch: number): boolean {
+    return this.slot?.ownershipEpoch === ownershipEpoch;
   }
 
-  private spread(ownershipEpoch: number, items: readonly Item[]): Promise<void> {
-    const slot = this.slot;
-    if (slot?.ownershipEpoch !== ownershipEpoch)
-      return Promise.reject(new OwnershipError('not-owner', 'the slot has moved on'));
-    const targets = replicasToWrite(slot);
-    const groups = [slot.replicas, replicasAfterJoin(slot)];
-    const missed: string[] = [];
-    const good: string[] = [];
-    const acks = (): number =>
-      Math.min(...groups.map((g) => g.filter((id) => good.includes(id)).length));
-    let left = targets.length;
-    return new Promise((done, fail) => {
-      const settle = () => {
-        if (acks() >= this.quorum) done();
-        if (left > 0) return;
-        if (acks() < this.quorum)
-          fail(
-            new UnavailableError(
-              'unavailable',
-              `${good.length} of ${targets.length} replicas synced`,
-            ),
-          );
-        if (good.length > 0) for (const id of missed) void this.hint(good, id, items);
-      };
-      for (const id of targets)
-        this.ask(id, 'store/put', { slot: this.n, ownershipEpoch, items })
-          .then(
-            () => {
-              good.push(id);
-            },
-            (e: unknown) => {
-              if (toRpcError(e).code !== 'stale-epoch') missed.push(id);
-              else if (this.slot?.ownershipEpoch === ownershipEpoch) this.openEpoch = -1;
-            },
-          )
-          .finally(() => {
-            left--;
-            settle();
-          });
-    });
+  private requireOpen(): Slot {
+    if (!this.slot || !this.isOpen)
+      throw new UnavailableError('unavailable', `slot ${this.slotNumber} is being taken over`);
+    return this.slot;
   }
 
-  private async hint(good: readonly string[], to: string, items: readonly Item[]): Promise<void> {
-    for (const id of good) {
+  private async openWhenFenced(ownershipEpoch: number): Promise<void> {
+    for (let slot = this.slot; slot?.ownershipEpoch === ownershipEpoch; slot = this.slot) {
       try {
-        await this.ask(id, 'store/hint', { to, slot: this.n, items });
+        await this.openOnce(slot);
         return;
-      } catch (e) {
-        this.p.log.debug(`Hint for ${to} was not kept by ${id}: ${toRpcError(e).message}.`);
+      } catch (error) {
+        this.log.debug(`Slot ${this.slotNumber} is not open yet: ${toRpcError(error).message}.`);
       }
+      await delay(this.clock, this.retryIntervalMs);
     }
   }
 
-  async put(key: string, value: unknown): Promise<void> {
-    const slot = this.slot;
-    if (!slot || !this.open)
-      throw new UnavailableError('unavailable', `slot ${this.n} is being taken over`);
-    const item: Item = { key, ownershipEpoch: slot.ownershipEpoch, seq: ++this.seq, value };
-    await this.spread(slot.ownershipEpoch, [item]);
-    if (this.openEpoch === item.ownershipEpoch) this.hold(item);
+  /** Fences, merges and writes what was below a quorum again; ends without opening if the epoch passes meanwhile. */
+  private async openOnce(slot: Slot): Promise<void> {
+    const { ownershipEpoch } = slot;
+    const fenced = await this.fencing.fenceQuorum(slot);
+    const merged = this.merge(fenced);
+    const uncertain = itemsBelowQuorum(merged, [...fenced.values()], this.quorum);
+    // `write` refuses a passed epoch as well; this spares the newer epoch's sequence, which `renumber` counts up.
+    if (!this.isAt(ownershipEpoch)) return;
+    const rewritten = this.renumber(uncertain, ownershipEpoch);
+    for (const page of splitIntoPages(rewritten)) await this.write(ownershipEpoch, page);
+    if (!this.isAt(ownershipEpoch)) return;
+    for (const item of rewritten) merged.set(item.key, item);
+    this.items.replaceWith(merged.values());
+    this.openEpoch = ownershipEpoch;
+    this.log.debug(
+      `Slot ${this.slotNumber} is open at ownership epoch ${ownershipEpoch} with ${merged.size} items.`,
+    );
+    this.fencing.fenceOthers(slot, fenced);
   }
 
-  async putSoon(key: string, value: unknown, tries: number): Promise<void> {
-    for (let n = 1; ; n++) {
-      try {
-        return await this.put(key, value);
-      } catch (e) {
-        if (n >= tries || !this.slot) throw e;
-        await delay(this.p.clock, this.p.heartbeatInterval / 10);
-      }
-    }
+  /** Items in memory are merged in only if the slot was not closed since: then another owner may have written. */
+  private merge(fenced: FencedReplicas): Map<string, Item> {
+    const known = this.openEpoch === notOpenEpoch ? [] : this.items.entries();
+    return mergeItems(known, fenced.values());
   }
 
-  async confirmMissing(key: string): Promise<boolean> {
-    const slot = this.slot;
-    if (!slot || !this.open)
-      throw new UnavailableError('unavailable', `slot ${this.n} is being taken over`);
-    const reads = await Promise.allSettled(
-      slot.replicas.map(async (id) =>
-        ReadResponse.parse(
-          await this.ask(id, 'store/read', {
-            slot: this.n,
-            ownershipEpoch: slot.ownershipEpoch,
-            key,
-          }),
-        ),
-      ),
-    );
-    const good = reads.flatMap((r) => (r.status === 'fulfilled' ? [r.value.item] : []));
-    if (good.length < this.quorum)
-      throw new UnavailableError('unavailable', 'too few replicas confirm');
-    if (this.slot?.ownershipEpoch !== slot.ownershipEpoch)
-      throw new UnavailableError('unavailable', 'the slot has moved on');
-    return good.every((item) => item === null);
+  private renumber(items: readonly Item[], ownershipEpoch: number): readonly Item[] {
+    return items.map(({ key, value }) => ({
+      key,
+      ownershipEpoch,
+      seq: ++this.sequence,
+      value,
+    }));
   }
 
-  expire(): number {
-    const now = this.p.clock.now();
-    const retentionMs = Math.max(
-      this.p.retentionMs * 0.9,
-      turnRetentionLimitMs(this.p.table()?.config),
-    );
-    const old = new Set(
-      [...this.touched].filter(([, at]) => now - at > retentionMs).map(([g]) => g),
-    );
-    if (old.size === 0) return 0;
-    const kept = [...this.held.values()].filter((i) => !old.has(recordGroup(i.key)));
-    const touched = [...this.touched].filter(([g]) => !old.has(g));
-    this.forget();
-    for (const item of kept) this.hold(item);
-    this.touched = new Map(touched);
-    return old.size;
+  private write(ownershipEpoch: number, items: readonly Item[]): Promise<void> {
+    const slot = this.slot;
+    if (slot?.ownershipEpoch !== ownershipEpoch)
+      return Promise.reject(new OwnershipError('not-owner', 'the slot has moved on'));
+    return new QuorumWrite(slot, items, this.writeOptions(ownershipEpoch)).send();
   }
 
-  get size(): number {
-    return this.held.size;
+  private writeOptions(ownershipEpoch: number): QuorumWriteOptions {
+    return {
+      client: this.client,
+      log: this.log,
+      quorum: () => this.quorum,
+      onStaleEpoch: () => {
+        if (this.isAt(ownershipEpoch)) this.openEpoch = notOpenEpoch;
+      },
+    };
   }
 }
--- a/packages/session-owner/src/streams.ts
+++ b/packages/session-owner/src/streams.ts
@@ -1,9 +1,9 @@
 import type { Config, Route, Server } from '@tillerstair/state';
 import { RpcError, toRpcError } from '@tillerstair/wire';
-import type { Ended, Head } from './backend.js';
+import type { BackendOutcome, ResponseHead } from './backend.js';
 import { Events } from './events.js';
 import type { SlotReplicator } from './slot-replicator.js';
-import { partsOf, type Part } from './placement.js';
+import { prefixBlocksOfParts, type PrefixBlock } from './prompt-prefix.js';
 import type { EmitChunk } from './turns.js';
 import type { SessionOwner } from './session-owner.js';
 import {
@@ -43,7 +43,7 @@
   readonly path: string;
   readonly kept: boolean;
   readonly body: Uint8Array;
-  readonly parts: readonly Part[];
+  readonly parts: readonly PrefixBlock[];
   readonly replicator: SlotReplicator | undefined;
   readonly key: string;
   readonly end: number;
@@ -124,7 +124,7 @@
       replicator,
       key,
       emit,
-      parts: partsOf(ask.parts),
+      parts: prefixBlocksOfParts(ask.parts),
       end: this.s.p.clock.now() + Math.min(ask.left, rules.deadlineMs),
       tries: rules.tries,
       resumable: rules.resumable,
@@ -266,7 +266,7 @@
   private overBudget(run: Run, root: string): boolean {
     const { ask, replicator } = run;
     if (!replicator || ask.budget === null) return false;
-    return replicator.spent(root) + (this.reserving.get(root) ?? 0) + ask.most > ask.budget;
+    return replicator.costOf(root) + (this.reserving.get(root) ?? 0) + ask.most > ask.budget;
   }
 
   private async whole(run: Run, code: number, cost: number): Promise<CallOutcome> {
@@ -291,10 +291,10 @@
   }
 
   private settle(run: Run, turn: PassTurn): Promise<void> {
-    return run.replicator ? run.replicator.putSoon(run.key, turn, 20) : Promise.resolve();
+    return run.replicator ? run.replicator.putWithRetry(run.key, turn, 20) : Promise.resolve();
   }
 
-  private async send(run: Run, server: Server, gone: AbortSignal): Promise<Ended> {
+  private async send(run: Run, server: Server, gone: AbortSignal): Promise<BackendOutcome> {
     const { ask, events, out } = run;
     const { backend, clock } = this.s.p;
     const first = !out.headed;
@@ -304,9 +304,9 @@
     const onGone = () => stop.abort();
     gone.addEventListener('abort', onGone, { once: true });
     let plain = false;
-    const failure: { head: Head | undefined; body: string } = { head: undefined, body: '' };
+    const failure: { head: ResponseHead | undefined; body: string } = { head: undefined, body: '' };
     const sink = {
-      head: (head: Head) => {
+      head: (head: ResponseHead) => {
         status = head.status;
         plain = !head.headers.some(
           ([k, v]) => k.toLowerCase() === 'content-type' && v.includes('event-stream'),
@@ -328,7 +328,7 @@
         if (whole !== '') say(whole);
       },
       load: (b: { running: number; waiting: number; places: number }) =>
-        this.s.placement.reported(server, b),
+        this.s.placement.recordReportedLoad(server, b),
     };
     const resume = events.lastId === '' ? ask.resume : events.lastId;
     const ended = await backend
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto';
 import { rootProgramId, type Config, type Server } from '@tillerstair/state';
 import { ProtocolError, toRpcError } from '@tillerstair/wire';
-import type { Ended, Message } from './backend.js';
+import type { BackendOutcome, ConversationMessage } from './backend.js';
 import type { SlotReplicator } from './slot-replicator.js';
-import { prefixesOf } from './placement.js';
+import { prefixBlocksOfMessages } from './prompt-prefix.js';
 import type { SessionOwner } from './session-owner.js';
 import {
   done,
@@ -41,7 +41,7 @@
   readonly turn: string;
   readonly body: string;
   readonly config: Config;
-  readonly messages: readonly Message[];
+  readonly messages: readonly ConversationMessage[];
   readonly sticky: string;
 }
 
@@ -98,7 +98,7 @@
     const { program, outcome } = await this.lookUp(replicator, ask.pid, ask.tenant);
     if (!program) return outcome;
     if (ask.turn === undefined) {
-      const turns = replicator.turnsOf(ask.pid).flatMap((key) => {
+      const turns = replicator.turnKeysOf(ask.pid).flatMap((key) => {
         const v = TurnValue.safeParse(replicator.get(key));
         return v.success && v.data.status === 'done'
           ? [{ turn: key.split('/')[3], after: v.data.after, tokens: v.data.cost }]
@@ -108,7 +108,7 @@
         program: ask.pid,
         parent: program.parent,
         budget: program.budget,
-        spent: replicator.spent(rootProgramId(ask.pid)),
+        spent: replicator.costOf(rootProgramId(ask.pid)),
         turns,
       });
     }
@@ -195,8 +195,10 @@
   private async conversation(
     replicator: SlotReplicator,
     ask: TurnAsk,
-  ): Promise<{ messages: readonly Message[]; sticky: string } | { outcome: CallOutcome }> {
-    const out: Message[] = [{ role: 'user', text: ask.words }];
+  ): Promise<
+    { messages: readonly ConversationMessage[]; sticky: string } | { outcome: CallOutcome }
+  > {
+    const out: ConversationMessage[] = [{ role: 'user', text: ask.words }];
     let sticky = '';
     for (let at = ask.after; at !== null;) {
       const v = TurnValue.safeParse(replicator.get(turnKey(ask.pid, at)));
@@ -219,7 +221,7 @@
 
   private async place(job: Job, emit: EmitChunk, gone: AbortSignal): Promise<CallOutcome> {
     const { config, messages, sticky } = job;
-    const prefixes = prefixesOf(messages);
+    const prefixes = prefixBlocksOfMessages(messages);
     const skip = new Set<string>();
     const end = this.s.p.clock.now() + config.bounds.turnMs / 4;
     const prefixKey = `${rootProgramId(job.ask.pid)}`;
@@ -230,7 +232,7 @@
         return refused(402, 'budget-spent', 'the budget is spent');
       const server = await this.s.place('turn', job.ask.path, prefixes, sticky, skip, left, gone);
       const t0 = this.s.p.clock.now();
-      let ended: (Ended & { tokens?: number }) | undefined;
+      let ended: (BackendOutcome & { tokens?: number }) | undefined;
       try {
         const reserve = this.reserve(job, prefixKey);
         if (reserve <= 0) return refused(402, 'budget-spent', 'the budget is spent');
@@ -275,7 +277,7 @@
 
   private left(job: Job, root: string): number {
     const program = ProgramValue.parse(job.replicator.get(programKey(root)));
-    return program.budget - job.replicator.spent(root) - (this.reserving.get(root) ?? 0);
+    return program.budget - job.replicator.costOf(root) - (this.reserving.get(root) ?? 0);
   }
 
   private reserve(job: Job, root: string): number {
@@ -289,7 +291,7 @@
   }
 
   private async settle(job: Job, value: TurnValue): Promise<void> {
-    await job.replicator.putSoon(turnKey(job.ask.pid, job.turn), value, 20);
+    await job.replicator.putWithRetry(turnKey(job.ask.pid, job.turn), value, 20);
   }
 
   private async run(
@@ -298,7 +300,7 @@
     value: TurnValue,
     emit: EmitChunk,
     gone: AbortSignal,
-  ): Promise<{ ended: Ended & { tokens?: number }; outcome?: CallOutcome }> {
+  ): Promise<{ ended: BackendOutcome & { tokens?: number }; outcome?: CallOutcome }> {
     const chunks: string[] = [];
     const stop = new AbortController();
     const onGone = () => stop.abort();
--- a/packages/sim/src/sim-backend.ts
+++ b/packages/sim/src/sim-backend.ts
@@ -1,11 +1,11 @@
 import type { Server } from '@tillerstair/state';
 import type {
-  Act,
+  ToolCallRequest,
   Backend,
-  Ended,
-  Generate,
-  LoadReport,
-  Passing,
+  BackendOutcome,
+  GenerateRequest,
+  ServerStatus,
+  ForwardedRequest,
 } from '@tillerstair/session-owner';
 import type { ExecutionRecord } from '@tillerstair/checker';
 import { delay, type Clock } from '@tillerstair/wire';
@@ -99,7 +99,7 @@
       await delay(frontClock, 0.3);
       return v;
     };
-    const silence = async (gone: AbortSignal, within: number): Promise<Ended> => {
+    const silence = async (gone: AbortSignal, within: number): Promise<BackendOutcome> => {
       await delay(frontClock, within, gone);
       return { kind: 'lost', text: 'the server is silent' };
     };
@@ -108,7 +108,7 @@
       still: () => boolean,
       gone: AbortSignal,
       within: number,
-    ): Promise<Ended | undefined> => {
+    ): Promise<BackendOutcome | undefined> => {
       this.asked++;
       await delay(frontClock, 0.5);
       if (!still()) return { kind: 'declined', text: 'taken back' };
@@ -119,7 +119,14 @@
       return f.resets ? gate({ kind: 'lost', text: 'the connection was reset' }) : undefined;
     };
     return {
-      generate: async (s: Server, g: Generate, onChunk, gone, within, still): Promise<Ended> => {
+      generate: async (
+        s: Server,
+        g: GenerateRequest,
+        onChunk,
+        gone,
+        within,
+        still,
+      ): Promise<BackendOutcome> => {
         const f = this.of(s.id);
         const back = await leave(s, still, gone, within);
         if (back) return back;
@@ -155,7 +162,7 @@
           return gate({ kind: 'lost', text: 'the end was lost' });
         return gate({ kind: 'done', code: 200, body: total });
       },
-      act: async (s: Server, a: Act, gone, within, still): Promise<Ended> => {
+      act: async (s: Server, a: ToolCallRequest, gone, within, still): Promise<BackendOutcome> => {
         const f = this.of(s.id);
         const back = await leave(s, still, gone, within);
         if (back) return back;
@@ -179,7 +186,14 @@
           return gate({ kind: 'lost', text: 'the outcome was lost' });
         return gate({ kind: 'done', code: 200, body: { did: a.path, key: a.key, by: s.id } });
       },
-      pass: async (s: Server, p: Passing, sink, gone, left, still): Promise<Ended> => {
+      pass: async (
+        s: Server,
+        p: ForwardedRequest,
+        sink,
+        gone,
+        left,
+        still,
+      ): Promise<BackendOutcome> => {
         const f = this.of(s.id);
         const back = await leave(s, still, gone, left);
         if (back) return back;
@@ -205,7 +219,7 @@
           return gate({ kind: 'lost', text: 'the answer was lost' });
         return gate({ kind: 'done', code: 200, body: null });
       },
-      load: async (s: Server, within: number): Promise<LoadReport> => {
+      load: async (s: Server, within: number): Promise<ServerStatus> => {
         const f = this.of(s.id);
         this.polls++;
         await delay(frontClock, 0.5);
--- a/packages/sim/src/sim-pass.ts
+++ b/packages/sim/src/sim-pass.ts
@@ -1,4 +1,4 @@
-import type { Passing, Sink } from '@tillerstair/session-owner';
+import type { ForwardedRequest, ResponseSink } from '@tillerstair/session-owner';
 import { slotForKey } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
 import type { Life } from './sim-clock.js';
@@ -36,7 +36,11 @@
 /** How many events the answer to a try has, whichever server makes it. */
 export const eventsIn = (attempt: string): number => 4 + slotForKey(attempt, 6);
 
-export const passRun = async (x: PassBy, p: Passing, sink: Sink): Promise<Passed> => {
+export const passRun = async (
+  x: PassBy,
+  p: ForwardedRequest,
+  sink: ResponseSink,
+): Promise<Passed> => {
   const word = (name: string): string => p.headers.find(([k]) => k === name)?.[1] ?? '';
   const streamed = word('x-tokens') !== '';
   const { faults, life, clock, rng, gone } = x;
--- a/tests/src/proxy/http-forwarding-connections.test.ts
+++ b/tests/src/proxy/http-forwarding-connections.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { HttpBackend } from '@tillerstair/proxy';
-import type { Ended, Head, Passing } from '@tillerstair/session-owner';
+import type { BackendOutcome, ResponseHead, ForwardedRequest } from '@tillerstair/session-owner';
 import { serverUp, type Up, reply, serverAt, frontUp, ask, named } from '../support/http-server.js';
 
 const sharing = suite('connections of requests carried over HTTP');
@@ -10,13 +10,13 @@
 const never = new AbortController().signal;
 
 interface Got {
-  readonly ended: Ended;
-  readonly head: Head | undefined;
+  readonly ended: BackendOutcome;
+  readonly head: ResponseHead | undefined;
   readonly body: string;
 }
 
 const passTo = async (backend: HttpBackend, server: Up, attempt: string): Promise<Got> => {
-  const p: Passing = {
+  const p: ForwardedRequest = {
     attempt,
     method: 'POST',
     path: '/x',
@@ -24,10 +24,10 @@
     body: Buffer.from('b'),
     resume: '',
   };
-  const heads: Head[] = [];
+  const heads: ResponseHead[] = [];
   let body = '';
   const sink = {
-    head: (h: Head) => void heads.push(h),
+    head: (h: ResponseHead) => void heads.push(h),
     bytes: (text: string) => {
       body += text;
     },
--- a/tests/src/proxy/server-connections.test.ts
+++ b/tests/src/proxy/server-connections.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Server } from '@tillerstair/state';
-import type { Passing } from '@tillerstair/session-owner';
+import type { ForwardedRequest } from '@tillerstair/session-owner';
 import {
   never,
   type Asked,
@@ -82,7 +82,7 @@
       draining: false,
       down: false,
     });
-    const passing: Passing = {
+    const passing: ForwardedRequest = {
       attempt: 'b',
       method: 'POST',
       path: '/x',
--- a/tests/src/session-owner/admission-bounds.test.ts
+++ b/tests/src/session-owner/admission-bounds.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { AdmissionQueue } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
-import { lasting, RpcError } from '@tillerstair/wire';
+import { createAbortController, RpcError } from '@tillerstair/wire';
 
 const admission = suite('bounds of the admission queue');
 
@@ -18,9 +18,14 @@
     this.queue = new AdmissionQueue<string>(this.clock, () => mostWaiting);
   }
 
-  enter(name: string, within = 1000, gone = lasting().signal, urgent = false): void {
+  enter(
+    name: string,
+    timeoutMs = 1000,
+    signal = createAbortController().signal,
+    isUrgent = false,
+  ): void {
     const pick = (): string | undefined => (this.free > 0 ? (this.free--, 'server') : undefined);
-    this.queue.enter(urgent, within, gone, pick).then(
+    this.queue.enter({ isUrgent, timeoutMs, signal, pick }).then(
       () => this.ended.push(name),
       (error: unknown) =>
         this.ended.push(`${name} ${error instanceof RpcError ? error.code : String(error)}`),
@@ -107,7 +112,7 @@
 
 admission('a caller that leaves gives its place up', async () => {
   const fixture = new QueueFixture(1);
-  const leaving = lasting();
+  const leaving = createAbortController();
   fixture.enter('a', 1000, leaving.signal);
   leaving.abort();
   await fixture.clock.settle();
@@ -125,10 +130,15 @@
   };
   const codeOf = (work: Promise<string>): Promise<string> =>
     work.catch((error: unknown) => (error instanceof RpcError ? error.code : 'other'));
-  const signal = lasting().signal;
-  assert.is(await codeOf(fixture.queue.enter(false, 1000, signal, refuse)), 'no-server');
+  const request = {
+    isUrgent: false,
+    timeoutMs: 1000,
+    signal: createAbortController().signal,
+    pick: refuse,
+  };
+  assert.is(await codeOf(fixture.queue.enter(request)), 'no-server');
   fixture.enter('a');
-  const second = codeOf(fixture.queue.enter(false, 1000, signal, refuse));
+  const second = codeOf(fixture.queue.enter(request));
   await fixture.release(1);
   assert.is(await second, 'no-server');
   assert.equal(fixture.ended, ['a']);
--- a/tests/src/session-owner/batch-placement.test.ts
+++ b/tests/src/session-owner/batch-placement.test.ts
@@ -9,7 +9,13 @@
   type Server,
   type State,
 } from '@tillerstair/state';
-import { chainOf, partsOf, Placement, tableOf, type Part } from '@tillerstair/session-owner';
+import {
+  placementPolicies,
+  prefixBlocksOfParts,
+  Placement,
+  tableOf,
+  type PrefixBlock,
+} from '@tillerstair/session-owner';
 
 const batches = suite('placement among servers that run batches');
 
@@ -69,25 +75,26 @@
   const table = tableOf(state, undefined);
   const sims = new SimServers(clock, seededRng(1));
   const bounds = {
-    poll: 0,
-    pollWithin: 250,
-    retryBad: 1000,
-    sightWithin: Infinity,
-    reportValidFor: 500,
+    pollIntervalMs: 0,
+    pollTimeoutMs: 250,
+    retryUnhealthyAfterMs: 1000,
+    pollValidForMs: Infinity,
+    reportedLoadValidForMs: 500,
   };
-  const placement = new Placement(
+  const placement = new Placement({
     clock,
-    sims.backend(new Life()),
-    chainOf(true),
+    backend: sims.backend(new Life()),
+    policies: placementPolicies(true),
     bounds,
-    () => table,
-    () => 16,
-    'f',
-  );
+    table: () => table,
+    maxInFlightPerServer: () => 16,
+    frontId: 'f',
+  });
   return { clock, placement, at: (id: string) => state.servers.get(id) ?? server(id, 'none') };
 };
 const big = (...ids: readonly string[]) => placing(ids.map((id) => server(id, 'big')));
-const prompt = (tokens: number, name = 'a'): readonly Part[] => partsOf([[name, tokens]]);
+const prompt = (tokens: number, name = 'a'): readonly PrefixBlock[] =>
+  prefixBlocksOfParts([[name, tokens]]);
 
 batches(
   'a warm server is kept to until what runs there outweighs the tokens to be read anew',
@@ -116,7 +123,7 @@
   const { placement, at } = big('w', 'c');
   placement.begin(
     at('w'),
-    partsOf([
+    prefixBlocksOfParts([
       ['a', 5 * perPlace],
       ['b', 5 * perPlace],
     ]),
@@ -126,7 +133,7 @@
   assert.is(
     placement.pick(
       talk,
-      partsOf([
+      prefixBlocksOfParts([
         ['a', 5 * perPlace],
         ['x', perPlace],
       ]),
@@ -140,7 +147,7 @@
   assert.is(
     placement.pick(
       talk,
-      partsOf([
+      prefixBlocksOfParts([
         ['x', perPlace],
         ['b', 5 * perPlace],
       ]),
@@ -201,7 +208,7 @@
   const parts = prompt(perPlace / 10);
   const first = placement.pick(talk, parts, '', new Set())?.id ?? '';
   const second = first === 'a' ? 'b' : 'a';
-  placement.reported(at(first), { running: 2, waiting: 1, places });
+  placement.recordReportedLoad(at(first), { running: 2, waiting: 1, places });
   assert.is(placement.pick(talk, parts, '', new Set())?.id, second);
   await clock.run(499);
   assert.is(placement.pick(talk, parts, '', new Set())?.id, second);
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -12,10 +12,10 @@
   type State,
 } from '@tillerstair/state';
 import {
-  chainOf,
+  placementPolicies,
   AdmissionQueue,
   Placement,
-  prefixesOf,
+  prefixBlocksOfMessages,
   tableOf,
 } from '@tillerstair/session-owner';
 import { createAbortController, RpcError } from '@tillerstair/wire';
@@ -84,22 +84,23 @@
   const table = tableOf(s, undefined);
   const servers = new SimServers(clock, seededRng(1));
   const bounds = {
-    poll: 250,
-    pollWithin: 250,
-    retryBad: 1000,
-    sightWithin: Infinity,
-    reportValidFor: 500,
+    pollIntervalMs: 250,
+    pollTimeoutMs: 250,
+    retryUnhealthyAfterMs: 1000,
+    pollValidForMs: Infinity,
+    reportedLoadValidForMs: 500,
   };
   return {
     clock,
-    placement: new Placement(
+    placement: new Placement({
       clock,
-      servers.backend(new Life()),
-      chainOf(affinity),
+      backend: servers.backend(new Life()),
+      policies: placementPolicies(affinity),
       bounds,
-      () => table,
-      () => 16,
-    ),
+      table: () => table,
+      maxInFlightPerServer: () => 16,
+      frontId: '',
+    }),
   };
 };
 
@@ -152,7 +153,7 @@
   }
   assert.ok((count.get('n1') ?? 0) < (count.get('n2') ?? 0) / 2, JSON.stringify([...count]));
   const warm = placing(s).placement;
-  const prefix = prefixesOf([{ role: 'user', text: 'x'.repeat(2000) }]);
+  const prefix = prefixBlocksOfMessages([{ role: 'user', text: 'x'.repeat(2000) }]);
   const first = warm.pick(route, prefix, '', new Set());
   if (!first) throw new Error('nothing picked');
   warm.begin(first, prefix);
@@ -165,22 +166,22 @@
   const s = stateWith(six);
   const before = s.servers.get('n1');
   if (!before) throw new Error('no server');
-  assert.is(placing(s).placement.allowed(before, route), true);
+  assert.is(placing(s).placement.isAllowed(before, route), true);
   assert.is(
-    placing(reduceState(s, { kind: 'server-mark', id: 'n1', draining: true })).placement.allowed(
+    placing(reduceState(s, { kind: 'server-mark', id: 'n1', draining: true })).placement.isAllowed(
       before,
       route,
     ),
     false,
   );
   assert.is(
-    placing(reduceState(s, { kind: 'server-gone', id: 'n1' })).placement.allowed(before, route),
+    placing(reduceState(s, { kind: 'server-gone', id: 'n1' })).placement.isAllowed(before, route),
     false,
   );
   assert.is(
     placing(
       reduceState(s, { kind: 'server', server: { ...before, pool: 'other' } }),
-    ).placement.allowed(before, route),
+    ).placement.isAllowed(before, route),
     false,
   );
 });
@@ -211,8 +212,8 @@
     const pick = (): string | undefined => (free > 0 ? (free--, 'server') : undefined);
     const order: string[] = [];
     const never = createAbortController().signal;
-    const enter = (name: string, urgent: boolean, within = 1000, gone = never) =>
-      admissionQueue.enter(urgent, within, gone, pick).then(
+    const enter = (name: string, isUrgent: boolean, timeoutMs = 1000, signal = never) =>
+      admissionQueue.enter({ isUrgent, timeoutMs, signal, pick }).then(
         () => order.push(name),
         (e: unknown) => order.push(`${name} ${e instanceof RpcError ? e.code : 'other'}`),
       );
--- a/tests/src/session-owner/replica-quorum.test.ts
+++ b/tests/src/session-owner/replica-quorum.test.ts
@@ -1,7 +1,7 @@
 /** Replicas are asked as few at a time as a quorum needs. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { askQuorum } from '@tillerstair/session-owner';
+import { requestQuorum } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
 
 const quorumAsk = suite('asking a quorum of replicas');
@@ -20,12 +20,12 @@
   const clock = new SimClock();
   const asked: string[] = [];
   const began = clock.now();
-  const question = askQuorum({
+  const question = requestQuorum({
     clock,
-    ids,
+    replicas: ids,
     quorum,
     hedgeAfterMs,
-    ask: (id) => {
+    send: (id) => {
       asked.push(id);
       return reply(id, clock);
     },
@@ -77,12 +77,12 @@
   const asked: string[] = [];
   const answers = await clock.finish(
     'question',
-    askQuorum({
+    requestQuorum({
       clock,
-      ids,
+      replicas: ids,
       quorum: 1,
       hedgeAfterMs,
-      ask: (id) => {
+      send: (id) => {
         asked.push(id);
         if (id === 'a') return after(clock, hedgeAfterMs * 2.5, id);
         if (id === 'b') return after(clock, hedgeAfterMs * 3, id);
@@ -99,7 +99,7 @@
 
 quorumAsk('without anybody to ask the question ends empty', async () => {
   const clock = new SimClock();
-  const question = askQuorum({ clock, ids: [], quorum, hedgeAfterMs, ask: failure });
+  const question = requestQuorum({ clock, replicas: [], quorum, hedgeAfterMs, send: failure });
   assert.is((await clock.finish('question', question, 1)).size, 0);
 });
 
--- a/tests/src/session-owner/server-eligibility.test.ts
+++ b/tests/src/session-owner/server-eligibility.test.ts
@@ -19,14 +19,14 @@
 const assertNothingNew = (fixture: PlacementFixture): void => {
   assert.is(fixture.pick(), undefined);
   assert.is(fixture.usable(), false);
-  assert.is(fixture.placement.allowed(a, fixture.route), false);
+  assert.is(fixture.placement.isAllowed(a, fixture.route), false);
 };
 
 eligibility('a healthy server that replied gets work', async () => {
   const fixture = await PlacementFixture.polled([a]);
   assert.is(fixture.pick(), 'a');
   assert.is(fixture.usable(), true);
-  assert.is(fixture.placement.allowed(a, fixture.route), true);
+  assert.is(fixture.placement.isAllowed(a, fixture.route), true);
 });
 
 eligibility('a server that the operator drains gets nothing new', async () => {
@@ -44,10 +44,10 @@
 
 eligibility('a server that its list bars gets nothing new', async () => {
   const fixture = await PlacementFixture.polled([a]);
-  fixture.placement.barred = new Set(['a']);
+  fixture.placement.setBarred(new Set(['a']));
   assertNothingNew(fixture);
   const unpolled = new PlacementFixture([a]);
-  unpolled.placement.barred = new Set(['a']);
+  unpolled.placement.setBarred(new Set(['a']));
   assertNothingNew(unpolled);
 });
 
@@ -116,8 +116,8 @@
   const fixture = await PlacementFixture.polled([a, unshared]);
   assert.is(fixture.pick(['a']), undefined);
   assert.is(fixture.usable(['a']), false);
-  assert.is(fixture.placement.allowed(unshared, fixture.route), false);
-  assert.is(fixture.placement.allowed(a, fixture.route), true);
+  assert.is(fixture.placement.isAllowed(unshared, fixture.route), false);
+  assert.is(fixture.placement.isAllowed(a, fixture.route), true);
 });
 
 eligibility('a server that is removed, or moved since the pick, is not allowed', async () => {
@@ -125,11 +125,11 @@
     const fixture = await PlacementFixture.polled([a]);
     fixture.list(serverAt('a', change));
     await fixture.placement.poll();
-    assert.is(fixture.placement.allowed(a, fixture.route), false);
+    assert.is(fixture.placement.isAllowed(a, fixture.route), false);
   }
   const fixture = await PlacementFixture.polled([a]);
   fixture.remove('a');
-  assert.is(fixture.placement.allowed(a, fixture.route), false);
+  assert.is(fixture.placement.isAllowed(a, fixture.route), false);
 });
 
 eligibility('nothing that was seen of a server counts for another at its id', async () => {
--- a/tests/src/session-owner/slot-fencing.test.ts
+++ b/tests/src/session-owner/slot-fencing.test.ts
@@ -33,9 +33,9 @@
     const fixture = new ReplicatorFixture();
     fixture.replicas.reply = (request) =>
       request.replica === 's2' ? emptyReply(request) : others(request);
-    fixture.replicator.take(slotAt(1));
+    fixture.replicator.apply(slotAt(1));
     await fixture.clock.run(1000);
-    assert.is(fixture.replicator.open, false);
+    assert.is(fixture.replicator.isOpen, false);
   }
 });
 
@@ -44,20 +44,20 @@
   let up = false;
   fixture.replicas.reply = (request) =>
     request.replica === 's2' || up ? emptyReply(request) : failWith('connection-refused');
-  fixture.replicator.take(slotAt(1));
+  fixture.replicator.apply(slotAt(1));
   await fixture.clock.run(200);
-  assert.is(fixture.replicator.open, false);
+  assert.is(fixture.replicator.isOpen, false);
   up = true;
   await fixture.clock.run(200);
-  assert.is(fixture.replicator.open, true);
+  assert.is(fixture.replicator.isOpen, true);
 });
 
 fencing('without a cluster state no slot opens', async () => {
   const fixture = new ReplicatorFixture();
   fixture.table = undefined;
-  fixture.replicator.take(slotAt(1));
+  fixture.replicator.apply(slotAt(1));
   await fixture.clock.run(1000);
-  assert.is(fixture.replicator.open, false);
+  assert.is(fixture.replicator.isOpen, false);
 });
 
 fencing(
@@ -73,9 +73,9 @@
       ]) {
         const fixture = new ReplicatorFixture();
         fixture.replicas.reply = fencesWith({ s1: [first], s2: [second] });
-        fixture.replicator.take(slotAt(3));
+        fixture.replicator.apply(slotAt(3));
         await fixture.clock.settle();
-        assert.is(fixture.replicator.open, true);
+        assert.is(fixture.replicator.isOpen, true);
         assert.is(fixture.replicator.get('o/k'), 'new');
       }
   },
@@ -88,16 +88,16 @@
   const fences = fencesWith({ s1: [even, item('o/odd', 1, 2, 'odd')], s2: [even] });
   fixture.replicas.reply = (request) =>
     request.kind === 'store/put' && request.replica !== 's1' ? put.wait() : fences(request);
-  fixture.replicator.take(slotAt(2));
+  fixture.replicator.apply(slotAt(2));
   await fixture.clock.settle();
-  assert.is(fixture.replicator.open, false);
+  assert.is(fixture.replicator.isOpen, false);
   assert.equal(
     fixture.replicas.of('store/put').map(({ replica, items }) => [replica, items]),
     ['s1', 's2', 's3'].map((id) => [id, [item('o/odd', 2, 1, 'odd')]]),
   );
   put.accept();
   await fixture.clock.settle();
-  assert.is(fixture.replicator.open, true);
+  assert.is(fixture.replicator.isOpen, true);
   assert.is(fixture.replicator.get('o/odd'), 'odd');
   assert.is(fixture.replicator.get('o/even'), 'even');
 });
@@ -109,19 +109,19 @@
     request.kind === 'store/put' && request.replica !== 's1'
       ? failWith('connection-refused')
       : fences(request);
-  fixture.replicator.take(slotAt(2));
+  fixture.replicator.apply(slotAt(2));
   await fixture.clock.run(1000);
-  assert.is(fixture.replicator.open, false);
+  assert.is(fixture.replicator.isOpen, false);
 });
 
 fencing('a slot is not open while a newer ownership epoch is being fenced', async () => {
   const fixture = await ReplicatorFixture.open();
-  assert.is(fixture.replicator.open, true);
+  assert.is(fixture.replicator.isOpen, true);
   fixture.replicas.reply = silence;
-  fixture.replicator.take(slotAt(2));
+  fixture.replicator.apply(slotAt(2));
   await fixture.clock.settle();
-  assert.is(fixture.replicator.open, false);
-  assert.is(fixture.replicator.taking, false);
+  assert.is(fixture.replicator.isOpen, false);
+  assert.is(fixture.replicator.isAccepting, false);
   assert.is(fixture.replicas.of('store/put').length, 0);
   const put = fixture.put('o/k', 1);
   const confirmed = fixture.confirmMissing('o/k');
@@ -136,7 +136,7 @@
   const fixture = await ReplicatorFixture.open();
   const fences = fixture.replicas.of('store/fence').length;
   await fixture.replicator.put('o/k', 'value');
-  fixture.replicator.take(slotAt(1));
+  fixture.replicator.apply(slotAt(1));
   await fixture.clock.run(1000);
   assert.is(fixture.replicas.of('store/fence').length, fences);
   assert.is(fixture.replicator.get('o/k'), 'value');
@@ -147,15 +147,15 @@
   const fixture = new ReplicatorFixture();
   const old = fencesWith({ s1: [item('o/k', 1, 1, 'old')] });
   fixture.replicas.reply = (request) => (isLate(request.kind) ? late.wait() : old(request));
-  fixture.replicator.take(slotAt(1));
+  fixture.replicator.apply(slotAt(1));
   await fixture.clock.settle();
   fixture.replicas.reply = fencesWith({
     s1: [item('o/k', 1, 2, 'new')],
     s2: [item('o/k', 1, 2, 'new')],
   });
-  fixture.replicator.take(slotAt(2));
+  fixture.replicator.apply(slotAt(2));
   await fixture.clock.settle();
-  assert.is(fixture.replicator.open, true);
+  assert.is(fixture.replicator.isOpen, true);
   return fixture;
 };
 
@@ -164,7 +164,7 @@
   const fixture = await overtaken(late, (kind) => kind === 'store/fence');
   late.accept({ items: [], next: '' });
   await fixture.clock.run(1000);
-  assert.is(fixture.replicator.open, true);
+  assert.is(fixture.replicator.isOpen, true);
   assert.is(fixture.replicator.get('o/k'), 'new');
 });
 
@@ -173,7 +173,7 @@
   const fixture = await overtaken(late, (kind) => kind === 'store/put');
   late.accept();
   await fixture.clock.run(1000);
-  assert.is(fixture.replicator.open, true);
+  assert.is(fixture.replicator.isOpen, true);
   assert.is(fixture.replicator.get('o/k'), 'new');
 });
 
@@ -184,11 +184,11 @@
   const fences = fencesWith({ s1: [item('o/a', 1, 1, large), item('o/b', 1, 2, large)] });
   fixture.replicas.reply = (request) =>
     request.kind === 'store/put' ? late.wait() : fences(request);
-  fixture.replicator.take(slotAt(2));
+  fixture.replicator.apply(slotAt(2));
   await fixture.clock.settle();
   assert.is(fixture.replicas.of('store/put').length, 3);
   fixture.replicas.reply = silence;
-  fixture.replicator.take(slotAt(3));
+  fixture.replicator.apply(slotAt(3));
   late.accept();
   await fixture.clock.run(200);
   assert.is(fixture.replicas.of('store/put').length, 3);
--- a/tests/src/session-owner/slot-writes.test.ts
+++ b/tests/src/session-owner/slot-writes.test.ts
@@ -88,7 +88,7 @@
   const put = fixture.put('o/k', 'value');
   await fixture.clock.settle();
   assert.is(put.outcome, 'done');
-  assert.is(fixture.replicator.open, false);
+  assert.is(fixture.replicator.isOpen, false);
   const sent = fixture.replicas.requests.length;
   const refused = [fixture.put('o/l', 'value'), fixture.confirmMissing('o/l')];
   await fixture.clock.settle();
@@ -116,24 +116,24 @@
   const fixture = await ReplicatorFixture.open();
   const puts = delayedPuts(fixture);
   fixture.put('o/k', 'value');
-  fixture.replicator.take(slotAt(2));
+  fixture.replicator.apply(slotAt(2));
   await fixture.clock.settle();
-  assert.is(fixture.replicator.open, true);
+  assert.is(fixture.replicator.isOpen, true);
   puts.get('s3')?.reject('stale-epoch');
   await fixture.clock.settle();
-  assert.is(fixture.replicator.open, true);
+  assert.is(fixture.replicator.isOpen, true);
 });
 
 writes('a replicator whose ownership was lost refuses puts of earlier jobs', async () => {
   const fixture = await ReplicatorFixture.open();
   await fixture.replicator.put('o/k', 'value');
   const sent = fixture.replicas.requests.length;
-  fixture.replicator.release();
-  assert.is(fixture.replicator.open, false);
-  assert.is(fixture.replicator.taking, false);
+  fixture.replicator.close();
+  assert.is(fixture.replicator.isOpen, false);
+  assert.is(fixture.replicator.isAccepting, false);
   assert.is(fixture.replicator.get('o/k'), undefined);
   assert.is(await errorOf(fixture.replicator.put('o/k', 'other')), 'unavailable');
-  assert.is(await errorOf(fixture.replicator.putSoon('o/k', 'other', 20)), 'unavailable');
+  assert.is(await errorOf(fixture.replicator.putWithRetry('o/k', 'other', 20)), 'unavailable');
   assert.is(await errorOf(fixture.replicator.confirmMissing('o/k')), 'unavailable');
   assert.is(fixture.replicas.requests.length, sent);
 });
@@ -141,7 +141,7 @@
 writes('a put that is retried ends after its number of attempts', async () => {
   const fixture = await ReplicatorFixture.open();
   fixture.replicas.reply = () => failWith('connection-refused');
-  const ended = errorOf(fixture.replicator.putSoon('o/k', 'value', 3));
+  const ended = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 3));
   await fixture.clock.run(heartbeatIntervalMs * 10);
   assert.is(fixture.replicas.of('store/put').length, 9);
   assert.is(await ended, 'unavailable');
@@ -150,9 +150,9 @@
 writes('a put that is retried ends when the slot is lost', async () => {
   const fixture = await ReplicatorFixture.open();
   fixture.replicas.reply = () => failWith('connection-refused');
-  const ended = errorOf(fixture.replicator.putSoon('o/k', 'value', 20));
+  const ended = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 20));
   await fixture.clock.settle();
-  fixture.replicator.release();
+  fixture.replicator.close();
   await fixture.clock.run(heartbeatIntervalMs / 10 + 1);
   assert.is(
     await Promise.race([ended, fixture.clock.settle().then(() => 'still retried')]),
@@ -186,7 +186,7 @@
     const puts = delayedPuts(fixture);
     const delayed = fixture.replicas.reply;
     fixture.replicas.reply = (request) =>
-      request.kind === 'store/hint' ? failWith('disk-full') : delayed(request);
+      request.kind === 'store/hint' ? failWith('hints-full') : delayed(request);
     fixture.put('o/k', 'value');
     puts.get('s1')?.reject('connection-lost');
     puts.get('s2')?.accept();
@@ -266,7 +266,7 @@
   fixture.replicas.reply = (request) =>
     request.kind === 'store/read' ? read.wait() : emptyReply(request);
   const confirmed = errorOf(fixture.replicator.confirmMissing('o/k'));
-  fixture.replicator.take(slotAt(2));
+  fixture.replicator.apply(slotAt(2));
   await fixture.clock.settle();
   read.accept({ item: null });
   assert.is(await confirmed, 'unavailable');
@@ -276,18 +276,18 @@
   const leaving = slotAt(1, { transferTarget: 'next' });
   const fixture = await ReplicatorFixture.open();
   assert.is(fixture.replicator.tryRelease(), undefined);
-  fixture.replicator.take(leaving);
+  fixture.replicator.apply(leaving);
   const leave = fixture.replicator.enter();
   assert.is(fixture.replicator.tryRelease(), undefined);
-  assert.is(fixture.replicator.taking, true);
+  assert.is(fixture.replicator.isAccepting, true);
   leave();
   assert.equal(fixture.replicator.tryRelease(), [0, 1]);
-  assert.is(fixture.replicator.taking, false);
-  fixture.replicator.take(slotAt(1));
-  assert.is(fixture.replicator.taking, true);
+  assert.is(fixture.replicator.isAccepting, false);
+  fixture.replicator.apply(slotAt(1));
+  assert.is(fixture.replicator.isAccepting, true);
   const closed = new ReplicatorFixture();
   closed.replicas.reply = silence;
-  closed.replicator.take(leaving);
+  closed.replicator.apply(leaving);
   await closed.clock.settle();
   assert.is(closed.replicator.tryRelease(), undefined);
 });
@@ -316,8 +316,8 @@
   await fixture.replicator.put('p/one~sub/t/y', { cost: 2 });
   await fixture.replicator.put('p/one/t/x', { cost: 3 });
   await fixture.replicator.put('p/other/t/z', { cost: 9 });
-  assert.is(fixture.replicator.spent('one'), 5);
-  assert.equal(fixture.replicator.turnsOf('one'), ['p/one/t/x']);
+  assert.is(fixture.replicator.costOf('one'), 5);
+  assert.equal(fixture.replicator.turnKeysOf('one'), ['p/one/t/x']);
 });
 
 writes.run();
--- a/tests/src/support/fake-replicas.ts
+++ b/tests/src/support/fake-replicas.ts
@@ -2,7 +2,7 @@
 import { SlotReplicator, type Table } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
 import { bootstrapState, Item, type Slot, type State } from '@tillerstair/state';
-import { noLog, RpcError, type Transport } from '@tillerstair/wire';
+import { RpcError, silentLogger, type RpcErrorCode, type Transport } from '@tillerstair/wire';
 import { z } from 'zod';
 
 const RequestBody = z.object({
@@ -21,7 +21,7 @@
 export type ReplicaReply = (request: ReplicaRequest) => Promise<unknown>;
 
 export const silence: ReplicaReply = () => new Promise(() => undefined);
-export const failWith = (code: string): Promise<unknown> =>
+export const failWith = (code: RpcErrorCode): Promise<unknown> =>
   Promise.reject(new RpcError(code, 'as the test says'));
 
 /** A healthy replica that stores nothing: a fence hands over no items, a read finds none. */
@@ -45,7 +45,7 @@
     for (const waiter of this.waiting.splice(0)) waiter.accept(reply);
   }
 
-  reject(code: string): void {
+  reject(code: RpcErrorCode): void {
     for (const waiter of this.waiting.splice(0)) waiter.reject(new RpcError(code, 'late'));
   }
 }
@@ -70,7 +70,7 @@
     return Promise.resolve();
   }
 
-  onLost(): void {
+  onConnectionLost(): void {
     return undefined;
   }
 
@@ -132,17 +132,17 @@
   readonly replicator = new SlotReplicator(0, 1, {
     clock: this.clock,
     transport: this.replicas,
-    log: noLog,
+    log: silentLogger,
     table: () => this.table,
-    putWithin: putTimeoutMs,
-    heartbeatInterval: heartbeatIntervalMs,
+    putTimeoutMs: putTimeoutMs,
+    heartbeatIntervalMs: heartbeatIntervalMs,
     retentionMs,
   });
 
   /** A replicator whose slot is open at this ownership epoch, with empty replicas. */
   static async open(slot: Slot = slotAt(1)): Promise<ReplicatorFixture> {
     const fixture = new ReplicatorFixture();
-    fixture.replicator.take(slot);
+    fixture.replicator.apply(slot);
     await fixture.clock.settle();
     return fixture;
   }
--- a/tests/src/support/placement-fixture.ts
+++ b/tests/src/support/placement-fixture.ts
@@ -1,17 +1,17 @@
 /** Placement over a list of servers whose load and draining a test sets, in simulated time. */
 import {
-  chainOf,
+  placementPolicies,
   Placement,
   tableOf,
   type Backend,
-  type LoadReport,
+  type ServerStatus,
 } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
 import {
   bootstrapState,
   checkConfig,
-  digestOf,
-  reduce,
+  configDigest,
+  reduceState,
   type Route,
   type Server,
   type State,
@@ -61,7 +61,7 @@
   readonly clock = new SimClock();
   /** Asked servers, in order, and what each says; one that is not here fails. */
   readonly polled: string[] = [];
-  readonly loads = new Map<string, LoadReport>();
+  readonly loads = new Map<string, ServerStatus>();
   readonly placement: Placement;
   readonly route: Route;
   private state: State;
@@ -76,7 +76,7 @@
       config: {
         version: 1,
         text,
-        digest: digestOf(text),
+        digest: configDigest(text),
         compiled: JSON.stringify(config),
         changeId: '',
       },
@@ -92,21 +92,21 @@
         return load ? Promise.resolve(load) : Promise.reject(new Error('no reply'));
       },
     };
-    this.placement = new Placement(
-      this.clock,
+    this.placement = new Placement({
+      clock: this.clock,
       backend,
-      chainOf(true),
-      {
-        poll,
-        pollWithin: 50,
-        retryBad: retryAfterMs,
-        sightWithin: loadValidForMs,
-        reportValidFor: loadValidForMs,
+      policies: placementPolicies(true),
+      bounds: {
+        pollIntervalMs: poll,
+        pollTimeoutMs: 50,
+        retryUnhealthyAfterMs: retryAfterMs,
+        pollValidForMs: loadValidForMs,
+        reportedLoadValidForMs: loadValidForMs,
       },
-      () => tableOf(this.state, undefined),
-      () => placesOfServer,
-      'owner',
-    );
+      table: () => tableOf(this.state, undefined),
+      maxInFlightPerServer: () => placesOfServer,
+      frontId: 'owner',
+    });
   }
 
   /** All servers are idle and have just said so. */
@@ -118,11 +118,11 @@
   }
 
   list(server: Server): void {
-    this.state = reduce(this.state, { kind: 'server', server });
+    this.state = reduceState(this.state, { kind: 'server', server });
   }
 
   remove(id: string): void {
-    this.state = reduce(this.state, { kind: 'server-gone', id });
+    this.state = reduceState(this.state, { kind: 'server-gone', id });
   }
 
   pick(skip: readonly string[] = []): string | undefined {
@@ -130,7 +130,7 @@
   }
 
   usable(skip: readonly string[] = []): boolean {
-    return this.placement.usable(this.route, new Set(skip));
+    return this.placement.hasUsableServer(this.route, new Set(skip));
   }
 
   fail(server: Server, times: number): void {
--- a/tests/src/support/raw-server.ts
+++ b/tests/src/support/raw-server.ts
@@ -4,7 +4,7 @@
 import { z } from 'zod';
 import { HttpBackend, ownDialect } from '@tillerstair/proxy';
 import { Server } from '@tillerstair/state';
-import type { Ended, Passing } from '@tillerstair/session-owner';
+import type { BackendOutcome, ForwardedRequest } from '@tillerstair/session-owner';
 
 export const Bound = z.object({ port: z.number() });
 
@@ -86,7 +86,7 @@
   new HttpBackend({ connectWithin: 2000, connections: () => connections }, dialect);
 
 export interface Got {
-  readonly ended: Ended;
+  readonly ended: BackendOutcome;
   readonly status: number;
   readonly body: string;
 }
@@ -104,7 +104,7 @@
   attempt: string,
   { left = 20000, gone = never, path = '/x', onBytes = () => undefined }: Sent = {},
 ): Promise<Got> => {
-  const passing: Passing = {
+  const passing: ForwardedRequest = {
     attempt,
     method: 'POST',
     path,
