--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -16,7 +16,7 @@
   type ServerReport,
 } from './server-observations.js';
 import { ServerPoller } from './server-poller.js';
-import type { Table } from './table.js';
+import type { CompiledState } from './compiled-state.js';
 
 /** Equal servers are ordered by a hash into so many values, another one at each front. */
 const tieBreakRange = 1 << 20;
@@ -28,7 +28,7 @@
   /** Applied one after the other. */
   readonly policies: readonly PlacementPolicy[];
   readonly bounds: ObservationBounds;
-  readonly table: () => Table | undefined;
+  readonly table: () => CompiledState | undefined;
   /** Requests that this front may have in flight at a server which does not say how many it can run. */
   readonly maxInFlightPerServer: () => number;
   /** The front that places; its zone comes first. */
@@ -37,7 +37,7 @@
 
 /** Picks servers, and observes what comes of it. */
 export class Placement {
-  private readonly table: () => Table | undefined;
+  private readonly table: () => CompiledState | undefined;
   private readonly policies: readonly PlacementPolicy[];
   private readonly maxInFlightPerServer: () => number;
   private readonly frontId: string;
@@ -111,9 +111,9 @@
     this.prefixIndex.record(server.id, prompt);
   }
 
-  /** A request that was begun has ended, at some pace if that is known (more is better). */
-  end(server: Server, isSuccess: boolean, pace?: number): void {
-    if (isSuccess) this.observations.recordSuccess(server, pace);
+  /** A request that was begun has ended, at some speed if that is known. */
+  end(server: Server, isSuccess: boolean, tokensPerSecond?: number): void {
+    if (isSuccess) this.observations.recordSuccess(server, tokensPerSecond);
     else this.observations.recordFailure(server);
   }
 
--- a/packages/session-owner/src/replica-client.ts
+++ b/packages/session-owner/src/replica-client.ts
@@ -1,13 +1,13 @@
 /** Requests of a slot's owner to the replicas of that slot, which are on stores. It keeps no state. */
 import { fetchPages, type Item, ReadResponse } from '@tillerstair/state';
 import { ReplicaError, type Transport } from '@tillerstair/wire';
-import type { Table } from './table.js';
+import type { CompiledState } from './compiled-state.js';
 
 /** What a `ReplicaClient` needs. */
 export interface ReplicaClientOptions {
   readonly transport: Transport;
   /** The committed state as this front applied it, which says at what address a store is. */
-  readonly table: () => Table | undefined;
+  readonly table: () => CompiledState | undefined;
   /** Each request is given up after so many ms. */
   readonly timeoutMs: number;
 }
@@ -18,7 +18,7 @@
  */
 export class ReplicaClient {
   private readonly transport: Transport;
-  private readonly table: () => Table | undefined;
+  private readonly table: () => CompiledState | undefined;
   private readonly timeoutMs: number;
 
   constructor(
--- a/packages/session-owner/src/server-observations.ts
+++ b/packages/session-owner/src/server-observations.ts
@@ -1,6 +1,6 @@
 /**
  * What this front has observed of each server: requests in flight, load and draining as polled or reported with a
- * response, failures and pace. What was observed at one address counts for no other.
+ * response, failures and speed. What was observed at one address counts for no other.
  */
 import type { Server } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
@@ -9,8 +9,8 @@
 
 /** From so many failures on, with no success between them, a server is unhealthy. */
 const unhealthyFailures = 3;
-/** The weight of the newest pace in the moving average. */
-const paceSmoothing = 0.2;
+/** The weight of the newest speed in the moving average. */
+const speedSmoothing = 0.2;
 
 interface Observation {
   readonly url: string;
@@ -21,7 +21,7 @@
   readonly draining: boolean;
   readonly lastFailureAt: number;
   readonly failures: number;
-  readonly pace: number | undefined;
+  readonly tokensPerSecond: number | undefined;
   readonly polledAt: number;
 }
 
@@ -34,7 +34,7 @@
   draining: false,
   lastFailureAt: -Infinity,
   failures: 0,
-  pace: undefined,
+  tokensPerSecond: undefined,
   polledAt: -Infinity,
 });
 
@@ -52,7 +52,7 @@
   readonly reportedLoadValidForMs: number;
 }
 
-/** What a front reports of a server to the master; a record of the inner wire. */
+/** What a front reports of a server to the master; a record of the inner wire. `pace` is in tokens a second. */
 export interface ServerReport {
   readonly id: string;
   readonly url: string;
@@ -113,13 +113,13 @@
     this.update(server, { inFlight: this.of(server).inFlight + 1 });
   }
 
-  /** A request has ended well, at some pace if that is known (more is better). */
-  recordSuccess(server: Server, pace: number | undefined): void {
+  /** A request has ended well, at some speed if that is known. */
+  recordSuccess(server: Server, tokensPerSecond: number | undefined): void {
     const previous = this.of(server);
     this.update(server, {
       inFlight: Math.max(0, previous.inFlight - 1),
       failures: 0,
-      pace: this.averagePace(previous.pace, pace),
+      tokensPerSecond: this.averageSpeed(previous.tokensPerSecond, tokensPerSecond),
     });
   }
 
@@ -164,12 +164,12 @@
 
   /** What this front reports of a server. */
   reportOf(server: Server): ServerReport {
-    const { failures, pace } = this.of(server);
+    const { failures, tokensPerSecond } = this.of(server);
     return {
       id: server.id,
       url: server.url,
       ok: failures < unhealthyFailures,
-      ...(pace === undefined ? {} : { pace }),
+      ...(tokensPerSecond === undefined ? {} : { pace: tokensPerSecond }),
     };
   }
 
@@ -200,8 +200,11 @@
     return reportedLoad && isValid ? reportedLoad.running + reportedLoad.waiting : 0;
   }
 
-  private averagePace(previous: number | undefined, pace: number | undefined): number | undefined {
-    if (pace === undefined || previous === undefined) return pace ?? previous;
-    return previous * (1 - paceSmoothing) + pace * paceSmoothing;
+  private averageSpeed(
+    previous: number | undefined,
+    latest: number | undefined,
+  ): number | undefined {
+    if (latest === undefined || previous === undefined) return latest ?? previous;
+    return previous * (1 - speedSmoothing) + latest * speedSmoothing;
   }
 }
--- a/packages/session-owner/src/server-poller.ts
+++ b/packages/session-owner/src/server-poller.ts
@@ -3,14 +3,14 @@
 import type { Clock } from '@tillerstair/wire';
 import type { Backend } from './backend.js';
 import type { ObservationBounds, ServerObservations } from './server-observations.js';
-import type { Table } from './table.js';
+import type { CompiledState } from './compiled-state.js';
 
 /** What a `ServerPoller` needs. */
 export interface ServerPollerOptions {
   readonly clock: Clock;
   readonly backend: Backend;
   readonly bounds: ObservationBounds;
-  readonly table: () => Table | undefined;
+  readonly table: () => CompiledState | undefined;
   readonly observations: ServerObservations;
 }
 
@@ -19,7 +19,7 @@
   private readonly clock: Clock;
   private readonly backend: Backend;
   private readonly bounds: ObservationBounds;
-  private readonly table: () => Table | undefined;
+  private readonly table: () => CompiledState | undefined;
   private readonly observations: ServerObservations;
 
   constructor(options: ServerPollerOptions) {
--- a/packages/session-owner/src/slot-fencing.ts
+++ b/packages/session-owner/src/slot-fencing.ts
@@ -6,7 +6,7 @@
 import { toTimerMs, UnavailableError, type Clock } from '@tillerstair/wire';
 import { requestQuorum } from './quorum-request.js';
 import type { ReplicaClient } from './replica-client.js';
-import type { Table } from './table.js';
+import type { CompiledState } from './compiled-state.js';
 
 /** A further replica is asked once this share of a request's timeout has passed without a quorum. */
 const hedgeAfterShareOfTimeout = 1 / 3;
@@ -18,7 +18,7 @@
 export interface SlotFencingOptions {
   readonly clock: Clock;
   readonly client: ReplicaClient;
-  readonly table: () => Table | undefined;
+  readonly table: () => CompiledState | undefined;
   /** Replicas that have to be fenced; read anew when it is compared. */
   readonly quorum: () => number;
   readonly requestTimeoutMs: number;
@@ -28,7 +28,7 @@
 export class SlotFencing {
   private readonly clock: Clock;
   private readonly client: ReplicaClient;
-  private readonly table: () => Table | undefined;
+  private readonly table: () => CompiledState | undefined;
   private readonly quorum: () => number;
   private readonly hedgeAfterMs: number;
 
--- a/packages/session-owner/src/slot-items.ts
+++ b/packages/session-owner/src/slot-items.ts
@@ -4,10 +4,10 @@
  */
 import { recordGroup, rootProgramId, type Item } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
-import { Cost } from './messages.js';
+import { TurnCost } from './stored-values.js';
 
 const turnCost = (value: unknown): number => {
-  const turn = Cost.safeParse(value);
+  const turn = TurnCost.safeParse(value);
   return turn.success ? turn.data.cost : 0;
 };
 
--- a/packages/session-owner/src/slot-replicator.ts
+++ b/packages/session-owner/src/slot-replicator.ts
@@ -18,7 +18,7 @@
 import { ReplicaClient } from './replica-client.js';
 import { SlotFencing, type FencedReplicas } from './slot-fencing.js';
 import { SlotItems } from './slot-items.js';
-import type { Table } from './table.js';
+import type { CompiledState } from './compiled-state.js';
 
 /** A fence or a put that failed is tried again so often in a heartbeat interval. */
 const retriesPerHeartbeat = 10;
@@ -31,7 +31,7 @@
   readonly clock: Clock;
   readonly transport: Transport;
   readonly log: Logger;
-  readonly table: () => Table | undefined;
+  readonly table: () => CompiledState | undefined;
   /** A request to a replica is given up after so many ms. */
   readonly putTimeoutMs: number;
   readonly heartbeatIntervalMs: number;
@@ -51,7 +51,7 @@
   private isReleased = false;
   private readonly clock: Clock;
   private readonly log: Logger;
-  private readonly table: () => Table | undefined;
+  private readonly table: () => CompiledState | undefined;
   private readonly retryIntervalMs: number;
   private readonly retentionMs: number;
   private readonly items: SlotItems;
--- a/tests/src/session-owner/batch-placement.test.ts
+++ b/tests/src/session-owner/batch-placement.test.ts
@@ -13,7 +13,7 @@
   placementPolicies,
   prefixBlocksOfParts,
   Placement,
-  tableOf,
+  compileState,
   type PrefixBlock,
 } from '@tillerstair/session-owner';
 
@@ -72,7 +72,7 @@
       },
     },
   );
-  const table = tableOf(state, undefined);
+  const table = compileState(state, undefined);
   const sims = new SimServers(clock, seededRng(1));
   const bounds = {
     pollIntervalMs: 0,
--- a/tests/src/support/fake-replicas.ts
+++ b/tests/src/support/fake-replicas.ts
@@ -1,5 +1,5 @@
 /** Replicas of one slot that answer as a test says, and a replicator that talks to them in simulated time. */
-import { SlotReplicator, type Table } from '@tillerstair/session-owner';
+import { SlotReplicator, type CompiledState } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
 import { bootstrapState, Item, type Slot, type State } from '@tillerstair/state';
 import { RpcError, silentLogger, type RpcErrorCode, type Transport } from '@tillerstair/wire';
@@ -128,7 +128,11 @@
 export class ReplicatorFixture {
   readonly clock = new SimClock();
   readonly replicas = new FakeReplicas();
-  table: Table | undefined = { state: stateWithStores(), config: undefined, routes: new Map() };
+  table: CompiledState | undefined = {
+    state: stateWithStores(),
+    config: undefined,
+    routes: new Map(),
+  };
   readonly replicator = new SlotReplicator(0, 1, {
     clock: this.clock,
     transport: this.replicas,
--- a/tests/src/support/placement-fixture.ts
+++ b/tests/src/support/placement-fixture.ts
@@ -2,7 +2,7 @@
 import {
   placementPolicies,
   Placement,
-  tableOf,
+  compileState,
   type Backend,
   type ServerStatus,
 } from '@tillerstair/session-owner';
@@ -103,7 +103,7 @@
         pollValidForMs: loadValidForMs,
         reportedLoadValidForMs: loadValidForMs,
       },
-      table: () => tableOf(this.state, undefined),
+      table: () => compileState(this.state, undefined),
       maxInFlightPerServer: () => placesOfServer,
       frontId: 'owner',
     });
