--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -11,14 +11,14 @@
 import type { RouteKind, Server } from '@tillerstair/state';
 import { RpcError, toRpcError, type Clock } from '@tillerstair/wire';
 import type { CallOutcome } from './messages.js';
-import type { Part } from './placement.js';
+import type { PrefixBlock } from './prompt-prefix.js';
 
 /** What a request asks for when it waits for a server. */
 export interface PlacementRequest {
   readonly kind: RouteKind;
   readonly path: string;
   /** The prompt in parts that a server may have in its prefix cache; empty where it is not known. */
-  readonly promptParts: readonly Part[];
+  readonly promptParts: readonly PrefixBlock[];
   /** The pool that served the request's predecessor; empty without one. */
   readonly stickyPool: string;
   /** Ids of servers that are not asked again. */
@@ -42,7 +42,7 @@
 export interface Attempts<Result> {
   readonly kind: RouteKind;
   readonly path: string;
-  readonly promptParts: readonly Part[];
+  readonly promptParts: readonly PrefixBlock[];
   readonly stickyPool: string;
   /** On the owner's clock, in ms. */
   readonly deadline: number;
