--- a/packages/zen/src/election-store.ts
+++ b/packages/zen/src/election-store.ts
@@ -225,7 +225,7 @@
 
 export class MemoryElectionStore implements ElectionStore {
   persisted: PersistentState;
-  readonly writable = true;
+  readonly writable: boolean = true;
 
   constructor(id: string) {
     this.persisted = { ...blank, id };
--- a/packages/zen/src/index.ts
+++ b/packages/zen/src/index.ts
@@ -8,3 +8,7 @@
 export * from './bootstrap.js';
 export * from './pace.js';
 export * from './quorum-read.js';
+export * from './candidate.js';
+export * from './joiner.js';
+export * from './pinger.js';
+export * from './vote.js';
--- /dev/null
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -0,0 +1,102 @@
+/** Whom a node asks in a ping round, and when a round ends. */
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { SimClock } from '@tillerstair/sim';
+import { ConnectionRefusedError, pause } from '@tillerstair/wire';
+import { Pinger, type PingResponse } from '@tillerstair/zen';
+import {
+  a,
+  b,
+  bounds,
+  c,
+  member,
+  pingResponse,
+  ScriptedTransport,
+  type SentRequest,
+} from '../support/zen-rig.js';
+
+const rounds = suite('a ping round');
+
+const pingerOf = (
+  answer: (request: SentRequest, clock: SimClock) => Promise<unknown>,
+  seeds: readonly string[] = [a.addr, b.addr],
+) => {
+  const clock = new SimClock();
+  const transport = new ScriptedTransport((request) => answer(request, clock));
+  const pinger = new Pinger(clock, transport, bounds, () => seeds);
+  const signal = new AbortController().signal;
+  const round = () =>
+    clock.finish(
+      'round',
+      pinger.round(() => ({ from: a, known: pinger.controls(), clusterId: '' }), signal),
+      bounds.pingWait * 2,
+    );
+  return { clock, transport, pinger, round };
+};
+const idsOf = (responses: readonly PingResponse[]): readonly string[] =>
+  responses.map((response) => response.from.id);
+
+rounds('asks the seeds and whoever they name, each once, and never itself', async () => {
+  const { round, transport } = pingerOf(({ to }) =>
+    to === b.addr
+      ? Promise.resolve(pingResponse(b, { known: [a, c, member('s', 'store')] }))
+      : Promise.resolve(pingResponse(c, { known: [b] })),
+  );
+  assert.equal(idsOf((await round()).pingResponses), ['b', 'c']);
+  assert.equal(
+    transport.sent.map((request) => request.to),
+    [b.addr, c.addr],
+  );
+});
+
+rounds('ends once each has replied or refused, else after the ping wait', async () => {
+  const refuses = pingerOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
+  const before = refuses.clock.now();
+  assert.equal((await refuses.round()).pingResponses, []);
+  assert.is(refuses.clock.now(), before);
+  const hangs = pingerOf(({ to }, clock) =>
+    pause(clock, bounds.pingWait * 9).then(() => pingResponse(member(to))),
+  );
+  const start = hangs.clock.now();
+  assert.equal((await hangs.round()).pingResponses, []);
+  assert.is(hangs.clock.now() - start, bounds.pingWait);
+});
+
+rounds('asks nobody any more whose addresses have failed often enough', async () => {
+  const { pinger, round } = pingerOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
+  pinger.learn([c], a);
+  for (let n = 0; n < 20; n++) await round();
+  assert.equal(pinger.heardOf(), [c]);
+  await round();
+  assert.equal(pinger.heardOf(), []);
+});
+
+rounds('a reply clears the failures before it', async () => {
+  let isUp = false;
+  const { pinger, round } = pingerOf(
+    ({ to }) =>
+      isUp ? Promise.resolve(pingResponse(c)) : Promise.reject(new ConnectionRefusedError(to)),
+    [],
+  );
+  pinger.learn([c], a);
+  for (let n = 0; n < 20; n++) await round();
+  isUp = true;
+  await round();
+  isUp = false;
+  for (let n = 0; n < 20; n++) await round();
+  assert.equal(pinger.heardOf(), [c]);
+});
+
+rounds('a node remembers the last 256 it heard of, and not itself', () => {
+  const { pinger } = pingerOf(() => Promise.reject(new Error('no reply')));
+  pinger.learn([a], a);
+  assert.equal(pinger.heardOf(), []);
+  pinger.learn(
+    Array.from({ length: 300 }, (_, n) => member(`m${n}`)),
+    a,
+  );
+  assert.is(pinger.heardOf().length, 256);
+  assert.is(pinger.heardOf()[0]?.id, 'm44');
+});
+
+rounds.run();
