--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -1,14 +1,14 @@
 import { z } from 'zod';
 import { nodeViewOf, checkConfig, reduce, type NodeView, type Member } from '@tillerstair/state';
 import { RpcError, toRpcError, type RpcRequest } from '@tillerstair/wire';
-import { ZenNode, type MasterView, type ZenParts } from '@tillerstair/zen';
+import { ZenNode, type MasterView, type ZenNodeOptions } from '@tillerstair/zen';
 import { AllocationController } from './allocation-controller.js';
 import { ListPoll, ListReader, type ServerList } from './list.js';
 import { isRead, operate, Operation, Outcome } from './operate.js';
 import { tuneWeights } from './weights.js';
 
 export interface ControlParts extends Omit<
-  ZenParts,
+  ZenNodeOptions,
   'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead' | 'listReport' | 'onListReport'
 > {
   readonly list?: ServerList | undefined;
--- a/packages/store/src/node.ts
+++ b/packages/store/src/node.ts
@@ -15,11 +15,11 @@
   type State,
 } from '@tillerstair/state';
 import { lasting, RpcError, toRpcError, pause, type RpcRequest } from '@tillerstair/wire';
-import { ZenNode, type ZenParts } from '@tillerstair/zen';
+import { ZenNode, type ZenNodeOptions } from '@tillerstair/zen';
 import type { ReplicaStore } from './replica-store.js';
 
 export interface StoreParts extends Omit<
-  ZenParts,
+  ZenNodeOptions,
   'slots' | 'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead'
 > {
   readonly replicaStore: ReplicaStore;
--- a/packages/zen/src/elect.ts
+++ b/packages/zen/src/elect.ts
@@ -1,77 +1,89 @@
+/**
+ * The choice of a master after a ping round (docs/zen.md, "Kept, on the ordinary path"): the first by id of the masters
+ * that others report, else of the former members, else of all; the last two only where enough voters replied.
+ */
 import {
   newer,
   quorum,
-  type StateVersion,
   type Member,
+  type StateVersion,
   type VotingConfiguration,
 } from '@tillerstair/state';
+import type { LocalCandidate } from './local-node.js';
 import type { PingResponse } from './messages.js';
 
-export interface Self {
-  readonly member: Member;
-  readonly canWin: boolean;
-  /** Whether it can sync a vote; without that it counts for no majority. */
-  readonly writable?: boolean;
-  readonly joinedBefore: boolean;
-  readonly accepted: StateVersion;
-  readonly voters: VotingConfiguration | undefined;
-}
-
-export type Choice =
+/** Whom a ping round makes the master, and from which of the three lists; or why nobody. */
+export type ElectionResult =
   | {
       readonly kind: 'master';
       readonly member: Member;
       readonly by: 'reported' | 'former' | 'active';
     }
-  | { readonly kind: 'none'; readonly why: string };
+  | { readonly kind: 'none'; readonly reason: string };
 
-const first = (ms: readonly Member[]): Member | undefined =>
-  [...ms].sort((a, b) => (a.id < b.id ? -1 : a.id > b.id ? 1 : 0))[0];
+const compareIds = (left: Member, right: Member): number =>
+  left.id < right.id ? -1 : left.id > right.id ? 1 : 0;
 
-export const votersSeen = (
-  self: Self,
-  pingResponses: readonly PingResponse[],
+const firstById = (members: readonly Member[]): Member | undefined =>
+  [...members].sort(compareIds)[0];
+
+/** The voters of the newest state that this node or anyone who replied has accepted. */
+export const newestVoters = (
+  local: LocalCandidate,
+  replies: readonly PingResponse[],
 ): VotingConfiguration | undefined => {
-  let voters = self.voters;
-  let stateVersion = self.accepted;
-  for (const p of pingResponses)
-    if (p.voters && (!voters || newer(p.accepted, stateVersion))) {
-      voters = p.voters;
-      stateVersion = p.accepted;
-    }
+  let voters = local.voters;
+  let version: StateVersion = local.accepted;
+  for (const reply of replies) {
+    if (!reply.voters || (voters && !newer(reply.accepted, version))) continue;
+    voters = reply.voters;
+    version = reply.accepted;
+  }
   return voters;
 };
 
-export const enough = (
-  voters: VotingConfiguration | undefined,
-  actives: readonly Member[],
-): boolean => voters !== undefined && quorum(voters, new Set(actives.map((m) => m.id)));
+/**
+ * The first of the masters that others report. One that did not reply to this round itself is passed over: it may be
+ * the one that was just lost (docs/zen.md, "A reported master must itself have replied").
+ */
+const reportedMaster = (
+  local: LocalCandidate,
+  replies: readonly PingResponse[],
+): Member | undefined => {
+  const replied = new Set(replies.map((reply) => reply.from.id));
+  const reported = replies.flatMap((reply) => (reply.master ? [reply.master] : []));
+  const byId = new Map(reported.map((master) => [master.id, master]));
+  return firstById(
+    [...byId.values()].filter((master) => master.id !== local.member.id && replied.has(master.id)),
+  );
+};
 
-export const elect = (self: Self, replies: readonly PingResponse[]): Choice => {
-  const pingResponses = replies.filter((p) => p.eligible);
-  const answered = new Set(pingResponses.map((p) => p.from.id));
-  const reported = new Map<string, Member>();
-  for (const p of pingResponses) {
-    const m = p.master;
-    if (m && m.id !== self.member.id && answered.has(m.id)) reported.set(m.id, m);
-  }
-  const seen = first([...reported.values()]);
-  if (seen) return { kind: 'master', member: seen, by: 'reported' };
+/** Whether those that replied, with this node if it can sync a vote, are a majority of the voters. */
+const hasQuorum = (local: LocalCandidate, replies: readonly PingResponse[]): boolean => {
+  const voters = newestVoters(local, replies);
+  if (voters === undefined) return false;
+  const active = new Set(replies.map((reply) => reply.from.id));
+  if (local.member.kind === 'control' && local.writable !== false) active.add(local.member.id);
+  return quorum(voters, active);
+};
 
-  const self1 = self.member.kind === 'control' && self.writable !== false ? [self.member] : [];
-  const actives = [...pingResponses.map((p) => p.from), ...self1];
-  if (!enough(votersSeen(self, pingResponses), actives))
-    return { kind: 'none', why: 'too few eligible members replied' };
-  const able = pingResponses.filter((p) => p.canWin);
-  const mine = self.canWin ? [self.member] : [];
-  const former = [
-    ...able.filter((p) => p.joinedBefore).map((p) => p.from),
-    ...(self.joinedBefore ? mine : []),
-  ];
-  const old = first(former);
-  if (old) return { kind: 'master', member: old, by: 'former' };
-  const best = first([...able.map((p) => p.from), ...mine]);
-  return best
-    ? { kind: 'master', member: best, by: 'active' }
-    : { kind: 'none', why: 'no member can win' };
+/** Chooses a master from the replies to one ping round; those of nodes that are not eligible count for nothing. */
+export const elect = (
+  local: LocalCandidate,
+  pingResponses: readonly PingResponse[],
+): ElectionResult => {
+  const replies = pingResponses.filter((reply) => reply.eligible);
+  const reported = reportedMaster(local, replies);
+  if (reported) return { kind: 'master', member: reported, by: 'reported' };
+  if (!hasQuorum(local, replies))
+    return { kind: 'none', reason: 'too few eligible members replied' };
+  const others = replies.map((reply) => ({ ...reply, member: reply.from }));
+  const candidates = [...others, local].filter((candidate) => candidate.canWin);
+  const former = firstById(
+    candidates.filter((candidate) => candidate.joinedBefore).map(({ member }) => member),
+  );
+  if (former) return { kind: 'master', member: former, by: 'former' };
+  const active = firstById(candidates.map(({ member }) => member));
+  if (active) return { kind: 'master', member: active, by: 'active' };
+  return { kind: 'none', reason: 'no member can win' };
 };
--- /dev/null
+++ b/packages/zen/src/gather-votes.ts
@@ -0,0 +1,97 @@
+/** A candidate's request for votes to the nodes that joined it (docs/zen.md, "Fence"). */
+import { newer, quorum, unflatten, versionOf, type Member, type State } from '@tillerstair/state';
+import { pause, type Clock, type Transport } from '@tillerstair/wire';
+import type { ZenBounds } from './bounds.js';
+import { ValidateResponse } from './messages.js';
+
+/** How often a candidate looks whether it has a majority: parts of a heartbeat. */
+const checksPerHeartbeat = 50;
+/** How long it waits for the votes still open once it has a majority: a part of a heartbeat. */
+const lateVotesPerHeartbeat = 20;
+
+/** What a request to another node needs of this one. */
+export interface RequestOptions {
+  readonly localMember: Member;
+  readonly clock: Clock;
+  readonly transport: Transport;
+  readonly bounds: ZenBounds;
+}
+
+/** The votes of a term, and what the voters have accepted. */
+export interface GatheredVotes {
+  /** Ids of the nodes that voted; without the candidate itself. */
+  readonly granted: ReadonlySet<string>;
+  /** The newest state that the candidate or one of its voters has accepted. */
+  readonly newest: State;
+}
+
+/** Votes of one term as they come in. */
+class VoteRound {
+  private readonly granted = new Set<string>();
+  private newest: State;
+  private isEveryRequestAnswered = false;
+
+  constructor(
+    private readonly options: RequestOptions,
+    private readonly accepted: State,
+    private readonly term: number,
+  ) {
+    this.newest = accepted;
+  }
+
+  get isOpen(): boolean {
+    return !this.isEveryRequestAnswered;
+  }
+
+  get votes(): GatheredVotes {
+    return { granted: new Set(this.granted), newest: this.newest };
+  }
+
+  get hasQuorum(): boolean {
+    const voted = new Set([this.options.localMember.id, ...this.granted]);
+    return quorum(this.accepted.voters, voted);
+  }
+
+  /** Resolves once every request is answered or has failed; never rejects. */
+  async requestVotes(voters: readonly Member[]): Promise<void> {
+    await Promise.allSettled(voters.map((voter) => this.requestVote(voter)));
+    this.isEveryRequestAnswered = true;
+  }
+
+  private async requestVote(voter: Member): Promise<void> {
+    const { localMember, transport, bounds } = this.options;
+    const body = {
+      from: localMember,
+      term: this.term,
+      clusterId: this.accepted.clusterId,
+      have: versionOf(this.accepted),
+      to: voter.id,
+    };
+    const response = ValidateResponse.parse(
+      await transport.call(voter.addr, 'zen/validate', body, { within: bounds.joinWait }),
+    );
+    const state = response.state ? unflatten(new Map(response.state)) : undefined;
+    if (state && newer(versionOf(state), versionOf(this.newest))) this.newest = state;
+    this.granted.add(voter.id);
+  }
+}
+
+/**
+ * Asks the joiners to vote for this node in the term, which it has voted for itself. Ends shortly after a majority of
+ * the voters of `accepted` has voted, when all have answered, or after the join wait; the caller counts again.
+ */
+export const gatherVotes = async (
+  options: RequestOptions,
+  accepted: State,
+  term: number,
+  joiners: readonly Member[],
+): Promise<GatheredVotes> => {
+  const { clock, bounds } = options;
+  const round = new VoteRound(options, accepted, term);
+  void round.requestVotes(joiners);
+  const end = clock.now() + bounds.joinWait;
+  while (round.isOpen && clock.now() < end && !round.hasQuorum)
+    await pause(clock, bounds.heartbeatInterval / checksPerHeartbeat);
+  if (round.isOpen) await pause(clock, bounds.heartbeatInterval / lateVotesPerHeartbeat);
+  return round.votes;
+};
--- a/packages/zen/src/index.ts
+++ b/packages/zen/src/index.ts
@@ -1,14 +1,24 @@
+/**
+ * Discovery, election, publishing and fault detection between the nodes of a cluster (docs/zen.md). The parts that tests
+ * alone use stand last.
+ */
 export * from './bounds.js';
 export * from './messages.js';
 export * from './election-store.js';
-export * from './elect.js';
-export * from './node.js';
+export * from './disk-election-store.js';
+export * from './memory-election-store.js';
+export * from './zen-node.js';
 export type { Committed, MasterView } from './master-types.js';
-export * from './receiver.js';
-export * from './bootstrap.js';
 export * from './pace.js';
 export * from './quorum-read.js';
-export * from './candidate.js';
-export * from './joiner.js';
-export * from './pinger.js';
+
+export * from './addressee.js';
+export * from './bootstrap-closure.js';
+export * from './bootstrapper.js';
+export * from './elect.js';
+export * from './gather-votes.js';
+export * from './join-master.js';
+export * from './known-members.js';
+export * from './ping-round.js';
+export * from './publish-receiver.js';
 export * from './vote.js';
--- /dev/null
+++ b/packages/zen/src/master-finder.ts
@@ -0,0 +1,119 @@
+/**
+ * How a node finds a master (docs/zen.md, "Kept, on the ordinary path"): rounds of pings, each followed by a bootstrap
+ * where the cluster is new, or by the choice of a master. Owns the count of rounds that found none.
+ */
+import type { Member } from '@tillerstair/state';
+import { pause, type Clock, type Log } from '@tillerstair/wire';
+import type { Bootstrapper } from './bootstrapper.js';
+import type { ZenBounds } from './bounds.js';
+import { elect } from './elect.js';
+import type { KnownMembers } from './known-members.js';
+import type { LocalNode } from './local-node.js';
+import type { PendingJoins } from './pending-joins.js';
+import type { PingRoundResult } from './ping-round.js';
+
+/** The pause after a round without a master is this part of a heartbeat, times the number of such rounds. */
+const pausesPerHeartbeat = 20;
+/** The pause grows up to this many rounds without a master. */
+const maxCountedRounds = 5;
+
+/** What a search for a master needs of its node. */
+export interface MasterFinderOptions {
+  readonly clock: Clock;
+  readonly bounds: ZenBounds;
+  readonly log: Log;
+  readonly localNode: LocalNode;
+  readonly knownMembers: KnownMembers;
+  readonly pendingJoins: PendingJoins;
+  readonly bootstrapper: Bootstrapper;
+  /** Whether this node may help to bootstrap a cluster. */
+  readonly mayBootstrap: boolean;
+  readonly seeds: () => readonly string[];
+  readonly pingRound: () => Promise<PingRoundResult>;
+  /** Hears of every round, for the read lease. */
+  readonly onRound: (round: PingRoundResult) => void;
+  readonly stopping: AbortSignal;
+}
+
+/** Looks for a master, one ping round at a time. */
+export class MasterFinder {
+  private readonly clock: Clock;
+  private readonly bounds: ZenBounds;
+  private readonly log: Log;
+  private readonly localNode: LocalNode;
+  private readonly knownMembers: KnownMembers;
+  private readonly pendingJoins: PendingJoins;
+  private readonly bootstrapper: Bootstrapper;
+  private readonly mayBootstrap: boolean;
+  private readonly seeds: () => readonly string[];
+  private readonly pingRound: () => Promise<PingRoundResult>;
+  private readonly onRound: (round: PingRoundResult) => void;
+  private readonly stopping: AbortSignal;
+  private roundsWithoutMaster = 0;
+
+  constructor(options: MasterFinderOptions) {
+    this.clock = options.clock;
+    this.bounds = options.bounds;
+    this.log = options.log;
+    this.localNode = options.localNode;
+    this.knownMembers = options.knownMembers;
+    this.pendingJoins = options.pendingJoins;
+    this.bootstrapper = options.bootstrapper;
+    this.mayBootstrap = options.mayBootstrap;
+    this.seeds = options.seeds;
+    this.pingRound = options.pingRound;
+    this.onRound = options.onRound;
+    this.stopping = options.stopping;
+  }
+
+  /** Makes one round; resolves with the elected master, or after a pause with undefined if there is none yet. */
+  async find(): Promise<Member | undefined> {
+    if (!this.localNode.electionStore.writable) return this.waitForDisk();
+    if (this.localNode.member.kind === 'control') this.pendingJoins.open();
+    const round = await this.pingRound();
+    if (this.stopping.aborted) return undefined;
+    this.onRound(round);
+    if (await this.bootstrap(round)) return undefined;
+    return this.choose(round);
+  }
+
+  /** A node that cannot sync a vote neither stands for election nor joins; it only answers pings. */
+  private async waitForDisk(): Promise<undefined> {
+    this.pendingJoins.rejectAll();
+    await pause(this.clock, this.bounds.diskRetryEvery, this.stopping);
+  }
+
+  private async bootstrap(round: PingRoundResult): Promise<boolean> {
+    const { member, accepted } = this.localNode;
+    if (member.kind !== 'control' || accepted || !this.mayBootstrap) return false;
+    return this.bootstrapper.round({
+      localMember: member,
+      seeds: this.seeds(),
+      pingResponses: round.pingResponses,
+      heardOf: this.knownMembers.all(),
+    });
+  }
+
+  private async choose(round: PingRoundResult): Promise<Member | undefined> {
+    const result = elect(this.localNode.asCandidate(), this.ofThisCluster(round));
+    if (result.kind === 'none') {
+      this.log.debug(`No master yet: ${result.reason}.`);
+      this.roundsWithoutMaster = Math.min(this.roundsWithoutMaster + 1, maxCountedRounds);
+      const wait = (this.bounds.heartbeatInterval / pausesPerHeartbeat) * this.roundsWithoutMaster;
+      await pause(this.clock, wait, this.stopping);
+      return undefined;
+    }
+    this.roundsWithoutMaster = 0;
+    this.log.info(`Elected ${result.member.addr} (${result.by}).`);
+    return result.member;
+  }
+
+  /** The responses of nodes that belong to the same cluster as this one, or to none yet. */
+  private ofThisCluster(round: PingRoundResult): PingRoundResult['pingResponses'] {
+    const { clusterId } = this.localNode;
+    if (!clusterId) return round.pingResponses;
+    return round.pingResponses.filter(
+      (response) => !response.clusterId || response.clusterId === clusterId,
+    );
+  }
+}
--- a/packages/zen/src/read-lease.ts
+++ b/packages/zen/src/read-lease.ts
@@ -1,6 +1,6 @@
 /** The read lease of a member: until when it may serve from the state that it has applied. */
 import { versionOf, newer, quorum, type State } from '@tillerstair/state';
-import type { Round } from './pinger.js';
+import type { PingRoundResult } from './ping-round.js';
 
 /**
  * Remembers the last moment at which no newer state was committed than the one applied here. It learns so
@@ -20,13 +20,13 @@
   }
 
   /** Renews the lease if a majority of the voters answered in this round and none of those holds a newer state. */
-  renewFromRound(round: Round, applied: State | undefined, ownId: string): void {
+  renewFromRound(round: PingRoundResult, applied: State | undefined, ownId: string): void {
     if (!applied || !applied.nodes.has(ownId)) return;
     const notNewer = new Set(
       round.pingResponses
         .filter((g) => !newer(g.accepted, versionOf(applied)))
         .map((g) => g.from.id),
     );
-    if (quorum(applied.voters, notNewer)) this.renew(round.at);
+    if (quorum(applied.voters, notNewer)) this.renew(round.startedAt);
   }
 }
--- /dev/null
+++ b/packages/zen/src/request-dispatcher.ts
@@ -0,0 +1,145 @@
+/**
+ * Requests of other nodes, by kind: each is parsed here, refused if it is for another node, and handed to the part of
+ * this node that answers it.
+ */
+import { reduce, versionOf, type State } from '@tillerstair/state';
+import { RpcError, type RpcRequest } from '@tillerstair/wire';
+import { requireAddressee } from './addressee.js';
+import type { Bootstrapper } from './bootstrapper.js';
+import type { Follower } from './follower.js';
+import type { InterruptibleSleep } from './interruptible-sleep.js';
+import type { KnownMembers } from './known-members.js';
+import type { Leadership } from './leadership.js';
+import type { LocalNode } from './local-node.js';
+import {
+  Commit,
+  Join,
+  Leave,
+  MasterPing,
+  NodePing,
+  Ping,
+  SteppedDown,
+  type JoinResponse,
+  type MasterPingResponse,
+  type NodePingResponse,
+  type PingResponse,
+} from './messages.js';
+import type { PendingJoins } from './pending-joins.js';
+import type { PublishReceiver } from './publish-receiver.js';
+import { grantVote } from './vote.js';
+
+/** The parts of a node that answer requests. */
+export interface RequestDispatcherOptions {
+  readonly localNode: LocalNode;
+  readonly knownMembers: KnownMembers;
+  readonly bootstrapper: Bootstrapper;
+  readonly pendingJoins: PendingJoins;
+  readonly leadership: Leadership;
+  readonly follower: Follower;
+  readonly receiver: PublishReceiver;
+  /** Woken when a join arrives, or the master says that it stepped down. */
+  readonly sleep: InterruptibleSleep;
+  /** The committed state that this node has applied. */
+  readonly applied: () => State | undefined;
+  readonly report: () => unknown;
+  readonly listReport: () => unknown;
+}
+
+type RequestHandler = (body: unknown) => unknown;
+
+/** Answers the requests of discovery, election, publishing and fault detection. */
+export class RequestDispatcher {
+  private readonly localNode: LocalNode;
+  private readonly knownMembers: KnownMembers;
+  private readonly pendingJoins: PendingJoins;
+  private readonly leadership: Leadership;
+  private readonly follower: Follower;
+  private readonly sleep: InterruptibleSleep;
+  private readonly applied: () => State | undefined;
+  private readonly report: () => unknown;
+  private readonly listReport: () => unknown;
+  private readonly handlers: ReadonlyMap<string, RequestHandler>;
+
+  constructor(options: RequestDispatcherOptions) {
+    const { localNode, bootstrapper, follower, receiver } = options;
+    this.localNode = localNode;
+    this.knownMembers = options.knownMembers;
+    this.pendingJoins = options.pendingJoins;
+    this.leadership = options.leadership;
+    this.follower = follower;
+    this.sleep = options.sleep;
+    this.applied = options.applied;
+    this.report = options.report;
+    this.listReport = options.listReport;
+    const { electionStore, member } = localNode;
+    this.handlers = new Map<string, RequestHandler>([
+      ['zen/ping', (body) => this.onPing(Ping.parse(body))],
+      ['zen/bootstrap', (body) => bootstrapper.onVoteRequest(member, body)],
+      ['zen/join', (body) => this.onJoin(Join.parse(body))],
+      ['zen/validate', (body) => grantVote(electionStore, follower.joiningId, body)],
+      ['zen/publish', (body) => receiver.onPublish(body)],
+      ['zen/commit', (body) => receiver.onCommit(Commit.parse(body).stateVersion)],
+      ['zen/node-ping', (body) => this.onNodePing(NodePing.parse(body))],
+      ['zen/master-ping', (body) => this.onMasterPing(MasterPing.parse(body))],
+      ['zen/stepped-down', (body) => this.onSteppedDown(SteppedDown.parse(body))],
+      ['zen/leave', (body) => this.onLeave(Leave.parse(body))],
+    ]);
+  }
+
+  /** Resolves with the response; rejects with an `RpcError` that says why the request is refused. */
+  async handle(request: RpcRequest): Promise<unknown> {
+    requireAddressee(this.localNode.member, request, (from) => this.knownMembers.learn([from]));
+    const handler = this.handlers.get(request.kind);
+    if (!handler) throw new RpcError('unknown-kind', `no such request: ${request.kind}`);
+    return await handler(request.body);
+  }
+
+  private onPing({ from }: Ping): PingResponse {
+    this.knownMembers.learn([from]);
+    const master = this.leadership.active ? this.localNode.member : this.follower.master;
+    return this.localNode.pingResponse(master, this.knownMembers.controls());
+  }
+
+  private onJoin(join: Join): Promise<JoinResponse> {
+    const { clusterId } = this.localNode;
+    if (join.clusterId && join.clusterId !== clusterId)
+      throw new RpcError('other-cluster', `this is cluster ${clusterId}`);
+    const master = this.leadership.active;
+    if (master) return master.onJoin(join);
+    const response = this.pendingJoins.add(join);
+    this.sleep.wake();
+    return response;
+  }
+
+  /** A ping of this cluster's master in a later term ends a master here (docs/zen.md, "One master a term"). */
+  private onNodePing({ from, term, clusterId }: NodePing): NodePingResponse {
+    if (clusterId === this.localNode.clusterId)
+      this.leadership.master?.onAnotherMaster(term, from.addr);
+    return {
+      term: this.localNode.term,
+      applied: versionOf(this.applied()),
+      report: this.report(),
+    };
+  }
+
+  private onMasterPing(ping: MasterPing): MasterPingResponse {
+    const { master } = this.leadership;
+    if (master && ping.term > master.term)
+      master.stepDown(`${ping.from.addr} is in term ${ping.term}`);
+    const active = this.leadership.active;
+    if (active) return { ...active.onMasterPing(ping), reported: this.listReport() };
+    const committed = versionOf(undefined);
+    return { leading: false, listed: false, term: this.localNode.term, committed, age: 0 };
+  }
+
+  private onSteppedDown({ from }: SteppedDown): object {
+    if (this.follower.master?.id === from.id) this.sleep.wake();
+    return {};
+  }
+
+  private async onLeave({ from }: Leave): Promise<object> {
+    const { id } = from;
+    await this.leadership.active?.submit((state) => reduce(state, { kind: 'leave', id }));
+    return {};
+  }
+}
--- a/packages/zen/src/vote.ts
+++ b/packages/zen/src/vote.ts
@@ -1,25 +1,41 @@
-/** A vote for a candidate: a promise to follow nobody else in its term, given only once it is on disk. */
-import { flatten, versionOf, newer } from '@tillerstair/state';
+/** A vote for a candidate: this node follows nobody else in its term. Given only once it is on disk. */
+import { flatten, newer, versionOf } from '@tillerstair/state';
 import { RpcError } from '@tillerstair/wire';
-import type { ElectionStore } from './election-store.js';
+import type { ElectionStore, PersistentState } from './election-store.js';
 import { Validate, type ValidateResponse } from './messages.js';
 
+/** One vote a term, and none in a lower term (docs/zen.md, "One master a term"). */
+const requireVoteIsFree = (persisted: PersistentState, candidateId: string, term: number): void => {
+  const isTaken = persisted.votedFor !== '' && persisted.votedFor !== candidateId;
+  if (term < persisted.term || (term === persisted.term && isTaken))
+    throw new RpcError(
+      'stale-term',
+      `this node has voted for ${persisted.votedFor} in term ${persisted.term}`,
+    );
+};
+
+/**
+ * Votes for a candidate that this node is joining; resolves once the vote is on disk, with the accepted state if that
+ * is ahead of the candidate's (docs/zen.md, "Fence"). Rejects with `not-joining`, `other-cluster` or `stale-term`.
+ */
 export const grantVote = async (
   electionStore: ElectionStore,
   joiningId: string | undefined,
   body: unknown,
 ): Promise<ValidateResponse> => {
-  const v = Validate.parse(body);
-  if (joiningId !== v.from.id) throw new RpcError('not-joining', 'this node is not joining you');
-  const clusterId = electionStore.persisted.accepted?.clusterId ?? '';
-  if (clusterId && clusterId !== v.clusterId)
-    throw new RpcError('other-cluster', `this is cluster ${clusterId}`);
-  const { term, votedFor } = electionStore.persisted;
-  if (v.term < term || (v.term === term && votedFor !== v.from.id && votedFor !== ''))
-    throw new RpcError('stale-term', `term ${term} is promised to ${votedFor}`);
-  if (v.term !== term || votedFor !== v.from.id) await electionStore.recordVote(v.term, v.from.id);
+  const { from, term, clusterId, have } = Validate.parse(body);
+  if (joiningId !== from.id) throw new RpcError('not-joining', 'this node is not joining you');
+  const localClusterId = electionStore.persisted.accepted?.clusterId ?? '';
+  if (localClusterId && localClusterId !== clusterId)
+    throw new RpcError('other-cluster', `this is cluster ${localClusterId}`);
+  requireVoteIsFree(electionStore.persisted, from.id, term);
+  if (term !== electionStore.persisted.term || electionStore.persisted.votedFor !== from.id)
+    await electionStore.recordVote(term, from.id);
   else await electionStore.synced();
-  const acc = electionStore.persisted.accepted;
-  const ahead = acc && newer(versionOf(acc), v.have);
-  return { accepted: versionOf(acc), ...(ahead ? { state: [...flatten(acc)] } : {}) };
+  const { accepted } = electionStore.persisted;
+  const isAhead = accepted !== undefined && newer(versionOf(accepted), have);
+  return {
+    accepted: versionOf(accepted),
+    ...(isAhead ? { state: [...flatten(accepted)] } : {}),
+  };
 };
--- /dev/null
+++ b/packages/zen/src/zen-node.ts
@@ -0,0 +1,318 @@
+/**
+ * A node of the cluster (docs/zen.md): finds a master, then leads or follows until that ends, over and over. This module
+ * puts the parts together; each owns its own state, and the election store alone what must survive a restart.
+ */
+import type { Member, Replication, State } from '@tillerstair/state';
+import {
+  lasting,
+  pause,
+  toRpcError,
+  type Clock,
+  type Log,
+  type RpcRequest,
+  type Transport,
+} from '@tillerstair/wire';
+import { Bootstrapper } from './bootstrapper.js';
+import type { ZenBounds } from './bounds.js';
+import { Candidate } from './candidate.js';
+import type { ElectionStore } from './election-store.js';
+import { Follower } from './follower.js';
+import { InterruptibleSleep } from './interruptible-sleep.js';
+import { KnownMembers } from './known-members.js';
+import { Leadership } from './leadership.js';
+import { sayLeave } from './leave.js';
+import { LocalNode } from './local-node.js';
+import { MasterFinder } from './master-finder.js';
+import type { MasterView } from './master-types.js';
+import { PendingJoins } from './pending-joins.js';
+import { PingRound, type PingRoundResult } from './ping-round.js';
+import { PublishReceiver } from './publish-receiver.js';
+import { ReadLease } from './read-lease.js';
+import { renewReadLease } from './read-lease-renewal.js';
+import { RequestDispatcher } from './request-dispatcher.js';
+
+/** After an unexpected error the node goes on after this part of a heartbeat. */
+const errorPausesPerHeartbeat = 10;
+
+/** What a node is made of, and what the program around it hears of. */
+export interface ZenNodeOptions {
+  readonly me: Member;
+  /** Addresses that are pinged whoever else is known. */
+  readonly seeds: readonly string[];
+  readonly clock: Clock;
+  readonly transport: Transport;
+  readonly electionStore: ElectionStore;
+  readonly bounds: ZenBounds;
+  readonly log: Log;
+  /** Number of slots, used when the cluster is bootstrapped. */
+  readonly slots: number;
+  /** Replicas and write quorum of every slot, used when the cluster is bootstrapped. */
+  readonly replication?: Replication;
+  /** Whether this node may help to bootstrap a cluster; not when the installation has run before. */
+  readonly mayBootstrap?: boolean;
+  /** Derives what follows from a batch of changes, before the master publishes it. */
+  readonly settle?: (state: State) => State;
+  /** Called with each committed state, one after the other. */
+  readonly onApplied?: (state: State) => Promise<void>;
+  /** What this node tells its master with every ping. */
+  readonly report?: () => unknown;
+  /** Hears, on the master, what each node reports. */
+  readonly onReport?: (id: string, report: unknown) => void;
+  /** What a master tells its nodes with every ping response. */
+  readonly listReport?: () => unknown;
+  /** Hears what the master reports, and the clock time in milliseconds at which it was asked. */
+  readonly onListReport?: (reported: unknown, requestedAt: number) => void;
+  /** Hears of each mastership that this node takes up. */
+  readonly onLead?: (master: MasterView) => void;
+}
+
+/** One node, from `start` to `stop`. */
+export class ZenNode {
+  private readonly clock: Clock;
+  private readonly bounds: ZenBounds;
+  private readonly log: Log;
+  private readonly stopping = lasting();
+  private readonly sleep: InterruptibleSleep;
+  private readonly readLease = new ReadLease();
+  private readonly pendingJoins = new PendingJoins();
+  private readonly localNode: LocalNode;
+  private readonly knownMembers: KnownMembers;
+  private readonly receiver: PublishReceiver;
+  private readonly masterFinder: MasterFinder;
+  private readonly candidate: Candidate;
+  private readonly leadership: Leadership;
+  private readonly follower: Follower;
+  private readonly dispatcher: RequestDispatcher;
+  private ended: Promise<void> = Promise.resolve();
+  private seeds: readonly string[];
+
+  constructor(private readonly options: ZenNodeOptions) {
+    const { me, clock, transport, bounds, log, electionStore } = options;
+    this.seeds = options.seeds;
+    this.clock = clock;
+    this.bounds = bounds;
+    this.log = log;
+    this.sleep = new InterruptibleSleep(clock);
+    this.localNode = new LocalNode(me, electionStore);
+    this.knownMembers = new KnownMembers(me.addr);
+    this.receiver = this.makeReceiver();
+    this.leadership = this.makeLeadership();
+    const bootstrapper = new Bootstrapper(options);
+    this.masterFinder = this.makeMasterFinder(bootstrapper);
+    const shared = {
+      localMember: me,
+      clock,
+      transport,
+      bounds,
+      log,
+      localNode: this.localNode,
+      pendingJoins: this.pendingJoins,
+      sleep: this.sleep,
+      stopping: this.stopping.signal,
+    };
+    this.candidate = new Candidate(shared);
+    this.follower = new Follower({ ...shared, ...this.reports(), readLease: this.readLease });
+    this.dispatcher = new RequestDispatcher({
+      ...shared,
+      ...this.reports(),
+      bootstrapper,
+      knownMembers: this.knownMembers,
+      leadership: this.leadership,
+      follower: this.follower,
+      receiver: this.receiver,
+    });
+    transport.onLost((addr) => this.onConnectionLost(addr));
+    const { accepted } = this.localNode;
+    if (accepted) this.learnMembers(accepted);
+  }
+
+  private makeReceiver(): PublishReceiver {
+    return new PublishReceiver({
+      electionStore: this.options.electionStore,
+      onApplied: async (state) => {
+        this.learnMembers(state);
+        await this.options.onApplied?.(state);
+      },
+      isMaster: (id) => this.follower.isMaster(id),
+      onTerm: (term, publisher) => {
+        const { master } = this.leadership;
+        if (master && term > master.term)
+          master.stepDown(`${publisher.addr} publishes in term ${term}`);
+      },
+      onPublished: (publisher) => this.follower.onPublished(publisher),
+    });
+  }
+
+  private makeLeadership(): Leadership {
+    const { me, transport, electionStore, settle, onReport, onLead } = this.options;
+    return new Leadership({
+      masterParts: {
+        me,
+        clock: this.clock,
+        transport,
+        electionStore,
+        bounds: this.bounds,
+        log: this.log,
+        settle: settle ?? ((state) => state),
+        apply: (state) => this.receiver.apply(state),
+        onReport: onReport ?? (() => undefined),
+      },
+      pendingJoins: this.pendingJoins,
+      onLead: (master) => onLead?.(master),
+    });
+  }
+
+  private makeMasterFinder(bootstrapper: Bootstrapper): MasterFinder {
+    return new MasterFinder({
+      clock: this.clock,
+      bounds: this.bounds,
+      log: this.log,
+      localNode: this.localNode,
+      knownMembers: this.knownMembers,
+      pendingJoins: this.pendingJoins,
+      bootstrapper,
+      mayBootstrap: this.options.mayBootstrap !== false,
+      seeds: () => this.seeds,
+      pingRound: () => this.pingRound(),
+      onRound: (round) => this.renewLease(round),
+      stopping: this.stopping.signal,
+    });
+  }
+
+  /** What this node reports to others, and hears from its master. */
+  private reports() {
+    const { report, listReport, onListReport } = this.options;
+    return {
+      applied: () => this.applied,
+      report: () => report?.() ?? null,
+      listReport: () => listReport?.(),
+      onListReport: (reported: unknown, requestedAt: number) =>
+        onListReport?.(reported, requestedAt),
+    };
+  }
+
+  /** The newest committed state that this node has applied. */
+  get applied(): State | undefined {
+    return this.receiver.applied;
+  }
+
+  /** The master that this node runs, if it is one. */
+  get leading(): MasterView | undefined {
+    return this.leadership.active;
+  }
+
+  /** The master as far as this node knows: itself, or the one that it follows. */
+  get masterSeen(): Member | undefined {
+    return this.leading ? this.localNode.member : this.follower.master;
+  }
+
+  /** The term in which this node voted last. */
+  get term(): number {
+    return this.localNode.term;
+  }
+
+  /** The cluster that this node belongs to; empty before it accepted a first state. */
+  get clusterId(): string {
+    return this.localNode.clusterId;
+  }
+
+  /** The newest state that this node has accepted, committed or not. */
+  get accepted(): State | undefined {
+    return this.localNode.accepted;
+  }
+
+  /** Clock time in milliseconds at which the applied state was surely the newest committed one. */
+  get leaseRenewedAt(): number {
+    return this.readLease.leaseRenewedAt;
+  }
+
+  /** Uses other seed addresses from the next ping round on; nothing under way is disturbed. */
+  replaceSeeds(seeds: readonly string[]): void {
+    this.seeds = seeds;
+  }
+
+  /** Pings the master at once, so that it hears this node's report. */
+  reportNow(): void {
+    this.sleep.wake();
+  }
+
+  /** Begins to look for a master. Requests are answered before as well. */
+  start(): void {
+    this.ended = this.run();
+    if (this.localNode.member.kind === 'front') void this.renewReadLease();
+  }
+
+  /** Leaves the cluster in order; resolves once nothing of this node runs any more. */
+  async stop(): Promise<void> {
+    await sayLeave(this.options, this.follower.master, this.leading).catch(() => undefined);
+    this.stopping.abort();
+    this.leadership.master?.stepDown('stopping');
+    this.sleep.wake();
+    await this.ended;
+  }
+
+  /** Answers a request of another node; rejects with an `RpcError` that says why it is refused. */
+  handle(request: RpcRequest): Promise<unknown> {
+    return this.dispatcher.handle(request);
+  }
+
+  private async run(): Promise<void> {
+    while (!this.stopping.signal.aborted) {
+      try {
+        await this.findAndServe();
+      } catch (e) {
+        this.log.warn(`Round ended: ${toRpcError(e).message}.`);
+        const wait = this.bounds.heartbeatInterval / errorPausesPerHeartbeat;
+        await pause(this.clock, wait, this.stopping.signal);
+      }
+    }
+    this.pendingJoins.rejectAll();
+  }
+
+  private async findAndServe(): Promise<void> {
+    const master = await this.masterFinder.find();
+    if (!master) return;
+    if (master.id !== this.localNode.member.id) return this.follower.run(master);
+    const election = await this.candidate.run();
+    if (election) await this.leadership.run(election);
+  }
+
+  private pingRound(): Promise<PingRoundResult> {
+    const { me, transport } = this.options;
+    return new PingRound({
+      clock: this.clock,
+      transport,
+      pingWait: this.bounds.pingWait,
+      knownMembers: this.knownMembers,
+      localAddress: me.addr,
+      seeds: () => this.seeds,
+      ping: () => ({ from: me, known: this.knownMembers.controls(), clusterId: this.clusterId }),
+      stopping: this.stopping.signal,
+    }).run();
+  }
+
+  private renewReadLease(): Promise<void> {
+    return renewReadLease({
+      clock: this.clock,
+      bounds: this.bounds,
+      isFollowing: () => this.follower.master !== undefined,
+      renewedAt: () => this.leaseRenewedAt,
+      pingRound: () => this.pingRound(),
+      onRound: (round) => this.renewLease(round),
+      stopping: this.stopping.signal,
+    });
+  }
+
+  private renewLease(round: PingRoundResult): void {
+    this.readLease.renewFromRound(round, this.applied, this.localNode.member.id);
+  }
+
+  private learnMembers(state: State): void {
+    this.knownMembers.learn([...state.votingMembers.values(), ...state.nodes.values()]);
+  }
+
+  private onConnectionLost(addr: string): void {
+    this.leadership.master?.connectionLost(addr);
+    if (this.follower.master?.addr === addr) this.sleep.wake();
+  }
+}
--- a/tests/src/support/zen-node-rig.ts
+++ b/tests/src/support/zen-node-rig.ts
@@ -2,7 +2,12 @@
 import { SimClock } from '@tillerstair/sim';
 import { type Member, type State } from '@tillerstair/state';
 import { ConnectionRefusedError, noLog, pause } from '@tillerstair/wire';
-import { MemoryElectionStore, ZenNode, type PingResponse, type ZenParts } from '@tillerstair/zen';
+import {
+  MemoryElectionStore,
+  ZenNode,
+  type PingResponse,
+  type ZenNodeOptions,
+} from '@tillerstair/zen';
 import {
   a,
   b,
@@ -20,7 +25,7 @@
 export const settleMs = 10 * roundTripMs;
 
 /** What the peers answer to one kind of request; a kind that is not named is refused. */
-export type Answers = Readonly<Record<string, (request: SentRequest) => Promise<unknown>>>;
+export type Answers = Readonly<Partial<Record<string, (request: SentRequest) => Promise<unknown>>>>;
 
 export interface NodeOptions {
   readonly me?: Member;
@@ -28,7 +33,7 @@
   readonly state?: State | undefined;
   readonly electionStore?: MemoryElectionStore;
   readonly answers?: Answers;
-  readonly more?: Partial<ZenParts>;
+  readonly more?: Partial<ZenNodeOptions>;
 }
 
 /** An election store in memory whose disk a test can take away. */
@@ -45,7 +50,7 @@
     readonly me: Member,
     readonly electionStore: MemoryElectionStore,
     answers: Answers,
-    more: Partial<ZenParts>,
+    more: Partial<ZenNodeOptions>,
   ) {
     this.transport = new ScriptedTransport(async (request) => {
       await pause(this.clock, roundTripMs);
@@ -100,10 +105,7 @@
     return reply ? Promise.resolve(reply) : Promise.reject(new ConnectionRefusedError(request.to));
   };
 
-export const answersWith =
-  (answer: unknown) =>
-  (_request: SentRequest): Promise<unknown> =>
-    Promise.resolve(answer);
+export const answersWith = (answer: unknown) => (): Promise<unknown> => Promise.resolve(answer);
 
 /** What peers answer to a control `a` that they vote for and follow. */
 export const followersOfA: Answers = {
--- a/tests/src/zen/addressed-requests.test.ts
+++ b/tests/src/zen/addressed-requests.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Member } from '@tillerstair/state';
-import { mustBeFor } from '@tillerstair/zen';
+import { requireAddressee } from '@tillerstair/zen';
 import { a, b } from '../support/zen-rig.js';
 
 const addressed = suite('a request for a named node');
@@ -12,15 +12,15 @@
 for (const kind of ['zen/validate', 'zen/publish', 'zen/commit', 'zen/node-ping'])
   addressed(`${kind} is refused by every other node`, () => {
     const learned: Member[] = [];
-    mustBeFor(b, request(kind, 'b'), (from) => learned.push(from));
+    requireAddressee(b, request(kind, 'b'), (from) => learned.push(from));
     assert.throws(() => {
-      mustBeFor(b, request(kind, 'c'), (from) => learned.push(from));
+      requireAddressee(b, request(kind, 'c'), (from) => learned.push(from));
     }, /another node/);
     assert.equal(learned, [a, a]);
   });
 
 addressed('a ping names no node and is answered by whoever stands at the address', () => {
-  mustBeFor(b, { from: a.addr, kind: 'zen/ping', body: {} }, () => assert.unreachable());
+  requireAddressee(b, { from: a.addr, kind: 'zen/ping', body: {} }, () => assert.unreachable());
 });
 
 addressed.run();
--- a/tests/src/zen/bootstrap.test.ts
+++ b/tests/src/zen/bootstrap.test.ts
@@ -27,18 +27,15 @@
 const bootstraps = suite('bootstrapping');
 
 const seeds = [a.addr, b.addr, c.addr];
-const viewOf = (me: Member, pingResponses: readonly PingResponse[]): BootstrapView => ({
-  me,
+const viewOf = (localMember: Member, pingResponses: readonly PingResponse[]): BootstrapView => ({
+  localMember,
   seeds,
   pingResponses,
   heardOf: [],
 });
 const blankReplies = [blankPingResponse(b), blankPingResponse(c)];
 const viewOfA = viewOf(a, blankReplies);
-const says =
-  (yes: boolean) =>
-  (_request: SentRequest): Promise<unknown> =>
-    Promise.resolve({ yes });
+const says = (yes: boolean) => (): Promise<unknown> => Promise.resolve({ yes });
 
 const bootstrapperOf = (
   electionStore: MemoryElectionStore,
@@ -46,7 +43,14 @@
 ) => {
   const clock = new SimClock();
   const transport = new ScriptedTransport(answer);
-  const bootstrapper = new Bootstrapper(clock, transport, electionStore, bounds, noLog, 1);
+  const bootstrapper = new Bootstrapper({
+    clock,
+    transport,
+    electionStore,
+    bounds,
+    log: noLog,
+    slots: 1,
+  });
   /** Two rounds that saw the same, as far apart as a bootstrap needs. */
   const twoRounds = async (view: BootstrapView, apart = bounds.bootstrapStillFor) => {
     await bootstrapper.round(view);
@@ -162,9 +166,9 @@
   async () => {
     const electionStore = new MemoryElectionStore('b');
     const bootstrapper = await voterAfterRound(electionStore);
-    assert.equal(await bootstrapper.onVote(b, { from: a, members: [a, b] }), { yes: false });
+    assert.equal(await bootstrapper.onVoteRequest(b, { from: a, members: [a, b] }), { yes: false });
     assert.equal(electionStore.persisted.bootstrapVote, []);
-    assert.equal(await bootstrapper.onVote(b, all), { yes: true });
+    assert.equal(await bootstrapper.onVoteRequest(b, all), { yes: true });
     assert.equal(
       electionStore.persisted.bootstrapVote.map((m) => m.id),
       ['a', 'b', 'c'],
@@ -176,21 +180,21 @@
   const electionStore = new MemoryElectionStore('b');
   const bootstrapper = await voterAfterRound(electionStore);
   await electionStore.accept(bootstrapped);
-  assert.equal(await bootstrapper.onVote(b, all), { yes: false });
+  assert.equal(await bootstrapper.onVoteRequest(b, all), { yes: false });
 });
 
 bootstraps('a control that has no place among the members does not vote', async () => {
   const electionStore = new MemoryElectionStore('b');
   const bootstrapper = await voterAfterRound(electionStore);
-  assert.equal(await bootstrapper.onVote(member('d'), all), { yes: false });
+  assert.equal(await bootstrapper.onVoteRequest(member('d'), all), { yes: false });
 });
 
 bootstraps('a vote moves only to members at all addresses of the earlier vote', async () => {
   const covered = await voterAfterRound(new MemoryElectionStore('b'), [a, b]);
-  assert.equal(await covered.onVote(b, all), { yes: true });
+  assert.equal(await covered.onVoteRequest(b, all), { yes: true });
   const electionStore = new MemoryElectionStore('b');
   const bootstrapper = await voterAfterRound(electionStore, [b, member('d')]);
-  assert.equal(await bootstrapper.onVote(b, all), { yes: false });
+  assert.equal(await bootstrapper.onVoteRequest(b, all), { yes: false });
   assert.equal(
     electionStore.persisted.bootstrapVote.map((m) => m.id),
     ['b', 'd'],
@@ -200,7 +204,7 @@
 bootstraps('a vote that is said again is on disk first', async () => {
   const electionStore = new ObservedElectionStore('b');
   const bootstrapper = await voterAfterRound(electionStore, [a, b, c]);
-  assert.equal(await bootstrapper.onVote(b, all), { yes: true });
+  assert.equal(await bootstrapper.onVoteRequest(b, all), { yes: true });
   assert.is(electionStore.syncsAwaited, 1);
 });
 
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -17,7 +17,7 @@
   DiskElectionStore,
   elect,
   MemoryElectionStore,
-  Receiver,
+  PublishReceiver,
   type PingResponse,
 } from '@tillerstair/zen';
 
@@ -52,10 +52,10 @@
 const receiver = () => {
   const electionStore = new MemoryElectionStore('me');
   const applied: State[] = [];
-  const r = new Receiver({
+  const r = new PublishReceiver({
     electionStore,
     onApplied: async (s) => void applied.push(s),
-    knows: () => true,
+    isMaster: () => true,
     onTerm: () => undefined,
     onPublished: () => undefined,
   });
@@ -111,10 +111,10 @@
       ['me', 2, 4, 'b'],
     );
     const electionStore = await open();
-    const r = new Receiver({
+    const r = new PublishReceiver({
       electionStore,
       onApplied: async () => undefined,
-      knows: () => true,
+      isMaster: () => true,
       onTerm: () => undefined,
       onPublished: () => undefined,
     });
@@ -225,7 +225,7 @@
   () => {
     const blank = (m: Member, more: Partial<PingResponse> = {}) =>
       pingResponse(m, { clusterId: '', canWin: false, ...more });
-    const view = { me: a, seeds: [a.addr, b.addr, c.addr], heardOf: [] };
+    const view = { localMember: a, seeds: [a.addr, b.addr, c.addr], heardOf: [] };
     assert.is(closureOf({ ...view, pingResponses: [blank(b), blank(c)] }).members.length, 3);
     assert.is(closureOf({ ...view, pingResponses: [blank(b)] }).members.length, 0);
     assert.is(
--- a/tests/src/zen/joining.test.ts
+++ b/tests/src/zen/joining.test.ts
@@ -26,7 +26,7 @@
 
 const joinWith = async (answer: (request: SentRequest) => Promise<unknown>) => {
   const transport = new ScriptedTransport(answer);
-  const parts = { me: b, clock: new SimClock(), transport, bounds };
+  const parts = { localMember: b, clock: new SimClock(), transport, bounds };
   return { outcome: await outcomeOf(joinMaster(parts, a, ping, join)), transport };
 };
 const joinRefusedWith = (error: Error) =>
@@ -66,7 +66,7 @@
     if (answer instanceof Error) throw answer;
     return answer;
   });
-  const parts = { me: a, clock, transport, bounds };
+  const parts = { localMember: a, clock, transport, bounds };
   const work = gatherVotes(parts, bootstrapped, term, [b, c]);
   return clock.finish('votes', work, bounds.joinWait * 2);
 };
--- a/tests/src/zen/ping-rounds.test.ts
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
 import { ConnectionRefusedError, pause } from '@tillerstair/wire';
-import { Pinger, type PingResponse } from '@tillerstair/zen';
+import { KnownMembers, PingRound, type PingResponse } from '@tillerstair/zen';
 import {
   a,
   b,
@@ -17,27 +17,34 @@
 
 const rounds = suite('a ping round');
 
-const pingerOf = (
+const roundsOf = (
   answer: (request: SentRequest, clock: SimClock) => Promise<unknown>,
   seeds: readonly string[] = [a.addr, b.addr],
 ) => {
   const clock = new SimClock();
   const transport = new ScriptedTransport((request) => answer(request, clock));
-  const pinger = new Pinger(clock, transport, bounds, () => seeds);
-  const signal = new AbortController().signal;
-  const round = () =>
-    clock.finish(
-      'round',
-      pinger.round(() => ({ from: a, known: pinger.controls(), clusterId: '' }), signal),
-      bounds.pingWait * 2,
-    );
-  return { clock, transport, pinger, round };
+  const knownMembers = new KnownMembers(a.addr);
+  const stopping = new AbortController();
+  const round = () => {
+    const pings = new PingRound({
+      clock,
+      transport,
+      pingWait: bounds.pingWait,
+      knownMembers,
+      localAddress: a.addr,
+      seeds: () => seeds,
+      ping: () => ({ from: a, known: knownMembers.controls(), clusterId: '' }),
+      stopping: stopping.signal,
+    });
+    return clock.finish('round', pings.run(), bounds.pingWait * 2);
+  };
+  return { clock, transport, knownMembers, round };
 };
 const idsOf = (responses: readonly PingResponse[]): readonly string[] =>
   responses.map((response) => response.from.id);
 
 rounds('asks the seeds and whoever they name, each once, and never itself', async () => {
-  const { round, transport } = pingerOf(({ to }) =>
+  const { round, transport } = roundsOf(({ to }) =>
     to === b.addr
       ? Promise.resolve(pingResponse(b, { known: [a, c, member('s', 'store')] }))
       : Promise.resolve(pingResponse(c, { known: [b] })),
@@ -50,11 +57,11 @@
 });
 
 rounds('ends once each has replied or refused, else after the ping wait', async () => {
-  const refuses = pingerOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
+  const refuses = roundsOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
   const before = refuses.clock.now();
   assert.equal((await refuses.round()).pingResponses, []);
   assert.is(refuses.clock.now(), before);
-  const hangs = pingerOf(({ to }, clock) =>
+  const hangs = roundsOf(({ to }, clock) =>
     pause(clock, bounds.pingWait * 9).then(() => pingResponse(member(to))),
   );
   const start = hangs.clock.now();
@@ -63,40 +70,39 @@
 });
 
 rounds('asks nobody any more whose addresses have failed often enough', async () => {
-  const { pinger, round } = pingerOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
-  pinger.learn([c], a);
+  const { knownMembers, round } = roundsOf(({ to }) =>
+    Promise.reject(new ConnectionRefusedError(to)),
+  );
+  knownMembers.learn([c]);
   for (let n = 0; n < 20; n++) await round();
-  assert.equal(pinger.heardOf(), [c]);
+  assert.equal(knownMembers.all(), [c]);
   await round();
-  assert.equal(pinger.heardOf(), []);
+  assert.equal(knownMembers.all(), []);
 });
 
 rounds('a reply clears the failures before it', async () => {
   let isUp = false;
-  const { pinger, round } = pingerOf(
+  const { knownMembers, round } = roundsOf(
     ({ to }) =>
       isUp ? Promise.resolve(pingResponse(c)) : Promise.reject(new ConnectionRefusedError(to)),
     [],
   );
-  pinger.learn([c], a);
+  knownMembers.learn([c]);
   for (let n = 0; n < 20; n++) await round();
   isUp = true;
   await round();
   isUp = false;
   for (let n = 0; n < 20; n++) await round();
-  assert.equal(pinger.heardOf(), [c]);
+  assert.equal(knownMembers.all(), [c]);
 });
 
 rounds('a node remembers the last 256 it heard of, and not itself', () => {
-  const { pinger } = pingerOf(() => Promise.reject(new Error('no reply')));
-  pinger.learn([a], a);
-  assert.equal(pinger.heardOf(), []);
-  pinger.learn(
-    Array.from({ length: 300 }, (_, n) => member(`m${n}`)),
-    a,
-  );
-  assert.is(pinger.heardOf().length, 256);
-  assert.is(pinger.heardOf()[0]?.id, 'm44');
+  const knownMembers = new KnownMembers(a.addr);
+  knownMembers.learn([a]);
+  assert.equal(knownMembers.all(), []);
+  knownMembers.learn(Array.from({ length: 300 }, (_, n) => member(`m${n}`)));
+  assert.is(knownMembers.all().length, 256);
+  assert.is(knownMembers.all()[0]?.id, 'm44');
 });
 
 rounds.run();
--- a/tests/src/zen/publish-receiver.test.ts
+++ b/tests/src/zen/publish-receiver.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { flatten, bootstrapState, type Member, type State } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
-import { MemoryElectionStore, Receiver } from '@tillerstair/zen';
+import { MemoryElectionStore, PublishReceiver } from '@tillerstair/zen';
 
 const receiver = suite('publish receiver');
 
@@ -47,10 +47,10 @@
 receiver('an older state that waited for its vote never replaces a newer one', async () => {
   const electionStore = new SlowVoteKeep('b');
   await electionStore.accept(bootstrapped);
-  const r = new Receiver({
+  const r = new PublishReceiver({
     electionStore,
     onApplied: async () => undefined,
-    knows: () => true,
+    isMaster: () => true,
     onTerm: () => undefined,
     onPublished: () => undefined,
   });
--- a/tests/src/zen/publish-refusals.test.ts
+++ b/tests/src/zen/publish-refusals.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Member, type State } from '@tillerstair/state';
-import { MemoryElectionStore, Receiver } from '@tillerstair/zen';
+import { MemoryElectionStore, PublishReceiver } from '@tillerstair/zen';
 import {
   a,
   b,
@@ -21,13 +21,13 @@
   const applied: State[] = [];
   const terms: number[] = [];
   const publishers: Member[] = [];
-  const receiver = new Receiver({
+  const receiver = new PublishReceiver({
     electionStore,
     onApplied: (state) => {
       applied.push(state);
       return Promise.resolve();
     },
-    knows: (id) => known.includes(id),
+    isMaster: (id) => known.includes(id),
     onTerm: (term) => terms.push(term),
     onPublished: (from) => publishers.push(from),
   });
@@ -44,6 +44,13 @@
   assert.is(await publish(a, stateAt(4, 9)), 'done');
 });
 
+refusals('of a lower term is not acknowledged, also if it was accepted before', async () => {
+  const electionStore = await storeWith(stateAt(3, 9));
+  await electionStore.recordVote(4, 'b');
+  const { publish } = receiverOf(electionStore);
+  assert.is(await publish(a, stateAt(3, 9)), 'stale-term');
+});
+
 refusals('of a master that this node did not vote for in its term is refused', async () => {
   const electionStore = await storeWith(bootstrapped);
   await electionStore.recordVote(4, 'a');
