--- a/packages/zen/src/addressee.ts
+++ b/packages/zen/src/addressee.ts
@@ -3,7 +3,7 @@
  * as another node, and must not be counted as the voter that it was.
  */
 import type { Member } from '@tillerstair/state';
-import { RpcError, type RpcRequest } from '@tillerstair/wire';
+import { ElectionError, type RpcRequest } from '@tillerstair/wire';
 import { AddressedRequest } from './messages.js';
 
 const addressedKinds: ReadonlySet<string> = new Set([
@@ -26,5 +26,5 @@
   const { from, to } = AddressedRequest.parse(request.body);
   learn(from);
   if (to !== localMember.id)
-    throw new RpcError('other-node', `${to} is another node, this is ${localMember.id}`);
+    throw new ElectionError('other-node', `${to} is another node, this is ${localMember.id}`);
 };
--- a/packages/zen/src/bootstrapper.ts
+++ b/packages/zen/src/bootstrapper.ts
@@ -3,7 +3,7 @@
  * no two clusters come up). Owns what the last ping round showed; votes and the state stand in the election store.
  */
 import { bootstrapState, type Member, type Replication } from '@tillerstair/state';
-import { toRpcError, type Clock, type Log, type Transport } from '@tillerstair/wire';
+import { toRpcError, type Clock, type Logger, type Transport } from '@tillerstair/wire';
 import { closureOf, clusterIdOf, membersKey, type BootstrapView } from './bootstrap-closure.js';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
@@ -15,7 +15,7 @@
   readonly transport: Transport;
   readonly electionStore: ElectionStore;
   readonly bounds: ZenBounds;
-  readonly log: Log;
+  readonly log: Logger;
   /** Number of slots of a new cluster. */
   readonly slots: number;
   /** Replicas and write quorum of a new cluster. */
@@ -28,7 +28,7 @@
   private readonly transport: Transport;
   private readonly electionStore: ElectionStore;
   private readonly bounds: ZenBounds;
-  private readonly log: Log;
+  private readonly log: Logger;
   private readonly slots: number;
   private readonly replication: Replication | undefined;
   /** Key of the closure that the last round saw, empty if there was none. */
@@ -88,8 +88,8 @@
   ): Promise<boolean> {
     try {
       const body = { from: localMember, members };
-      const within = this.bounds.joinWait;
-      const response = await this.transport.call(voter.addr, 'zen/bootstrap', body, { within });
+      const timeoutMs = this.bounds.joinWait;
+      const response = await this.transport.call(voter.addr, 'zen/bootstrap', body, { timeoutMs });
       return Voted.parse(response).yes;
     } catch (e) {
       this.log.warn(`No bootstrapping vote from ${voter.addr}: ${toRpcError(e).message}.`);
--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -2,8 +2,8 @@
  * A node that elected itself (docs/zen.md, "Fence"): it waits for joins from a majority, votes for itself in a new term,
  * and asks the joiners for their votes. Invariant: no term is raised before a majority has joined.
  */
-import { quorum, type State } from '@tillerstair/state';
-import type { Clock, Log } from '@tillerstair/wire';
+import { hasQuorum, type State } from '@tillerstair/state';
+import type { Clock, Logger } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import { gatherVotes, type GatheredVotes, type RequestOptions } from './gather-votes.js';
 import type { InterruptibleSleep } from './interruptible-sleep.js';
@@ -26,7 +26,7 @@
 
 /** What a candidate needs of its node. */
 export interface CandidateOptions extends RequestOptions {
-  readonly log: Log;
+  readonly log: Logger;
   readonly localNode: LocalNode;
   readonly pendingJoins: PendingJoins;
   /** Ended early by each join. */
@@ -38,7 +38,7 @@
 export class Candidate {
   private readonly clock: Clock;
   private readonly bounds: ZenBounds;
-  private readonly log: Log;
+  private readonly log: Logger;
   private readonly localNode: LocalNode;
   private readonly pendingJoins: PendingJoins;
   private readonly sleep: InterruptibleSleep;
@@ -65,7 +65,7 @@
 
   private async majorityJoins(accepted: State): Promise<boolean> {
     const end = this.clock.now() + this.bounds.joinWait;
-    while (!quorum(accepted.voters, this.withLocal(this.pendingJoins.nodeIds()))) {
+    while (!hasQuorum(accepted.voters, this.withLocal(this.pendingJoins.nodeIds()))) {
       if (this.clock.now() >= end || this.stopping.aborted) return false;
       const wait = Math.min(this.bounds.joinWait / checksPerJoinWait, end - this.clock.now());
       await this.sleep.sleep(wait);
@@ -97,7 +97,7 @@
   private hasWon(term: number, accepted: State, { granted, newest }: GatheredVotes): boolean {
     const voted = this.withLocal(granted);
     if (this.localNode.term !== term) return false;
-    return quorum(accepted.voters, voted) && quorum(newest.voters, voted);
+    return hasQuorum(accepted.voters, voted) && hasQuorum(newest.voters, voted);
   }
 
   private withLocal(ids: Iterable<string>): ReadonlySet<string> {
--- a/packages/zen/src/disk-election-store.ts
+++ b/packages/zen/src/disk-election-store.ts
@@ -1,7 +1,7 @@
 /** The election store of controls and stores: a journal on disk, with what it holds in memory. */
 import { hostPace, type Disk, type Journal, type JournalPace } from '@tillerstair/journal';
-import { diffOf, flatten, type Member, type State } from '@tillerstair/state';
-import { pause } from '@tillerstair/wire';
+import { diffStates, encodeState, type Member, type State } from '@tillerstair/state';
+import { delay } from '@tillerstair/wire';
 import {
   applyRecord,
   electionLogName,
@@ -42,7 +42,7 @@
 
   private async recordId(id: string, pace: JournalPace): Promise<void> {
     await this.record({ t: 'id', id }).catch(() => undefined);
-    while (!this.writable) await pause(pace.clock, pace.retryEvery);
+    while (!this.writable) await delay(pace.clock, pace.retryEvery);
   }
 
   /** Whether the disk takes records; after a failed write not before the log has been written anew. */
@@ -94,7 +94,7 @@
     const { accepted } = this.persisted;
     const next = { ...this.persisted, accepted: state };
     if (!accepted || accepted.clusterId !== state.clusterId)
-      return this.record({ t: 'full', state: [...flatten(state)] }, next);
-    return this.record({ t: 'diff', diff: diffOf(accepted, state) }, next);
+      return this.record({ t: 'full', state: [...encodeState(state)] }, next);
+    return this.record({ t: 'diff', diff: diffStates(accepted, state) }, next);
   }
 }
--- a/packages/zen/src/elect.ts
+++ b/packages/zen/src/elect.ts
@@ -3,8 +3,8 @@
  * that others report, else of the former members, else of all; the last two only where enough voters replied.
  */
 import {
-  newer,
-  quorum,
+  isNewerVersion,
+  hasQuorum,
   type Member,
   type StateVersion,
   type VotingConfiguration,
@@ -35,7 +35,7 @@
   let voters = local.voters;
   let version: StateVersion = local.accepted;
   for (const reply of replies) {
-    if (!reply.voters || (voters && !newer(reply.accepted, version))) continue;
+    if (!reply.voters || (voters && !isNewerVersion(reply.accepted, version))) continue;
     voters = reply.voters;
     version = reply.accepted;
   }
@@ -59,12 +59,12 @@
 };
 
 /** Whether those that replied, with this node if it can sync a vote, are a majority of the voters. */
-const hasQuorum = (local: LocalCandidate, replies: readonly PingResponse[]): boolean => {
+const hasVoterQuorum = (local: LocalCandidate, replies: readonly PingResponse[]): boolean => {
   const voters = newestVoters(local, replies);
   if (voters === undefined) return false;
   const active = new Set(replies.map((reply) => reply.from.id));
   if (local.member.kind === 'control' && local.writable !== false) active.add(local.member.id);
-  return quorum(voters, active);
+  return hasQuorum(voters, active);
 };
 
 /** Chooses a master from the replies to one ping round; those of nodes that are not eligible count for nothing. */
@@ -75,7 +75,7 @@
   const replies = pingResponses.filter((reply) => reply.eligible);
   const reported = reportedMaster(local, replies);
   if (reported) return { kind: 'master', member: reported, by: 'reported' };
-  if (!hasQuorum(local, replies))
+  if (!hasVoterQuorum(local, replies))
     return { kind: 'none', reason: 'too few eligible members replied' };
   const others = replies.map((reply) => ({ ...reply, member: reply.from }));
   const candidates = [...others, local].filter((candidate) => candidate.canWin);
--- a/packages/zen/src/election-log.ts
+++ b/packages/zen/src/election-log.ts
@@ -12,13 +12,13 @@
   type JournalPace,
 } from '@tillerstair/journal';
 import {
-  Diff,
-  Entries,
-  flatten,
+  StateDiff,
+  TableEntries,
+  encodeState,
   Member,
-  newer,
-  patch,
-  unflatten,
+  isNewerVersion,
+  applyDiff,
+  decodeState,
   versionOf,
   type State,
 } from '@tillerstair/state';
@@ -52,8 +52,8 @@
   z.object({ t: z.literal('id'), id: z.string() }),
   z.object({ t: z.literal('vote'), term: z.number(), to: z.string() }),
   z.object({ t: z.literal('bootstrap-vote'), members: z.array(Member) }),
-  z.object({ t: z.literal('full'), state: Entries }),
-  z.object({ t: z.literal('diff'), diff: Diff }),
+  z.object({ t: z.literal('full'), state: TableEntries }),
+  z.object({ t: z.literal('diff'), diff: StateDiff }),
 ]);
 /** A record of the log. */
 export type ElectionRecord = z.infer<typeof ElectionRecord>;
@@ -63,8 +63,8 @@
   override readonly name = 'IncompleteLogError';
 }
 
-const patched = (base: State | undefined, diff: Diff): State => {
-  const next = base && patch(base, diff);
+const patched = (base: State | undefined, diff: StateDiff): State => {
+  const next = base && applyDiff(base, diff);
   if (!next)
     throw new IncompleteLogError(
       `a change of version ${diff.base.version} follows version ${base?.version ?? 'none'}`,
@@ -82,7 +82,7 @@
     case 'bootstrap-vote':
       return { ...before, bootstrapVote: record.members };
     case 'full':
-      return { ...before, accepted: unflatten(new Map(record.state)) };
+      return { ...before, accepted: decodeState(new Map(record.state)) };
     case 'diff':
       return { ...before, accepted: patched(before.accepted, record.diff) };
   }
@@ -96,7 +96,7 @@
     { t: 'vote', term, to: votedFor },
   ];
   if (bootstrapVote.length > 0) records.push({ t: 'bootstrap-vote', members: [...bootstrapVote] });
-  if (accepted) records.push({ t: 'full', state: [...flatten(accepted)] });
+  if (accepted) records.push({ t: 'full', state: [...encodeState(accepted)] });
   return records;
 };
 
@@ -114,7 +114,7 @@
       `a state of term ${after.accepted.term} was accepted in term ${after.term}`,
     );
   const isReplaced = before.accepted !== undefined && after.accepted !== before.accepted;
-  if (isReplaced && !newer(versionOf(after.accepted), versionOf(before.accepted)))
+  if (isReplaced && !isNewerVersion(versionOf(after.accepted), versionOf(before.accepted)))
     throw new IncompleteLogError('an older state follows a newer one');
 };
 
--- a/packages/zen/src/follower.ts
+++ b/packages/zen/src/follower.ts
@@ -3,7 +3,7 @@
  * follows it until that fails. Owns whom this node joins and whom it follows.
  */
 import type { Member, State } from '@tillerstair/state';
-import { pause, type Log } from '@tillerstair/wire';
+import { delay, type Logger } from '@tillerstair/wire';
 import { acceptedVersion } from './election-store.js';
 import type { RequestOptions } from './gather-votes.js';
 import type { InterruptibleSleep } from './interruptible-sleep.js';
@@ -19,7 +19,7 @@
 
 /** What following a master needs of a node. */
 export interface FollowerOptions extends RequestOptions {
-  readonly log: Log;
+  readonly log: Logger;
   readonly localNode: LocalNode;
   readonly pendingJoins: PendingJoins;
   readonly readLease: ReadLease;
@@ -68,7 +68,7 @@
     log.info('Lost the master.');
     this.followed = undefined;
     if (localNode.accepted === undefined)
-      await pause(clock, bounds.heartbeatInterval / blankPausesPerHeartbeat, stopping);
+      await delay(clock, bounds.heartbeatInterval / blankPausesPerHeartbeat, stopping);
   }
 
   private async join(master: Member): Promise<void> {
--- a/packages/zen/src/gather-votes.ts
+++ b/packages/zen/src/gather-votes.ts
@@ -1,6 +1,13 @@
 /** A candidate's request for votes to the nodes that joined it (docs/zen.md, "Fence"). */
-import { newer, quorum, unflatten, versionOf, type Member, type State } from '@tillerstair/state';
-import { pause, type Clock, type Transport } from '@tillerstair/wire';
+import {
+  isNewerVersion,
+  hasQuorum,
+  decodeState,
+  versionOf,
+  type Member,
+  type State,
+} from '@tillerstair/state';
+import { delay, type Clock, type Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import { ValidateResponse } from './messages.js';
 
@@ -47,9 +54,9 @@
     return { granted: new Set(this.granted), newest: this.newest };
   }
 
-  get hasQuorum(): boolean {
+  get hasVoterQuorum(): boolean {
     const voted = new Set([this.options.localMember.id, ...this.granted]);
-    return quorum(this.accepted.voters, voted);
+    return hasQuorum(this.accepted.voters, voted);
   }
 
   /** Resolves once every request is answered or has failed; never rejects. */
@@ -68,10 +75,10 @@
       to: voter.id,
     };
     const response = ValidateResponse.parse(
-      await transport.call(voter.addr, 'zen/validate', body, { within: bounds.joinWait }),
+      await transport.call(voter.addr, 'zen/validate', body, { timeoutMs: bounds.joinWait }),
     );
-    const state = response.state ? unflatten(new Map(response.state)) : undefined;
-    if (state && newer(versionOf(state), versionOf(this.newest))) this.newest = state;
+    const state = response.state ? decodeState(new Map(response.state)) : undefined;
+    if (state && isNewerVersion(versionOf(state), versionOf(this.newest))) this.newest = state;
     this.granted.add(voter.id);
   }
 }
@@ -90,8 +97,8 @@
   const round = new VoteRound(options, accepted, term);
   void round.requestVotes(joiners);
   const end = clock.now() + bounds.joinWait;
-  while (round.isOpen && clock.now() < end && !round.hasQuorum)
-    await pause(clock, bounds.heartbeatInterval / checksPerHeartbeat);
-  if (round.isOpen) await pause(clock, bounds.heartbeatInterval / lateVotesPerHeartbeat);
+  while (round.isOpen && clock.now() < end && !round.hasVoterQuorum)
+    await delay(clock, bounds.heartbeatInterval / checksPerHeartbeat);
+  if (round.isOpen) await delay(clock, bounds.heartbeatInterval / lateVotesPerHeartbeat);
   return round.votes;
 };
--- a/packages/zen/src/interruptible-sleep.ts
+++ b/packages/zen/src/interruptible-sleep.ts
@@ -1,5 +1,5 @@
 /** Pauses that another part of the node may end early, such as the wait before the next ping of a master. */
-import { pause, type Clock } from '@tillerstair/wire';
+import { delay, type Clock } from '@tillerstair/wire';
 
 /** Holds at most one pause at a time; `wake` ends the one that is under way. */
 export class InterruptibleSleep {
@@ -15,6 +15,6 @@
   /** Resolves after so many milliseconds, or when `wake` is called. */
   sleep(ms: number): Promise<void> {
     this.sleeper = new AbortController();
-    return pause(this.clock, ms, this.sleeper.signal);
+    return delay(this.clock, ms, this.sleeper.signal);
   }
 }
--- a/packages/zen/src/join-master.ts
+++ b/packages/zen/src/join-master.ts
@@ -1,6 +1,11 @@
 /** A node's blocking join of the master that it elected, with retries (docs/zen.md, "Kept, on the ordinary path"). */
 import type { Member } from '@tillerstair/state';
-import { ConnectionRefusedError, RpcError, toRpcError } from '@tillerstair/wire';
+import {
+  ConnectionRefusedError,
+  ElectionError,
+  type RpcError,
+  toRpcError,
+} from '@tillerstair/wire';
 import type { RequestOptions } from './gather-votes.js';
 import { PingResponse, type Join, type Ping } from './messages.js';
 
@@ -12,10 +17,10 @@
   master: Member,
   ping: Ping,
 ): Promise<void> => {
-  const within = bounds.pingWait;
-  const response = await transport.call(master.addr, 'zen/ping', ping, { within });
+  const timeoutMs = bounds.pingWait;
+  const response = await transport.call(master.addr, 'zen/ping', ping, { timeoutMs });
   if (PingResponse.parse(response).from.id !== master.id)
-    throw new RpcError('other-node', `${master.addr} is another node now`);
+    throw new ElectionError('other-node', `${master.addr} is another node now`);
 };
 
 /**
@@ -32,7 +37,7 @@
   await requireSameNode(options, master, ping);
   for (let attempt = 1; ; attempt++) {
     try {
-      await transport.call(master.addr, 'zen/join', join, { within: bounds.joinWait });
+      await transport.call(master.addr, 'zen/join', join, { timeoutMs: bounds.joinWait });
       return;
     } catch (e) {
       const error = toRpcError(e);
--- a/packages/zen/src/master-fault-detection.ts
+++ b/packages/zen/src/master-fault-detection.ts
@@ -3,7 +3,7 @@
  * heartbeat, and leaves it after the failure timeout without a response or a second refused connection, or as soon as
  * the master answers that it leads no more, in a lower term, or twice without listing this node.
  */
-import { newer, versionOf, type Member, type State } from '@tillerstair/state';
+import { isNewerVersion, versionOf, type Member, type State } from '@tillerstair/state';
 import { ConnectionRefusedError, type Clock, type Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { InterruptibleSleep } from './interruptible-sleep.js';
@@ -107,15 +107,15 @@
       applied: versionOf(this.applied()),
       report: this.report(),
     };
-    const within = this.bounds.failureTimeout;
+    const timeoutMs = this.bounds.failureTimeout;
     return MasterPingResponse.parse(
-      await this.transport.call(master.addr, 'zen/master-ping', ping, { within }),
+      await this.transport.call(master.addr, 'zen/master-ping', ping, { timeoutMs }),
     );
   }
 
   /** The lease is dated back to the master's last contact with a majority (docs/design.md, "Freshness"). */
   private renewLease(response: MasterPingResponse, sentAt: number): void {
-    if (!response.listed || newer(response.committed, versionOf(this.applied()))) return;
+    if (!response.listed || isNewerVersion(response.committed, versionOf(this.applied()))) return;
     this.readLease.renew(sentAt - response.age);
     this.onListReport(response.reported, sentAt);
   }
--- a/packages/zen/src/master-finder.ts
+++ b/packages/zen/src/master-finder.ts
@@ -3,7 +3,7 @@
  * where the cluster is new, or by the choice of a master. Owns the count of rounds that found none.
  */
 import type { Member } from '@tillerstair/state';
-import { pause, type Clock, type Log } from '@tillerstair/wire';
+import { delay, type Clock, type Logger } from '@tillerstair/wire';
 import type { Bootstrapper } from './bootstrapper.js';
 import type { ZenBounds } from './bounds.js';
 import { elect } from './elect.js';
@@ -21,7 +21,7 @@
 export interface MasterFinderOptions {
   readonly clock: Clock;
   readonly bounds: ZenBounds;
-  readonly log: Log;
+  readonly log: Logger;
   readonly localNode: LocalNode;
   readonly knownMembers: KnownMembers;
   readonly pendingJoins: PendingJoins;
@@ -39,7 +39,7 @@
 export class MasterFinder {
   private readonly clock: Clock;
   private readonly bounds: ZenBounds;
-  private readonly log: Log;
+  private readonly log: Logger;
   private readonly localNode: LocalNode;
   private readonly knownMembers: KnownMembers;
   private readonly pendingJoins: PendingJoins;
@@ -80,7 +80,7 @@
   /** A node that cannot sync a vote neither stands for election nor joins; it only answers pings. */
   private async waitForDisk(): Promise<undefined> {
     this.pendingJoins.rejectAll();
-    await pause(this.clock, this.bounds.diskRetryEvery, this.stopping);
+    await delay(this.clock, this.bounds.diskRetryEvery, this.stopping);
   }
 
   private async bootstrap(round: PingRoundResult): Promise<boolean> {
@@ -100,7 +100,7 @@
       this.log.debug(`No master yet: ${result.reason}.`);
       this.roundsWithoutMaster = Math.min(this.roundsWithoutMaster + 1, maxCountedRounds);
       const wait = (this.bounds.heartbeatInterval / pausesPerHeartbeat) * this.roundsWithoutMaster;
-      await pause(this.clock, wait, this.stopping);
+      await delay(this.clock, wait, this.stopping);
       return undefined;
     }
     this.roundsWithoutMaster = 0;
--- a/packages/zen/src/messages.ts
+++ b/packages/zen/src/messages.ts
@@ -2,7 +2,13 @@
  * Messages between nodes, as they go over the inner wire: their names and forms are part of the protocol. Each is parsed
  * where it arrives, and nowhere else.
  */
-import { Diff, Entries, Member, StateVersion, VotingConfiguration } from '@tillerstair/state';
+import {
+  StateDiff,
+  TableEntries,
+  Member,
+  StateVersion,
+  VotingConfiguration,
+} from '@tillerstair/state';
 import { z } from 'zod';
 
 /** `zen/ping`: who asks, the controls it knows of, and its cluster (empty if it has none). */
@@ -53,7 +59,10 @@
 });
 
 /** The response to a validation is a vote on disk, with the accepted state if that is ahead. */
-export const ValidateResponse = z.object({ accepted: StateVersion, state: Entries.optional() });
+export const ValidateResponse = z.object({
+  accepted: StateVersion,
+  state: TableEntries.optional(),
+});
 /** A vote, or the confirmation of one. */
 export type ValidateResponse = z.infer<typeof ValidateResponse>;
 
@@ -68,7 +77,7 @@
 export type Publish = z.infer<typeof Publish>;
 
 /** A published state: the difference from the one before, or all of it. */
-export const Payload = z.union([z.object({ diff: Diff }), z.object({ full: Entries })]);
+export const Payload = z.union([z.object({ diff: StateDiff }), z.object({ full: TableEntries })]);
 /** What a publish carries. */
 export type Payload = z.infer<typeof Payload>;
 
--- a/packages/zen/src/pending-joins.ts
+++ b/packages/zen/src/pending-joins.ts
@@ -2,7 +2,7 @@
  * Joins that reach a control while it looks for a master (docs/zen.md, "Kept, on the ordinary path"): queued until it
  * either leads and answers them, or follows another and rejects them with "not master".
  */
-import { RpcError } from '@tillerstair/wire';
+import { ElectionError } from '@tillerstair/wire';
 import type { Join, JoinResponse } from './messages.js';
 
 /** A join whose sender waits for its response. */
@@ -24,10 +24,10 @@
   /** Resolves when a master has validated the join; rejects it with `not-master` while none are queued. */
   add(join: Join): Promise<JoinResponse> {
     const { queue } = this;
-    if (!queue) return Promise.reject(new RpcError('not-master', 'this node follows another'));
+    if (!queue) return Promise.reject(new ElectionError('not-master', 'this node follows another'));
     return new Promise((resolve, reject) => {
       const earlier = queue.get(join.from.id);
-      earlier?.reject(new RpcError('superseded', 'a later join replaced this one'));
+      earlier?.reject(new ElectionError('superseded', 'a later join replaced this one'));
       queue.set(join.from.id, { join, resolve, reject });
     });
   }
@@ -52,6 +52,6 @@
   /** Rejects all joins, since another control leads or none can, and queues no more. */
   rejectAll(): void {
     for (const pending of this.take())
-      pending.reject(new RpcError('not-master', 'another control was elected'));
+      pending.reject(new ElectionError('not-master', 'another control was elected'));
   }
 }
--- a/packages/zen/src/ping-round.ts
+++ b/packages/zen/src/ping-round.ts
@@ -1,5 +1,11 @@
 /** One round of pings to the seeds and every control they name (docs/zen.md, "A round may end early"). */
-import { pause, RequestTimeoutError, within, type Clock, type Transport } from '@tillerstair/wire';
+import {
+  delay,
+  RequestTimeoutError,
+  withTimeout,
+  type Clock,
+  type Transport,
+} from '@tillerstair/wire';
 import type { KnownMembers } from './known-members.js';
 import { PingResponse, type Ping } from './messages.js';
 
@@ -59,7 +65,7 @@
     this.askNewAddresses();
     if (this.openRequests > 0) {
       const ended = AbortSignal.any([this.stopping, this.allAnswered.signal]);
-      await pause(this.clock, this.pingWait, ended);
+      await delay(this.clock, this.pingWait, ended);
     }
     return { startedAt: this.startedAt, pingResponses: [...this.pingResponses.values()] };
   }
@@ -81,8 +87,13 @@
     const remaining = this.startedAt + this.pingWait - this.clock.now();
     if (remaining <= 0 || this.stopping.aborted) return;
     try {
-      const call = this.transport.call(addr, 'zen/ping', this.ping(), { within: remaining });
-      const body = await within(this.clock, remaining, call, () => new RequestTimeoutError(addr));
+      const call = this.transport.call(addr, 'zen/ping', this.ping(), { timeoutMs: remaining });
+      const body = await withTimeout(
+        this.clock,
+        remaining,
+        call,
+        () => new RequestTimeoutError(addr),
+      );
       this.onResponse(addr, PingResponse.parse(body));
     } catch {
       this.knownMembers.noteMissedReply(addr);
--- a/packages/zen/src/publish-receiver.ts
+++ b/packages/zen/src/publish-receiver.ts
@@ -6,15 +6,15 @@
 import { inflateSync } from 'node:zlib';
 import {
   isSameVersion,
-  newer,
-  patch,
-  unflatten,
+  isNewerVersion,
+  applyDiff,
+  decodeState,
   versionOf,
   type Member,
   type State,
   type StateVersion,
 } from '@tillerstair/state';
-import { RpcError, TaskQueue } from '@tillerstair/wire';
+import { ElectionError, TaskQueue } from '@tillerstair/wire';
 import type { ElectionStore } from './election-store.js';
 import { Payload, Publish, type Accepted } from './messages.js';
 
@@ -44,11 +44,11 @@
   const isAccepted = (version: StateVersion): boolean =>
     accepted !== undefined && isSameVersion(versionOf(accepted), version);
   if ('full' in payload) {
-    const state = unflatten(new Map(payload.full));
+    const state = decodeState(new Map(payload.full));
     return isAccepted(versionOf(state)) ? { kind: 'already-accepted' } : { kind: 'state', state };
   }
   if (isAccepted(payload.diff.to)) return { kind: 'already-accepted' };
-  const state = accepted && patch(accepted, payload.diff);
+  const state = accepted && applyDiff(accepted, payload.diff);
   return state ? { kind: 'state', state } : { kind: 'other-base' };
 };
 
@@ -78,7 +78,8 @@
   /** Applies a committed state; one that is not newer than the applied state is passed over. */
   apply(state: State): Promise<void> {
     return this.applyQueue.run(async () => {
-      if (this.appliedState && !newer(versionOf(state), versionOf(this.appliedState))) return;
+      if (this.appliedState && !isNewerVersion(versionOf(state), versionOf(this.appliedState)))
+        return;
       await this.onApplied(state);
       this.appliedState = state;
     });
@@ -108,24 +109,33 @@
   private requireCluster({ from, clusterId }: Publish): void {
     const localClusterId = this.electionStore.persisted.accepted?.clusterId ?? '';
     const isExpected = localClusterId ? localClusterId === clusterId : this.isMaster(from.id);
-    if (!isExpected) throw new RpcError('other-cluster', 'this node is not of that cluster');
+    if (!isExpected) throw new ElectionError('other-cluster', 'this node is not of that cluster');
   }
 
   private requireTerm({ from, term }: Publish): void {
     const { term: votedTerm, votedFor } = this.electionStore.persisted;
     if (term < votedTerm || (term === votedTerm && votedFor !== from.id))
-      throw new RpcError('stale-term', `this node has voted for ${votedFor} in term ${votedTerm}`);
+      throw new ElectionError(
+        'stale-term',
+        `this node has voted for ${votedFor} in term ${votedTerm}`,
+      );
   }
 
   private async accept({ from, term }: Publish, state: State): Promise<Accepted> {
     const { electionStore } = this;
     if (state.term !== term)
-      throw new RpcError('stale-state', `a state of term ${state.term} is published in ${term}`);
+      throw new ElectionError(
+        'stale-state',
+        `a state of term ${state.term} is published in ${term}`,
+      );
     this.requireNewer(state);
     this.onTerm(term, from);
     if (term > electionStore.persisted.term) await electionStore.recordVote(term, from.id);
     if (electionStore.persisted.term !== term)
-      throw new RpcError('stale-term', `voted in term ${electionStore.persisted.term} meanwhile`);
+      throw new ElectionError(
+        'stale-term',
+        `voted in term ${electionStore.persisted.term} meanwhile`,
+      );
     this.requireNewer(state);
     await electionStore.accept(state);
     this.onPublished(from);
@@ -135,17 +145,17 @@
   /** Checked before the vote, and again after it: another state may have been accepted while it was stored. */
   private requireNewer(state: State): void {
     const { accepted } = this.electionStore.persisted;
-    if (accepted && !newer(versionOf(state), versionOf(accepted)))
-      throw new RpcError('stale-state', 'a newer state has been accepted');
+    if (accepted && !isNewerVersion(versionOf(state), versionOf(accepted)))
+      throw new ElectionError('stale-state', 'a newer state has been accepted');
   }
 
   /** Applies the accepted state if that is the committed one; rejects with `not-held` if it is another. */
   async onCommit(committed: StateVersion): Promise<object> {
     const { accepted } = this.electionStore.persisted;
-    if (!accepted) throw new RpcError('not-held', 'no state has been accepted');
-    if (this.applied && !newer(committed, versionOf(this.applied))) return {};
+    if (!accepted) throw new ElectionError('not-held', 'no state has been accepted');
+    if (this.applied && !isNewerVersion(committed, versionOf(this.applied))) return {};
     if (!isSameVersion(versionOf(accepted), committed))
-      throw new RpcError('not-held', 'that state has not been accepted');
+      throw new ElectionError('not-held', 'that state has not been accepted');
     await this.apply(accepted);
     return {};
   }
--- a/packages/zen/src/read-lease-renewal.ts
+++ b/packages/zen/src/read-lease-renewal.ts
@@ -2,7 +2,7 @@
  * Keeps the read lease of a front from running out while its master is silent (docs/design.md, "Freshness and the read
  * lease"): a ping round in which a majority of controls hold nothing newer renews it as well as the master does.
  */
-import { pause, type Clock } from '@tillerstair/wire';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { PingRoundResult } from './ping-round.js';
 
@@ -25,7 +25,7 @@
 export const renewReadLease = async (options: ReadLeaseRenewalOptions): Promise<void> => {
   const { clock, bounds, stopping } = options;
   while (!stopping.aborted) {
-    await pause(clock, bounds.heartbeatInterval / checksPerHeartbeat, stopping);
+    await delay(clock, bounds.heartbeatInterval / checksPerHeartbeat, stopping);
     const isHalfOver = clock.now() - options.renewedAt() > bounds.readLease / 2;
     if (options.isFollowing() && isHalfOver) options.onRound(await options.pingRound());
   }
--- a/packages/zen/src/request-dispatcher.ts
+++ b/packages/zen/src/request-dispatcher.ts
@@ -2,8 +2,8 @@
  * Requests of other nodes, by kind: each is parsed here, refused if it is for another node, and handed to the part of
  * this node that answers it.
  */
-import { reduce, versionOf, type State } from '@tillerstair/state';
-import { RpcError, type RpcRequest } from '@tillerstair/wire';
+import { reduceState, versionOf, type State } from '@tillerstair/state';
+import { ElectionError, ProtocolError, type RpcRequest } from '@tillerstair/wire';
 import { requireAddressee } from './addressee.js';
 import type { Bootstrapper } from './bootstrapper.js';
 import type { Follower } from './follower.js';
@@ -90,7 +90,7 @@
   async handle(request: RpcRequest): Promise<unknown> {
     requireAddressee(this.localNode.member, request, (from) => this.knownMembers.learn([from]));
     const handler = this.handlers.get(request.kind);
-    if (!handler) throw new RpcError('unknown-kind', `no such request: ${request.kind}`);
+    if (!handler) throw new ProtocolError('unknown-kind', `no such request: ${request.kind}`);
     return await handler(request.body);
   }
 
@@ -103,7 +103,7 @@
   private onJoin(join: Join): Promise<JoinResponse> {
     const { clusterId } = this.localNode;
     if (join.clusterId && join.clusterId !== clusterId)
-      throw new RpcError('other-cluster', `this is cluster ${clusterId}`);
+      throw new ElectionError('other-cluster', `this is cluster ${clusterId}`);
     const master = this.leadership.active;
     if (master) return master.onJoin(join);
     const response = this.pendingJoins.add(join);
@@ -139,7 +139,7 @@
 
   private async onLeave({ from }: Leave): Promise<object> {
     const { id } = from;
-    await this.leadership.active?.submit((state) => reduce(state, { kind: 'leave', id }));
+    await this.leadership.active?.submit((state) => reduceState(state, { kind: 'leave', id }));
     return {};
   }
 }
--- a/packages/zen/src/vote.ts
+++ b/packages/zen/src/vote.ts
@@ -1,6 +1,6 @@
 /** A vote for a candidate: this node follows nobody else in its term. Given only once it is on disk. */
-import { flatten, newer, versionOf } from '@tillerstair/state';
-import { RpcError } from '@tillerstair/wire';
+import { encodeState, isNewerVersion, versionOf } from '@tillerstair/state';
+import { ElectionError } from '@tillerstair/wire';
 import type { ElectionStore, PersistentState } from './election-store.js';
 import { Validate, type ValidateResponse } from './messages.js';
 
@@ -8,7 +8,7 @@
 const requireVoteIsFree = (persisted: PersistentState, candidateId: string, term: number): void => {
   const isTaken = persisted.votedFor !== '' && persisted.votedFor !== candidateId;
   if (term < persisted.term || (term === persisted.term && isTaken))
-    throw new RpcError(
+    throw new ElectionError(
       'stale-term',
       `this node has voted for ${persisted.votedFor} in term ${persisted.term}`,
     );
@@ -24,18 +24,18 @@
   body: unknown,
 ): Promise<ValidateResponse> => {
   const { from, term, clusterId, have } = Validate.parse(body);
-  if (joiningId !== from.id) throw new RpcError('not-joining', 'this node is not joining you');
+  if (joiningId !== from.id) throw new ElectionError('not-joining', 'this node is not joining you');
   const localClusterId = electionStore.persisted.accepted?.clusterId ?? '';
   if (localClusterId && localClusterId !== clusterId)
-    throw new RpcError('other-cluster', `this is cluster ${localClusterId}`);
+    throw new ElectionError('other-cluster', `this is cluster ${localClusterId}`);
   requireVoteIsFree(electionStore.persisted, from.id, term);
   if (term !== electionStore.persisted.term || electionStore.persisted.votedFor !== from.id)
     await electionStore.recordVote(term, from.id);
   else await electionStore.synced();
   const { accepted } = electionStore.persisted;
-  const isAhead = accepted !== undefined && newer(versionOf(accepted), have);
+  const isAhead = accepted !== undefined && isNewerVersion(versionOf(accepted), have);
   return {
     accepted: versionOf(accepted),
-    ...(isAhead ? { state: [...flatten(accepted)] } : {}),
+    ...(isAhead ? { state: [...encodeState(accepted)] } : {}),
   };
 };
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -4,11 +4,11 @@
  */
 import type { Member, Replication, State } from '@tillerstair/state';
 import {
-  lasting,
-  pause,
+  createAbortController,
+  delay,
   toRpcError,
   type Clock,
-  type Log,
+  type Logger,
   type RpcRequest,
   type Transport,
 } from '@tillerstair/wire';
@@ -43,7 +43,7 @@
   readonly transport: Transport;
   readonly electionStore: ElectionStore;
   readonly bounds: ZenBounds;
-  readonly log: Log;
+  readonly log: Logger;
   /** Number of slots, used when the cluster is bootstrapped. */
   readonly slots: number;
   /** Replicas and write quorum of every slot, used when the cluster is bootstrapped. */
@@ -70,8 +70,8 @@
 export class ZenNode {
   private readonly clock: Clock;
   private readonly bounds: ZenBounds;
-  private readonly log: Log;
-  private readonly stopping = lasting();
+  private readonly log: Logger;
+  private readonly stopping = createAbortController();
   private readonly sleep: InterruptibleSleep;
   private readonly readLease = new ReadLease();
   private readonly pendingJoins = new PendingJoins();
@@ -121,7 +121,7 @@
       follower: this.follower,
       receiver: this.receiver,
     });
-    transport.onLost((addr) => this.onConnectionLost(addr));
+    transport.onConnectionLost((addr) => this.onConnectionLost(addr));
     const { accepted } = this.localNode;
     if (accepted) this.learnMembers(accepted);
   }
@@ -263,7 +263,7 @@
       } catch (e) {
         this.log.warn(`Round ended: ${toRpcError(e).message}.`);
         const wait = this.bounds.heartbeatInterval / errorPausesPerHeartbeat;
-        await pause(this.clock, wait, this.stopping.signal);
+        await delay(this.clock, wait, this.stopping.signal);
       }
     }
     this.pendingJoins.rejectAll();
--- a/tests/src/support/zen-node-rig.ts
+++ b/tests/src/support/zen-node-rig.ts
@@ -1,7 +1,7 @@
 /** One node of a cluster whose peers are scripted, for unit tests of what it sends, answers and refuses. */
 import { SimClock } from '@tillerstair/sim';
 import { type Member, type State } from '@tillerstair/state';
-import { ConnectionRefusedError, noLog, pause } from '@tillerstair/wire';
+import { ConnectionRefusedError, silentLogger, delay } from '@tillerstair/wire';
 import {
   MemoryElectionStore,
   ZenNode,
@@ -53,7 +53,7 @@
     more: Partial<ZenNodeOptions>,
   ) {
     this.transport = new ScriptedTransport(async (request) => {
-      await pause(this.clock, roundTripMs);
+      await delay(this.clock, roundTripMs);
       const answer = answers[request.kind];
       if (!answer) throw new ConnectionRefusedError(request.to);
       return answer(request);
@@ -65,7 +65,7 @@
       transport: this.transport,
       electionStore,
       bounds,
-      log: noLog,
+      log: silentLogger,
       slots: 1,
       ...more,
     });
--- a/tests/src/support/zen-rig.ts
+++ b/tests/src/support/zen-rig.ts
@@ -1,6 +1,12 @@
 /** Members, states, messages and a scripted transport for unit tests of discovery, election and publishing. */
 import { deflateSync } from 'node:zlib';
-import { bootstrapState, diffOf, flatten, type Member, type State } from '@tillerstair/state';
+import {
+  bootstrapState,
+  diffStates,
+  encodeState,
+  type Member,
+  type State,
+} from '@tillerstair/state';
 import { toRpcError, type Transport } from '@tillerstair/wire';
 import { MemoryElectionStore, zenBounds, type PingResponse } from '@tillerstair/zen';
 
@@ -42,7 +48,7 @@
   to,
   term: state.term,
   clusterId: state.clusterId,
-  packed: pack({ full: [...flatten(state)] }),
+  packed: pack({ full: [...encodeState(state)] }),
 });
 
 /** The body of a publish of the difference between two states. */
@@ -50,7 +56,7 @@
   from,
   term: state.term,
   clusterId: state.clusterId,
-  packed: pack({ diff: diffOf(base, state) }),
+  packed: pack({ diff: diffStates(base, state) }),
 });
 
 /** The reply of a control of cluster `x` that is able to win. */
@@ -138,7 +144,7 @@
     return Promise.resolve();
   }
 
-  onLost(): void {
+  onConnectionLost(): void {
     return undefined;
   }
 
--- a/tests/src/zen/bootstrap.test.ts
+++ b/tests/src/zen/bootstrap.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
 import { type Member } from '@tillerstair/state';
-import { noLog } from '@tillerstair/wire';
+import { silentLogger } from '@tillerstair/wire';
 import {
   Bootstrapper,
   closureOf,
@@ -48,7 +48,7 @@
     transport,
     electionStore,
     bounds,
-    log: noLog,
+    log: silentLogger,
     slots: 1,
   });
   /** Two rounds that saw the same, as far apart as a bootstrap needs. */
--- a/tests/src/zen/election-store.test.ts
+++ b/tests/src/zen/election-store.test.ts
@@ -3,8 +3,8 @@
 import * as assert from 'uvu/assert';
 import { frame } from '@tillerstair/journal';
 import { Life, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
-import { diffOf, flatten, type State } from '@tillerstair/state';
-import { noLog } from '@tillerstair/wire';
+import { diffStates, encodeState, type State } from '@tillerstair/state';
+import { silentLogger } from '@tillerstair/wire';
 import { DiskElectionStore } from '@tillerstair/zen';
 import { a, b, outcomeOf, stateAt } from '../support/zen-rig.js';
 
@@ -16,7 +16,7 @@
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
   const warnings: string[] = [];
-  const log = { ...noLog, warn: (text: string) => warnings.push(text) };
+  const log = { ...silentLogger, warn: (text: string) => warnings.push(text) };
   const pace = { clock, syncWithin: 1500, retryEvery: 250, log };
   const disk = () => platter.disk(clock, new Life());
   const open = (freshId = 'fresh', rewriteAt = 1 << 20): Promise<DiskElectionStore> =>
@@ -35,8 +35,8 @@
 
 const id = { t: 'id', id: 'me' };
 const vote = (term: number, to: string): object => ({ t: 'vote', term, to });
-const full = (state: State): object => ({ t: 'full', state: [...flatten(state)] });
-const diff = (from: State, to: State): object => ({ t: 'diff', diff: diffOf(from, to) });
+const full = (state: State): object => ({ t: 'full', state: [...encodeState(state)] });
+const diff = (from: State, to: State): object => ({ t: 'diff', diff: diffStates(from, to) });
 
 /** The id that a member goes on with after it has read these records, and the warnings it gave. */
 const reopened = async (...records: readonly object[]) => {
--- a/tests/src/zen/joining.test.ts
+++ b/tests/src/zen/joining.test.ts
@@ -2,8 +2,13 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
-import { flatten, type State } from '@tillerstair/state';
-import { ConnectionRefusedError, pause, RequestTimeoutError, RpcError } from '@tillerstair/wire';
+import { encodeState, type State } from '@tillerstair/state';
+import {
+  ConnectionRefusedError,
+  delay,
+  RequestTimeoutError,
+  ElectionError,
+} from '@tillerstair/wire';
 import { gatherVotes, joinMaster, type Join, type Ping } from '@tillerstair/zen';
 import {
   a,
@@ -47,7 +52,7 @@
 });
 
 joins('is not tried again with a node that is no master, or does not run', async () => {
-  for (const error of [new RpcError('not-master', ''), new ConnectionRefusedError(a.addr)]) {
+  for (const error of [new ElectionError('not-master', ''), new ConnectionRefusedError(a.addr)]) {
     const { outcome, transport } = await joinRefusedWith(error);
     assert.is(outcome, error.code);
     assert.is(transport.count('zen/join'), 1);
@@ -61,7 +66,7 @@
   const clock = new SimClock();
   const transport = new ScriptedTransport(async ({ to }) => {
     const answer = answers.get(to);
-    await pause(clock, answer === undefined ? bounds.joinWait : 1);
+    await delay(clock, answer === undefined ? bounds.joinWait : 1);
     if (answer === undefined) throw new RequestTimeoutError(to);
     if (answer instanceof Error) throw answer;
     return answer;
@@ -72,11 +77,11 @@
 };
 const granted = (state?: State): object => ({
   accepted: { term: state?.term ?? 0, version: state?.version ?? 1 },
-  ...(state ? { state: [...flatten(state)] } : {}),
+  ...(state ? { state: [...encodeState(state)] } : {}),
 });
 
 candidates('counts the votes that were granted, not those refused or missing', async () => {
-  const refused = new RpcError('stale-term', '');
+  const refused = new ElectionError('stale-term', '');
   const votes = await gather(new Map([[b.addr, refused]]));
   assert.equal([...votes.granted], []);
   const one = await gather(
--- a/tests/src/zen/leading.test.ts
+++ b/tests/src/zen/leading.test.ts
@@ -1,8 +1,8 @@
 /** When an elected control leads, and what makes a master step down. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { flatten, type State } from '@tillerstair/state';
-import { RpcError } from '@tillerstair/wire';
+import { encodeState, type State } from '@tillerstair/state';
+import { ElectionError } from '@tillerstair/wire';
 import {
   answersWith,
   followersOfA,
@@ -39,7 +39,7 @@
 });
 
 leads('does not lead without the votes of a majority', async () => {
-  const refused = () => Promise.reject(new RpcError('stale-term', ''));
+  const refused = () => Promise.reject(new ElectionError('stale-term', ''));
   const rig = await nodeRig({ answers: { ...followersOfA, 'zen/validate': refused } });
   await rig.startFor(settleMs);
   assert.is(await rig.clock.finish('join', outcomeOf(rig.join(b)), bounds.joinWait), 'not-master');
@@ -51,8 +51,8 @@
   const store = member('s', 'store');
   const validate = ({ to }: { to: string }): Promise<unknown> =>
     to === `${voter}:1`
-      ? Promise.resolve({ accepted: { term: 0, version: 2 }, state: [...flatten(state)] })
-      : Promise.reject(new RpcError('stale-term', ''));
+      ? Promise.resolve({ accepted: { term: 0, version: 2 }, state: [...encodeState(state)] })
+      : Promise.reject(new ElectionError('stale-term', ''));
   const rig = await nodeRig({ answers: { ...followersOfA, 'zen/validate': validate } });
   await rig.startFor(settleMs);
   void rig.join(store).catch(() => undefined);
--- a/tests/src/zen/ping-rounds.test.ts
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
-import { ConnectionRefusedError, pause } from '@tillerstair/wire';
+import { ConnectionRefusedError, delay } from '@tillerstair/wire';
 import { KnownMembers, PingRound, type PingResponse } from '@tillerstair/zen';
 import {
   a,
@@ -62,7 +62,7 @@
   assert.equal((await refuses.round()).pingResponses, []);
   assert.is(refuses.clock.now(), before);
   const hangs = roundsOf(({ to }, clock) =>
-    pause(clock, bounds.pingWait * 9).then(() => pingResponse(member(to))),
+    delay(clock, bounds.pingWait * 9).then(() => pingResponse(member(to))),
   );
   const start = hangs.clock.now();
   assert.equal((await hangs.round()).pingResponses, []);
