--- a/packages/zen/src/bootstrapper.ts
+++ b/packages/zen/src/bootstrapper.ts
@@ -7,7 +7,7 @@
 import { closureOf, clusterIdOf, membersKey, type BootstrapView } from './bootstrap-closure.js';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
-import { BootstrapVote, Voted } from './messages.js';
+import { BootstrapVote, BootstrapVoteResponse } from './messages.js';
 
 /** What a bootstrapper needs of its node. */
 export interface BootstrapperOptions {
@@ -90,7 +90,7 @@
       const body = { from: localMember, members };
       const timeoutMs = this.bounds.joinWait;
       const response = await this.transport.call(voter.addr, 'zen/bootstrap', body, { timeoutMs });
-      return Voted.parse(response).yes;
+      return BootstrapVoteResponse.parse(response).yes;
     } catch (e) {
       this.log.warn(`No bootstrapping vote from ${voter.addr}: ${toRpcError(e).message}.`);
       return false;
@@ -115,7 +115,7 @@
   }
 
   /** Answers another control's proposal: yes only if the local last round saw exactly these members. */
-  async onVoteRequest(localMember: Member, body: unknown): Promise<Voted> {
+  async onVoteRequest(localMember: Member, body: unknown): Promise<BootstrapVoteResponse> {
     const { members } = BootstrapVote.parse(body);
     if (membersKey(members) !== this.lastClosureKey) return { yes: false };
     return { yes: await this.vote(localMember, members) };
--- a/packages/zen/src/leadership.ts
+++ b/packages/zen/src/leadership.ts
@@ -5,13 +5,13 @@
 import { toRpcError } from '@tillerstair/wire';
 import type { WonElection } from './candidate.js';
 import { Master } from './master.js';
-import type { MasterParts, MasterView } from './master-types.js';
+import type { MasterOptions, MasterView } from './master-types.js';
 import type { PendingJoin, PendingJoins } from './pending-joins.js';
-import { tellSteppedDown } from './stepped-down.js';
+import { notifySteppedDown } from './stepped-down.js';
 
 /** What a leadership needs of its node. */
 export interface LeadershipOptions {
-  readonly masterParts: MasterParts;
+  readonly masterOptions: MasterOptions;
   readonly pendingJoins: PendingJoins;
   /** Hears of each new master once it has committed its first state. */
   readonly onLead: (master: MasterView) => void;
@@ -26,13 +26,13 @@
 
 /** Runs one master at a time. */
 export class Leadership {
-  private readonly masterParts: MasterParts;
+  private readonly masterOptions: MasterOptions;
   private readonly pendingJoins: PendingJoins;
   private readonly onLead: (master: MasterView) => void;
   private running: Master | undefined;
 
   constructor(options: LeadershipOptions) {
-    this.masterParts = options.masterParts;
+    this.masterOptions = options.masterOptions;
     this.pendingJoins = options.pendingJoins;
     this.onLead = options.onLead;
   }
@@ -49,8 +49,8 @@
 
   /** Leads in the term that was won; resolves once the master has stepped down. */
   async run(election: WonElection): Promise<void> {
-    const { masterParts } = this;
-    const master = new Master(masterParts, election.term, election.newest);
+    const { masterOptions } = this;
+    const master = new Master(masterOptions, election.term, election.newest);
     this.running = master;
     const pending = this.pendingJoins.take();
     try {
@@ -64,7 +64,7 @@
       master.stepDown(toRpcError(e).message);
     } finally {
       this.running = undefined;
-      if (!masterParts.electionStore.writable) tellSteppedDown(masterParts, master.committed);
+      if (!masterOptions.electionStore.writable) notifySteppedDown(masterOptions, master.committed);
     }
   }
 
--- a/packages/zen/src/master-finder.ts
+++ b/packages/zen/src/master-finder.ts
@@ -83,6 +83,7 @@
     await delay(this.clock, this.bounds.diskRetryEvery, this.stopping);
   }
 
+  /** The bootstrapper refuses by itself beside an accepted state; to look here as well saves its work and its log lines. */
   private async bootstrap(round: PingRoundResult): Promise<boolean> {
     const { member, accepted } = this.localNode;
     if (member.kind !== 'control' || accepted || !this.mayBootstrap) return false;
--- a/packages/zen/src/messages.ts
+++ b/packages/zen/src/messages.ts
@@ -77,14 +77,17 @@
 export type Publish = z.infer<typeof Publish>;
 
 /** A published state: the difference from the one before, or all of it. */
-export const Payload = z.union([z.object({ diff: StateDiff }), z.object({ full: TableEntries })]);
+export const PublishPayload = z.union([
+  z.object({ diff: StateDiff }),
+  z.object({ full: TableEntries }),
+]);
 /** What a publish carries. */
-export type Payload = z.infer<typeof Payload>;
+export type PublishPayload = z.infer<typeof PublishPayload>;
 
 /** The response to a publish: the state is on disk, or the difference starts from a state that is not there. */
-export const Accepted = z.object({ outcome: z.enum(['accepted', 'need-full']) });
+export const PublishResponse = z.object({ outcome: z.enum(['accepted', 'need-full']) });
 /** What became of a published state. */
-export type Accepted = z.infer<typeof Accepted>;
+export type PublishResponse = z.infer<typeof PublishResponse>;
 
 /** `zen/commit`: a majority has accepted the state of this version. */
 export const Commit = z.object({ from: Member, stateVersion: StateVersion });
@@ -129,9 +132,9 @@
 export const BootstrapVote = z.object({ from: Member, members: z.array(Member) });
 
 /** The response to a bootstrap vote: yes only if it is on disk. */
-export const Voted = z.object({ yes: z.boolean() });
+export const BootstrapVoteResponse = z.object({ yes: z.boolean() });
 /** The answer to a proposal to bootstrap a cluster. */
-export type Voted = z.infer<typeof Voted>;
+export type BootstrapVoteResponse = z.infer<typeof BootstrapVoteResponse>;
 
 /** `zen/stepped-down`: the sender is master no more. */
 export const SteppedDown = z.object({ from: Member });
--- a/packages/zen/src/publish-receiver.ts
+++ b/packages/zen/src/publish-receiver.ts
@@ -16,7 +16,7 @@
 } from '@tillerstair/state';
 import { ElectionError, TaskQueue } from '@tillerstair/wire';
 import type { ElectionStore } from './election-store.js';
-import { Payload, Publish, type Accepted } from './messages.js';
+import { PublishPayload, Publish, type PublishResponse } from './messages.js';
 
 /** What a receiver needs of its node. */
 export interface PublishReceiverOptions {
@@ -37,10 +37,10 @@
   | { readonly kind: 'already-accepted' }
   | { readonly kind: 'other-base' };
 
-const unpack = (packed: string): Payload =>
-  Payload.parse(JSON.parse(inflateSync(Buffer.from(packed, 'base64')).toString('utf8')));
+const unpack = (packed: string): PublishPayload =>
+  PublishPayload.parse(JSON.parse(inflateSync(Buffer.from(packed, 'base64')).toString('utf8')));
 
-const decode = (payload: Payload, accepted: State | undefined): DecodedPublish => {
+const decode = (payload: PublishPayload, accepted: State | undefined): DecodedPublish => {
   const isAccepted = (version: StateVersion): boolean =>
     accepted !== undefined && isSameVersion(versionOf(accepted), version);
   if ('full' in payload) {
@@ -89,7 +89,7 @@
    * Accepts a published state; resolves once it is on disk, or with `need-full` if a difference starts from another
    * state than the accepted one. Rejects with `other-cluster`, `stale-term` or `stale-state`.
    */
-  async onPublish(body: unknown): Promise<Accepted> {
+  async onPublish(body: unknown): Promise<PublishResponse> {
     const publish = Publish.parse(body);
     this.requireCluster(publish);
     this.requireTerm(publish);
@@ -121,7 +121,7 @@
       );
   }
 
-  private async accept({ from, term }: Publish, state: State): Promise<Accepted> {
+  private async accept({ from, term }: Publish, state: State): Promise<PublishResponse> {
     const { electionStore } = this;
     if (state.term !== term)
       throw new ElectionError(
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -20,7 +20,7 @@
 import { InterruptibleSleep } from './interruptible-sleep.js';
 import { KnownMembers } from './known-members.js';
 import { Leadership } from './leadership.js';
-import { sayLeave } from './leave.js';
+import { leaveCluster } from './leave.js';
 import { LocalNode } from './local-node.js';
 import { MasterFinder } from './master-finder.js';
 import type { MasterView } from './master-types.js';
@@ -146,7 +146,7 @@
   private makeLeadership(): Leadership {
     const { me, transport, electionStore, settle, onReport, onLead } = this.options;
     return new Leadership({
-      masterParts: {
+      masterOptions: {
         me,
         clock: this.clock,
         transport,
@@ -244,7 +244,7 @@
 
   /** Leaves the cluster in order; resolves once nothing of this node runs any more. */
   async stop(): Promise<void> {
-    await sayLeave(this.options, this.follower.master, this.leading).catch(() => undefined);
+    await leaveCluster(this.options, this.follower.master, this.leading).catch(() => undefined);
     this.stopping.abort();
     this.leadership.master?.stepDown('stopping');
     this.sleep.wake();
--- a/tests/src/zen/finding-a-master.test.ts
+++ b/tests/src/zen/finding-a-master.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Member } from '@tillerstair/state';
-import { ConnectionRefusedError } from '@tillerstair/wire';
+import { ConnectionRefusedError, silentLogger } from '@tillerstair/wire';
 import { PingResponse } from '@tillerstair/zen';
 import {
   answersPings,
@@ -97,6 +97,17 @@
   assert.is(await bootstrapRequests({ state: undefined, me: member('a', 'store') }), 0);
 });
 
+searches('does not speak of bootstrapping once it has accepted a state', async () => {
+  const texts: string[] = [];
+  const log = { ...silentLogger, info: (text: string) => texts.push(text) };
+  const rig = await nodeRig({ answers: followersOfA, more: { log } });
+  await rig.startFor(settleMs);
+  assert.equal(
+    texts.map((text) => text.includes('ootstrapp')),
+    [false],
+  );
+});
+
 searches('asks nobody and queues no joins while its disk takes no writes', async () => {
   const electionStore = unwritable();
   const rig = await nodeRig({ electionStore, answers: followersOfA });
