--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -5,7 +5,7 @@
  */
 import { nodeViewOf, reduceState, type Member, type NodeView } from '@tillerstair/state';
 import { ElectionError, ProtocolError, toRpcError, type RpcRequest } from '@tillerstair/wire';
-import { ZenNode, type MasterView, type ZenParts } from '@tillerstair/zen';
+import { ZenNode, type MasterView, type ZenNodeOptions } from '@tillerstair/zen';
 import { AllocationController } from './allocation-controller.js';
 import { ListPoll } from './list-poll.js';
 import { ListReader, type ServerList } from './list-reader.js';
@@ -23,7 +23,7 @@
 
 /** What a control is made of: what zen needs, and the deployment's list of servers if there is one. */
 export interface ControlParts extends Omit<
-  ZenParts,
+  ZenNodeOptions,
   'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead' | 'listReport' | 'onListReport'
 > {
   readonly list?: ServerList | undefined;
