--- a/tests/src/zen/master-rig.ts
+++ b/tests/src/zen/master-rig.ts
@@ -21,7 +21,7 @@
   type ElectionStore,
   Master,
   MemoryElectionStore,
-  Payload,
+  PublishPayload,
   type PersistentState,
   Publish,
   zenBounds,
@@ -116,8 +116,8 @@
 }
 
 /** The payload of a recorded `zen/publish`. */
-export const payloadOf = (message: SentMessage): Payload =>
-  Payload.parse(
+export const payloadOf = (message: SentMessage): PublishPayload =>
+  PublishPayload.parse(
     JSON.parse(
       inflateSync(Buffer.from(Publish.parse(message.body).packed, 'base64')).toString('utf8'),
     ),
