--- a/packages/session-owner/src/operation-attempts.ts
+++ b/packages/session-owner/src/operation-attempts.ts
@@ -7,7 +7,7 @@
 import type { RouteKind, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
 import type { Attempts } from './attempt-machine.js';
-import type { Ended } from './backend.js';
+import type { BackendOutcome } from './backend.js';
 import type { CallOutcome } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
 import type { OpValue } from './stored-values.js';
@@ -34,7 +34,7 @@
   /** Whether the route says that running it twice is the same as running it once. */
   readonly idempotent: boolean;
   /** Sends it to one server. */
-  send(server: Server, signal: AbortSignal, mayStillRun: () => boolean): Promise<Ended>;
+  send(server: Server, signal: AbortSignal, mayStillRun: () => boolean): Promise<BackendOutcome>;
 }
 
 /** Whether the servers of a pool keep their own record of keys. */
@@ -61,7 +61,7 @@
 }
 
 /** Takes one operation through its attempts. */
-export class OperationAttempts implements Attempts<Ended> {
+export class OperationAttempts implements Attempts<BackendOutcome> {
   readonly kind: RouteKind;
   readonly path: string;
   readonly promptParts = [];
@@ -74,7 +74,7 @@
   private intentStored = false;
   private sent = 0;
   /** How the newest attempt ended that may have run and is to be repeated. */
-  private lost: Ended | undefined;
+  private lost: BackendOutcome | undefined;
   private serverHealthy = true;
 
   constructor(
@@ -120,11 +120,11 @@
     return this.owner.leaseValid ? undefined : this.giveUp('the control link is down');
   }
 
-  send(server: Server, mayStillRun: () => boolean): Promise<Ended> {
+  send(server: Server, mayStillRun: () => boolean): Promise<BackendOutcome> {
     return this.operation.send(server, this.signal, mayStillRun);
   }
 
-  async complete(_server: Server, ended: Ended): Promise<CallOutcome | undefined> {
+  async complete(_server: Server, ended: BackendOutcome): Promise<CallOutcome | undefined> {
     this.serverHealthy = ended.kind === 'done' || ended.kind === 'declined';
     if (ended.kind !== 'never-left') this.sent++;
     switch (ended.kind) {
@@ -175,7 +175,7 @@
       recorded: this.allServersRecord,
     };
     const tries = recordStatus === 'intent' ? intentWriteAttempts : endWriteAttempts;
-    await history.replicator.putSoon(operation.key, value, tries);
+    await history.replicator.putWithRetry(operation.key, value, tries);
   }
 
   /** Ends without a result: an operation that never ran becomes void, one that may have run stays unknown. */
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -21,12 +21,12 @@
   type Transport,
 } from '@tillerstair/wire';
 import type { PlacementRequest } from './attempt-machine.js';
-import type { Backend, ServerLoad } from './backend.js';
+import type { Backend, ReportedLoad } from './backend.js';
 import { Calls } from './calls.js';
 import { OwnedSlots } from './owned-slots.js';
 import type { FoundTurn, OwnerServices, ConfiguredState } from './owner-services.js';
 import { Placement } from './placement.js';
-import { chainOf } from './policies.js';
+import { placementPolicies } from './policies.js';
 import { ServerDispatch } from './server-dispatch.js';
 import { SlotReplicator } from './slot-replicator.js';
 import { Streams } from './streams.js';
@@ -113,28 +113,35 @@
     this.backend = backend;
     this.bounds = bounds;
     const table = (): CompiledState | undefined => this.table;
-    this.placement = new Placement(
+    this.placement = new Placement({
       clock,
       backend,
-      chainOf(parts.affinity),
-      {
-        poll: bounds.poll,
-        pollWithin: bounds.poll,
-        retryBad: bounds.heartbeatInterval,
-        sightWithin: bounds.readLease * sightShare,
-        reportValidFor: bounds.heartbeatInterval / 2,
+      policies: placementPolicies(parts.affinity),
+      bounds: {
+        pollIntervalMs: bounds.poll,
+        pollTimeoutMs: bounds.poll,
+        retryUnhealthyAfterMs: bounds.heartbeatInterval,
+        pollValidForMs: bounds.readLease * sightShare,
+        reportedLoadValidForMs: bounds.heartbeatInterval / 2,
       },
       table,
-      () => this.table?.config?.bounds.perServer ?? defaultPerServer,
-      id,
-    );
+      maxInFlightPerServer: () => this.table?.config?.bounds.perServer ?? defaultPerServer,
+      frontId: id,
+    });
     const leaseValid = (): boolean => this.leaseValid;
     this.dispatch = new ServerDispatch({ clock, placement: this.placement, table, leaseValid });
     this.slots = new OwnedSlots(id, (n, ownedSinceEpoch) => {
       // Read anew for each replicator: the bounds follow the settings file.
       const { putWithin, heartbeatInterval, retentionMs } = bounds;
-      const options = { clock, transport, log, table, putWithin, heartbeatInterval, retentionMs };
-      return new SlotReplicator(n, ownedSinceEpoch, options);
+      return new SlotReplicator(n, ownedSinceEpoch, {
+        clock,
+        transport,
+        log,
+        table,
+        putTimeoutMs: putWithin,
+        heartbeatIntervalMs: heartbeatInterval,
+        retentionMs,
+      });
     });
     this.streams = new Streams(this);
     this.turns = new Turns(this);
@@ -185,7 +192,7 @@
 
   /** Replaces the servers that get nothing until they are listed anew. */
   bar(ids: ReadonlySet<string>): void {
-    this.placement.barred = ids;
+    this.placement.setBarred(ids);
   }
 
   /** Whether requests can be served now. */
@@ -254,8 +261,8 @@
     this.dispatch.release(server, healthy, tokensPerSecond);
   }
 
-  reportLoad(server: Server, load: ServerLoad): void {
-    this.placement.reported(server, load);
+  reportLoad(server: Server, load: ReportedLoad): void {
+    this.placement.recordReportedLoad(server, load);
   }
 
   /** How much there is to do and to remember. */
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -7,13 +7,13 @@
 import { rootProgramId, type Config, type Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
 import type { Attempts } from './attempt-machine.js';
-import type { Ended, Message } from './backend.js';
+import type { BackendOutcome, ConversationMessage } from './backend.js';
 import type { CallOutcome, TurnRequest } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
 import { ProgramValue, type TurnValue } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-import { prefixesOf, type Part } from './placement.js';
+import { prefixBlocksOfMessages, type PrefixBlock } from './prompt-prefix.js';
 import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import { programKey, turnKey, turnSummary } from './turn-records.js';
@@ -37,7 +37,7 @@
   readonly config: Config;
   readonly replicator: SlotReplicator;
   /** The whole conversation, oldest first. */
-  readonly messages: readonly Message[];
+  readonly messages: readonly ConversationMessage[];
   /** The pool of the turn before; empty without one. */
   readonly stickyPool: string;
   readonly emit: EmitChunk;
@@ -45,7 +45,7 @@
 }
 
 interface GeneratedTurn {
-  readonly ended: Ended;
+  readonly ended: BackendOutcome;
   readonly chunks: string[];
   /** The answer was stopped: its chunks were out of order or too many, or the caller had gone. */
   readonly stopped: boolean;
@@ -55,7 +55,7 @@
 export class TurnAttempts implements Attempts<GeneratedTurn> {
   readonly kind = 'turn';
   readonly path: string;
-  readonly promptParts: readonly Part[];
+  readonly promptParts: readonly PrefixBlock[];
   readonly stickyPool: string;
   readonly deadline: number;
   readonly signal: AbortSignal;
@@ -64,7 +64,7 @@
   private reservation: TurnValue;
   private startedAt = 0;
   /** How the server ended, once that has been stored. */
-  private ended: Ended | undefined;
+  private ended: BackendOutcome | undefined;
   private tokens: number | undefined;
 
   constructor(
@@ -74,7 +74,7 @@
   ) {
     const { request, turn, config } = job;
     this.path = request.path;
-    this.promptParts = prefixesOf(job.messages);
+    this.promptParts = prefixBlocksOfMessages(job.messages);
     this.stickyPool = job.stickyPool;
     this.deadline = owner.clock.now() + config.bounds.turnMs * placementShare;
     this.signal = job.signal;
@@ -194,11 +194,11 @@
     const { replicator } = this.job;
     const root = this.rootProgram;
     const program = ProgramValue.parse(replicator.get(programKey(root)));
-    return program.budget - replicator.spent(root) - this.pending.of(root);
+    return program.budget - replicator.costOf(root) - this.pending.of(root);
   }
 
   private store(value: TurnValue): Promise<void> {
-    return this.job.replicator.putSoon(this.key, value, endWriteAttempts);
+    return this.job.replicator.putWithRetry(this.key, value, endWriteAttempts);
   }
 
   private storeVoid(): Promise<void> {
@@ -213,7 +213,7 @@
   }
 
   /** A turn is done only once a quorum of replicas has its text. */
-  private async storeDone(ended: Ended, chunks: string[]): Promise<CallOutcome> {
+  private async storeDone(ended: BackendOutcome, chunks: string[]): Promise<CallOutcome> {
     const value: TurnValue = {
       ...this.reservation,
       status: 'done',
--- a/tests/src/repository/stored-data.test.ts
+++ b/tests/src/repository/stored-data.test.ts
@@ -151,7 +151,7 @@
         }
         for (const { program, after, turn, key, text, sent } of answers.turns) {
           assert.is((await caller.fetch(first, program, turn)).text, text);
-          const again = await caller.turn(second, program, after, sent, key);
+          const again = await caller.turn(second, { program, after, words: sent, key });
           assert.equal([again.reported, again.turn, again.text], ['done', turn, text]);
         }
         for (const { key, body, text } of answers.calls) {
--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -73,7 +73,7 @@
   rig.changeSlot({ ownershipEpoch: 4, ownedSinceEpoch: 4 });
   await rig.slotOpen();
   assert.is.not(rig.owner.replicator('p/x'), before);
-  assert.is(before.open, false);
+  assert.is(before.isOpen, false);
 });
 
 readiness('a lease is never moved back by an older renewal', async () => {
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-rig.ts
@@ -1,5 +1,10 @@
 /** One session owner over stores and servers that a test scripts: every message, put and send is recorded in its order. */
-import type { Backend, CallOutcome, Ended, Message } from '@tillerstair/session-owner';
+import type {
+  Backend,
+  CallOutcome,
+  BackendOutcome,
+  ConversationMessage,
+} from '@tillerstair/session-owner';
 import { SessionOwner } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
 import { bootstrapState, type Server, type Slot, type State } from '@tillerstair/state';
@@ -45,7 +50,7 @@
   readonly server: string;
   readonly key: string;
   readonly body: string;
-  readonly messages: readonly Message[];
+  readonly messages: readonly ConversationMessage[];
   readonly maxTokens: number;
   readonly resume: string;
   readonly stop: AbortSignal;
@@ -53,7 +58,7 @@
 
 /** What a scripted server answers with: chunks of a turn or bytes of a stream go out before its end. */
 export interface Reply {
-  readonly ended: Ended;
+  readonly ended: BackendOutcome;
   readonly chunks?: readonly (readonly [number, string])[];
   readonly status?: number;
   readonly contentType?: string;
@@ -308,7 +313,7 @@
     sent: Sent,
     still: () => boolean,
     play: (reply: Reply) => void,
-  ): Promise<Ended> {
+  ): Promise<BackendOutcome> {
     await Promise.resolve();
     if (this.beforeSend) {
       this.beforeSend();
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -17,7 +17,7 @@
   DiskElectionStore,
   elect,
   MemoryElectionStore,
-  Receiver,
+  PublishReceiver,
   type PingResponse,
 } from '@tillerstair/zen';
 
@@ -51,13 +51,13 @@
 const receiver = () => {
   const electionStore = new MemoryElectionStore('me');
   const applied: State[] = [];
-  const r = new Receiver({
+  const r = new PublishReceiver({
     electionStore,
     onApplied: (s) => {
       applied.push(s);
       return Promise.resolve();
     },
-    knows: () => true,
+    isMaster: () => true,
     onTerm: () => undefined,
     onPublished: () => undefined,
   });
@@ -113,10 +113,10 @@
       ['me', 2, 4, 'b'],
     );
     const electionStore = await open();
-    const r = new Receiver({
+    const r = new PublishReceiver({
       electionStore,
       onApplied: () => Promise.resolve(),
-      knows: () => true,
+      isMaster: () => true,
       onTerm: () => undefined,
       onPublished: () => undefined,
     });
@@ -227,7 +227,7 @@
   () => {
     const blank = (m: Member, more: Partial<PingResponse> = {}) =>
       pingResponse(m, { clusterId: '', canWin: false, ...more });
-    const view = { me: a, seeds: [a.addr, b.addr, c.addr], heardOf: [] };
+    const view = { localMember: a, seeds: [a.addr, b.addr, c.addr], heardOf: [] };
     assert.is(closureOf({ ...view, pingResponses: [blank(b), blank(c)] }).members.length, 3);
     assert.is(closureOf({ ...view, pingResponses: [blank(b)] }).members.length, 0);
     assert.is(
