--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -38,6 +38,7 @@
         'error',
         { ignoreArrowShorthand: true, ignoreVoidReturningFunctions: true },
       ],
+      '@typescript-eslint/consistent-type-assertions': ['error', { assertionStyle: 'never' }],
       complexity: ['error', 12],
       'max-lines-per-function': ['error', { max: 60, skipBlankLines: true, skipComments: true }],
       'import-x/no-cycle': 'error',
--- a/tests/src/repository/house-rules.test.ts
+++ b/tests/src/repository/house-rules.test.ts
@@ -1,4 +1,5 @@
 import { join } from 'node:path';
+import ts from 'typescript';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { readSources } from '../support/repository.js';
@@ -31,12 +32,38 @@
   assert.equal(long, []);
 });
 
+/** Whether a node is a cast (`as const` is none) or the type `any`. */
+const isAnyOrCast = (node: ts.Node): boolean =>
+  node.kind === ts.SyntaxKind.AnyKeyword ||
+  ts.isTypeAssertionExpression(node) ||
+  (ts.isAsExpression(node) && !ts.isConstTypeReference(node.type));
+
+/** Looks at the syntax, so that the word `as` in a comment or a text is no cast. */
+const anysAndCastsIn = (file: string, text: string): readonly string[] => {
+  const source = ts.createSourceFile(file, text, ts.ScriptTarget.Latest);
+  const found: string[] = [];
+  const visit = (node: ts.Node): void => {
+    if (isAnyOrCast(node)) {
+      const { line } = source.getLineAndCharacterOfPosition(node.getStart(source));
+      found.push(`${file}:${line + 1}: ${node.getText(source)}`);
+    }
+    ts.forEachChild(node, visit);
+  };
+  visit(source);
+  return found;
+};
+
 house('no any, no casts', async () => {
   const all = await readSources();
   assert.ok(all.size > 50);
-  const others = new Map([...all].filter(([f]) => !f.endsWith('house-rules.test.ts')));
-  assert.equal(hits(others, /[:<(]\s*any\b[\s,;)>[\]=]|<any>/), []);
-  assert.equal(hits(others, /^(?!.*import).*[)\]}\w] as (?!const\b)[A-Z{\w]+(<|;|\)|,|\.|\[)/), []);
+  assert.equal(
+    [...all].flatMap(([file, text]) => anysAndCastsIn(file, text)),
+    [],
+  );
+  for (const text of ['const a: any = 1;', 'f(x as string);', 'f(<T>x);', 'const b = [y as any];'])
+    assert.ok(anysAndCastsIn('a.ts', text).length > 0, text);
+  for (const text of ["const c = ['x'] as const;", "f('as any');", '// x as Y;'])
+    assert.equal(anysAndCastsIn('a.ts', text), []);
 });
 
 house('no daemon reads the wall clock, so a jump of it changes nothing', async () => {
@@ -180,7 +207,7 @@
   'freshen',
 ];
 const allowedMentions: ReadonlyMap<string, RegExp> = new Map([
-  [join('packages', 'state', 'src', 'config.ts'), /renamedKeys/],
+  [join('packages', 'state', 'src', 'config', 'check.ts'), /renamedKeys/],
 ]);
 
 house('withdrawn words stand in no name, file or text of the code', async () => {
