--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -1,6 +1,6 @@
 /**
  * What a master does about slots, servers and voters as nodes come, go and report: it assigns owners and replicas,
- * marks servers as down, and passes the votes of lost controls on.
+ * says which servers are down, and passes the votes of lost controls on.
  *
  * Its own state is in memory only and serves decisions about time: who was silent since when, who arrived when. The
  * decisions go into the cluster state, whose reducers keep the invariants (design.md, "Slots, owners, ownership epochs").
@@ -173,7 +173,7 @@
     );
     if (!replacement) return state;
     const { lostId, spare } = replacement;
-    this.log.info(`Control ${lostId} is lost, ${spare.addr} takes its place.`);
+    this.log.info(`Control ${lostId} is lost; its vote passes to ${spare.addr}.`);
     return reduceState(state, { kind: 'voters', out: lostId, in: spare });
   }
 }
--- a/packages/control/src/messages.ts
+++ b/packages/control/src/messages.ts
@@ -4,13 +4,13 @@
  */
 import { z } from 'zod';
 
-/** A request of an operator: an HTTP method, the path of a URL, and the body as text. */
+/** A request of an operator: an HTTP method, the path of a URL, and the text of the body. */
 export const OperatorRequest = z.object({
   method: z.string(),
   path: z.string(),
   body: z.string(),
 });
-/** A request of an operator: an HTTP method, the path of a URL, and the body as text. */
+/** A request of an operator: an HTTP method, the path of a URL, and the text of the body. */
 export type OperatorRequest = z.infer<typeof OperatorRequest>;
 
 /** The answer to an operator: an HTTP status, a body for JSON, and `retryAfter` in seconds where a retry may help. */
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -115,7 +115,7 @@
   }
 
   /**
-   * Answers an operator. A server's draining mark that took longer than its bound is answered as unclear, since the
+   * Answers an operator. A server's draining mark that took longer than its bound gets an unclear answer, since the
    * bound within which fronts stop would no longer count from the request (never-list.md, draining servers).
    */
   async operate(request: OperatorRequest): Promise<OperatorResponse> {
--- a/packages/control/src/operations/accepted-change.ts
+++ b/packages/control/src/operations/accepted-change.ts
@@ -15,7 +15,7 @@
  */
 export const wasAccepted = (state: State, change: ChangeIdentity): boolean => {
   const outcome = acceptedChangeOutcome(state.acceptedChanges, change.version, change.changeId);
-  if (outcome === 'taken') return true;
+  if (outcome === 'accepted') return true;
   if (outcome === 'forgotten') throw new ForgottenChangeError(change.version);
   const currentVersion = state.config?.version ?? 0;
   if (change.base !== currentVersion) throw new WrongBaseError(currentVersion);
--- a/packages/control/src/operations/responses.ts
+++ b/packages/control/src/operations/responses.ts
@@ -48,7 +48,7 @@
     : unclear(message, how, details);
 };
 
-/** After how many seconds an operator may repeat a draining mark that was answered as late. */
+/** After how many seconds an operator may repeat a draining mark that came too late. */
 const lateMarkRetryAfterS = 1;
 
 /** A draining mark was committed, but too late for the bound of draining to count from the request. */
--- a/packages/control/src/operations/servers.ts
+++ b/packages/control/src/operations/servers.ts
@@ -1,4 +1,4 @@
-/** Operations on servers that operators name by hand: adding one, marking it as draining, removing it. */
+/** Operations on servers that operators name by hand: adding, draining and removing one. */
 import { z } from 'zod';
 import { reduceState, type Server, type State } from '@tillerstair/state';
 import { NotFoundError } from './errors.js';
@@ -62,7 +62,7 @@
 });
 
 const removeServer = (id: string): PlannedChange => ({
-  change: (state) => reduceState(state, { kind: 'server-gone', id }),
+  change: (state) => reduceState(state, { kind: 'server-removed', id }),
   view: () => ({ id, gone: true }),
 });
 
--- a/packages/control/src/slot-transfers.ts
+++ b/packages/control/src/slot-transfers.ts
@@ -15,7 +15,7 @@
     state,
   );
 
-/** Since when each marked slot has been seen as marked. */
+/** Since when each marked slot has been known to be marked. */
 export class SlotTransfers {
   private markedSince: ReadonlyMap<number, number> = new Map();
 
--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -30,7 +30,7 @@
   /** The deployment's list of servers. */
   readonly list?: ServerList;
   /** Opens a further address for operators, beside the product's own pages. */
-  readonly door?: (node: ControlNode) => Promise<OperatorListener>;
+  readonly openOperatorListener?: (node: ControlNode) => Promise<OperatorListener>;
 }
 
 /** The largest body that an operator may send, in bytes. */
@@ -112,7 +112,7 @@
   const node = await openNode(disk, settings, reloadable.bounds, log, extensions.list);
   await node.start();
   const http = await serveOperators(settings.http, node);
-  const furtherListener = await extensions.door?.(node);
+  const furtherListener = await extensions.openOperatorListener?.(node);
   log.info(`Serving ${node.id} at ${settings.addr}, operators at ${settings.http}.`);
   return {
     reload: (next) => {
--- a/packages/state/src/accepted-changes.ts
+++ b/packages/state/src/accepted-changes.ts
@@ -11,7 +11,7 @@
 export type AcceptedChanges = ReadonlyMap<number, string>;
 
 /** What the record says of a change; `forgotten`: it is older than the record, which cannot tell. */
-export type AcceptedChangeOutcome = 'taken' | 'not-taken' | 'forgotten';
+export type AcceptedChangeOutcome = 'accepted' | 'not-accepted' | 'forgotten';
 
 /** The most changes in a block. */
 const blockLength = 32;
@@ -60,6 +60,6 @@
   changeId: string,
 ): AcceptedChangeOutcome => {
   const entry = entryOf(version, changeId);
-  if ([...changes.values()].some((block) => entriesOf(block).includes(entry))) return 'taken';
-  return version < oldestRemembered(changes) ? 'forgotten' : 'not-taken';
+  if ([...changes.values()].some((block) => entriesOf(block).includes(entry))) return 'accepted';
+  return version < oldestRemembered(changes) ? 'forgotten' : 'not-accepted';
 };
--- a/packages/state/src/action.ts
+++ b/packages/state/src/action.ts
@@ -26,8 +26,8 @@
 }
 
 /** A server is removed. */
-export interface ServerGoneAction {
-  readonly kind: 'server-gone';
+export interface ServerRemovedAction {
+  readonly kind: 'server-removed';
   readonly id: string;
 }
 
@@ -80,7 +80,7 @@
   | LeaveAction
   | ConfigAction
   | ServerAction
-  | ServerGoneAction
+  | ServerRemovedAction
   | ServerMarkAction
   | VotersAction
   | FilledAction
--- a/packages/state/src/reduce.ts
+++ b/packages/state/src/reduce.ts
@@ -8,7 +8,7 @@
 import { reduceRetire } from './reducers/retiring.js';
 import {
   reduceServer,
-  reduceServerGone,
+  reduceServerRemoved,
   reduceServerMark,
   reduceWeights,
 } from './reducers/servers.js';
@@ -27,8 +27,8 @@
       return reduceConfig(state, action);
     case 'server':
       return reduceServer(state, action);
-    case 'server-gone':
-      return reduceServerGone(state, action);
+    case 'server-removed':
+      return reduceServerRemoved(state, action);
     case 'server-mark':
       return reduceServerMark(state, action);
     case 'voters':
--- a/packages/state/src/reducers/configuration.ts
+++ b/packages/state/src/reducers/configuration.ts
@@ -9,7 +9,7 @@
   readonly digest: string;
 }): string => change.changeId || change.digest;
 
-/** Puts a configuration in place and records its change as accepted. */
+/** Puts a configuration in place and records that its change was accepted. */
 export const reduceConfig = (state: State, { record }: ConfigAction): State => ({
   ...state,
   config: record,
--- a/packages/state/src/reducers/servers.ts
+++ b/packages/state/src/reducers/servers.ts
@@ -1,5 +1,5 @@
 /** Servers, their marks and their weights. */
-import type { ServerAction, ServerGoneAction, ServerMarkAction, WeightsAction } from '../action.js';
+import type { ServerAction, ServerRemovedAction, ServerMarkAction, WeightsAction } from '../action.js';
 import type { State } from '../state.js';
 import { withEntry, withoutEntry } from './entries.js';
 
@@ -10,7 +10,7 @@
 });
 
 /** Removes a server; the state itself where there is none of that id. */
-export const reduceServerGone = (state: State, { id }: ServerGoneAction): State =>
+export const reduceServerRemoved = (state: State, { id }: ServerRemovedAction): State =>
   state.servers.has(id) ? { ...state, servers: withoutEntry(state.servers, id) } : state;
 
 /** Marks a server as draining or down, or no longer; the state itself where nothing changes. */
--- a/packages/state/src/server-list.ts
+++ b/packages/state/src/server-list.ts
@@ -41,7 +41,7 @@
   current.places === listed.places &&
   current.draining === listed.draining;
 
-/** The server as listed; one that drains goes on draining, whatever the list says of it later. */
+/** The server that the list shows; one that drains goes on draining, whatever the list says of it later. */
 const listedAs = (
   listed: ListedServer,
   current: Server | undefined,
--- a/packages/state/src/state.ts
+++ b/packages/state/src/state.ts
@@ -48,7 +48,7 @@
 /** A server that does callers' work, and its marks. */
 export type Server = z.infer<typeof Server>;
 
-/** The configuration in place: the text as it was handed in, its digest, and its compiled form as JSON. */
+/** The configuration in place: the text that was handed in, its digest, and the JSON of its compiled form. */
 export const ConfigRecord = z
   .object({
     version: z.number(),
--- a/tests/src/control/node.test.ts
+++ b/tests/src/control/node.test.ts
@@ -65,7 +65,7 @@
   assert.equal([...(world.committed?.retiring.keys() ?? [])], [idOf('front')]);
 });
 
-node('a mark that took too long is answered as late, not as done', async () => {
+node('a mark that took too long gets a late answer and no success', async () => {
   const world = await up(83);
   assert.is((await world.operate('PUT', '/v1/config', configText(0))).status, 200);
   const body = JSON.stringify({ pool: 'models', url: 'http://127.0.0.1:1' });
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -134,14 +134,14 @@
     assert.equal(back.acceptedChanges, s.acceptedChanges);
     for (let v = 1; v <= count; v++) {
       const outcome = acceptedChangeOutcome(back.acceptedChanges, v * 3, `order ${v * 3}`);
-      assert.is.not(outcome, 'not-taken', `version ${v * 3}`);
-      if (v > count - minimumRememberedChanges) assert.is(outcome, 'taken', `version ${v * 3}`);
+      assert.is.not(outcome, 'not-accepted', `version ${v * 3}`);
+      if (v > count - minimumRememberedChanges) assert.is(outcome, 'accepted', `version ${v * 3}`);
     }
     assert.is(acceptedChangeOutcome(back.acceptedChanges, 3, 'order 3'), 'forgotten');
-    assert.is(acceptedChangeOutcome(back.acceptedChanges, count * 3, 'another'), 'not-taken');
+    assert.is(acceptedChangeOutcome(back.acceptedChanges, count * 3, 'another'), 'not-accepted');
     assert.is(
       acceptedChangeOutcome(back.acceptedChanges, count * 3 + 1, `order ${count * 3}`),
-      'not-taken',
+      'not-accepted',
     );
   },
 );
@@ -152,10 +152,10 @@
     21,
     'b',
   );
-  assert.is(acceptedChangeOutcome(taken, 1, 'a'), 'taken');
-  assert.is(acceptedChangeOutcome(taken, 1, 'b'), 'not-taken');
-  assert.is(acceptedChangeOutcome(taken, 2, 'b'), 'not-taken');
-  assert.is(acceptedChangeOutcome(new Map(), 1, 'a'), 'not-taken');
+  assert.is(acceptedChangeOutcome(taken, 1, 'a'), 'accepted');
+  assert.is(acceptedChangeOutcome(taken, 1, 'b'), 'not-accepted');
+  assert.is(acceptedChangeOutcome(taken, 2, 'b'), 'not-accepted');
+  assert.is(acceptedChangeOutcome(new Map(), 1, 'a'), 'not-accepted');
 });
 
 orders(
--- a/tests/src/repository/house-rules.test.ts
+++ b/tests/src/repository/house-rules.test.ts
@@ -180,7 +180,7 @@
   'freshen',
 ];
 const allowedMentions: ReadonlyMap<string, RegExp> = new Map([
-  [join('packages', 'state', 'src', 'config.ts'), /renamedKeys/],
+  [join('packages', 'state', 'src', 'config', 'check.ts'), /renamedKeys/],
 ]);
 
 house('withdrawn words stand in no name, file or text of the code', async () => {
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -174,7 +174,7 @@
     false,
   );
   assert.is(
-    placing(reduceState(s, { kind: 'server-gone', id: 'n1' })).placement.allowed(before, route),
+    placing(reduceState(s, { kind: 'server-removed', id: 'n1' })).placement.allowed(before, route),
     false,
   );
   assert.is(
--- a/tests/src/state/accepted-changes.test.ts
+++ b/tests/src/state/accepted-changes.test.ts
@@ -19,27 +19,27 @@
 
 record('a version accepted under another change id is not taken for this one', () => {
   const changes = recordOf(2);
-  assert.is(acceptedChangeOutcome(changes, 2, 'change 2'), 'taken');
-  assert.is(acceptedChangeOutcome(changes, 2, 'change 1'), 'not-taken');
-  assert.is(acceptedChangeOutcome(changes, 3, 'change 2'), 'not-taken');
+  assert.is(acceptedChangeOutcome(changes, 2, 'change 2'), 'accepted');
+  assert.is(acceptedChangeOutcome(changes, 2, 'change 1'), 'not-accepted');
+  assert.is(acceptedChangeOutcome(changes, 3, 'change 2'), 'not-accepted');
 });
 
 record('a version older than the record is in doubt, a newer one is not', () => {
   const changes = recordOf(minimumRememberedChanges + 100);
   assert.is(acceptedChangeOutcome(changes, 1, 'change 1'), 'forgotten');
-  assert.is(acceptedChangeOutcome(changes, minimumRememberedChanges + 101, 'another'), 'not-taken');
+  assert.is(acceptedChangeOutcome(changes, minimumRememberedChanges + 101, 'another'), 'not-accepted');
 });
 
 record('while nothing was forgotten no version is in doubt', () => {
-  assert.is(acceptedChangeOutcome(new Map(), 1, 'a'), 'not-taken');
-  assert.is(acceptedChangeOutcome(recordAcceptedChange(new Map(), 5, 'a'), 1, 'b'), 'not-taken');
+  assert.is(acceptedChangeOutcome(new Map(), 1, 'a'), 'not-accepted');
+  assert.is(acceptedChangeOutcome(recordAcceptedChange(new Map(), 5, 'a'), 1, 'b'), 'not-accepted');
 });
 
 record('the record holds at most 64 blocks of at most 32 changes', () => {
   const changes = recordOf(minimumRememberedChanges + 300);
   assert.ok(changes.size <= 64, `${changes.size} blocks`);
   for (const block of changes.values()) assert.ok(block.split(' ').length <= 32);
-  assert.is(acceptedChangeOutcome(changes, 301, 'change 301'), 'taken');
+  assert.is(acceptedChangeOutcome(changes, 301, 'change 301'), 'accepted');
 });
 
 record.run();
--- a/tests/src/state/reduce.test.ts
+++ b/tests/src/state/reduce.test.ts
@@ -171,7 +171,7 @@
   assert.equal(down.servers.get('a'), { ...server, down: true });
   assert.is(reduceState(state, { kind: 'server-mark', id: 'b', down: true }), state);
   assert.is(reduceState(state, { kind: 'server-mark', id: 'a', draining: true }), state);
-  assert.is(reduceState(state, { kind: 'server-gone', id: 'b' }), state);
+  assert.is(reduceState(state, { kind: 'server-removed', id: 'b' }), state);
 });
 
 reducing.run();
