--- a/packages/state/src/reducers/servers.ts
+++ b/packages/state/src/reducers/servers.ts
@@ -1,5 +1,10 @@
 /** Servers, their marks and their weights. */
-import type { ServerAction, ServerRemovedAction, ServerMarkAction, WeightsAction } from '../action.js';
+import type {
+  ServerAction,
+  ServerRemovedAction,
+  ServerMarkAction,
+  WeightsAction,
+} from '../action.js';
 import type { State } from '../state.js';
 import { withEntry, withoutEntry } from './entries.js';
 
--- a/tests/src/state/accepted-changes.test.ts
+++ b/tests/src/state/accepted-changes.test.ts
@@ -27,7 +27,10 @@
 record('a version older than the record is in doubt, a newer one is not', () => {
   const changes = recordOf(minimumRememberedChanges + 100);
   assert.is(acceptedChangeOutcome(changes, 1, 'change 1'), 'forgotten');
-  assert.is(acceptedChangeOutcome(changes, minimumRememberedChanges + 101, 'another'), 'not-accepted');
+  assert.is(
+    acceptedChangeOutcome(changes, minimumRememberedChanges + 101, 'another'),
+    'not-accepted',
+  );
 });
 
 record('while nothing was forgotten no version is in doubt', () => {
