--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -173,7 +173,7 @@
     );
     if (!replacement) return state;
     const { lostId, spare } = replacement;
-    this.log.info(`Control ${lostId} is lost; its vote passes to ${spare.addr}.`);
+    this.log.info(`Control ${lostId} is lost, ${spare.addr} takes its place.`);
     return reduceState(state, { kind: 'voters', out: lostId, in: spare });
   }
 }
--- a/packages/control/src/operations/configuration.ts
+++ b/packages/control/src/operations/configuration.ts
@@ -44,7 +44,7 @@
   version: config.version ?? config.base + 1,
   text,
   digest: configDigest(text),
-  compiled: JSON.stringify({ ...config, origin: undefined, order: undefined }),
+  compiled: JSON.stringify({ ...config, origin: undefined }),
   changeId: config.changeId ?? '',
 });
 
--- a/packages/state/src/index.ts
+++ b/packages/state/src/index.ts
@@ -22,6 +22,8 @@
 export type { Config, Route } from './config/schema.js';
 export * from './node-view.js';
 export * from './item.js';
+export * from './messages.js';
+export * from './pages.js';
 export * from './server-list.js';
 export * from './replication.js';
 export * from './margin.js';
--- /dev/null
+++ b/packages/state/src/pages.ts
@@ -0,0 +1,34 @@
+/** Items in pages, so that no message and no answer grows with a slot. */
+import type { Item } from './item.js';
+import { ItemPage } from './messages.js';
+
+/** Fetches page after page, beginning with the first. Throws what `request` rejects with. */
+export async function* fetchPages(
+  request: (after: string) => Promise<unknown>,
+): AsyncGenerator<readonly Item[]> {
+  for (let after = ''; ;) {
+    const page = ItemPage.parse(await request(after));
+    yield page.items;
+    if (page.next === '') return;
+    after = page.next;
+  }
+}
+
+/** The size that a page has at most, in characters of JSON; an item that is larger makes a page of its own. */
+export const maxPageBytes = 1 << 18;
+
+/** Splits items into pages for sending. */
+export const splitIntoPages = (items: readonly Item[]): readonly (readonly Item[])[] => {
+  const pages: Item[][] = [];
+  let remaining = 0;
+  for (const item of items) {
+    const size = JSON.stringify(item).length;
+    if (remaining < size) {
+      pages.push([]);
+      remaining = maxPageBytes;
+    }
+    pages.at(-1)?.push(item);
+    remaining -= size;
+  }
+  return pages;
+};
--- a/packages/state/src/server-list.ts
+++ b/packages/state/src/server-list.ts
@@ -1,4 +1,4 @@
-/** The deployment's list of servers: its form, what nodes tell each other of it, and how it is taken into the state. */
+/** The deployment's list of servers: its form, and how it is taken into the state. */
 import { z } from 'zod';
 import type { Server, State } from './state.js';
 
@@ -16,23 +16,6 @@
 /** A server as the list shows it; `places` is how many requests it works on at a time. */
 export type ListedServer = z.infer<typeof ListedServer>;
 
-/** How long ago the list was asked for, and how long ago the newest answer was, in ms; null for never. */
-export const ServerListReport = z.object({
-  age: z.number().nullable(),
-  readAge: z.number().nullable(),
-});
-/** The ages of a node's reading of the list. */
-export type ServerListReport = z.infer<typeof ServerListReport>;
-
-/** A control's own reading, for fronts that ask while no master is known. */
-export const ServerListReply = z.object({
-  reported: ServerListReport.optional(),
-  open: z.array(z.string()).readonly(),
-  draining: z.array(z.string()).readonly(),
-});
-/** A control's own reading: its ages, and the ids of the servers that are open or draining. */
-export type ServerListReply = z.infer<typeof ServerListReply>;
-
 /** Whether the list changes nothing of a server; `down` is no matter of the list. */
 const isAsListed = (current: Server, listed: Server): boolean =>
   current.pool === listed.pool &&
--- a/packages/state/src/state-table.ts
+++ b/packages/state/src/state-table.ts
@@ -153,10 +153,10 @@
 export const encodeState = (state: State): StateTable => {
   const table = new Map<string, string>();
   table.set(headKey, JSON.stringify(headerOf(state)));
-  for (const section of sections)
-    section.encode(state, (key, json) => {
-      table.set(key, json);
-    });
+  const put: PutEntry = (key, json) => {
+    table.set(key, json);
+  };
+  for (const section of sections) section.encode(state, put);
   return table;
 };
 
