--- a/packages/fleet/src/capacity-rig.ts
+++ b/packages/fleet/src/capacity-rig.ts
@@ -1,5 +1,5 @@
 import { reduceState, Server } from '@tillerstair/state';
-import { stormConfig, World, type Heard, type WorldSizes } from '@tillerstair/sim';
+import { stormConfig, World, type ObservedMessage, type WorldSizes } from '@tillerstair/sim';
 
 export type Role = 'master' | 'control' | 'store' | 'agent' | 'proxy' | 'loop';
 
@@ -75,13 +75,13 @@
   async tally(work: () => Promise<unknown>): Promise<Tally> {
     const messages = new Map<string, number>();
     const bytes = new Map<string, number>();
-    const count = (role: Role, m: Heard): void => {
+    const count = (role: Role, m: ObservedMessage): void => {
       for (const k of [role, `${role} ${m.kind}`]) {
         add(messages, k, 1);
         add(bytes, k, m.bytes);
       }
     };
-    this.w.net.heard = (m) => {
+    this.w.net.onMessage = (m) => {
       const from = this.roleOf(m.from);
       const to = this.roleOf(m.to);
       count(from, m);
@@ -90,7 +90,7 @@
       add(bytes, `kind ${m.kind}`, m.bytes);
     };
     await work();
-    this.w.net.heard = undefined;
+    this.w.net.onMessage = undefined;
     return { messages, bytes };
   }
 
--- a/packages/fleet/src/capacity-world.ts
+++ b/packages/fleet/src/capacity-world.ts
@@ -173,7 +173,7 @@
 const regions = async (oneWay: number): Promise<Values> => {
   const rig = await Rig.raise({ ...rigSizes, fronts: 9 }, 16);
   const { w } = rig;
-  w.net.apart = (a, b) => (regionOf(a) === regionOf(b) ? 0 : oneWay);
+  w.net.extraLatency = (a, b) => (regionOf(a) === regionOf(b) ? 0 : oneWay);
   await w.clock.run(5000);
   const inForce = await rig.reconfigure();
   const programs: number[] = [];
--- a/packages/fleet/src/storms.ts
+++ b/packages/fleet/src/storms.ts
@@ -1,7 +1,7 @@
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import { checkRecords } from '@tillerstair/checker';
-import { deploymentOf, faultKinds, planOf, Storm, type Planned } from '@tillerstair/sim';
+import { deploymentOf, faultKinds, planOf, Storm, type PlannedFault } from '@tillerstair/sim';
 import split2 from 'split2';
 import { z } from 'zod';
 
@@ -33,7 +33,7 @@
 export const stormOnce = async (
   seed: number,
   ms: number,
-  plan: readonly Planned[],
+  plan: readonly PlannedFault[],
 ): Promise<StormResult> => {
   const storm = new Storm({
     seed,
@@ -69,8 +69,8 @@
 export const cutDown = async (
   seed: number,
   ms: number,
-  plan: readonly Planned[],
-): Promise<readonly Planned[]> => {
+  plan: readonly PlannedFault[],
+): Promise<readonly PlannedFault[]> => {
   let left = plan;
   for (
     let size = Math.ceil(left.length / 2);
@@ -103,7 +103,7 @@
         seed,
         breach: v.breach,
         log: v.breach === '' ? [] : v.log,
-        few: few.map((p) => `${p.n}:${p.fault}`),
+        few: few.map((p) => `${p.index}:${p.fault}`),
         struck: v.struck,
         checked: [...v.checked],
       }),
--- a/packages/sim/src/control-model.ts
+++ b/packages/sim/src/control-model.ts
@@ -29,14 +29,14 @@
   readonly failed: FailedRun | undefined;
 }
 
-class RuleBroken extends Error {}
+class RuleBrokenError extends Error {}
 
 const findingsOf = (rig: ModelRig, except: readonly ModelRule[]): readonly ModelFinding[] =>
   rig.history.findings.filter((f) => !except.includes(f.rule));
 
 const mustBeSound = (rig: ModelRig, except: readonly ModelRule[]): void => {
   const [first] = findingsOf(rig, except);
-  if (first) throw new RuleBroken(`${first.rule}: ${first.text}`);
+  if (first) throw new RuleBrokenError(`${first.rule}: ${first.text}`);
 };
 
 class ActionCommand implements fc.AsyncCommand<ModelRig, ModelRig> {
--- a/packages/sim/src/faults-disk.ts
+++ b/packages/sim/src/faults-disk.ts
@@ -19,13 +19,13 @@
 };
 
 /** One disk is in trouble for a time. */
-const trouble =
+const diskFault =
   (kind: MachineKind, set: Platter): Fault =>
   (c) => {
     const m = c.tools.target(c, kind);
-    if (!m || (kind === 'store' && c.tools.diskBusy)) return '';
+    if (!m || (kind === 'store' && c.tools.isDiskLost)) return '';
     set(m.platter, true);
-    c.tools.after(c.span, () => set(m.platter, false));
+    c.tools.after(c.durationMs, () => set(m.platter, false));
     return m.addr;
   };
 
@@ -35,14 +35,14 @@
   (c) => {
     const m = c.tools.target(c, kind);
     if (!m) return '';
-    return c.tools.losesDisk(() => c.tools.wipe(m, c.span)) && m.addr;
+    return c.tools.runDiskLoss(() => c.tools.wipe(m, c.durationMs)) && m.addr;
   };
 
 export const diskFaults: FaultTable = new Map<string, Fault>(
   kinds.flatMap((kind): [string, Fault][] => [
-    [`slow-${kind}`, trouble(kind, slow)],
-    [`disk-full-${kind}`, trouble(kind, full)],
-    [`disk-stall-${kind}`, trouble(kind, stalled)],
+    [`slow-${kind}`, diskFault(kind, slow)],
+    [`disk-full-${kind}`, diskFault(kind, full)],
+    [`disk-stall-${kind}`, diskFault(kind, stalled)],
     [`wipe-${kind}`, wipe(kind)],
   ]),
 );
--- a/packages/sim/src/faults-machine.ts
+++ b/packages/sim/src/faults-machine.ts
@@ -13,15 +13,15 @@
 const kinds: readonly MachineKind[] = ['control', 'store', 'front'];
 
 /** Stores that are down while another's disk is lost would be a loss more than is borne. */
-const spared = (c: FaultContext, kind: MachineKind): boolean =>
-  kind === 'store' && c.tools.diskBusy;
+const mustStay = (c: FaultContext, kind: MachineKind): boolean =>
+  kind === 'store' && c.tools.isDiskLost;
 
 const kill =
   (kind: MachineKind, how: 'process' | 'power'): Fault =>
   (c) => {
     const m = c.tools.target(c, kind);
-    if (!m || spared(c, kind)) return '';
-    c.tools.killFor(m, how, c.span);
+    if (!m || mustStay(c, kind)) return '';
+    c.tools.killFor(m, how, c.durationMs);
     return m.addr;
   };
 
@@ -29,9 +29,9 @@
   (kind: MachineKind): Fault =>
   (c) => {
     const m = c.tools.target(c, kind);
-    if (!m || spared(c, kind)) return '';
+    if (!m || mustStay(c, kind)) return '';
     m.freeze();
-    c.tools.after(c.span, () => {
+    c.tools.after(c.durationMs, () => {
       if (m.up) m.wake();
     });
     return m.addr;
@@ -45,21 +45,21 @@
   (c) => {
     const m = c.tools.target(c, kind);
     if (!m) return '';
-    const { net } = c.w;
-    const before = net.apart;
+    const { net } = c.world;
+    const before = net.extraLatency;
     const isOfIt = (addr: string): boolean => addr.split('/')[0] === m.addr;
     const late = (from: string, to: string): number =>
       before(from, to) + (isOfIt(from) || isOfIt(to) ? slowMs : 0);
-    net.apart = late;
-    c.tools.after(c.span, () => {
-      if (net.apart === late) net.apart = before;
+    net.extraLatency = late;
+    c.tools.after(c.durationMs, () => {
+      if (net.extraLatency === late) net.extraLatency = before;
     });
     return m.addr;
   };
 
 const stopInOrder = async (c: FaultContext, m: Machine): Promise<void> => {
   const end = m.stopInOrder().catch(() => undefined);
-  await Promise.race([end, c.storm.wait(6 * c.w.bounds.heartbeatInterval)]);
+  await Promise.race([end, c.storm.delay(6 * c.world.bounds.heartbeatInterval)]);
   if (m.up) m.kill();
 };
 
@@ -67,17 +67,17 @@
 const roll =
   (kind: MachineKind): Fault =>
   (c) => {
-    const all = [...c.w.of(kind)];
+    const all = [...c.world.of(kind)];
     const work = async (): Promise<void> => {
       for (const m of all) {
-        if (!m.up || m.life.frozen) continue;
+        if (!m.up || m.incarnation.frozen) continue;
         await stopInOrder(c, m);
-        await c.storm.wait(100 + c.rng() * 900);
+        await c.storm.delay(100 + c.rng() * 900);
         c.tools.restart(m);
-        await c.storm.wait(2 * c.w.bounds.failureTimeout);
+        await c.storm.delay(2 * c.world.bounds.failureTimeout);
       }
     };
-    if (kind !== 'front') return c.tools.losesDisk(work);
+    if (kind !== 'front') return c.tools.runDiskLoss(work);
     c.storm.track(work());
     return all.map((m) => m.addr).join(' ');
   };
@@ -86,10 +86,10 @@
 const herd =
   (kind: MachineKind, how: 'process' | 'power'): Fault =>
   (c) => {
-    if (spared(c, kind)) return '';
+    if (mustStay(c, kind)) return '';
     const all = c.tools.up(kind);
     const hit = all.slice(0, Math.ceil(all.length * 0.6));
-    for (const m of hit) c.tools.killFor(m, how, c.span);
+    for (const m of hit) c.tools.killFor(m, how, c.durationMs);
     return hit.map((m) => m.addr).join(' ');
   };
 
@@ -97,10 +97,10 @@
 const coreDown =
   (how: 'process' | 'power'): Fault =>
   (c) => {
-    if (c.tools.diskBusy) return '';
-    for (const m of [...c.w.of('control'), ...c.w.of('store')]) {
+    if (c.tools.isDiskLost) return '';
+    for (const m of [...c.world.of('control'), ...c.world.of('store')]) {
       m.kill(how);
-      c.tools.after(Math.min(c.span, 1000) * (0.5 + c.rng() / 2), () => c.tools.restart(m));
+      c.tools.after(Math.min(c.durationMs, 1000) * (0.5 + c.rng() / 2), () => c.tools.restart(m));
     }
     return 'controls and stores';
   };
@@ -109,13 +109,13 @@
 const powerOnWork =
   (whole: boolean): Fault =>
   (c) => {
-    const { tools, storm, w } = c;
-    if (tools.armed || tools.diskBusy) return '';
+    const { tools, storm, world: w } = c;
+    if (tools.armed || tools.isDiskLost) return '';
     tools.armed = true;
     storm.onDone = (t) => {
       storm.onDone = undefined;
       tools.armed = false;
-      if (tools.diskBusy) return;
+      if (tools.isDiskLost) return;
       const s = w.committed;
       const key = t.kind === 'call' ? opKeyOf(t.tenant, t.key) : `p/${rootProgramId(t.program)}`;
       const slot = s?.slots[slotForKey(key, s.slots.length)];
@@ -134,16 +134,16 @@
     const m = pickOf(c.rng, c.tools.up('front'));
     if (!m) return '';
     if (what === 'freeze') {
-      m.proxyLife.frozen = true;
-      c.tools.after(c.span, () => m.proxyLife.wake());
+      m.proxyIncarnation.frozen = true;
+      c.tools.after(c.durationMs, () => m.proxyIncarnation.wake());
     } else if (what === 'kill') {
       m.killProxy();
-      c.tools.after(c.span, () => {
+      c.tools.after(c.durationMs, () => {
         if (m.up && !m.front) m.restartProxy();
       });
     } else {
       m.killAgent();
-      c.tools.after(c.span, () => {
+      c.tools.after(c.durationMs, () => {
         if (m.up && !m.agent) m.restartAgent();
       });
     }
@@ -154,8 +154,8 @@
 const allDown =
   (how: 'process' | 'power'): Fault =>
   async (c) => {
-    if (c.tools.diskBusy) return '';
-    await c.storm.allDown(how);
+    if (c.tools.isDiskLost) return '';
+    await c.storm.restartAll(how);
     return 'all';
   };
 
--- a/packages/sim/src/faults-members.ts
+++ b/packages/sim/src/faults-members.ts
@@ -8,17 +8,17 @@
   type MachineKind,
 } from './storm-fault.js';
 
-const swap =
+const replace =
   (kind: MachineKind): Fault =>
   (c) => {
     const m = c.tools.target(c, kind);
     if (!m) return '';
-    return c.tools.losesDisk(() => c.tools.swap(m)) && m.addr;
+    return c.tools.runDiskLoss(() => c.tools.replaceMachine(m)) && m.addr;
   };
 
-const swapSeeds: Fault = (c) =>
-  c.tools.losesDisk(async () => {
-    for (const m of c.w.of('control').slice(0, 3)) await c.tools.swap(m);
+const replaceSeeds: Fault = (c) =>
+  c.tools.runDiskLoss(async () => {
+    for (const m of c.world.of('control').slice(0, 3)) await c.tools.replaceMachine(m);
   });
 
 /** The new machine starts first; then the old one is told to stop and does not come back. */
@@ -27,23 +27,23 @@
   (c) => {
     const old = c.tools.target(c, kind);
     if (!old) return '';
-    const started = c.tools.losesDisk(async () => {
-      c.w.add(kind).start();
-      await c.storm.wait(2 * c.w.bounds.failureTimeout);
+    const started = c.tools.runDiskLoss(async () => {
+      c.world.add(kind).start();
+      await c.storm.delay(2 * c.world.bounds.failureTimeout);
       if (!old.up) c.tools.restart(old);
       await Promise.race([
         old.stopInOrder().catch(() => undefined),
-        c.storm.wait(2 * c.w.bounds.failureTimeout),
+        c.storm.delay(2 * c.world.bounds.failureTimeout),
       ]);
       if (old.up) old.kill('power');
-      c.w.remove(old);
-      await c.tools.whole(kind);
+      c.world.remove(old);
+      await c.tools.untilReplicated(kind);
     });
     return started && old.addr;
   };
 
 const isEmpty = (c: FaultContext, id: string): boolean => {
-  const s = c.w.committed;
+  const s = c.world.committed;
   return (
     s !== undefined &&
     s.retiring.has(id) &&
@@ -51,34 +51,38 @@
   );
 };
 
-const askUntilTaken = async (c: FaultContext, method: string, path: string): Promise<void> => {
+const requestUntilAccepted = async (
+  c: FaultContext,
+  method: string,
+  path: string,
+): Promise<void> => {
   for (let n = 0; n < 120; n++) {
-    const r = await c.storm.operate(c.w.master, method, path);
+    const r = await c.storm.operate(c.world.master, method, path);
     if (r?.status === 200) return;
-    await c.storm.wait(500);
+    await c.storm.delay(500);
   }
 };
 
 const emptyStore = async (c: FaultContext, old: Machine): Promise<void> => {
-  c.w.add('store').start();
-  await askUntilTaken(c, 'POST', `/v1/stores/${old.addr}/empty`);
+  c.world.add('store').start();
+  await requestUntilAccepted(c, 'POST', `/v1/stores/${old.addr}/empty`);
   const id = old.store?.id ?? 'none';
-  for (let n = 0; n < 300 && !isEmpty(c, id); n++) await c.storm.wait(200);
+  for (let n = 0; n < 300 && !isEmpty(c, id); n++) await c.storm.delay(200);
   if (!isEmpty(c, id)) throw new Error('a store was not emptied in time');
   old.kill('power');
-  c.w.remove(old);
+  c.world.remove(old);
 };
 
 /** A store is emptied and goes; with `thenWipe` another one loses its disk right after. */
 const empty =
   (thenWipe: boolean): Fault =>
   (c) =>
-    c.tools.losesDisk(async () => {
+    c.tools.runDiskLoss(async () => {
       const old = pickOf(c.rng, c.tools.up('store'));
       if (!old) return;
       await emptyStore(c, old);
       const other = thenWipe ? pickOf(c.rng, c.tools.up('store')) : undefined;
-      if (other) await c.tools.wipe(other, c.span);
+      if (other) await c.tools.wipe(other, c.durationMs);
     });
 
 const mostSpares = 2;
@@ -86,8 +90,8 @@
 const add =
   (kind: MachineKind, most: number): Fault =>
   (c) => {
-    if (c.w.of(kind).length >= most) return '';
-    c.w.add(kind).start();
+    if (c.world.of(kind).length >= most) return '';
+    c.world.add(kind).start();
     return 'added';
   };
 
@@ -96,19 +100,19 @@
   (kind: MachineKind): Fault =>
   (c) => {
     const spares =
-      c.w.of(kind).length -
-      (kind === 'control' ? (c.w.committed?.voters.current.length ?? Infinity) : 0);
+      c.world.of(kind).length -
+      (kind === 'control' ? (c.world.committed?.voters.current.length ?? Infinity) : 0);
     if (spares >= mostSpares) return '';
-    const m = c.w.add(kind);
+    const m = c.world.add(kind);
     m.start();
-    c.tools.after(c.span, () => {
+    c.tools.after(c.durationMs, () => {
       if (
-        !c.w.machines.includes(m) ||
-        c.w.committed?.voters.next.includes(m.control?.id ?? '') !== false
+        !c.world.machines.includes(m) ||
+        c.world.committed?.voters.next.includes(m.control?.id ?? '') !== false
       )
         return;
       m.kill();
-      c.w.remove(m);
+      c.world.remove(m);
     });
     return m.addr;
   };
@@ -116,15 +120,15 @@
 /** A front stops in order and is removed. */
 const removeFront: Fault = (c) => {
   const m = pickOf(c.rng, c.tools.up('front'));
-  if (!m || c.w.of('front').length < 3) return '';
+  if (!m || c.world.of('front').length < 3) return '';
   c.storm.track(
     (async () => {
       await Promise.race([
         m.stopInOrder().catch(() => undefined),
-        c.storm.wait(6 * c.w.bounds.heartbeatInterval),
+        c.storm.delay(6 * c.world.bounds.heartbeatInterval),
       ]);
       if (m.up) m.kill();
-      c.w.remove(m);
+      c.world.remove(m);
     })(),
   );
   return m.addr;
@@ -132,16 +136,16 @@
 
 const drainFront: Fault = (c) => {
   const m = pickOf(c.rng, c.tools.up('front'));
-  const master = c.w.master;
-  if (!m?.front || !master?.control || c.w.of('front').length < 3) return '';
+  const master = c.world.master;
+  if (!m?.front || !master?.control || c.world.of('front').length < 3) return '';
   const path = `/v1/fronts/${m.addr}/drain`;
   void master.control.operate({ method: 'POST', path, body: '' });
-  c.tools.after(c.span, () => {
+  c.tools.after(c.durationMs, () => {
     void (async () => {
       for (let n = 0; n < 60; n++) {
-        const r = await c.storm.operate(c.w.master, 'DELETE', path);
+        const r = await c.storm.operate(c.world.master, 'DELETE', path);
         if (r?.status === 200 || r?.status === 404) return;
-        await c.storm.wait(1000);
+        await c.storm.delay(1000);
       }
     })();
   });
@@ -152,30 +156,30 @@
 const seedTurnover: Fault = (c) => {
   const controls = [...c.tools.up('control')].reverse().map((m) => m.addr);
   if (controls.length < 3) return '';
-  c.w.namedSeeds = controls.slice(0, 3);
-  for (const m of c.w.machines) if (m.up) m.life.do(() => m.reload(c.w.outer));
-  c.tools.after(c.span, () => {
-    c.w.namedSeeds = undefined;
+  c.world.namedSeeds = controls.slice(0, 3);
+  for (const m of c.world.machines) if (m.up) m.incarnation.do(() => m.reload(c.world.outer));
+  c.tools.after(c.durationMs, () => {
+    c.world.namedSeeds = undefined;
   });
   return controls.slice(0, 3).join(' ');
 };
 
 /** Some machines read changed bounds while they run, and the old ones again later. */
 const reload: Fault = (c) => {
-  const { outer } = c.w;
+  const { outer } = c.world;
   const heartbeatInterval = outer.heartbeatInterval * (0.7 + c.rng() * 0.3);
-  const some = c.w.machines.filter((m) => m.up && c.rng() < 0.3);
-  for (const m of some) m.life.do(() => m.reload({ ...outer, heartbeatInterval }));
-  c.tools.after(c.span, () => {
-    for (const m of some) m.life.do(() => m.reload(outer));
+  const some = c.world.machines.filter((m) => m.up && c.rng() < 0.3);
+  for (const m of some) m.incarnation.do(() => m.reload({ ...outer, heartbeatInterval }));
+  c.tools.after(c.durationMs, () => {
+    for (const m of some) m.incarnation.do(() => m.reload(outer));
   });
   return some.map((m) => m.addr).join(' ');
 };
 
 export const membershipFaults: FaultTable = new Map<string, Fault>([
-  ['swap-control', swap('control')],
-  ['swap-store', swap('store')],
-  ['swap-seeds', swapSeeds],
+  ['swap-control', replace('control')],
+  ['swap-store', replace('store')],
+  ['swap-seeds', replaceSeeds],
   ['planned-control', planned('control')],
   ['planned-store', planned('store')],
   ['empty-store', empty(false)],
--- a/packages/sim/src/faults-network.ts
+++ b/packages/sim/src/faults-network.ts
@@ -1,6 +1,6 @@
 /** Faults of the network: cuts of every form, connections reset, messages late and lost. */
 import type { Machine } from './machine.js';
-import type { CutManner } from './sim-net.js';
+import type { CutEffect } from './sim-net.js';
 import {
   pickOf,
   type Fault,
@@ -12,11 +12,11 @@
 const kinds: readonly MachineKind[] = ['control', 'store', 'front'];
 
 const cut =
-  (kind: MachineKind, manner: CutManner): Fault =>
+  (kind: MachineKind, manner: CutEffect): Fault =>
   (c) => {
     const m = c.tools.target(c, kind);
-    if (!m || (kind === 'store' && c.tools.diskBusy)) return '';
-    c.tools.isolate([m], c.span, 'both', manner);
+    if (!m || (kind === 'store' && c.tools.isDiskLost)) return '';
+    c.tools.isolate([m], c.durationMs, 'both', manner);
     return m.addr;
   };
 
@@ -25,19 +25,21 @@
   (c) => {
     const m = c.tools.target(c, kind);
     if (!m) return '';
-    c.tools.isolate([m], c.span, c.rng() < 0.5 ? 'out' : 'in');
+    c.tools.isolate([m], c.durationMs, c.rng() < 0.5 ? 'out' : 'in');
     return m.addr;
   };
 
 /** The controls in an order that differs from fault to fault. */
 const shuffled = (c: FaultContext): readonly Machine[] =>
-  [...c.w.of('control')].sort((a, b) => ((a.n * 7 + c.n) % 5) - ((b.n * 7 + c.n) % 5));
+  [...c.world.of('control')].sort(
+    (a, b) => ((a.index * 7 + c.index) % 5) - ((b.index * 7 + c.index) % 5),
+  );
 
 const splitControls =
   (share: number): Fault =>
   (c) => {
     const all = shuffled(c);
-    c.tools.isolate(all.slice(0, Math.floor(all.length * share)), c.span);
+    c.tools.isolate(all.slice(0, Math.floor(all.length * share)), c.durationMs);
     return 'cut';
   };
 
@@ -47,14 +49,14 @@
   const away = all.slice(0, Math.floor((all.length - 1) / 2));
   const restarted = pickOf(
     c.rng,
-    [...c.tools.up('front'), ...c.tools.up('store')].filter(() => !c.tools.diskBusy),
+    [...c.tools.up('front'), ...c.tools.up('store')].filter(() => !c.tools.isDiskLost),
   );
   if (away.length === 0 || !restarted) return '';
-  c.w.namedSeeds = [...away, ...all].slice(0, 3).map((m) => m.addr);
-  c.tools.isolate(away, c.span);
+  c.world.namedSeeds = [...away, ...all].slice(0, 3).map((m) => m.addr);
+  c.tools.isolate(away, c.durationMs);
   c.tools.killFor(restarted, 'process', 300);
-  c.tools.after(c.span, () => {
-    c.w.namedSeeds = undefined;
+  c.tools.after(c.durationMs, () => {
+    c.world.namedSeeds = undefined;
   });
   return `${away.map((m) => m.addr).join(' ')}, restarted ${restarted.addr}`;
 };
@@ -63,10 +65,10 @@
 const cutBoth: Fault = (c) => {
   const all = shuffled(c);
   const away = all.slice(0, Math.floor((all.length - 1) / 2));
-  if (away.length === 0 || c.tools.diskBusy) return '';
-  c.tools.isolate(away, c.span);
+  if (away.length === 0 || c.tools.isDiskLost) return '';
+  c.tools.isolate(away, c.durationMs);
   for (const m of away) if (m.up) c.tools.killFor(m, 'process', 200);
-  c.tools.after(c.span / 2, () => {
+  c.tools.after(c.durationMs / 2, () => {
     for (const m of all) if (m.up && !away.includes(m)) c.tools.killFor(m, 'process', 200);
   });
   return away.map((m) => m.addr).join(' ');
@@ -76,7 +78,7 @@
 const cutFromCore: Fault = (c) => {
   const m = pickOf(c.rng, c.tools.up('front'));
   if (!m) return '';
-  c.tools.isolate([m], c.span, 'both', 'silent', ['control', 'store']);
+  c.tools.isolate([m], c.durationMs, 'both', 'silent', ['control', 'store']);
   return m.addr;
 };
 
@@ -85,8 +87,8 @@
   const m = pickOf(c.rng, c.tools.up('front'));
   if (!m) return '';
   const pair = `${m.addr}>${c.server}`;
-  c.w.servers.cutFronts.add(pair);
-  c.tools.after(c.span, () => c.w.servers.cutFronts.delete(pair));
+  c.world.servers.cutFronts.add(pair);
+  c.tools.after(c.durationMs, () => c.world.servers.cutFronts.delete(pair));
   return pair;
 };
 
@@ -98,23 +100,23 @@
     if (!m) return '';
     const share = 0.5;
     for (let n = 0; n < 5; n++)
-      c.tools.after((c.span / 5) * n, () => {
-        c.w.net.reset(m.addr, share);
-        c.w.net.reset(`${m.addr}/data`, share);
+      c.tools.after((c.durationMs / 5) * n, () => {
+        c.world.net.reset(m.addr, share);
+        c.world.net.reset(`${m.addr}/data`, share);
       });
     return m.addr;
   };
 
 /** Messages are late, so that later ones overtake them, and some are lost. */
 const lossy: Fault = (c) => {
-  const { net } = c.w;
+  const { net } = c.world;
   const fate = (): { lost: boolean; lateBy: number; repeats: number } => ({
     lost: c.rng() < 0.02,
     lateBy: c.rng() < 0.1 ? c.rng() * 300 : 0,
     repeats: 0,
   });
   net.fate = fate;
-  c.tools.after(c.span, () => {
+  c.tools.after(c.durationMs, () => {
     if (net.fate === fate) net.fate = undefined;
   });
   return 'all';
--- a/packages/sim/src/faults-operator.ts
+++ b/packages/sim/src/faults-operator.ts
@@ -9,7 +9,7 @@
       (async () => {
         for (let i = 0; i < n; i++) {
           await run(c);
-          await c.storm.wait(100 + c.rng() * 900);
+          await c.storm.delay(100 + c.rng() * 900);
         }
       })(),
     );
@@ -27,8 +27,8 @@
   return `${chats} chats`;
 };
 
-const pileUp: Fault = (c) => {
-  c.storm.track(c.storm.pileUp(60));
+const urgentCalls: Fault = (c) => {
+  c.storm.track(c.storm.sendUrgentCalls(60));
   return '60 urgent calls';
 };
 
@@ -36,7 +36,7 @@
 const loseAnswers: Fault = (c) => {
   c.storm.lostAnswers.share = 0.7;
   c.storm.track(c.storm.reconfigure());
-  c.tools.after(c.span, () => {
+  c.tools.after(c.durationMs, () => {
     c.storm.lostAnswers.share = 0;
   });
   return 'operators';
@@ -44,10 +44,10 @@
 
 type Strike = (c: FaultContext, m: Machine) => void;
 
-const powerOff: Strike = (c, m) => c.tools.killFor(m, 'power', c.span);
-const processKilled: Strike = (c, m) => c.tools.killFor(m, 'process', c.span);
+const powerOff: Strike = (c, m) => c.tools.killFor(m, 'power', c.durationMs);
+const processKilled: Strike = (c, m) => c.tools.killFor(m, 'process', c.durationMs);
 const diskLost: Strike = (c, m) => {
-  if (m.kind !== 'front') c.tools.losesDisk(() => c.tools.wipe(m, c.span));
+  if (m.kind !== 'front') c.tools.runDiskLoss(() => c.tools.wipe(m, c.durationMs));
 };
 
 /** The machine that took a change is struck right after it was acknowledged, or at a time after it was sent. */
@@ -55,9 +55,9 @@
   (strike: Strike, when: 'acknowledged' | 'timed'): Fault =>
   (c) => {
     const { storm, tools } = c;
-    if (storm.onChange || tools.diskBusy) return '';
+    if (storm.onChange || tools.isDiskLost) return '';
     const hit = (m: Machine): void => {
-      if (m.up && !tools.diskBusy) strike(c, m);
+      if (m.up && !tools.isDiskLost) strike(c, m);
     };
     storm.onChange = (m, answered) => {
       storm.onChange = undefined;
@@ -75,17 +75,17 @@
   };
 
 /** A control that was killed gets a change as soon as it is back, again and again until it answers. */
-const meetReturn =
+const changeAtReturn =
   (changes: number): Fault =>
   (c) => {
     const m = c.tools.target(c, 'control');
     if (!m) return '';
     m.kill();
-    c.tools.after(Math.min(c.span, 2000), () => {
+    c.tools.after(Math.min(c.durationMs, 2000), () => {
       c.tools.restart(m);
       c.storm.track(
         (async () => {
-          for (let n = 0; n < 20 && !m.control; n++) await c.storm.wait(5);
+          for (let n = 0; n < 20 && !m.control; n++) await c.storm.delay(5);
           await Promise.all(Array.from({ length: changes }, () => c.storm.reconfigure(1, m)));
         })(),
       );
@@ -94,15 +94,15 @@
   };
 
 /** A control that is cut off gets changes during the cut. */
-const meetCut =
+const changeDuringCut =
   (changes: number): Fault =>
   (c) => {
     const m = c.tools.target(c, 'control');
     if (!m) return '';
-    c.tools.isolate([m], c.span);
+    c.tools.isolate([m], c.durationMs);
     c.storm.track(
       (async () => {
-        await c.storm.wait(c.rng() * c.span);
+        await c.storm.delay(c.rng() * c.durationMs);
         await Promise.all(Array.from({ length: changes }, () => c.storm.reconfigure(1, m)));
       })(),
     );
@@ -110,13 +110,13 @@
   };
 
 /** Soon after a control is back, a server leaves. */
-const leaveAtReturn: Fault = (c) => {
+const drainAtReturn: Fault = (c) => {
   const m = c.tools.target(c, 'control');
   if (!m) return '';
   m.kill();
-  c.tools.after(Math.min(c.span, 2000), () => {
+  c.tools.after(Math.min(c.durationMs, 2000), () => {
     c.tools.restart(m);
-    c.storm.leave(c.server);
+    c.storm.drainServer(c.server);
   });
   return m.addr;
 };
@@ -125,16 +125,16 @@
   ['config', repeated(1, (c) => c.storm.reconfigure())],
   ['many-configs', repeated(8, (c) => c.storm.reconfigure())],
   ['grow', repeated(1, (c) => c.storm.reconfigure(150))],
-  ['bad-config', repeated(3, (c) => c.storm.badConfig(Math.floor(c.rng() * 1000)))],
+  ['bad-config', repeated(3, (c) => c.storm.sendInvalidConfig(Math.floor(c.rng() * 1000)))],
   ['race', race],
   ['crowd', crowd],
-  ['pile-up', pileUp],
+  ['pile-up', urgentCalls],
   ['lose-operator-answers', loseAnswers],
-  ['meet-return', meetReturn(1)],
-  ['meet-return-race', meetReturn(2)],
-  ['meet-cut', meetCut(1)],
-  ['meet-cut-race', meetCut(2)],
-  ['leave-at-return', leaveAtReturn],
+  ['meet-return', changeAtReturn(1)],
+  ['meet-return-race', changeAtReturn(2)],
+  ['meet-cut', changeDuringCut(1)],
+  ['meet-cut-race', changeDuringCut(2)],
+  ['leave-at-return', drainAtReturn],
   ['power-on-change', atChange(powerOff, 'acknowledged')],
   ['kill-on-change', atChange(processKilled, 'acknowledged')],
   ['wipe-on-change', atChange(diskLost, 'acknowledged')],
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -10,14 +10,14 @@
   type ReloadableBounds,
 } from '@tillerstair/zen';
 import { silentLogger, type Logger } from '@tillerstair/wire';
-import { Life } from './sim-clock.js';
+import { Incarnation } from './sim-clock.js';
 import { SimPlatter } from './sim-disk.js';
 import type { World } from './world.js';
 
 export class Machine {
   readonly platter: SimPlatter;
-  life = new Life();
-  proxyLife = new Life();
+  incarnation = new Incarnation();
+  proxyIncarnation = new Incarnation();
   control: ControlNode | undefined;
   store: StoreNode | undefined;
   replicaStore: ReplicaStore | undefined;
@@ -30,27 +30,27 @@
   constructor(
     readonly world: World,
     readonly kind: 'control' | 'store' | 'front',
-    readonly n: number,
-    private readonly ownSeeds: readonly string[] | undefined,
+    readonly index: number,
+    private readonly fixedSeeds: readonly string[] | undefined,
   ) {
     this.platter = new SimPlatter(world.rng);
     this.settings = reloadableBounds(world.outer);
   }
 
   get addr(): string {
-    return `${this.kind}-${this.n}`;
+    return `${this.kind}-${this.index}`;
   }
 
   get name(): string {
-    return `${this.kind}-number-${this.n}`;
+    return `${this.kind}-number-${this.index}`;
   }
 
   get seeds(): readonly string[] {
-    return this.ownSeeds ?? this.world.seeds;
+    return this.fixedSeeds ?? this.world.seeds;
   }
 
   private get zone(): string {
-    return `zone-${this.n % this.world.zones}`;
+    return `zone-${this.index % this.world.zones}`;
   }
 
   private log(part: string): Logger {
@@ -63,16 +63,16 @@
 
   start(): void {
     const rate = this.world.skewed ? 0.97 + this.world.rng() * 0.06 : 1;
-    this.life = new Life(rate);
-    this.proxyLife = new Life(rate);
+    this.incarnation = new Incarnation(rate);
+    this.proxyIncarnation = new Incarnation(rate);
     this.up = true;
-    void this.begin(this.life, this.proxyLife).catch((e: unknown) => {
+    void this.startProcesses(this.incarnation, this.proxyIncarnation).catch((e: unknown) => {
       this.startFailed = e instanceof Error ? e.message : String(e);
       this.up = false;
     });
   }
 
-  private async begin(life: Life, proxyLife: Life): Promise<void> {
+  private async startProcesses(life: Incarnation, proxyLife: Incarnation): Promise<void> {
     const w = this.world;
     const clock = life.clock(w.clock);
     const transport = w.net.transport(this.addr, life);
@@ -85,8 +85,8 @@
     };
     const { zone } = this;
     if (this.kind === 'front') {
-      await this.beginProxy(proxyLife);
-      await this.beginAgent(life);
+      await this.startProxy(proxyLife);
+      await this.startAgent(life);
       return;
     }
     const disk = this.platter.disk(clock, life);
@@ -128,7 +128,7 @@
     this.replicaStore = replicaStore;
   }
 
-  private async beginAgent(life: Life): Promise<void> {
+  private async startAgent(life: Incarnation): Promise<void> {
     const w = this.world;
     const agent = new Agent({
       seeds: this.seeds,
@@ -148,7 +148,7 @@
     this.agent = agent;
   }
 
-  private async beginProxy(life: Life): Promise<void> {
+  private async startProxy(life: Incarnation): Promise<void> {
     const w = this.world;
     const clock = life.clock(w.clock);
     const { heartbeatInterval, failureTimeout, readLease } = this.settings.bounds;
@@ -179,8 +179,8 @@
   }
 
   kill(how: 'process' | 'power' = 'process'): void {
-    this.life.dead = true;
-    this.proxyLife.dead = true;
+    this.incarnation.dead = true;
+    this.proxyIncarnation.dead = true;
     this.up = false;
     this.world.net.closed(this.addr);
     this.control = undefined;
@@ -210,34 +210,34 @@
   }
 
   killProxy(): void {
-    this.proxyLife.dead = true;
+    this.proxyIncarnation.dead = true;
     this.front = undefined;
   }
 
   killAgent(): void {
-    this.life.dead = true;
+    this.incarnation.dead = true;
     this.agent = undefined;
     this.world.net.closed(this.addr);
   }
 
   restartAgent(): void {
-    this.life = new Life(this.proxyLife.rate);
-    void this.beginAgent(this.life);
+    this.incarnation = new Incarnation(this.proxyIncarnation.rate);
+    void this.startAgent(this.incarnation);
   }
 
   restartProxy(): void {
-    this.proxyLife.dead = true;
-    this.proxyLife = new Life(this.life.rate);
-    void this.beginProxy(this.proxyLife);
+    this.proxyIncarnation.dead = true;
+    this.proxyIncarnation = new Incarnation(this.incarnation.rate);
+    void this.startProxy(this.proxyIncarnation);
   }
 
   freeze(): void {
-    this.life.frozen = true;
-    this.proxyLife.frozen = true;
+    this.incarnation.frozen = true;
+    this.proxyIncarnation.frozen = true;
   }
 
   wake(): void {
-    this.life.wake();
-    this.proxyLife.wake();
+    this.incarnation.wake();
+    this.proxyIncarnation.wake();
   }
 }
--- a/packages/sim/src/model-actions.ts
+++ b/packages/sim/src/model-actions.ts
@@ -15,7 +15,12 @@
       readonly late: number;
       readonly repeated: number;
     }
-  | { readonly kind: 'cut'; readonly at: number; readonly way: CutWay; readonly ms: number }
+  | {
+      readonly kind: 'cut';
+      readonly at: number;
+      readonly direction: CutDirection;
+      readonly ms: number;
+    }
   | { readonly kind: 'split'; readonly members: number; readonly ms: number }
   | { readonly kind: 'freeze'; readonly at: number; readonly ms: number }
   | { readonly kind: 'kill'; readonly at: number; readonly ms: number; readonly power: boolean }
@@ -23,7 +28,7 @@
   | { readonly kind: 'wipe'; readonly at: number; readonly ms: number }
   | { readonly kind: 'replace'; readonly at: number; readonly planned: boolean }
   | { readonly kind: 'add' }
-  | { readonly kind: DiskTrouble; readonly at: number; readonly ms: number }
+  | { readonly kind: DiskFault; readonly at: number; readonly ms: number }
   | { readonly kind: 'put'; readonly at: number; readonly stale: boolean }
   | { readonly kind: 'race'; readonly at: number; readonly other: number }
   | { readonly kind: 'resend'; readonly at: number; readonly which: number }
@@ -33,10 +38,10 @@
   | { readonly kind: 'heal' };
 
 /** What may be wrong with a disk that is not lost. */
-export type DiskTrouble = 'slow-disk' | 'full-disk' | 'stalled-disk';
+export type DiskFault = 'slow-disk' | 'full-disk' | 'stalled-disk';
 
 /** Directions in which a machine is cut off. */
-export type CutWay = 'both' | 'in' | 'out';
+export type CutDirection = 'both' | 'in' | 'out';
 
 /** A whole run: the seed of the simulated world, its number of controls, and its actions in order. */
 export interface ModelRun {
@@ -50,13 +55,13 @@
   { weight: 3, arbitrary: fc.nat(6) },
 );
 const span = fc.constantFrom(5, 60, 300, 900, 2500, 5000);
-const pause = fc.constantFrom(5, 60, 300, 900, 2500);
-const way = fc.constantFrom<CutWay>('both', 'in', 'out');
-const share = fc.constantFrom(0, 10, 30);
+const waitMs = fc.constantFrom(5, 60, 300, 900, 2500);
+const direction = fc.constantFrom<CutDirection>('both', 'in', 'out');
+const percent = fc.constantFrom(0, 10, 30);
 
-const troubles: readonly fc.Arbitrary<ModelAction>[] = [
-  fc.record({ kind: fc.constant('network'), lost: share, late: share, repeated: share }),
-  fc.record({ kind: fc.constant('cut'), at, way, ms: span }),
+const faults: readonly fc.Arbitrary<ModelAction>[] = [
+  fc.record({ kind: fc.constant('network'), lost: percent, late: percent, repeated: percent }),
+  fc.record({ kind: fc.constant('cut'), at, direction, ms: span }),
   fc.record({ kind: fc.constant('split'), members: fc.nat(31), ms: span }),
   fc.record({ kind: fc.constant('freeze'), at, ms: span }),
   fc.record({ kind: fc.constant('kill'), at, ms: span, power: fc.boolean() }),
@@ -65,7 +70,7 @@
   fc.record({ kind: fc.constant('replace'), at, planned: fc.boolean() }),
   fc.constant({ kind: 'add' }),
   fc.record({
-    kind: fc.constantFrom<DiskTrouble>('slow-disk', 'full-disk', 'stalled-disk'),
+    kind: fc.constantFrom<DiskFault>('slow-disk', 'full-disk', 'stalled-disk'),
     at,
     ms: span,
   }),
@@ -80,11 +85,11 @@
   fc.constant({ kind: 'read-all' }),
 ];
 
-const wait: fc.Arbitrary<ModelAction> = fc.record({ kind: fc.constant('wait'), ms: pause });
+const wait: fc.Arbitrary<ModelAction> = fc.record({ kind: fc.constant('wait'), ms: waitMs });
 
 /** Every action, requests and waits as often as all troubles together. */
 export const anyAction: readonly fc.Arbitrary<ModelAction>[] = [
-  ...troubles,
+  ...faults,
   ...requests,
   ...requests,
   wait,
--- a/packages/sim/src/model-nodes.ts
+++ b/packages/sim/src/model-nodes.ts
@@ -5,15 +5,15 @@
 import { z } from 'zod';
 import type { Machine } from './machine.js';
 import type { ModelHistory } from './model-history.js';
-import type { Answered } from './sim-net.js';
+import type { ObservedAnswer } from './sim-net.js';
 
 const Addressed = z.object({ to: z.string() });
 /** After this long without a change a state in memory is on the disk too, unless that is slow. */
 const syncedAfterMs = 10;
 
-interface Held {
-  readonly mark: StateVersion;
-  readonly ownedSinceEpoch: number;
+interface StateInMemory {
+  readonly version: StateVersion;
+  readonly since: number;
 }
 
 const markText = (m: StateVersion): string => `${m.term}.${m.version}`;
@@ -33,7 +33,7 @@
   private readonly grantedTerms = new Map<string, number>();
   private readonly acknowledged = new Map<string, StateVersion>();
   private readonly stored = new Map<string, StateVersion>();
-  private readonly held = new Map<string, Held>();
+  private readonly inMemory = new Map<string, StateInMemory>();
   private readonly applied = new Map<
     Machine,
     { readonly life: object; readonly mark: StateVersion }
@@ -52,12 +52,12 @@
     this.identities.delete(m);
   }
 
-  answered(a: Answered): void {
+  answered(a: ObservedAnswer): void {
     if (a.kind === 'zen/validate') this.voted(a);
     if (a.kind === 'zen/publish') this.accepted(a);
   }
 
-  private voted(a: Answered): void {
+  private voted(a: ObservedAnswer): void {
     const { from, term } = Validate.parse(a.body);
     const { to } = Addressed.parse(a.body);
     const key = `${to} ${term}`;
@@ -71,7 +71,7 @@
     this.grantedTerms.set(to, Math.max(term, this.grantedTerms.get(to) ?? 0));
   }
 
-  private accepted(a: Answered): void {
+  private accepted(a: ObservedAnswer): void {
     if (PublishResponse.parse(a.answer).outcome !== 'accepted') return;
     const { packed, term } = Publish.parse(a.body);
     const { to } = Addressed.parse(a.body);
@@ -115,27 +115,27 @@
   private observeApplied(m: Machine, s: State | undefined): void {
     const mark = versionOf(s);
     const before = this.applied.get(m);
-    if (before?.life === m.life && isNewerVersion(before.mark, mark))
+    if (before?.life === m.incarnation && isNewerVersion(before.mark, mark))
       this.history.broken(
         'terms and versions never go back',
         `${m.addr} applies ${markText(mark)} after ${markText(before.mark)}`,
       );
-    this.applied.set(m, { life: m.life, mark });
+    this.applied.set(m, { life: m.incarnation, mark });
   }
 
   private observeStored(m: Machine, id: string, mark: StateVersion, now: number): void {
-    const held = this.held.get(id);
+    const held = this.inMemory.get(id);
     if (
       !held ||
-      markText(held.mark) !== markText(mark) ||
-      m.life.frozen ||
+      markText(held.version) !== markText(mark) ||
+      m.incarnation.frozen ||
       m.platter.delay > 1 ||
       m.platter.full ||
       m.platter.stalled
     )
-      this.held.set(id, { mark, ownedSinceEpoch: now });
+      this.inMemory.set(id, { version: mark, since: now });
     else if (
-      now - held.ownedSinceEpoch > syncedAfterMs &&
+      now - held.since > syncedAfterMs &&
       isNewerVersion(mark, this.stored.get(id) ?? versionOf(undefined))
     )
       this.stored.set(id, mark);
--- a/packages/sim/src/model-rig.ts
+++ b/packages/sim/src/model-rig.ts
@@ -5,8 +5,8 @@
 import type { Machine } from './machine.js';
 import {
   atMaster,
-  type CutWay,
-  type DiskTrouble,
+  type CutDirection,
+  type DiskFault,
   type ModelAction,
   type ModelRun,
 } from './model-actions.js';
@@ -38,7 +38,7 @@
 export class ModelRig {
   readonly history = new ModelHistory();
   private readonly nodes = new ModelNodes(this.history);
-  private readonly w: World;
+  private readonly world: World;
   private readonly rng: () => number;
   private readonly sent: SentConfig[] = [];
   private answers: Answer[] = [];
@@ -50,10 +50,10 @@
     readonly controls: number,
   ) {
     this.rng = seededRng(seed * 31 + 7);
-    this.w = new World(seed, { controls, stores: 0, fronts: 0, outer: bounds });
-    this.w.skewed = true;
-    this.w.net.onAnswer = (a) => this.nodes.answered(a);
-    this.w.net.fate = () => ({
+    this.world = new World(seed, { controls, stores: 0, fronts: 0, outer: bounds });
+    this.world.skewed = true;
+    this.world.net.onAnswer = (a) => this.nodes.answered(a);
+    this.world.net.fate = () => ({
       lost: this.chance(this.network.lost),
       lateBy: this.chance(this.network.late) ? this.rng() * bounds.failureTimeout : 0,
       repeats: this.chance(this.network.repeated) ? 1 : 0,
@@ -65,7 +65,7 @@
   }
 
   set trace(say: (line: string) => void) {
-    this.w.trace = say;
+    this.world.trace = say;
   }
 
   private chance(percent: number): boolean {
@@ -74,8 +74,8 @@
 
   /** Starts the controls and waits for the first master. */
   async begin(): Promise<void> {
-    this.w.start();
-    await this.passUntil('a first master', () => this.w.master !== undefined);
+    this.world.start();
+    await this.advanceUntil('a first master', () => this.world.master !== undefined);
   }
 
   /** Whether an action stays within the losses that the cluster is to bear. */
@@ -84,9 +84,9 @@
       case 'wipe':
         return this.mayLoseDisk(this.at(a.at));
       case 'replace':
-        return this.w.machines.length > 2 && this.mayLoseDisk(this.at(a.at));
+        return this.world.machines.length > 2 && this.mayLoseDisk(this.at(a.at));
       case 'add':
-        return this.w.machines.length < mostControls;
+        return this.world.machines.length < mostControls;
       case 'resend':
         return this.sent.length > 0;
       default:
@@ -99,7 +99,7 @@
     const s = this.history.newest;
     if (!s) return false;
     const kept = new Set(
-      this.w.machines.filter((x) => x !== m).map((x) => this.nodes.identityOf(x)),
+      this.world.machines.filter((x) => x !== m).map((x) => this.nodes.identityOf(x)),
     );
     return [s.voters.current, s.voters.next].every(
       (group) =>
@@ -108,56 +108,56 @@
   }
 
   private at(n: number): Machine {
-    const { machines, master } = this.w;
+    const { machines, master } = this.world;
     const m = n === atMaster && master ? master : machines[Math.max(0, n) % machines.length];
     if (!m) throw new Error('there is no machine');
     return m;
   }
 
   private observe(): void {
-    for (const m of this.w.machines) {
+    for (const m of this.world.machines) {
       const { control } = m;
       if (!control) continue;
       const led = control.zen.leading?.committed;
       if (led) this.history.committed(m.addr, led);
       if (control.zen.applied) this.history.committed(m.addr, control.zen.applied);
-      this.nodes.observe(m, this.w.clock.now());
+      this.nodes.observe(m, this.world.clock.now());
     }
     const { answers } = this;
     this.answers = [];
     for (const answer of answers) answer();
   }
 
-  private async pass(ms: number): Promise<void> {
-    const { clock } = this.w;
+  private async advance(ms: number): Promise<void> {
+    const { clock } = this.world;
     const end = clock.now() + ms;
-    await clock.settle();
+    await clock.runReadyTasks();
     this.observe();
     while (await clock.step(end)) this.observe();
     await clock.run(end - clock.now());
   }
 
-  private async passUntil(what: string, ready: () => boolean): Promise<boolean> {
-    const { clock } = this.w;
+  private async advanceUntil(what: string, ready: () => boolean): Promise<boolean> {
+    const { clock } = this.world;
     const end = clock.now() + healedWithinMs;
     while (!ready()) {
       if (clock.now() >= end) {
         this.history.broken('serves again once healed', `${what}: not within ${healedWithinMs} ms`);
         return false;
       }
-      await this.pass(20);
+      await this.advance(20);
     }
     return true;
   }
 
   private later(ms: number, run: () => void): void {
-    this.w.clock.after(ms, run);
+    this.world.clock.after(ms, run);
   }
 
   async act(a: ModelAction): Promise<void> {
     this.actions.push(a);
     await this.apply(a);
-    await this.pass(a.kind === 'wait' ? a.ms : 2);
+    await this.advance(a.kind === 'wait' ? a.ms : 2);
   }
 
   private async apply(a: ModelAction): Promise<void> {
@@ -166,10 +166,10 @@
         this.network = a;
         return;
       case 'cut':
-        return this.cut([this.at(a.at)], a.way, a.ms);
+        return this.cut([this.at(a.at)], a.direction, a.ms);
       case 'split':
         return this.cut(
-          this.w.machines.filter((_, i) => ((a.members >> i) & 1) === 1),
+          this.world.machines.filter((_, i) => ((a.members >> i) & 1) === 1),
           'both',
           a.ms,
         );
@@ -178,19 +178,19 @@
       case 'kill':
         return this.kill(this.at(a.at), a.power ? 'power' : 'process', a.ms);
       case 'power-all':
-        for (const m of this.w.machines) this.kill(m, 'power', a.ms);
+        for (const m of this.world.machines) this.kill(m, 'power', a.ms);
         return;
       case 'wipe':
         return this.wipe(this.at(a.at), a.ms);
       case 'replace':
         return a.planned ? this.replacePlanned(this.at(a.at)) : this.replace(this.at(a.at));
       case 'add':
-        this.w.add('control').start();
+        this.world.add('control').start();
         return;
       case 'slow-disk':
       case 'full-disk':
       case 'stalled-disk':
-        return this.troubleDisk(this.at(a.at), a.kind, a.ms);
+        return this.disturbDisk(this.at(a.at), a.kind, a.ms);
       case 'put':
         return this.put(
           this.at(a.at),
@@ -211,7 +211,7 @@
       case 'read':
         return this.read(this.at(a.at));
       case 'read-all':
-        for (const m of this.w.machines) this.read(m);
+        for (const m of this.world.machines) this.read(m);
         return;
       case 'heal':
         return this.heal();
@@ -220,26 +220,26 @@
     }
   }
 
-  private cut(group: readonly Machine[], way: CutWay, ms: number): void {
-    const rest = this.w.machines.filter((m) => !group.includes(m));
-    const pairs = group.flatMap((a) => rest.flatMap((b) => pairsOf(a.addr, b.addr, way)));
-    for (const [from, to] of pairs) this.w.net.cut(from, to);
-    this.later(ms, () => this.w.net.uncut(pairs));
+  private cut(group: readonly Machine[], direction: CutDirection, ms: number): void {
+    const rest = this.world.machines.filter((m) => !group.includes(m));
+    const pairs = group.flatMap((a) => rest.flatMap((b) => pairsOf(a.addr, b.addr, direction)));
+    for (const [from, to] of pairs) this.world.net.cut(from, to);
+    this.later(ms, () => this.world.net.uncut(pairs));
   }
 
   private freeze(m: Machine, ms: number): void {
-    const { life } = m;
+    const { incarnation: life } = m;
     m.freeze();
     this.later(ms, () => {
-      if (m.life === life) m.wake();
+      if (m.incarnation === life) m.wake();
     });
   }
 
   private kill(m: Machine, how: 'process' | 'power', ms: number): void {
     m.kill(how);
-    const { life } = m;
+    const { incarnation: life } = m;
     this.later(ms, () => {
-      if (m.life === life && this.w.machines.includes(m)) m.start();
+      if (m.incarnation === life && this.world.machines.includes(m)) m.start();
     });
   }
 
@@ -251,29 +251,29 @@
 
   private replace(m: Machine): void {
     m.kill('power');
-    this.w.remove(m);
-    this.w.add('control').start();
+    this.world.remove(m);
+    this.world.add('control').start();
   }
 
   private replacePlanned(m: Machine): void {
-    this.w.add('control').start();
+    this.world.add('control').start();
     this.later(bounds.failureTimeout * 4, () => {
       const { control } = m;
-      if (!control || !this.w.machines.includes(m) || !this.mayLoseDisk(m)) return;
+      if (!control || !this.world.machines.includes(m) || !this.mayLoseDisk(m)) return;
       const end = (): void => {
-        if (!this.w.machines.includes(m)) return;
+        if (!this.world.machines.includes(m)) return;
         m.kill('power');
-        this.w.remove(m);
+        this.world.remove(m);
       };
-      m.life.do(() => void control.stop().catch(() => undefined));
+      m.incarnation.do(() => void control.stop().catch(() => undefined));
       this.later(bounds.failureTimeout, () => {
         if (this.mayLoseDisk(m)) end();
-        else if (this.w.machines.includes(m)) this.kill(m, 'process', bounds.heartbeatInterval);
+        else if (this.world.machines.includes(m)) this.kill(m, 'process', bounds.heartbeatInterval);
       });
     });
   }
 
-  private troubleDisk({ platter }: Machine, kind: DiskTrouble, ms: number): void {
+  private disturbDisk({ platter }: Machine, kind: DiskFault, ms: number): void {
     if (kind === 'slow-disk') platter.delay = slowDiskMs;
     if (kind === 'full-disk') platter.full = true;
     if (kind === 'stalled-disk') platter.stalled = true;
@@ -318,7 +318,7 @@
     body: string,
     onAnswer: (out: OperatorResponse, start: CallStart) => void,
   ): void {
-    const { control, life } = m;
+    const { control, incarnation: life } = m;
     if (!control) return;
     const start = this.history.begin();
     life.do(() => {
@@ -331,9 +331,9 @@
 
   private heal(): void {
     this.network = { lost: 0, late: 0, repeated: 0 };
-    this.w.net.mend();
-    for (const m of this.w.machines) {
-      if (m.life.frozen) m.wake();
+    this.world.net.healCuts();
+    for (const m of this.world.machines) {
+      if (m.incarnation.frozen) m.wake();
       if (!m.up) m.start();
       endDiskTrouble(m.platter);
     }
@@ -347,19 +347,19 @@
 
   private async readAndWrite(): Promise<void> {
     let read = -1;
-    const askAt = (): Machine => this.at(Math.floor(this.rng() * this.w.machines.length));
-    const readBack = await this.passUntil('a read', () => {
+    const askAt = (): Machine => this.at(Math.floor(this.rng() * this.world.machines.length));
+    const readBack = await this.advanceUntil('a read', () => {
       if (read < 0 && this.rng() < 0.1) this.read(askAt(), (version) => (read = version));
       return read >= 0 || (this.history.newest !== undefined && !this.history.newest.config);
     });
     if (!readBack) return;
     const last = this.configOn(this.history.committedVersion);
-    await this.passUntil('a last change', () => {
+    await this.advanceUntil('a last change', () => {
       if (this.rng() < 0.1) this.put(askAt(), last);
       return this.history.committedVersion >= last.version;
     });
     this.read(askAt());
-    await this.pass(bounds.failureTimeout);
+    await this.advance(bounds.failureTimeout);
   }
 }
 
@@ -369,8 +369,12 @@
   platter.stalled = false;
 };
 
-const pairsOf = (a: string, b: string, way: CutWay): readonly (readonly [string, string])[] => {
+const pairsOf = (
+  a: string,
+  b: string,
+  direction: CutDirection,
+): readonly (readonly [string, string])[] => {
   const out: readonly [string, string] = [a, b];
   const back: readonly [string, string] = [b, a];
-  return way === 'both' ? [out, back] : way === 'out' ? [out] : [back];
+  return direction === 'both' ? [out, back] : direction === 'out' ? [out] : [back];
 };
--- a/packages/sim/src/pass.ts
+++ b/packages/sim/src/pass.ts
@@ -21,9 +21,9 @@
   readonly most?: number;
   readonly after?: string;
   readonly resume?: string;
-  readonly left?: number;
+  readonly deadlineMs?: number;
   /** When the caller goes away. */
-  readonly leaves?: AbortSignal;
+  readonly cancelled?: AbortSignal;
   readonly parts?: [string, number][];
 }
 
@@ -62,7 +62,7 @@
         : 'stream';
 };
 
-const askOf = (w: World, spec: PassSpec): PassRequest => {
+const requestOf = (w: World, spec: PassSpec): PassRequest => {
   const { path, key = '', program = '', budget = null, most = 10 } = spec;
   const attempt = spec.attempt ?? `r${w.freshId()}`;
   const streamed = mannerOf(path) === 'stream';
@@ -79,7 +79,7 @@
     body: encodeBody(Buffer.from(spec.body ?? '', 'latin1')),
     attempt,
     key,
-    left: spec.left ?? 8000,
+    left: spec.deadlineMs ?? 8000,
     program,
     budget,
     most,
@@ -91,23 +91,26 @@
 
 /** Sends a request on a pass route as a caller would, and records what the caller was told. */
 export const passAt = async (w: World, spec: PassSpec, at?: Machine): Promise<PassRecord> => {
-  const ask = askOf(w, spec);
+  const ask = requestOf(w, spec);
   const from = w.clock.now();
   let got = '';
   let begun = false;
   const v = await w.sendAsCaller(
     at,
     (front, emit, gone) =>
-      passOn(front, ask, emit, spec.leaves ? AbortSignal.any([gone, spec.leaves]) : gone).catch(
-        (e: unknown): CallOutcome => {
-          const m = toRpcError(e);
-          return {
-            outcome: m.code === 'not-ready' ? 'refused' : 'unknown',
-            status: 503,
-            errorCode: m.code,
-          };
-        },
-      ),
+      passOn(
+        front,
+        ask,
+        emit,
+        spec.cancelled ? AbortSignal.any([gone, spec.cancelled]) : gone,
+      ).catch((e: unknown): CallOutcome => {
+        const m = toRpcError(e);
+        return {
+          outcome: m.code === 'not-ready' ? 'refused' : 'unknown',
+          status: 503,
+          errorCode: m.code,
+        };
+      }),
     (n, text) => {
       if (n === 0) begun = true;
       else got += text;
--- a/packages/sim/src/sim-backend.ts
+++ b/packages/sim/src/sim-backend.ts
@@ -1,232 +1,186 @@
-import type { Server } from '@tillerstair/state';
+/** The servers as one simulated front reaches them; what is sent takes time and meets the servers' faults. */
 import type {
-  ToolCallRequest,
   Backend,
   BackendOutcome,
+  ForwardedRequest,
   GenerateRequest,
+  ResponseSink,
   ServerStatus,
-  ForwardedRequest,
+  ToolCallRequest,
 } from '@tillerstair/session-owner';
-import type { ExecutionRecord } from '@tillerstair/checker';
+import type { Server } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
-import type { Life } from './sim-clock.js';
-import { passRun, type Passed } from './sim-pass.js';
+import { strikes, type SimFaults } from './server-faults.js';
+import type { Incarnation } from './sim-clock.js';
+import { executePass } from './sim-pass.js';
+import type { SimServers } from './sim-servers.js';
 
-export interface SimFaults {
-  readonly refuses: boolean;
-  readonly draining: boolean;
-  readonly loseEvery: number;
-  readonly cutEvery: number;
-  readonly slow: number;
-  /** Says that it did not run what it is sent. */
-  readonly declines: boolean;
-  /** With a cut: in the middle of an event. */
-  readonly tears: boolean;
-  /** Runs, and speaks of another try. */
-  readonly lies: boolean;
-  /** Takes requests and never answers, while its health is good. */
-  readonly mute: boolean;
-  /** Says nothing at all any more. */
-  readonly dark: boolean;
-  /** Resets connections as soon as a request is on them. */
-  readonly resets: boolean;
-  /** Runs requests and fails them: calls of pass routes with a status of its own, all else without a whole answer. */
-  readonly errs: boolean;
-}
+/** How long a request may take, and whether it may still be sent. */
+type SendBounds = readonly [signal: AbortSignal, timeoutMs: number, mayStillRun: () => boolean];
 
-const healthy: SimFaults = {
-  refuses: false,
-  draining: false,
-  loseEvery: 0,
-  cutEvery: 0,
-  slow: 1,
-  declines: false,
-  tears: false,
-  lies: false,
-  mute: false,
-  dark: false,
-  resets: false,
-  errs: false,
-};
+const sendMs = 0.5;
+const receiveMs = 0.3;
+const msPerToken = 5;
+const shortestReply = 4;
+const replyLengths = 12;
+const shortestCallMs = 10;
+const callRangeMs = 30;
 
-export class SimServers {
-  readonly executed: ExecutionRecord[] = [];
-  private readonly faults = new Map<string, SimFaults>();
-  private readonly busy = new Map<string, number>();
-  asked = 0;
-  polls = 0;
-  private served = 0;
-  readonly cutFronts = new Set<string>();
+/** The backend of one front; it stops with the incarnation of the front's process. */
+export class SimBackend implements Backend {
+  private readonly frontClock: Clock;
 
   constructor(
-    private readonly clock: Clock,
-    private readonly rng: () => number,
-  ) {}
-
-  /** Ends every trouble of a server, except that it may go on leaving. */
-  heal(id: string): void {
-    this.set(id, { ...healthy, draining: this.of(id).draining });
+    private readonly servers: SimServers,
+    private readonly incarnation: Incarnation,
+    private readonly front: string,
+  ) {
+    this.frontClock = incarnation.clock(servers.clock);
   }
 
-  set(id: string, f: Partial<SimFaults>): void {
-    this.faults.set(id, { ...(this.faults.get(id) ?? healthy), ...f });
-  }
-
-  private of(id: string): SimFaults {
-    return this.faults.get(id) ?? healthy;
+  async generate(
+    server: Server,
+    request: GenerateRequest,
+    onChunk: (index: number, text: string) => void,
+    ...bounds: SendBounds
+  ): Promise<BackendOutcome> {
+    const faults = this.servers.faultsOf(server.id);
+    const notRun = await this.send(server, bounds);
+    if (notRun) return notRun;
+    const [signal] = bounds;
+    const number = this.servers.beginRequest();
+    const executed = {
+      kind: 'generate' as const,
+      key: '',
+      attempt: request.requestId,
+      program: request.id.split('/')[0] ?? '',
+      began: this.servers.clock.now(),
+      said: request.messages.at(-1)?.text ?? '',
+    };
+    const length = shortestReply + Math.floor(this.servers.rng() * replyLengths);
+    const total = Math.min(request.maxTokens, length);
+    const cutAt = strikes(faults.cutEvery, number) ? Math.floor(total / 2) : -1;
+    let reply = '';
+    this.servers.addBusy(server, 1);
+    for (let index = 0; index < total; index++) {
+      await delay(this.servers.clock, msPerToken * faults.slow);
+      if (signal.aborted || this.incarnation.dead || index === cutAt) {
+        this.servers.addBusy(server, -1);
+        this.servers.record(server, { ...executed, reply, complete: false, tokens: index });
+        return this.receive({ kind: 'lost', text: 'the stream stopped' });
+      }
+      const text = `${server.id}.${number}.${index} `;
+      reply += text;
+      this.incarnation.do(() => onChunk(index, text));
+    }
+    this.servers.addBusy(server, -1);
+    this.servers.record(server, { ...executed, reply, complete: true, tokens: total });
+    if (losesEnd(faults, number)) return this.receive({ kind: 'lost', text: 'the end was lost' });
+    return this.receive({ kind: 'done', code: 200, body: total });
   }
 
-  private enter(s: Server, by: number): void {
-    this.busy.set(s.id, (this.busy.get(s.id) ?? 0) + by);
+  async act(
+    server: Server,
+    request: ToolCallRequest,
+    ...bounds: SendBounds
+  ): Promise<BackendOutcome> {
+    const faults = this.servers.faultsOf(server.id);
+    const notRun = await this.send(server, bounds);
+    if (notRun) return notRun;
+    const number = this.servers.beginRequest();
+    const began = this.servers.clock.now();
+    this.servers.addBusy(server, 1);
+    const callMs = shortestCallMs + this.servers.rng() * callRangeMs;
+    await delay(this.servers.clock, callMs * faults.slow);
+    this.servers.addBusy(server, -1);
+    this.servers.record(server, {
+      kind: 'act',
+      key: request.key,
+      attempt: request.requestId,
+      program: '',
+      began,
+      said: request.path,
+      reply: '',
+      complete: true,
+      tokens: 0,
+    });
+    if (losesEnd(faults, number))
+      return this.receive({ kind: 'lost', text: 'the outcome was lost' });
+    const body = { did: request.path, key: request.key, by: server.id };
+    return this.receive({ kind: 'done', code: 200, body });
   }
 
-  private note(s: Server, executed: Omit<ExecutionRecord, 'server' | 'pool' | 'at'>): void {
-    this.executed.push({
+  async pass(
+    server: Server,
+    request: ForwardedRequest,
+    sink: ResponseSink,
+    ...bounds: SendBounds
+  ): Promise<BackendOutcome> {
+    const faults = this.servers.faultsOf(server.id);
+    const notRun = await this.send(server, bounds);
+    if (notRun) return notRun;
+    const [signal] = bounds;
+    const { clock, rng } = this.servers;
+    const number = this.servers.beginRequest();
+    const began = clock.now();
+    this.servers.addBusy(server, 1);
+    const { incarnation } = this;
+    const executed = await executePass(
+      { by: server.id, number, faults, clock, rng, incarnation, signal },
+      request,
+      sink,
+    );
+    this.servers.addBusy(server, -1);
+    this.servers.record(server, {
+      kind: 'pass',
+      attempt: request.attempt,
+      began,
+      said: Buffer.from(request.body).toString('latin1'),
       ...executed,
-      server: s.id,
-      pool: s.pool,
-      at: this.clock.now(),
-      said: executed.kind === 'pass' ? executed.said : executed.said.slice(-60),
     });
+    if (!executed.complete) return this.receive({ kind: 'lost', text: 'the answer stopped' });
+    if (faults.namesOtherAttempt)
+      return this.receive({ kind: 'lost', text: 'the response names another attempt' });
+    if (strikes(faults.loseEvery, number))
+      return this.receive({ kind: 'lost', text: 'the answer was lost' });
+    return this.receive({ kind: 'done', code: 200, body: null });
   }
 
-  backend(life: Life, front = ''): Backend {
-    const clock = this.clock;
-    const frontClock = life.clock(clock);
-    const refuses = (s: Server): boolean =>
-      this.of(s.id).refuses || this.cutFronts.has(`${front}>${s.id}`);
-    const gate = async <T>(v: T): Promise<T> => {
-      await delay(frontClock, 0.3);
-      return v;
-    };
-    const silence = async (gone: AbortSignal, within: number): Promise<BackendOutcome> => {
-      await delay(frontClock, within, gone);
+  async load(server: Server, timeoutMs: number): Promise<ServerStatus> {
+    const faults = this.servers.faultsOf(server.id);
+    this.servers.polls++;
+    await delay(this.frontClock, sendMs);
+    if (faults.unresponsive) await delay(this.frontClock, timeoutMs);
+    if (!this.servers.accepts(this.front, server) || faults.unresponsive)
+      throw new Error('refused');
+    return { busy: this.servers.busyOf(server), draining: faults.draining };
+  }
+
+  /** Sends a request to a server; undefined if the server runs it. */
+  private async send(
+    server: Server,
+    [signal, timeoutMs, mayStillRun]: SendBounds,
+  ): Promise<BackendOutcome | undefined> {
+    this.servers.asked++;
+    await delay(this.frontClock, sendMs);
+    if (!mayStillRun()) return { kind: 'declined', text: 'taken back' };
+    if (!this.servers.accepts(this.front, server)) return { kind: 'never-left', text: 'refused' };
+    const faults = this.servers.faultsOf(server.id);
+    if (faults.declines) return this.receive({ kind: 'declined', text: 'full' });
+    if (faults.neverReplies || faults.unresponsive) {
+      await delay(this.frontClock, timeoutMs, signal);
       return { kind: 'lost', text: 'the server is silent' };
-    };
-    const leave = async (
-      s: Server,
-      still: () => boolean,
-      gone: AbortSignal,
-      within: number,
-    ): Promise<BackendOutcome | undefined> => {
-      this.asked++;
-      await delay(frontClock, 0.5);
-      if (!still()) return { kind: 'declined', text: 'taken back' };
-      if (refuses(s)) return { kind: 'never-left', text: 'refused' };
-      const f = this.of(s.id);
-      if (f.declines) return gate({ kind: 'declined', text: 'full' });
-      if (f.mute || f.dark) return silence(gone, within);
-      return f.resets ? gate({ kind: 'lost', text: 'the connection was reset' }) : undefined;
-    };
-    return {
-      generate: async (
-        s: Server,
-        g: GenerateRequest,
-        onChunk,
-        gone,
-        within,
-        still,
-      ): Promise<BackendOutcome> => {
-        const f = this.of(s.id);
-        const back = await leave(s, still, gone, within);
-        if (back) return back;
-        const nth = ++this.served;
-        const began = clock.now();
-        const executed = {
-          kind: 'generate' as const,
-          key: '',
-          attempt: g.requestId,
-          program: g.id.split('/')[0] ?? '',
-          began,
-          said: g.messages.at(-1)?.text ?? '',
-        };
-        const total = Math.min(g.maxTokens, 4 + Math.floor(this.rng() * 12));
-        const cutAt = f.cutEvery > 0 && nth % f.cutEvery === 0 ? Math.floor(total / 2) : -1;
-        let reply = '';
-        this.enter(s, 1);
-        for (let n = 0; n < total; n++) {
-          await delay(clock, 5 * f.slow);
-          if (gone.aborted || life.dead || n === cutAt) {
-            this.enter(s, -1);
-            this.note(s, { ...executed, reply, complete: false, tokens: n });
-            return gate({ kind: 'lost', text: 'the stream stopped' });
-          }
-          const text = `${s.id}.${nth}.${n} `;
-          reply += text;
-          const at = n;
-          life.do(() => onChunk(at, text));
-        }
-        this.enter(s, -1);
-        this.note(s, { ...executed, reply, complete: true, tokens: total });
-        if (f.errs || (f.loseEvery > 0 && nth % f.loseEvery === 0))
-          return gate({ kind: 'lost', text: 'the end was lost' });
-        return gate({ kind: 'done', code: 200, body: total });
-      },
-      act: async (s: Server, a: ToolCallRequest, gone, within, still): Promise<BackendOutcome> => {
-        const f = this.of(s.id);
-        const back = await leave(s, still, gone, within);
-        if (back) return back;
-        const nth = ++this.served;
-        const began = clock.now();
-        this.enter(s, 1);
-        await delay(clock, (10 + this.rng() * 30) * f.slow);
-        this.enter(s, -1);
-        this.note(s, {
-          kind: 'act',
-          key: a.key,
-          attempt: a.requestId,
-          program: '',
-          began,
-          said: a.path,
-          reply: '',
-          complete: true,
-          tokens: 0,
-        });
-        if (f.errs || (f.loseEvery > 0 && nth % f.loseEvery === 0))
-          return gate({ kind: 'lost', text: 'the outcome was lost' });
-        return gate({ kind: 'done', code: 200, body: { did: a.path, key: a.key, by: s.id } });
-      },
-      pass: async (
-        s: Server,
-        p: ForwardedRequest,
-        sink,
-        gone,
-        left,
-        still,
-      ): Promise<BackendOutcome> => {
-        const f = this.of(s.id);
-        const back = await leave(s, still, gone, left);
-        if (back) return back;
-        const nth = ++this.served;
-        const began = clock.now();
-        this.enter(s, 1);
-        const executed: Passed = await passRun(
-          { by: s.id, nth, faults: f, clock, rng: this.rng, life, gone },
-          p,
-          sink,
-        );
-        this.enter(s, -1);
-        this.note(s, {
-          kind: 'pass',
-          attempt: p.attempt,
-          began,
-          said: Buffer.from(p.body).toString('latin1'),
-          ...executed,
-        });
-        if (!executed.complete) return gate({ kind: 'lost', text: 'the answer stopped' });
-        if (f.lies) return gate({ kind: 'lost', text: 'the server spoke of another try' });
-        if (f.loseEvery > 0 && nth % f.loseEvery === 0)
-          return gate({ kind: 'lost', text: 'the answer was lost' });
-        return gate({ kind: 'done', code: 200, body: null });
-      },
-      load: async (s: Server, within: number): Promise<ServerStatus> => {
-        const f = this.of(s.id);
-        this.polls++;
-        await delay(frontClock, 0.5);
-        if (f.dark) await delay(frontClock, within);
-        if (refuses(s) || f.dark) throw new Error('refused');
-        return { busy: this.busy.get(s.id) ?? 0, draining: f.draining };
-      },
-    };
+    }
+    return faults.resets
+      ? this.receive({ kind: 'lost', text: 'the connection was reset' })
+      : undefined;
+  }
+
+  private async receive(outcome: BackendOutcome): Promise<BackendOutcome> {
+    await delay(this.frontClock, receiveMs);
+    return outcome;
   }
 }
+
+const losesEnd = (faults: SimFaults, requestNumber: number): boolean =>
+  faults.fails || strikes(faults.loseEvery, requestNumber);
--- a/packages/sim/src/sim-clock.ts
+++ b/packages/sim/src/sim-clock.ts
@@ -72,7 +72,7 @@
     };
   }
 
-  async settle(): Promise<void> {
+  async runReadyTasks(): Promise<void> {
     for (let i = 0; i < 4; i++) await turn();
   }
 
@@ -84,20 +84,20 @@
     this.time = Math.max(this.time, t.at);
     this.events++;
     t.run();
-    await this.settle();
+    await this.runReadyTasks();
     return true;
   }
 
   async run(ms: number): Promise<void> {
     const end = this.time + ms;
-    await this.settle();
+    await this.runReadyTasks();
     while (await this.step(end));
     this.time = end;
   }
 
   async until(what: string, ready: () => boolean, within: number): Promise<number> {
     const t0 = this.time;
-    await this.settle();
+    await this.runReadyTasks();
     while (!ready()) {
       if (this.time - t0 > within)
         throw new Error(`${what}: not within ${within} ms of simulated time`);
@@ -128,7 +128,7 @@
   }
 }
 
-export class Life {
+export class Incarnation {
   constructor(readonly rate = 1) {}
 
   dead = false;
--- a/packages/sim/src/sim-disk.ts
+++ b/packages/sim/src/sim-disk.ts
@@ -1,7 +1,7 @@
 /** A disk under a simulated clock: what is synced stays, the rest and each unsynced name may be lost with the power. */
 import type { Disk, DiskFile } from '@tillerstair/journal';
 import { delay, type Clock } from '@tillerstair/wire';
-import type { Life } from './sim-clock.js';
+import type { Incarnation } from './sim-clock.js';
 
 interface Content {
   synced: Buffer;
@@ -122,11 +122,11 @@
     if (this.steps++ === this.crashAtStep) this.onCrash();
   }
 
-  private async released(): Promise<void> {
+  private async untilReleased(): Promise<void> {
     while (this.isStalled) await new Promise<void>((go) => this.waiting.push(go));
   }
 
-  disk(clock: Clock, life: Life): Disk {
+  disk(clock: Clock, life: Incarnation): Disk {
     const alive = async (): Promise<void> => {
       if (life.dead) await forever;
     };
@@ -137,11 +137,11 @@
     const work = async (): Promise<void> => {
       await alive();
       await delay(clock, this.delay);
-      await this.released();
+      await this.untilReleased();
       await step();
     };
     const write = async (to: Content, bytes: Buffer): Promise<void> => {
-      await this.released();
+      await this.untilReleased();
       await alive();
       const part = this.full ? Math.floor(this.rng() * bytes.length) : bytes.length;
       to.cached = Buffer.concat([to.cached, bytes.subarray(0, part)]);
--- a/packages/sim/src/sim-list.ts
+++ b/packages/sim/src/sim-list.ts
@@ -1,8 +1,8 @@
 import type { ListedServer, ServerList } from '@tillerstair/control';
 import { delay, type Clock } from '@tillerstair/wire';
-import type { Life } from './sim-clock.js';
+import type { Incarnation } from './sim-clock.js';
 
-export interface ListRead {
+export interface ObservedRead {
   readonly at: number;
   readonly by: string;
 }
@@ -13,11 +13,11 @@
 }
 
 export class SimList {
-  readonly reads: ListRead[] = [];
+  readonly reads: ObservedRead[] = [];
   readonly cut = new Set<string>();
   failing = false;
   hanging = false;
-  took = 10;
+  readMs = 10;
   private past: readonly Shown[] = [{ at: -Infinity, servers: new Map() }];
 
   constructor(
@@ -56,7 +56,7 @@
     return this.change((servers) => servers.delete(id));
   }
 
-  private shown(): readonly ListedServer[] {
+  private visibleServers(): readonly ListedServer[] {
     const now = this.clock.now();
     return [...(this.past.findLast((s) => s.at <= now)?.servers.values() ?? [])];
   }
@@ -65,16 +65,16 @@
     return new Set(this.reads.filter((r) => r.at >= from && r.at < to).map((r) => r.by));
   }
 
-  reader(by: string, life: Life): ServerList {
+  reader(by: string, life: Incarnation): ServerList {
     const clock = life.clock(this.clock);
     return {
       read: async (within) => {
         this.reads.push({ at: this.clock.now(), by });
-        await delay(clock, this.hanging ? within : this.took / 2);
+        await delay(clock, this.hanging ? within : this.readMs / 2);
         if (this.failing || this.hanging || this.cut.has(by))
           throw new Error('the list cannot be read');
-        const servers = this.shown();
-        await delay(clock, this.took / 2);
+        const servers = this.visibleServers();
+        await delay(clock, this.readMs / 2);
         return servers;
       },
     };
--- a/packages/sim/src/sim-net.ts
+++ b/packages/sim/src/sim-net.ts
@@ -10,14 +10,14 @@
   toRpcError,
   type Transport,
 } from '@tillerstair/wire';
-import type { Life } from './sim-clock.js';
+import type { Incarnation } from './sim-clock.js';
 
 interface Host {
   readonly handler: RequestHandler;
-  readonly life: Life;
+  readonly life: Incarnation;
 }
 
-export interface Heard {
+export interface ObservedMessage {
   readonly from: string;
   readonly to: string;
   readonly kind: string;
@@ -34,7 +34,7 @@
 }
 
 /** One answer as its sender made it, whether it arrives or not. */
-export interface Answered {
+export interface ObservedAnswer {
   readonly by: string;
   readonly caller: string;
   readonly kind: string;
@@ -50,11 +50,11 @@
 
 interface Listener {
   readonly self: string;
-  hear(lost: string): void;
+  onConnectionLost(lost: string): void;
 }
 
 /** What a caller sees of a cut: nothing, a refused connection, or one that is reset. */
-export type CutManner = 'silent' | 'refuse' | 'reset';
+export type CutEffect = 'silent' | 'refuse' | 'reset';
 
 const delivered: Fate = { lost: false, lateBy: 0, repeats: 0 };
 
@@ -63,24 +63,24 @@
 
 export class SimNet {
   private readonly hosts = new Map<string, Host>();
-  private readonly cuts = new Map<string, CutManner>();
+  private readonly cuts = new Map<string, CutEffect>();
   messages = 0;
-  heard: ((m: Heard) => void) | undefined;
+  onMessage: ((m: ObservedMessage) => void) | undefined;
   /** Decides the fate of each message; every one is delivered once while unset. */
   fate: ((from: string, to: string) => Fate) | undefined;
   /** Is told each answer that a handler gave. */
-  onAnswer: ((a: Answered) => void) | undefined;
-  apart: (from: string, to: string) => number = () => 0;
+  onAnswer: ((a: ObservedAnswer) => void) | undefined;
+  extraLatency: (from: string, to: string) => number = () => 0;
   readonly largest = new Map<string, number>();
 
-  private weigh(
+  private observe(
     kind: string,
     text: string,
     from: string,
     to: string,
     part: 'body' | 'chunk' | 'response',
   ): void {
-    this.heard?.({ from, to, kind, bytes: Buffer.byteLength(text) + headOf(kind, part) });
+    this.onMessage?.({ from, to, kind, bytes: Buffer.byteLength(text) + headOf(kind, part) });
     if (text.length > (this.largest.get(kind) ?? 0)) this.largest.set(kind, text.length);
   }
 
@@ -94,7 +94,7 @@
 
   closed(addr: string): void {
     this.clock.after(0.5 + this.rng(), () => {
-      for (const l of this.listeners) l.hear(addr);
+      for (const l of this.listeners) l.onConnectionLost(addr);
     });
   }
 
@@ -107,14 +107,14 @@
       call.reset();
     }
     for (const l of this.listeners) {
-      if (l.self === addr) for (const peer of peers) l.hear(peer);
-      if (peers.has(l.self)) l.hear(addr);
+      if (l.self === addr) for (const peer of peers) l.onConnectionLost(peer);
+      if (peers.has(l.self)) l.onConnectionLost(addr);
     }
   }
 
   private readonly lastAt = new Map<string, number>();
 
-  private carry(from: string, to: string, run: () => void): void {
+  private deliver(from: string, to: string, run: () => void): void {
     const fate = this.fate?.(from, to) ?? delivered;
     for (let n = 0; n < fate.repeats; n++)
       this.clock.after(1 + this.rng() * (1 + fate.lateBy), run);
@@ -125,14 +125,14 @@
     }
     const pair = `${from}>${to}`;
     const at = Math.max(
-      this.clock.now() + 0.3 + this.rng() * 0.7 + this.apart(from, to),
+      this.clock.now() + 0.3 + this.rng() * 0.7 + this.extraLatency(from, to),
       (this.lastAt.get(pair) ?? 0) + 0.001,
     );
     this.lastAt.set(pair, at);
     this.clock.after(at - this.clock.now(), run);
   }
 
-  cut(from: string, to: string, manner: CutManner = 'silent'): void {
+  cut(from: string, to: string, manner: CutEffect = 'silent'): void {
     this.cuts.set(`${from}>${to}`, manner);
   }
 
@@ -149,7 +149,7 @@
     for (const [from, to] of pairs) this.cuts.delete(`${from}>${to}`);
   }
 
-  mend(): void {
+  healCuts(): void {
     this.cuts.clear();
   }
 
@@ -157,24 +157,24 @@
     return this.cuts.has(`${from}>${to}`);
   }
 
-  serve(addr: string, handler: RequestHandler, life: Life): void {
+  serve(addr: string, handler: RequestHandler, life: Incarnation): void {
     this.hosts.set(addr, { handler, life });
   }
 
-  leave(addr: string, life: Life): void {
+  stopServing(addr: string, life: Incarnation): void {
     if (this.hosts.get(addr)?.life === life) this.hosts.delete(addr);
   }
 
   call(
     from: string,
-    mine: Life,
+    mine: Incarnation,
     to: string,
     kind: string,
     body: unknown,
     bounds: CallOptions,
   ): Promise<unknown> {
     const sent = JSON.stringify(body ?? null);
-    this.weigh(kind, sent, from, to, 'body');
+    this.observe(kind, sent, from, to, 'body');
     const wire: unknown = JSON.parse(sent);
     this.messages++;
     return new Promise((done, fail) => {
@@ -210,11 +210,11 @@
       bounds.signal?.addEventListener('abort', onGone, { once: true });
       const back = (f: () => void, host: Host): void => {
         if (host.life.dead) return;
-        this.carry(to, from, () => {
+        this.deliver(to, from, () => {
           if (!this.isCut(to, from)) f();
         });
       };
-      this.carry(from, to, () => {
+      this.deliver(from, to, () => {
         const cut = this.cuts.get(`${from}>${to}`);
         if (cut === 'refuse') finish(() => fail(new ConnectionRefusedError(to)));
         if (cut === 'reset') finish(() => fail(new ConnectionLostError(to)));
@@ -233,7 +233,7 @@
         host.life.do(() => {
           const emit = (chunk: unknown): void => {
             const text = JSON.stringify(chunk);
-            this.weigh(`${kind} chunk`, text, to, from, 'chunk');
+            this.observe(`${kind} chunk`, text, to, from, 'chunk');
             back(() => {
               mine.do(() => {
                 if (!over) bounds.onChunk?.(JSON.parse(text));
@@ -244,7 +244,7 @@
             (v) => {
               const text = JSON.stringify(v ?? null);
               this.onAnswer?.({ by: to, caller: from, kind, body: wire, answer: v });
-              this.weigh(kind, text, to, from, 'response');
+              this.observe(kind, text, to, from, 'response');
               back(() => finish(() => done(JSON.parse(text))), host);
             },
             (e: unknown) => {
@@ -257,9 +257,12 @@
     });
   }
 
-  transport(self: string, life: Life): Transport {
+  transport(self: string, life: Incarnation): Transport {
     const heard: ((to: string) => void)[] = [];
-    this.listeners.push({ self, hear: (to) => life.do(() => heard.forEach((h) => h(to))) });
+    this.listeners.push({
+      self,
+      onConnectionLost: (to) => life.do(() => heard.forEach((h) => h(to))),
+    });
     return {
       self,
       onConnectionLost: (h) => {
@@ -267,7 +270,7 @@
       },
       call: (to, kind, body, bounds) => this.call(self, life, to, kind, body, bounds),
       serve: async (handler) => this.serve(self, handler, life),
-      close: async () => this.leave(self, life),
+      close: async () => this.stopServing(self, life),
     };
   }
 }
--- a/packages/sim/src/sim-pass.ts
+++ b/packages/sim/src/sim-pass.ts
@@ -1,87 +1,122 @@
-import type { ForwardedRequest, ResponseSink } from '@tillerstair/session-owner';
+/** How a simulated server executes a request of a pass route: what its response contains, and where it breaks off. */
+import type { ForwardedRequest, ResponseHead, ResponseSink } from '@tillerstair/session-owner';
 import { slotForKey } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
-import type { Life } from './sim-clock.js';
+import { strikes, type SimFaults } from './server-faults.js';
+import type { Incarnation } from './sim-clock.js';
 
-export interface Passed {
+/** What a server has of a request after it ended. */
+export interface PassExecution {
   readonly key: string;
   readonly program: string;
-  /** The bytes made, as far as the answer went. */
+  /** The bytes made, as far as the response went. */
   readonly reply: string;
   readonly complete: boolean;
   readonly tokens: number;
 }
 
-export interface PassBy {
+/** The server that executes one request, and who listens to its response. */
+export interface PassServer {
   readonly by: string;
-  readonly nth: number;
-  readonly faults: {
-    readonly loseEvery: number;
-    readonly cutEvery: number;
-    readonly slow: number;
-    readonly tears: boolean;
-    readonly lies: boolean;
-    readonly errs: boolean;
-  };
+  /** The request's number among those of all servers. */
+  readonly number: number;
+  readonly faults: SimFaults;
   readonly clock: Clock;
   readonly rng: () => number;
-  readonly life: Life;
-  readonly gone: AbortSignal;
+  readonly incarnation: Incarnation;
+  /** Aborted when the front gives the request up. */
+  readonly signal: AbortSignal;
 }
 
 const allBytes = Array.from({ length: 256 }, (_, i) => String.fromCharCode(i))
   .filter((c) => c !== '\n' && c !== '\r')
   .join('');
 
-/** How many events the answer to a try has, whichever server makes it. */
-export const eventsIn = (attempt: string): number => 4 + slotForKey(attempt, 6);
+const fewestEvents = 4;
+const eventCounts = 6;
+const msPerEvent = 5;
+const shortestCallMs = 10;
+const callRangeMs = 30;
+
+/** How many events the response to an attempt has, whichever server makes it. */
+export const eventsIn = (attempt: string): number =>
+  fewestEvents + slotForKey(attempt, eventCounts);
+
+const headerOf = (request: ForwardedRequest, name: string): string =>
+  request.headers.find(([key]) => key === name)?.[1] ?? '';
+
+/** Which parts of a response are made, by their numbers; -1 where a fault does not strike. */
+interface ResponsePlan {
+  readonly streamed: boolean;
+  readonly first: number;
+  readonly total: number;
+  readonly failsAt: number;
+  readonly cutAt: number;
+}
+
+const planOf = ({ number, faults }: PassServer, request: ForwardedRequest): ResponsePlan => {
+  const streamed = headerOf(request, 'x-tokens') !== '';
+  const first = request.resume === '' ? 0 : Number(request.resume) + 1;
+  const total = streamed ? eventsIn(request.attempt) : 1;
+  return {
+    streamed,
+    first,
+    total,
+    failsAt: faults.fails && streamed ? first : -1,
+    cutAt: strikes(faults.cutEvery, number) ? Math.floor((first + total) / 2) : -1,
+  };
+};
+
+/** One event, or the body of a response without events; some streams end in an empty line more than they need. */
+const partText = (server: PassServer, { streamed, total }: ResponsePlan, n: number): string => {
+  const data = `${server.by}.${server.number}.${n} ${n === 1 ? allBytes : ''}`;
+  if (!streamed) return `${data}${allBytes}\r\n`;
+  const tail = n === total - 1 && total % 2 === 1 ? '\n' : '';
+  return `id: ${n}\ndata: ${data}\n\n${tail}`;
+};
+
+const partMsOf = ({ streamed }: ResponsePlan, rng: () => number): number =>
+  streamed ? msPerEvent : shortestCallMs + rng() * callRangeMs;
+
+const headOf = ({ streamed }: ResponsePlan, faults: SimFaults): ResponseHead => ({
+  status: faults.fails && !streamed ? 500 : 200,
+  headers: [['content-type', streamed ? 'text/event-stream' : 'application/json']],
+});
 
-export const passRun = async (
-  x: PassBy,
-  p: ForwardedRequest,
+/** Executes a request and sends its response in pieces that end at any byte; resolves when it ended or broke off. */
+export const executePass = async (
+  server: PassServer,
+  request: ForwardedRequest,
   sink: ResponseSink,
-): Promise<Passed> => {
-  const word = (name: string): string => p.headers.find(([k]) => k === name)?.[1] ?? '';
-  const streamed = word('x-tokens') !== '';
-  const { faults, life, clock, rng, gone } = x;
-  const from = p.resume === '' ? 0 : Number(p.resume) + 1;
-  const total = streamed ? eventsIn(p.attempt) : 1;
-  const failsAt = faults.errs && streamed ? from : -1;
-  const cutAt =
-    faults.cutEvery > 0 && x.nth % faults.cutEvery === 0 ? Math.floor((from + total) / 2) : -1;
-  const say = (text: string): void => {
-    if (!faults.lies) life.do(() => sink.bytes(text));
+): Promise<PassExecution> => {
+  const plan = planOf(server, request);
+  const { streamed, total } = plan;
+  const { faults, incarnation, clock, rng, signal } = server;
+  const send = (action: () => void): void => {
+    if (!faults.namesOtherAttempt) incarnation.do(action);
   };
-  if (!faults.lies)
-    life.do(() =>
-      sink.head({
-        status: faults.errs && !streamed ? 500 : 200,
-        headers: [['content-type', streamed ? 'text/event-stream' : 'application/json']],
-      }),
-    );
+  send(() => sink.head(headOf(plan, faults)));
   let reply = '';
-  let n = from;
+  let n = plan.first;
   for (; n < total; n++) {
-    await delay(clock, (streamed ? 5 : 10 + rng() * 30) * faults.slow);
-    if ((streamed && gone.aborted) || life.dead) break;
-    const data = `${x.by}.${x.nth}.${n} ${n === 1 ? allBytes : ''}`;
-    const tail = n === total - 1 && total % 2 === 1 ? '\n' : '';
-    const text = streamed ? `id: ${n}\ndata: ${data}\n\n${tail}` : `${data}${allBytes}\r\n`;
-    const at = Math.floor(rng() * text.length);
-    if (n === failsAt) break;
-    if (n === cutAt) {
-      if (faults.tears || !streamed) say(text.slice(0, at));
+    await delay(clock, partMsOf(plan, rng) * faults.slow);
+    if ((streamed && signal.aborted) || incarnation.dead) break;
+    const text = partText(server, plan, n);
+    const splitAt = Math.floor(rng() * text.length);
+    if (n === plan.failsAt) break;
+    if (n === plan.cutAt) {
+      if (faults.cutsInsideEvent || !streamed) send(() => sink.bytes(text.slice(0, splitAt)));
       break;
     }
     reply += text;
-    say(text.slice(0, at));
-    say(text.slice(at));
+    send(() => sink.bytes(text.slice(0, splitAt)));
+    send(() => sink.bytes(text.slice(splitAt)));
   }
   return {
-    key: word('operation-key'),
-    program: word('x-program'),
+    key: headerOf(request, 'operation-key'),
+    program: headerOf(request, 'x-program'),
     reply,
     complete: n >= total,
-    tokens: streamed ? n - from : 0,
+    tokens: streamed ? n - plan.first : 0,
   };
 };
--- a/packages/sim/src/storm-fault.ts
+++ b/packages/sim/src/storm-fault.ts
@@ -2,14 +2,14 @@
 import type { ReplyRecord } from '@tillerstair/checker';
 import type { OperatorResponse } from '@tillerstair/control';
 import type { Machine } from './machine.js';
-import type { CutManner } from './sim-net.js';
+import type { CutEffect } from './sim-net.js';
 import type { World } from './world.js';
 
 export type MachineKind = Machine['kind'];
 
 /** One fault of a plan: the `n`-th, `gap` ms after the one before it. */
-export interface Planned {
-  readonly n: number;
+export interface PlannedFault {
+  readonly index: number;
   readonly gap: number;
   readonly fault: string;
 }
@@ -21,7 +21,7 @@
 
 /** What a storm lets its faults do. */
 export interface StormActions {
-  readonly w: World;
+  readonly world: World;
   readonly spec: { readonly seed: number };
   /** Called for each answer that a caller got, while set. */
   onDone: ((t: ReplyRecord) => void) | undefined;
@@ -30,7 +30,7 @@
     | ((at: Machine | undefined, answered: Promise<OperatorResponse | undefined>) => void)
     | undefined;
   readonly lostAnswers: LostAnswers;
-  wait(ms: number): Promise<void>;
+  delay(ms: number): Promise<void>;
   track(work: Promise<unknown>): void;
   operate(
     at: Machine | undefined,
@@ -40,12 +40,12 @@
   ): Promise<OperatorResponse | undefined>;
   /** Sends a change that adds some routes, to a machine of choice or any. */
   reconfigure(more?: number, at?: Machine): Promise<void>;
-  badConfig(n: number): Promise<void>;
-  allDown(how?: 'process' | 'power'): Promise<void>;
-  leave(server: string): boolean;
-  ownLeave(server: string): boolean;
+  sendInvalidConfig(n: number): Promise<void>;
+  restartAll(how?: 'process' | 'power'): Promise<void>;
+  drainServer(server: string): boolean;
+  reportDraining(server: string): boolean;
   beginChat(): void;
-  pileUp(n: number): Promise<void>;
+  sendUrgentCalls(n: number): Promise<void>;
 }
 
 /** The servers that faults befall; others stay well, so that every pool has one that serves. */
@@ -55,11 +55,11 @@
 export interface FaultContext {
   readonly tools: FaultTools;
   readonly storm: StormActions;
-  readonly w: World;
+  readonly world: World;
   readonly rng: () => number;
   /** How long the fault lasts, in ms. */
-  readonly span: number;
-  readonly n: number;
+  readonly durationMs: number;
+  readonly index: number;
   /** The server that it befalls, if it befalls one. */
   readonly server: string;
 }
@@ -80,33 +80,33 @@
 export class FaultTools {
   private diskWork: Promise<void> | undefined;
   /** Work of faults that ended otherwise than it must; a storm with any has failed. */
-  readonly trouble: string[] = [];
+  readonly problems: string[] = [];
   /** Whether some fault waits for an answer to strike at. */
   armed = false;
 
   constructor(private readonly storm: StormActions) {}
 
   /** Whether some machine's disk is lost and not made good yet, so that no other may go. */
-  get diskBusy(): boolean {
+  get isDiskLost(): boolean {
     return this.diskWork !== undefined;
   }
 
   up(kind: MachineKind): readonly Machine[] {
-    return this.storm.w.of(kind).filter((m) => m.up && !m.life.frozen);
+    return this.storm.world.of(kind).filter((m) => m.up && !m.incarnation.frozen);
   }
 
   /** A machine that is up, for controls more often than not the master. */
   target(c: FaultContext, kind: MachineKind): Machine | undefined {
-    const { master } = this.storm.w;
+    const { master } = this.storm.world;
     return kind === 'control' && master && c.rng() < 0.6 ? master : pickOf(c.rng, this.up(kind));
   }
 
   after(ms: number, run: () => void): void {
-    this.storm.w.clock.after(ms, run);
+    this.storm.world.clock.after(ms, run);
   }
 
   restart(m: Machine): void {
-    if (!m.up && this.storm.w.machines.includes(m)) m.start();
+    if (!m.up && this.storm.world.machines.includes(m)) m.start();
   }
 
   killFor(m: Machine, how: 'process' | 'power', ms: number): void {
@@ -119,10 +119,10 @@
     ms: readonly Machine[],
     span: number,
     ways: 'both' | 'out' | 'in' = 'both',
-    manner: CutManner = 'silent',
+    manner: CutEffect = 'silent',
     from?: readonly MachineKind[],
   ): void {
-    const { w } = this.storm;
+    const { world: w } = this.storm;
     const of = (m: Machine): readonly string[] => [m.addr, `${m.addr}/data`];
     const mine = ms.flatMap(of);
     const rest = w.machines
@@ -140,11 +140,11 @@
   }
 
   /** Does work that loses a disk, one at a time; storms end only after it. */
-  losesDisk(work: () => Promise<void>): string {
+  runDiskLoss(work: () => Promise<void>): string {
     if (this.diskWork) return '';
     const going: Promise<void> = work()
       .catch((e: unknown) => {
-        this.trouble.push(e instanceof Error ? e.message : String(e));
+        this.problems.push(e instanceof Error ? e.message : String(e));
       })
       .finally(() => {
         if (this.diskWork === going) this.diskWork = undefined;
@@ -155,10 +155,10 @@
   }
 
   /** Waits until all replicas and votes stand on machines that there are. */
-  async whole(kind: MachineKind): Promise<void> {
-    const { w } = this.storm;
+  async untilReplicated(kind: MachineKind): Promise<void> {
+    const { world: w } = this.storm;
     for (let n = 0; n < 600; n++) {
-      await this.storm.wait(200);
+      await this.storm.delay(200);
       const s = w.committed;
       if (!s) continue;
       const ids = w.of(kind).map((m) => (kind === 'store' ? m.store?.id : m.control?.id) ?? 'none');
@@ -180,51 +180,51 @@
   }
 
   /** A machine is gone for good and an empty one takes its place. */
-  async swap(m: Machine): Promise<void> {
-    const { w } = this.storm;
+  async replaceMachine(m: Machine): Promise<void> {
+    const { world: w } = this.storm;
     m.kill('power');
     w.remove(m);
     w.add(m.kind).start();
-    await this.whole(m.kind);
+    await this.untilReplicated(m.kind);
   }
 
   /** A machine loses its disk, stays away for a time and comes back blank. */
   async wipe(m: Machine, away: number): Promise<void> {
     m.kill('power');
     m.platter.wipe();
-    await this.storm.wait(away);
+    await this.storm.delay(away);
     this.restart(m);
-    await this.storm.wait(500);
-    await this.whole(m.kind);
+    await this.storm.delay(500);
+    await this.untilReplicated(m.kind);
   }
 
   /** Ends all faults and waits until disks are whole again. */
-  async calm(): Promise<void> {
-    const { w } = this.storm;
+  async endAll(): Promise<void> {
+    const { world: w } = this.storm;
     this.storm.onDone = undefined;
     this.storm.onChange = undefined;
     this.storm.lostAnswers.share = 0;
-    w.net.mend();
-    w.net.apart = () => 0;
+    w.net.healCuts();
+    w.net.extraLatency = () => 0;
     w.servers.cutFronts.clear();
     for (const m of w.machines) {
       m.platter.full = false;
       m.platter.stalled = false;
       m.platter.delay = 0.2;
-      if (m.life.frozen || m.proxyLife.frozen) m.wake();
+      if (m.incarnation.frozen || m.proxyIncarnation.frozen) m.wake();
       if (!m.up) m.start();
       else if (m.kind === 'front' && !m.front) m.restartProxy();
     }
-    await this.ready();
+    await this.untilDisksReplicated();
   }
 
-  private async ready(): Promise<void> {
-    const { clock } = this.storm.w;
+  private async untilDisksReplicated(): Promise<void> {
+    const { clock } = this.storm.world;
     let over = this.diskWork === undefined;
     void this.diskWork?.then(() => {
       over = true;
     });
     if (!over) await clock.until('disks whole again', () => over, 120000);
-    if (this.trouble.length > 0) throw new Error(this.trouble.join('; '));
+    if (this.problems.length > 0) throw new Error(this.problems.join('; '));
   }
 }
--- a/packages/sim/src/storm-faults.ts
+++ b/packages/sim/src/storm-faults.ts
@@ -9,7 +9,7 @@
   FaultTools,
   serverFor,
   type FaultTable,
-  type Planned,
+  type PlannedFault,
   type StormActions,
 } from './storm-fault.js';
 import { seededRng } from './world.js';
@@ -33,19 +33,19 @@
   }
 
   /** Causes one fault; tells what it struck, or '' if it could not strike now. */
-  async cause(p: Planned): Promise<string> {
+  async cause(p: PlannedFault): Promise<string> {
     const { actions } = this;
-    const rng = seededRng(actions.spec.seed * 104729 + p.n);
+    const rng = seededRng(actions.spec.seed * 104729 + p.index);
     const span = 500 + rng() * 7000;
     const server = serverFor(rng);
     return (
       (await faults.get(p.fault)?.({
         tools: this,
         storm: actions,
-        w: actions.w,
+        world: actions.world,
         rng,
-        span,
-        n: p.n,
+        durationMs: span,
+        index: p.index,
         server,
       })) ?? ''
     );
--- a/packages/sim/src/storm-pass.ts
+++ b/packages/sim/src/storm-pass.ts
@@ -12,23 +12,23 @@
   twins: number,
 ): Promise<PassRecord | undefined> => {
   for (let k = 0; k < tries; k++) {
-    if (s.w.rng() < twins) s.trackPass(passAt(s.w, spec));
-    const reported = await passAt(s.w, spec);
+    if (s.world.rng() < twins) s.trackPass(passAt(s.world, spec));
+    const reported = await passAt(s.world, spec);
     if (reported.reported === 'done') return reported;
     if (reported.status === 402) return undefined;
-    await s.wait(100 + s.w.rng() * 900);
+    await s.delay(100 + s.world.rng() * 900);
   }
   return undefined;
 };
 
 const later = async (s: Storm, spec: PassSpec): Promise<void> => {
-  await s.wait(s.w.rng() * 50000);
-  await passAt(s.w, spec);
+  await s.delay(s.world.rng() * 50000);
+  await passAt(s.world, spec);
 };
 
 /** What a program does on pass routes: turns that go on from one another, branches and helpers, and calls between them. */
 export const passChat = async (s: Storm, n: number): Promise<void> => {
-  const { w } = s;
+  const { world: w } = s;
   const program = `y${n}`;
   const budget = n % 3 === 0 ? 30 : 200;
   const turn: PassSpec = { path: '/turn/x', program, budget, most: 10 };
--- a/packages/sim/src/storm-plan.ts
+++ b/packages/sim/src/storm-plan.ts
@@ -1,5 +1,5 @@
 /** What a storm's seed decides beforehand: the deployment and the plan of faults. */
-import type { Planned } from './storm-fault.js';
+import type { PlannedFault } from './storm-fault.js';
 import { seededRng, type WorldSizes } from './world.js';
 
 const dealtPerPlan = 20;
@@ -12,19 +12,23 @@
 };
 
 /** Deals faults like cards, so that a series of seeds causes every one equally often, each time in another company. */
-const dealt = (kinds: readonly string[], position: number): string => {
+const faultAt = (kinds: readonly string[], position: number): string => {
   const round = Math.floor(position / kinds.length);
   return shuffled(kinds, round * 31 + 5)[position % kinds.length] ?? 'config';
 };
 
 /** The faults of one seed, with the gaps between them. */
-export const planOf = (seed: number, ms: number, kinds: readonly string[]): readonly Planned[] => {
+export const planOf = (
+  seed: number,
+  ms: number,
+  kinds: readonly string[],
+): readonly PlannedFault[] => {
   const rng = seededRng(seed * 7919 + 1);
-  const out: Planned[] = [];
+  const out: PlannedFault[] = [];
   for (let at = 500; at < ms;) {
     const gap = rng() < 0.35 ? rng() * 300 : 500 + rng() * 5500;
     at += gap;
-    out.push({ n: out.length, gap, fault: dealt(kinds, seed * dealtPerPlan + out.length) });
+    out.push({ index: out.length, gap, fault: faultAt(kinds, seed * dealtPerPlan + out.length) });
   }
   return out;
 };
--- a/packages/sim/src/world.ts
+++ b/packages/sim/src/world.ts
@@ -6,7 +6,7 @@
 import { zenBounds, type OuterBounds, type ZenBounds } from '@tillerstair/zen';
 import { z } from 'zod';
 import { Machine } from './machine.js';
-import { SimServers } from './sim-backend.js';
+import { SimServers } from './sim-servers.js';
 import { SimClock } from './sim-clock.js';
 import type { SimList } from './sim-list.js';
 import { SimNet } from './sim-net.js';
@@ -66,7 +66,7 @@
   trace: ((line: string) => void) | undefined;
   skewed = false;
   private ids = 0;
-  private readonly made = new Map<Machine['kind'], number>();
+  private readonly machineCounts = new Map<Machine['kind'], number>();
 
   constructor(
     readonly seed: number,
@@ -102,8 +102,8 @@
   }
 
   add(kind: Machine['kind'], seeds?: readonly string[]): Machine {
-    const n = this.made.get(kind) ?? 0;
-    this.made.set(kind, n + 1);
+    const n = this.machineCounts.get(kind) ?? 0;
+    this.machineCounts.set(kind, n + 1);
     const m = new Machine(this, kind, n, seeds);
     this.machines.push(m);
     return m;
@@ -136,7 +136,7 @@
 
   masters(): readonly Machine[] {
     return this.of('control').filter(
-      (m) => m.up && !m.life.frozen && m.control?.zen.leading?.committed !== undefined,
+      (m) => m.up && !m.incarnation.frozen && m.control?.zen.leading?.committed !== undefined,
     );
   }
 
@@ -148,7 +148,7 @@
 
   readyFronts(): readonly Machine[] {
     return this.of('front').filter(
-      (m) => m.up && !m.life.frozen && m.front?.owner.readiness().ready === true,
+      (m) => m.up && !m.incarnation.frozen && m.front?.owner.readiness().ready === true,
     );
   }
 
@@ -185,12 +185,14 @@
     await this.clock.until(
       'fronts',
       () =>
-        this.readyFronts().length === fronts && this.slotsOpen() && this.knowAll(servers.length),
+        this.readyFronts().length === fronts &&
+        this.slotsOpen() &&
+        this.frontsKnowServers(servers.length),
       20000,
     );
   }
 
-  private knowAll(servers: number): boolean {
+  private frontsKnowServers(servers: number): boolean {
     return this.of('front').every((m) => m.front?.owner.current?.state.servers.size === servers);
   }
 
@@ -236,7 +238,7 @@
     const m = this.front(at);
     const front = m?.front;
     if (!front) return { outcome: 'refused', status: 0, errorCode: 'no-front' };
-    const life = m.proxyLife;
+    const life = m.proxyIncarnation;
     const gone = new AbortController();
     const run = ask(front, (n, text) => life.do(() => onChunk(n, text)), gone.signal);
     return new Promise((done) => {
--- a/tests/src/control/draining-servers.test.ts
+++ b/tests/src/control/draining-servers.test.ts
@@ -39,11 +39,11 @@
       const p = await w.clock.finish('program', w.program(900), 10000);
       const front = ownerOf(w, `p/${p.program}`);
       if (!front) throw new Error('no owner');
-      front.proxyLife.frozen = true;
+      front.proxyIncarnation.frozen = true;
       const at = w.clock.now();
       w.servers.set('m1', { draining: true });
       await w.clock.run(2900);
-      front.proxyLife.wake();
+      front.proxyIncarnation.wake();
       const going: Promise<unknown>[] = [];
       for (let i = 0; i < 60; i++) {
         going.push(w.turn(p.program, null, `o #${seed}-${i}`, `o${i}`, front));
--- a/tests/src/control/many-changes.test.ts
+++ b/tests/src/control/many-changes.test.ts
@@ -60,7 +60,7 @@
     await w.clock.until('a master', () => w.master !== undefined, 12000);
     let published = 0;
     let most = 0;
-    w.net.heard = (m) => {
+    w.net.onMessage = (m) => {
       if (m.kind !== 'zen/publish') return;
       published += m.bytes;
       most = Math.max(most, m.bytes);
--- a/tests/src/control/node.test.ts
+++ b/tests/src/control/node.test.ts
@@ -71,7 +71,7 @@
   const body = JSON.stringify({ pool: 'models', url: 'http://127.0.0.1:1' });
   assert.is((await world.operate('PUT', '/v1/servers/m1', body)).status, 200);
   assert.is((await world.operate('POST', '/v1/servers/m1/draining')).status, 200);
-  world.net.apart = () => 300;
+  world.net.extraLatency = () => 300;
   const put = await world.operate('PUT', '/v1/servers/m2', body);
   assert.is(put.status, 200, 'other changes may take longer');
   const late = await world.operate('POST', '/v1/servers/m2/draining');
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -284,7 +284,7 @@
   const first = d.send(lost, old);
   await w.clock.run(20);
   old.kill('power');
-  w.net.mend();
+  w.net.healCuts();
   await w.clock.until('another master', () => w.master !== undefined && w.master !== old, 20000);
   void first;
   return { d, w, old, lost };
--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { applyServerList, bootstrapState } from '@tillerstair/state';
 import { ListPoll, ListReader } from '@tillerstair/control';
-import { Life, SimClock, SimList, World } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimList, World } from '@tillerstair/sim';
 import { silentLogger, type Transport } from '@tillerstair/wire';
 import { ListWatch } from '@tillerstair/agent';
 import { listUp, press, everyFront } from '../support/listed-servers.js';
@@ -43,10 +43,10 @@
   const clock = new SimClock();
   const shown = new SimList(clock);
   shown.put({ id: 'a', pool: 'p' });
-  shown.took = 100;
+  shown.readMs = 100;
   const reader = new ListReader(
     clock,
-    shown.reader('c', new Life()),
+    shown.reader('c', new Incarnation()),
     { listEvery: 500 },
     silentLogger,
   );
@@ -70,7 +70,7 @@
   shown.hanging = true;
   const reader = new ListReader(
     clock,
-    shown.reader('c', new Life()),
+    shown.reader('c', new Incarnation()),
     { listEvery: 500 },
     silentLogger,
   );
@@ -89,7 +89,7 @@
   shown.put({ id: 'a', pool: 'p' });
   const reader = new ListReader(
     clock,
-    shown.reader('c', new Life()),
+    shown.reader('c', new Incarnation()),
     { listEvery: 500 },
     silentLogger,
   );
--- a/tests/src/control/server-list.test.ts
+++ b/tests/src/control/server-list.test.ts
@@ -150,7 +150,7 @@
           core.filter((b) => b !== a),
         );
     await press(w, 'u', 6000, everyFront(w));
-    w.net.mend();
+    w.net.healCuts();
     await w.clock.run(8000);
     await press(w, 'v', 1500, everyFront(w));
     assertLeft(up, 's1', at);
@@ -240,7 +240,7 @@
         if (n < 60) w.clock.after(100, churn);
       };
       churn();
-      shown.took = 480;
+      shown.readMs = 480;
       const reads = shown.reads.length;
       await w.clock.until('a read', () => shown.reads.length > reads, 5000);
       await w.clock.run(250);
--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -14,7 +14,7 @@
   type DiskFile,
   type JournalPace,
 } from '@tillerstair/journal';
-import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
 
 /** The records of one line of a store's log, as far as the tests look into them. */
@@ -184,7 +184,7 @@
     const chunks: Buffer[] = [];
     const later: Promise<unknown>[] = [];
     let onFirst = (): void => undefined;
-    const disk = hooked(platter.disk(clock, new Life()), (chunk) => {
+    const disk = hooked(platter.disk(clock, new Incarnation()), (chunk) => {
       chunks.push(chunk);
       if (chunks.length === 1) onFirst();
     });
@@ -215,7 +215,7 @@
     platter.powerLoss();
     const again = await clock.finish(
       'again',
-      ReplicaStore.open(platter.disk(clock, new Life()), clock, bounds),
+      ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, bounds),
       1000,
     );
     assert.equal(
@@ -233,7 +233,7 @@
     for (let step = 0; step < 16; step++) {
       const clock = new SimClock();
       const platter = new SimPlatter(seededRng(step));
-      const life = new Life();
+      const life = new Incarnation();
       const replicaStore = await clock.finish(
         'open',
         ReplicaStore.open(platter.disk(clock, life), clock, bounds),
@@ -265,7 +265,7 @@
       platter.crashAtStep = -1;
       const again = await clock.finish(
         'again',
-        ReplicaStore.open(platter.disk(clock, new Life()), clock, bounds),
+        ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, bounds),
         1000,
       );
       const seqs = held(again);
@@ -280,7 +280,7 @@
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
   const pace: JournalPace = { clock, syncWithin: 1500, retryEvery: 250 };
-  const plain = platter.disk(clock, new Life());
+  const plain = platter.disk(clock, new Incarnation());
   let badReads = 2;
   let replaced = 0;
   const misreading: Disk = {
@@ -320,7 +320,7 @@
 chunked('a read that fails half way is begun anew with a new owner', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
-  const plain = platter.disk(clock, new Life());
+  const plain = platter.disk(clock, new Incarnation());
   const { journal } = await clock.finish(
     'open',
     Journal.open(plain, 'a.log', { clock, syncWithin: 1500, retryEvery: 250 }),
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -5,7 +5,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FolderDisk, frame, Journal } from '@tillerstair/journal';
-import { Life } from '@tillerstair/sim';
+import { Incarnation } from '@tillerstair/sim';
 import { openStoreDisk } from '@tillerstair/store';
 import { at, longAt, type Rig, rig, finish, item, keysOf } from './journal-rig.js';
 
@@ -21,7 +21,7 @@
 const linesOf = async (r: Rig): Promise<readonly string[]> => {
   const file = await r.clock.finish(
     'open',
-    r.platter.disk(r.clock, new Life()).open('zen.log'),
+    r.platter.disk(r.clock, new Incarnation()).open('zen.log'),
     1000,
   );
   const chunks: Buffer[] = [];
@@ -32,7 +32,7 @@
 const store = async (r: Rig, lines: readonly string[]): Promise<void> => {
   const file = await r.clock.finish(
     'open',
-    r.platter.disk(r.clock, new Life()).open('zen.log'),
+    r.platter.disk(r.clock, new Incarnation()).open('zen.log'),
     1000,
   );
   await r.clock.finish(
@@ -56,7 +56,7 @@
         r,
         lines.filter((_, n) => n !== gone),
       );
-      const electionStore = await r.electionStore(new Life(), `fresh-${gone}`);
+      const electionStore = await r.electionStore(new Incarnation(), `fresh-${gone}`);
       assert.equal(
         [
           electionStore.persisted.id,
@@ -69,7 +69,7 @@
       assert.is(r.said.filter((t) => t.includes('starting as a new member')).length, 1);
       assert.ok(r.platter.list().includes('zen.log.damaged'));
       r.platter.powerLoss();
-      assert.is((await r.electionStore(new Life(), 'another')).persisted.id, `fresh-${gone}`);
+      assert.is((await r.electionStore(new Incarnation(), 'another')).persisted.id, `fresh-${gone}`);
     }
   },
 );
@@ -105,7 +105,7 @@
   for (const [n, lines2] of cases.entries()) {
     r.platter.wipe();
     await store(r, lines2);
-    assert.is((await r.electionStore(new Life(), 'fresh')).persisted.id, 'fresh', `case ${n}`);
+    assert.is((await r.electionStore(new Incarnation(), 'fresh')).persisted.id, 'fresh', `case ${n}`);
   }
   r.platter.wipe();
   await store(r, lines);
@@ -122,7 +122,7 @@
     for (let step = -1; step < 12; step++) {
       const r = rig(step + 1);
       let ids = 0;
-      const open = (life: Life) =>
+      const open = (life: Incarnation) =>
         openStoreDisk({
           disk: r.platter.disk(r.clock, life),
           clock: r.clock,
@@ -131,11 +131,11 @@
           longAt,
           bounds: { journalLongAt: longAt, retentionMs: 1e9, hintsMost: 10 },
         });
-      const first = await r.clock.finish('open', open(new Life()), 1000);
+      const first = await r.clock.finish('open', open(new Incarnation()), 1000);
       for (let n = 0; n < 4; n++)
         await r.clock.finish('write', first.replicaStore.write(1, 1, [item(n)]), 1000);
       r.platter.corrupt('store.log', 30);
-      const life = new Life();
+      const life = new Incarnation();
       r.platter.crashFrom(step, () => {
         life.dead = true;
       });
@@ -146,7 +146,7 @@
         r.platter.powerLoss();
         r.platter.crashAtStep = -1;
       } else await r.clock.finish('opened', opened, 1000);
-      const again = await r.clock.finish('again', open(new Life()), 1000);
+      const again = await r.clock.finish('again', open(new Incarnation()), 1000);
       assert.is.not(again.electionStore.persisted.id, 's-1', `step ${step}`);
       assert.equal(keysOf(again.replicaStore), []);
     }
@@ -162,7 +162,7 @@
     for (let seed = 0; seed < 4; seed++)
       for (let step = 0; step < 70; step++) {
         const r = rig(step * 7 + seed);
-        const life = new Life();
+        const life = new Incarnation();
         const electionStore = await r.electionStore(life, 'me', 4000);
         await r.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
         r.platter.crashFrom(step, () => {
@@ -186,7 +186,7 @@
         r.platter.powerLoss();
         r.platter.crashAtStep = -1;
         for (const name of r.platter.list()) left.add(name);
-        const again = await r.electionStore(new Life(), 'fresh');
+        const again = await r.electionStore(new Incarnation(), 'fresh');
         assert.is(again.persisted.id, 'me', `seed ${seed}, step ${step}: ${r.said.join()}`);
         assert.equal([again.persisted.term, again.persisted.votedFor], [3, 'a']);
         assert.ok(
@@ -204,7 +204,7 @@
   'a rewrite under a full disk fails nothing that was synced, and leaves no half file in the way',
   async () => {
     const r = rig(3);
-    const electionStore = await r.electionStore(new Life(), 'me', 2000);
+    const electionStore = await r.electionStore(new Incarnation(), 'me', 2000);
     await r.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
     let v = 0;
     while (v < 60) {
--- a/tests/src/journal/journal-rig.ts
+++ b/tests/src/journal/journal-rig.ts
@@ -1,6 +1,6 @@
 /** A simulated disk with its clock, and the states that are written to it. */
 import { type JournalPace } from '@tillerstair/journal';
-import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
 import { ReplicaStore } from '@tillerstair/store';
 import { silentLogger } from '@tillerstair/wire';
@@ -27,8 +27,8 @@
   readonly platter: SimPlatter;
   readonly said: string[];
   readonly pace: JournalPace;
-  electionStore(life?: Life, id?: string, rewriteAt?: number): Promise<DiskElectionStore>;
-  replicaStore(life?: Life, rewriteAt?: number): Promise<ReplicaStore>;
+  electionStore(life?: Incarnation, id?: string, rewriteAt?: number): Promise<DiskElectionStore>;
+  replicaStore(life?: Incarnation, rewriteAt?: number): Promise<ReplicaStore>;
 }
 
 export const rig = (seed: number): Rig => {
@@ -46,13 +46,13 @@
     platter,
     said,
     pace,
-    electionStore: (life = new Life(), id = 'me', rewriteAt = longAt) =>
+    electionStore: (life = new Incarnation(), id = 'me', rewriteAt = longAt) =>
       clock.finish(
         'keep',
         DiskElectionStore.open(platter.disk(clock, life), () => id, rewriteAt, pace),
         60000,
       ),
-    replicaStore: (life = new Life(), rewriteAt = longAt) =>
+    replicaStore: (life = new Incarnation(), rewriteAt = longAt) =>
       clock.finish(
         'replica store',
         ReplicaStore.open(
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -4,7 +4,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FolderDisk, FolderInUseError, Journal, JournalCorrupt } from '@tillerstair/journal';
-import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
 
 const journal = suite('journal and disk');
@@ -75,7 +75,7 @@
 journal('appends at once share syncs', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
-  const opening = Journal.open(platter.disk(clock, new Life()), 'a.log');
+  const opening = Journal.open(platter.disk(clock, new Incarnation()), 'a.log');
   const { journal: j } = await clock.finish('open', opening, 1000);
   await clock.finish(
     'appends',
@@ -90,7 +90,7 @@
   for (let step = 0; step < 60; step++) {
     const clock = new SimClock();
     const platter = new SimPlatter(seededRng(step));
-    const life = new Life();
+    const life = new Incarnation();
     const replicaStore = await clock.finish(
       'open',
       ReplicaStore.open(platter.disk(clock, life), clock, {
@@ -119,7 +119,7 @@
     platter.crashAtStep = -1;
     const again = await clock.finish(
       'reopen',
-      ReplicaStore.open(platter.disk(clock, new Life()), clock, {
+      ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, {
         journalLongAt: 600,
         retentionMs: 1e9,
         hintsMost: 10,
@@ -144,14 +144,14 @@
   const bounds = { journalLongAt: 1 << 20, retentionMs: 1e9, hintsMost: 10 };
   const replicaStore = await clock.finish(
     'open',
-    ReplicaStore.open(platter.disk(clock, new Life()), clock, bounds),
+    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, bounds),
     1000,
   );
   await clock.finish('fence', replicaStore.fence(4, 7, ''), 1000);
   platter.powerLoss();
   const again = await clock.finish(
     'reopen',
-    ReplicaStore.open(platter.disk(clock, new Life()), clock, bounds),
+    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, bounds),
     1000,
   );
   const writing = again.write(4, 6, [{ key: 'o/t/x', ownershipEpoch: 6, seq: 1, value: 1 }]).then(
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Journal, JournalUnavailableError, untilDiskTakes, type Disk } from '@tillerstair/journal';
-import { Life } from '@tillerstair/sim';
+import { Incarnation } from '@tillerstair/sim';
 import { finish, rig, type Rig } from './journal-rig.js';
 
 const refusals = suite('refused writes of a journal');
@@ -13,7 +13,7 @@
 }
 
 /** Opens a log whose owner holds what it was handed, and whose file is written anew from that. */
-const open = async (r: Rig, disk: Disk = r.platter.disk(r.clock, new Life())): Promise<Opened> => {
+const open = async (r: Rig, disk: Disk = r.platter.disk(r.clock, new Incarnation())): Promise<Opened> => {
   const opened = await r.clock.finish(
     'open',
     Journal.openFor(disk, 'a.log', r.pace, (journal) => {
@@ -59,7 +59,7 @@
   assert.is(await append(r, opened, 1), 'done');
   const file = await r.clock.finish(
     'file',
-    r.platter.disk(r.clock, new Life()).open('a.log'),
+    r.platter.disk(r.clock, new Incarnation()).open('a.log'),
     1000,
   );
   await r.clock.finish('torn', file.append(Buffer.from('1234abcd [to')), 1000);
@@ -121,7 +121,7 @@
   const r = rig(1);
   const journal = await r.clock.finish(
     'open',
-    Journal.openFor(r.platter.disk(r.clock, new Life()), 'a.log', r.pace, (opened) => ({
+    Journal.openFor(r.platter.disk(r.clock, new Incarnation()), 'a.log', r.pace, (opened) => ({
       opened,
       restore: () => undefined,
     })),
--- a/tests/src/journal/write-faults.test.ts
+++ b/tests/src/journal/write-faults.test.ts
@@ -1,7 +1,7 @@
 /** Journals under disk faults: failed, stalled and unsynced writes. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Life } from '@tillerstair/sim';
+import { Incarnation } from '@tillerstair/sim';
 import { at, rig, finish, item, keysOf } from './journal-rig.js';
 
 const faults = suite('journals under disk faults');
@@ -40,7 +40,7 @@
 faults('power lost while a disk is full leaves all that was acknowledged', async () => {
   for (let seed = 0; seed < 40; seed++) {
     const r = rig(seed);
-    const life = new Life();
+    const life = new Incarnation();
     const replicaStore = await r.replicaStore(life);
     assert.is(await finish(r, replicaStore.write(1, 1, [item(0)])), 'done');
     r.platter.full = true;
@@ -179,7 +179,7 @@
   const electionStore = await opening;
   assert.is(electionStore.persisted.id, 'me');
   r.platter.powerLoss();
-  assert.is((await r.electionStore(new Life(), 'other')).persisted.id, 'me');
+  assert.is((await r.electionStore(new Incarnation(), 'other')).persisted.id, 'me');
 });
 
 faults.run();
--- a/tests/src/proxy/pass-route-attempts.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -125,9 +125,9 @@
   const w = await passUp(14, small, { bounds: { perServer: 1 } });
   for (const id of shops) w.servers.set(id, { slow: 100 });
   const at = w.of('front')[0];
-  const held = shops.map((id) => passAt(w, { path: '/once/x', body: id, left: 8000 }, at));
+  const held = shops.map((id) => passAt(w, { path: '/once/x', body: id, deadlineMs: 8000 }, at));
   await w.clock.run(50);
-  const late = await passed(w, { path: '/once/x', body: 'late', left: 300 }, at);
+  const late = await passed(w, { path: '/once/x', body: 'late', deadlineMs: 300 }, at);
   assert.is(late.reported, 'refused', late.errorCode);
   await w.clock.finish('held', Promise.all(held), 30000);
   await w.clock.run(5000);
--- a/tests/src/proxy/pass-route-streams.test.ts
+++ b/tests/src/proxy/pass-route-streams.test.ts
@@ -117,7 +117,7 @@
       w.net.cutBoth([`${owner?.addr ?? ''}/data`], [store.addr]);
       const b = await w.clock.finish('turn', going, 30000);
       assert.is(b.reported, 'done', b.errorCode);
-      w.net.mend();
+      w.net.healCuts();
       const other = await turn(w, 'c', b.attempt, 'helper');
       assert.is(other.reported, 'done', `${other.status} ${other.errorCode}`);
       assertNoBreach(recordsOf(w));
@@ -301,7 +301,7 @@
       program: 'pro',
       body: 'a',
       attempt: 'left',
-      leaves: leaves.signal,
+      cancelled: leaves.signal,
     });
     await w.clock.run(700);
     leaves.abort();
--- a/tests/src/proxy/pass-routes.test.ts
+++ b/tests/src/proxy/pass-routes.test.ts
@@ -98,7 +98,7 @@
       const w = await passUp(11, small);
       for (const id of shops) w.servers.set(id, fault);
       assert.is((await passed(w, { path: '/keyed/x', key: 'k', body: 'a' })).reported, 'unknown');
-      for (const id of shops) w.servers.set(id, { loseEvery: 0, lies: false, cutEvery: 0 });
+      for (const id of shops) w.servers.set(id, { loseEvery: 0, namesOtherAttempt: false, cutEvery: 0 });
       assert.is((await passed(w, { path: '/keyed/x', key: 'k', body: 'a' })).reported, 'unknown');
       await restart(w);
       assert.is((await passed(w, { path: '/keyed/x', key: 'k', body: 'a' })).reported, 'unknown');
--- a/tests/src/session-owner/admission-bounds.test.ts
+++ b/tests/src/session-owner/admission-bounds.test.ts
@@ -37,7 +37,7 @@
     await this.clock.run(afterMs);
     this.free++;
     this.queue.pump();
-    await this.clock.settle();
+    await this.clock.runReadyTasks();
   }
 }
 
@@ -45,7 +45,7 @@
   const fixture = new QueueFixture(2);
   for (const name of ['a', 'b', 'c']) fixture.enter(name);
   fixture.enter('urgent', 1000, undefined, true);
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.equal(fixture.ended, ['c queue-full']);
   assert.is(fixture.queue.waiting, 3);
 });
@@ -66,7 +66,7 @@
   await fixture.release(300);
   fixture.enter('hasty', 500);
   fixture.enter('patient', 2000);
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.equal(fixture.ended, ['a', 'hasty queue-timeout']);
   assert.is(fixture.queue.waiting, 3);
 });
@@ -77,11 +77,11 @@
   await fixture.release(300);
   await fixture.release(300);
   fixture.enter('hasty', 10);
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.equal(fixture.ended, ['a', 'b']);
   assert.is(fixture.queue.waiting, 1);
   fixture.queue.review();
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(fixture.queue.waiting, 1);
 });
 
@@ -94,7 +94,7 @@
     await fixture.release(100);
     await fixture.clock.run(1000);
     fixture.queue.review();
-    await fixture.clock.settle();
+    await fixture.clock.runReadyTasks();
     assert.equal(fixture.ended, ['a', 'c queue-timeout']);
     assert.is(fixture.queue.waiting, 1);
     assert.ok(fixture.clock.now() < 1000 + 2000);
@@ -106,7 +106,7 @@
   fixture.enter('a');
   fixture.free = 1;
   fixture.enter('b');
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.equal(fixture.ended, ['a']);
 });
 
@@ -115,7 +115,7 @@
   const leaving = createAbortController();
   fixture.enter('a', 1000, leaving.signal);
   leaving.abort();
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.equal(fixture.ended, ['a gone']);
   assert.is(fixture.queue.waiting, 0);
   fixture.enter('b');
--- a/tests/src/session-owner/batch-placement.test.ts
+++ b/tests/src/session-owner/batch-placement.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Life, seededRng, SimClock, SimServers } from '@tillerstair/sim';
+import { Incarnation, seededRng, SimClock, SimServers } from '@tillerstair/sim';
 import {
   checkConfig,
   configDigest,
@@ -84,7 +84,7 @@
   };
   const placement = new Placement({
     clock,
-    backend: sims.backend(new Life()),
+    backend: sims.backend(new Incarnation()),
     policies: placementPolicies(true),
     bounds,
     table: () => table,
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { tunedWeights } from '@tillerstair/control';
 import { checkRecords } from '@tillerstair/checker';
-import { Life, seededRng, SimClock, SimServers, stormConfig } from '@tillerstair/sim';
+import { Incarnation, seededRng, SimClock, SimServers, stormConfig } from '@tillerstair/sim';
 import {
   checkConfig,
   configDigest,
@@ -94,7 +94,7 @@
     clock,
     placement: new Placement({
       clock,
-      backend: servers.backend(new Life()),
+      backend: servers.backend(new Incarnation()),
       policies: placementPolicies(affinity),
       bounds,
       table: () => table,
@@ -224,20 +224,20 @@
       void enter('o', false);
       void enter('u', true);
     }
-    await clock.settle();
+    await clock.runReadyTasks();
     for (let i = 0; i < 10; i++) {
       free = 1;
       admissionQueue.pump();
-      await clock.settle();
+      await clock.runReadyTasks();
     }
     assert.equal(order.join(''), 'uuuuouuuuo');
     const gone = new AbortController();
     void enter('g', false, 1000, gone.signal);
     for (let i = 0; i < 10; i++) void enter('f', false);
-    await clock.settle();
+    await clock.runReadyTasks();
     assert.ok(order.some((x) => x === 'f queue-full'));
     gone.abort();
-    await clock.settle();
+    await clock.runReadyTasks();
     assert.ok(order.includes('g gone'));
     await clock.run(1100);
     assert.ok(order.includes('f queue-timeout'));
--- a/tests/src/session-owner/slot-fencing.test.ts
+++ b/tests/src/session-owner/slot-fencing.test.ts
@@ -74,7 +74,7 @@
         const fixture = new ReplicatorFixture();
         fixture.replicas.reply = fencesWith({ s1: [first], s2: [second] });
         fixture.replicator.apply(slotAt(3));
-        await fixture.clock.settle();
+        await fixture.clock.runReadyTasks();
         assert.is(fixture.replicator.isOpen, true);
         assert.is(fixture.replicator.get('o/k'), 'new');
       }
@@ -89,14 +89,14 @@
   fixture.replicas.reply = (request) =>
     request.kind === 'store/put' && request.replica !== 's1' ? put.wait() : fences(request);
   fixture.replicator.apply(slotAt(2));
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(fixture.replicator.isOpen, false);
   assert.equal(
     fixture.replicas.of('store/put').map(({ replica, items }) => [replica, items]),
     ['s1', 's2', 's3'].map((id) => [id, [item('o/odd', 2, 1, 'odd')]]),
   );
   put.accept();
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(fixture.replicator.isOpen, true);
   assert.is(fixture.replicator.get('o/odd'), 'odd');
   assert.is(fixture.replicator.get('o/even'), 'even');
@@ -119,13 +119,13 @@
   assert.is(fixture.replicator.isOpen, true);
   fixture.replicas.reply = silence;
   fixture.replicator.apply(slotAt(2));
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(fixture.replicator.isOpen, false);
   assert.is(fixture.replicator.isAccepting, false);
   assert.is(fixture.replicas.of('store/put').length, 0);
   const put = fixture.put('o/k', 1);
   const confirmed = fixture.confirmMissing('o/k');
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(put.outcome, 'unavailable');
   assert.is(confirmed.outcome, 'unavailable');
   assert.is(fixture.replicas.of('store/put').length, 0);
@@ -148,13 +148,13 @@
   const old = fencesWith({ s1: [item('o/k', 1, 1, 'old')] });
   fixture.replicas.reply = (request) => (isLate(request.kind) ? late.wait() : old(request));
   fixture.replicator.apply(slotAt(1));
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   fixture.replicas.reply = fencesWith({
     s1: [item('o/k', 1, 2, 'new')],
     s2: [item('o/k', 1, 2, 'new')],
   });
   fixture.replicator.apply(slotAt(2));
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(fixture.replicator.isOpen, true);
   return fixture;
 };
@@ -185,7 +185,7 @@
   fixture.replicas.reply = (request) =>
     request.kind === 'store/put' ? late.wait() : fences(request);
   fixture.replicator.apply(slotAt(2));
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(fixture.replicas.of('store/put').length, 3);
   fixture.replicas.reply = silence;
   fixture.replicator.apply(slotAt(3));
--- a/tests/src/session-owner/slot-writes.test.ts
+++ b/tests/src/session-owner/slot-writes.test.ts
@@ -41,7 +41,7 @@
   assert.is(put.outcome, 'pending');
   assert.is(fixture.replicator.get('o/k'), undefined);
   puts.get('s3')?.accept();
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(put.outcome, 'done');
   assert.is(fixture.replicator.get('o/k'), 'value');
 });
@@ -53,7 +53,7 @@
   puts.get('s1')?.accept();
   puts.get('s2')?.reject('connection-lost');
   puts.get('s3')?.reject('connection-lost');
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(put.outcome, 'unavailable');
   assert.is(fixture.replicator.get('o/k'), undefined);
 });
@@ -72,10 +72,10 @@
       const puts = delayedPuts(fixture);
       const put = fixture.put('o/k', 'value');
       for (const id of early) puts.get(id)?.accept();
-      await fixture.clock.settle();
+      await fixture.clock.runReadyTasks();
       assert.is(put.outcome, 'pending', early.join(' '));
       puts.get(last)?.accept();
-      await fixture.clock.settle();
+      await fixture.clock.runReadyTasks();
       assert.is(put.outcome, 'done', last);
     }
   },
@@ -86,12 +86,12 @@
   fixture.replicas.reply = (request) =>
     request.replica === 's3' ? failWith('stale-epoch') : emptyReply(request);
   const put = fixture.put('o/k', 'value');
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(put.outcome, 'done');
   assert.is(fixture.replicator.isOpen, false);
   const sent = fixture.replicas.requests.length;
   const refused = [fixture.put('o/l', 'value'), fixture.confirmMissing('o/l')];
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.equal(
     refused.map(({ outcome }) => outcome),
     ['unavailable', 'unavailable'],
@@ -104,10 +104,10 @@
   const puts = delayedPuts(fixture);
   const put = fixture.put('o/k', 'value');
   puts.get('s3')?.reject('stale-epoch');
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   puts.get('s1')?.accept();
   puts.get('s2')?.accept();
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(put.outcome, 'done');
   assert.is(fixture.replicator.get('o/k'), undefined);
 });
@@ -117,10 +117,10 @@
   const puts = delayedPuts(fixture);
   fixture.put('o/k', 'value');
   fixture.replicator.apply(slotAt(2));
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(fixture.replicator.isOpen, true);
   puts.get('s3')?.reject('stale-epoch');
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   assert.is(fixture.replicator.isOpen, true);
 });
 
@@ -151,11 +151,11 @@
   const fixture = await ReplicatorFixture.open();
   fixture.replicas.reply = () => failWith('connection-refused');
   const ended = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 20));
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   fixture.replicator.close();
   await fixture.clock.run(heartbeatIntervalMs / 10 + 1);
   assert.is(
-    await Promise.race([ended, fixture.clock.settle().then(() => 'still retried')]),
+    await Promise.race([ended, fixture.clock.runReadyTasks().then(() => 'still retried')]),
     'unavailable',
   );
 });
@@ -168,10 +168,10 @@
     fixture.put('o/k', 'value');
     puts.get('s1')?.reject('connection-lost');
     puts.get('s2')?.accept();
-    await fixture.clock.settle();
+    await fixture.clock.runReadyTasks();
     assert.is(fixture.replicas.of('store/hint').length, 0);
     puts.get('s3')?.accept();
-    await fixture.clock.settle();
+    await fixture.clock.runReadyTasks();
     assert.equal(
       fixture.replicas.of('store/hint').map(({ replica, to }) => [replica, to]),
       [['s2', 's1']],
@@ -267,7 +267,7 @@
     request.kind === 'store/read' ? read.wait() : emptyReply(request);
   const confirmed = errorOf(fixture.replicator.confirmMissing('o/k'));
   fixture.replicator.apply(slotAt(2));
-  await fixture.clock.settle();
+  await fixture.clock.runReadyTasks();
   read.accept({ item: null });
   assert.is(await confirmed, 'unavailable');
 });
@@ -288,7 +288,7 @@
   const closed = new ReplicatorFixture();
   closed.replicas.reply = silence;
   closed.replicator.apply(leaving);
-  await closed.clock.settle();
+  await closed.clock.runReadyTasks();
   assert.is(closed.replicator.tryRelease(), undefined);
 });
 
--- a/tests/src/session-owner/unbroken-ownership.test.ts
+++ b/tests/src/session-owner/unbroken-ownership.test.ts
@@ -52,7 +52,7 @@
       await w.clock.run(200);
       assert.ok((a.front?.owner.waiting ?? 0) > 0, 'it waits in line');
       const ownershipEpoch = slotAt(w, opKeyOf('t', key))?.ownershipEpoch ?? 0;
-      a.proxyLife.frozen = true;
+      a.proxyIncarnation.frozen = true;
       await w.clock.until(
         'taken over',
         () => ownerAs(b, opKeyOf('t', key)) === b.front?.p.id,
@@ -64,13 +64,13 @@
       assert.is(acts(w, key), 1);
       b.kill();
       await w.clock.until('dismissed', () => a.agent?.node === undefined, 10000);
-      a.proxyLife.wake();
+      a.proxyIncarnation.wake();
       await w.clock.until('adopted again', () => a.agent?.node !== undefined, 10000);
       w.net.cut(`${a.addr}/loop`, `${a.addr}/feed`);
       await w.clock.until('owner again', () => ownerOf(w, opKeyOf('t', key)) === a, 20000);
       assert.ok((slotAt(w, opKeyOf('t', key))?.ownershipEpoch ?? 0) >= ownershipEpoch + 2);
       await w.clock.run(1200);
-      w.net.mend();
+      w.net.healCuts();
       await w.clock.run(40000);
       await w.clock.finish('busy', busy, 60000);
       await w.clock.finish('first', first, 60000);
--- a/tests/src/sim/never-list-while-serving.test.ts
+++ b/tests/src/sim/never-list-while-serving.test.ts
@@ -33,7 +33,7 @@
     await w.clock.run(6);
     w.net.cut(`${owner?.addr ?? ''}/data`, `${other?.addr ?? ''}/data`);
     await w.clock.run(7);
-    w.net.mend();
+    w.net.healCuts();
     const t = await w.clock.finish('turn', going, 30000);
     assert.is.not(t.reported, 'done');
     assertNoBreach(recordsOf(w));
@@ -128,7 +128,7 @@
           woken = true;
         }
         for (const m of w.of('front'))
-          if (!m.life.frozen) going.push(w.turn(p.program, null, `l #${seed}-${i}`, `l${i++}`, m));
+          if (!m.incarnation.frozen) going.push(w.turn(p.program, null, `l #${seed}-${i}`, `l${i++}`, m));
         await w.clock.run(100);
       }
       await w.clock.finish('all', Promise.all(going), 60000);
@@ -161,10 +161,10 @@
       const going: Promise<unknown>[] = [];
       for (let i = 0; i < 40; i++) {
         for (const m of w.of('front'))
-          going.push(w.turn(p.program, null, `c #${seed}-${i}-${m.n}`, `c${i}-${m.n}`, m));
+          going.push(w.turn(p.program, null, `c #${seed}-${i}-${m.index}`, `c${i}-${m.index}`, m));
         await w.clock.run(100);
       }
-      w.net.mend();
+      w.net.healCuts();
       await w.clock.finish('all', Promise.all(going), 60000);
       const base = {
         text: '',
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -199,7 +199,7 @@
       const half = w.reported.filter((t) => t.kind === 'turn');
       for (const t of half)
         assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
-      w.net.mend();
+      w.net.healCuts();
       await w.clock
         .until(
           'emptied',
@@ -258,7 +258,7 @@
         await w.clock.run(350);
       }
       for (const m of ['store-0', 'store-1']) w.at(m).kill('power');
-      w.net.mend();
+      w.net.healCuts();
       fresh.platter.delay = 0.2;
       await w.clock.finish('all', Promise.all(going), 60000);
       for (const m of w.of('front')) m.kill();
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -111,7 +111,7 @@
       a.kill('power');
       a.platter.wipe();
       for (const m of w.of('front')) m.kill();
-      w.net.mend();
+      w.net.healCuts();
       w.net.cutBoth(['store-2'], [...data, 'store-0', 'store-1']);
       a.start();
       w.start(w.of('front'));
@@ -126,7 +126,7 @@
         const f = await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000);
         assert.is.not(f.errorCode, 'missing');
       }
-      w.net.mend();
+      w.net.healCuts();
       await w.clock.until(
         'refilled',
         () =>
--- a/tests/src/store/replica-store.test.ts
+++ b/tests/src/store/replica-store.test.ts
@@ -1,7 +1,7 @@
 /** What a store's replicas refuse, keep and drop. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import type { Item } from '@tillerstair/state';
 import { openStoreDisk, ReplicaStore } from '@tillerstair/store';
 import { silentLogger } from '@tillerstair/wire';
@@ -20,7 +20,7 @@
 
 const open = (clock: SimClock, platter: SimPlatter): Promise<ReplicaStore> => {
   const pace = { clock, syncWithin: 1500, retryEvery: 250 };
-  const disk = platter.disk(clock, new Life());
+  const disk = platter.disk(clock, new Incarnation());
   return clock.finish('open', ReplicaStore.open(disk, clock, bounds, pace), 5000);
 };
 
@@ -242,7 +242,7 @@
     clock.finish(
       'open',
       openStoreDisk({
-        disk: platter.disk(clock, new Life()),
+        disk: platter.disk(clock, new Incarnation()),
         clock,
         pace: { clock, syncWithin: 1500, retryEvery: 250, log: silentLogger },
         bounds,
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -1,7 +1,7 @@
 /** What a store answers to requests of other nodes, and what it hands on by itself. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Life, SimClock, SimNet, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimNet, SimPlatter, seededRng } from '@tillerstair/sim';
 import {
   bootstrapState,
   encodeState,
@@ -67,7 +67,7 @@
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
   const net = new SimNet(clock, seededRng(2));
-  const life = new Life();
+  const life = new Incarnation();
   const base = bootstrapState('cluster', [control], slots.length);
   const state: State = {
     ...base,
@@ -145,7 +145,7 @@
           return { leading: true, listed: true, term: 1, committed: accepted, age: 0 };
         return {};
       },
-      new Life(),
+      new Incarnation(),
     );
   await clock.finish('start', node.start(), 1000);
   await clock.until('a master', () => node.zen.masterSeen !== undefined, 10000);
--- a/tests/src/support/fake-replicas.ts
+++ b/tests/src/support/fake-replicas.ts
@@ -147,7 +147,7 @@
   static async open(slot: Slot = slotAt(1)): Promise<ReplicatorFixture> {
     const fixture = new ReplicatorFixture();
     fixture.replicator.apply(slot);
-    await fixture.clock.settle();
+    await fixture.clock.runReadyTasks();
     return fixture;
   }
 
--- a/tests/src/zen/discovery-under-failure.test.ts
+++ b/tests/src/zen/discovery-under-failure.test.ts
@@ -84,7 +84,7 @@
     const winner = w.masters().find((m) => !minority.includes(m.addr));
     const put = await w.operate('PUT', '/v1/config', configText(1, 'models', 'shop', 2), winner);
     assert.is(put.status, 200);
-    w.net.mend();
+    w.net.healCuts();
     await w.clock.run(8000);
     assert.is(w.masters().length, 1);
     const got = await w.operate('GET', '/v1/config');
@@ -137,7 +137,7 @@
     );
     assert.is(behind.control?.zen.accepted?.config?.version, 1);
     old.kill('power');
-    w.net.mend();
+    w.net.healCuts();
     await w.clock.until('the one behind to lead', () => w.master === behind, 15000);
     const got = await w.operate('GET', '/v1/config');
     assert.match(JSON.stringify(got.body), '"version":2');
--- a/tests/src/zen/election-store.test.ts
+++ b/tests/src/zen/election-store.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { frame } from '@tillerstair/journal';
-import { Life, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
+import { Incarnation, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
 import { diffStates, encodeState, type State } from '@tillerstair/state';
 import { silentLogger } from '@tillerstair/wire';
 import { DiskElectionStore } from '@tillerstair/zen';
@@ -18,7 +18,7 @@
   const warnings: string[] = [];
   const log = { ...silentLogger, warn: (text: string) => warnings.push(text) };
   const pace = { clock, syncWithin: 1500, retryEvery: 250, log };
-  const disk = () => platter.disk(clock, new Life());
+  const disk = () => platter.disk(clock, new Incarnation());
   const open = (freshId = 'fresh', rewriteAt = 1 << 20): Promise<DiskElectionStore> =>
     clock.finish(
       'open',
@@ -131,7 +131,7 @@
   const { clock, platter, open } = rig();
   platter.failSyncs = true;
   let isOpen = false;
-  const opened = DiskElectionStore.open(platter.disk(clock, new Life()), () => 'me', 1 << 20, {
+  const opened = DiskElectionStore.open(platter.disk(clock, new Incarnation()), () => 'me', 1 << 20, {
     clock,
     syncWithin: 1500,
     retryEvery: 250,
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -11,7 +11,7 @@
   type Member,
   type State,
 } from '@tillerstair/state';
-import { Life, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
+import { Incarnation, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
 import {
   closureOf,
   DiskElectionStore,
@@ -98,7 +98,7 @@
     const open = () =>
       clock.finish(
         'open',
-        DiskElectionStore.open(platter.disk(clock, new Life()), () => 'me', 1 << 20),
+        DiskElectionStore.open(platter.disk(clock, new Incarnation()), () => 'me', 1 << 20),
         1000,
       );
     const lose = async <T>(work: Promise<T>): Promise<void> => {
--- a/tests/src/zen/partitioned-control.test.ts
+++ b/tests/src/zen/partitioned-control.test.ts
@@ -138,7 +138,7 @@
   cut(w, target, way);
   const cutAt = w.clock.now();
   await w.clock.run(cutMs);
-  w.net.mend();
+  w.net.healCuts();
   const mendedAt = w.clock.now();
   await w.clock.run(afterMs);
   ops.stop();
@@ -318,7 +318,7 @@
   const w = await worldUp(7, small);
   const asked = { rounds: 0 };
   const master = w.master;
-  w.net.heard = (m) => {
+  w.net.onMessage = (m) => {
     if (
       m.kind === 'zen/node-ping' &&
       m.from === master?.addr &&
--- a/tests/src/zen/voting-members.test.ts
+++ b/tests/src/zen/voting-members.test.ts
@@ -162,7 +162,7 @@
   for (const seed of seeds) {
     const w = await worldUp(seed, sizes);
     const spare = w.add('control');
-    w.net.heard = (m) => {
+    w.net.onMessage = (m) => {
       if (m.kind === 'zen/publish' && m.to === spare.addr) spare.platter.delay = 1e9;
     };
     spare.start();
@@ -179,7 +179,7 @@
 members('the operator cannot vote in a control that has not synced the newest state', async () => {
   const w = await worldUp(64, sizes);
   const spare = w.add('control');
-  w.net.heard = (m) => {
+  w.net.onMessage = (m) => {
     if (m.kind === 'zen/publish' && m.to === spare.addr) spare.platter.delay = 1e9;
   };
   spare.start();
