--- a/packages/sim/src/index.ts
+++ b/packages/sim/src/index.ts
@@ -1,4 +1,5 @@
 export * from './sim-clock.js';
+export * from './incarnation.js';
 export * from './sim-net.js';
 export * from './sim-disk.js';
 export * from './server-faults.js';
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -10,7 +10,7 @@
   type ReloadableBounds,
 } from '@tillerstair/zen';
 import { silentLogger, type Logger } from '@tillerstair/wire';
-import { Incarnation } from './sim-clock.js';
+import { Incarnation } from './incarnation.js';
 import { SimPlatter } from './sim-disk.js';
 import type { World } from './world.js';
 
--- a/packages/sim/src/sim-backend.ts
+++ b/packages/sim/src/sim-backend.ts
@@ -11,7 +11,7 @@
 import type { Server } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
 import { strikes, type SimFaults } from './server-faults.js';
-import type { Incarnation } from './sim-clock.js';
+import type { Incarnation } from './incarnation.js';
 import { executePass } from './sim-pass.js';
 import type { SimServers } from './sim-servers.js';
 
--- a/packages/sim/src/sim-clock.ts
+++ b/packages/sim/src/sim-clock.ts
@@ -1,93 +1,62 @@
-import type { TimerHandle, Clock } from '@tillerstair/wire';
+/**
+ * The simulated clock: time goes on only from timer to timer, and after each all work that is ready runs to its end. So
+ * a run with the same seed makes the same events in the same order.
+ */
+import type { Clock, TimerHandle } from '@tillerstair/wire';
+import { TimerHeap, type SimTimer } from './timer-heap.js';
 
-interface Timer {
-  readonly at: number;
-  readonly seq: number;
-  readonly run: () => void;
-  stopped: boolean;
-}
-
-const before = (a: Timer, b: Timer): boolean => a.at < b.at || (a.at === b.at && a.seq < b.seq);
+const startTime = 1000;
+/** After so many turns of the event loop, work that one timer set off has come to rest. */
+const turnsPerEvent = 4;
 
-class Heap {
-  private readonly rows: Timer[] = [];
-
-  get first(): Timer | undefined {
-    return this.rows[0];
-  }
-
-  push(t: Timer): void {
-    const rows = this.rows;
-    let i = rows.push(t) - 1;
-    while (i > 0) {
-      const up = (i - 1) >> 1;
-      const parent = rows[up];
-      if (!parent || !before(t, parent)) break;
-      rows[i] = parent;
-      i = up;
-    }
-    rows[i] = t;
-  }
-
-  pop(): Timer | undefined {
-    const rows = this.rows;
-    const top = rows[0];
-    const last = rows.pop();
-    if (!top || !last || rows.length === 0) return top;
-    let i = 0;
-    for (;;) {
-      const l = 2 * i + 1;
-      const left = rows[l];
-      if (!left) break;
-      const right = rows[l + 1];
-      const [c, child] = right && before(right, left) ? [l + 1, right] : [l, left];
-      if (!before(child, last)) break;
-      rows[i] = child;
-      i = c;
-    }
-    rows[i] = last;
-    return top;
-  }
-}
-
-const turn = (): Promise<void> => new Promise((done) => setImmediate(done));
+const eventLoopTurn = (): Promise<void> => new Promise((done) => setImmediate(done));
 
+/** A clock that stands still unless it is run. Times are in ms. */
 export class SimClock implements Clock {
-  private time = 1000;
-  private seq = 0;
-  private readonly heap = new Heap();
+  /** How many timers fired. */
   events = 0;
+  private time = startTime;
+  private sequence = 0;
+  private readonly timers = new TimerHeap();
 
   now(): number {
     return this.time;
   }
 
   after(ms: number, run: () => void): TimerHandle {
-    const t: Timer = { at: this.time + Math.max(0, ms), seq: ++this.seq, run, stopped: false };
-    this.heap.push(t);
+    const timer: SimTimer = {
+      at: this.time + Math.max(0, ms),
+      sequence: ++this.sequence,
+      run,
+      stopped: false,
+    };
+    this.timers.push(timer);
     return {
       stop: () => {
-        t.stopped = true;
+        timer.stopped = true;
       },
     };
   }
 
+  /** Lets all work that is ready run, without time going on. */
   async runReadyTasks(): Promise<void> {
-    for (let i = 0; i < 4; i++) await turn();
+    for (let turn = 0; turn < turnsPerEvent; turn++) await eventLoopTurn();
   }
 
+  /** Fires the next timer; false if there is none up to the time `limit`. */
   async step(limit: number): Promise<boolean> {
-    const t = this.heap.first;
-    if (!t || t.at > limit) return false;
-    this.heap.pop();
-    if (t.stopped) return true;
-    this.time = Math.max(this.time, t.at);
+    const timer = this.timers.first;
+    if (!timer || timer.at > limit) return false;
+    this.timers.pop();
+    if (timer.stopped) return true;
+    this.time = Math.max(this.time, timer.at);
     this.events++;
-    t.run();
+    timer.run();
     await this.runReadyTasks();
     return true;
   }
 
+  /** Lets time go on for `ms`. */
   async run(ms: number): Promise<void> {
     const end = this.time + ms;
     await this.runReadyTasks();
@@ -95,76 +64,25 @@
     this.time = end;
   }
 
-  async until(what: string, ready: () => boolean, within: number): Promise<number> {
-    const t0 = this.time;
+  /** Lets time go on until a condition holds, and returns how long it took; throws after `withinMs`. */
+  async until(what: string, ready: () => boolean, withinMs: number): Promise<number> {
+    const start = this.time;
     await this.runReadyTasks();
     while (!ready()) {
-      if (this.time - t0 > within)
-        throw new Error(`${what}: not within ${within} ms of simulated time`);
-      if (!(await this.step(t0 + within + 1)))
-        throw new Error(`${what}: not within ${within} ms of simulated time`);
+      if (this.time - start > withinMs || !(await this.step(start + withinMs + 1)))
+        throw new Error(`${what}: not within ${withinMs} ms of simulated time`);
     }
-    return this.time - t0;
+    return this.time - start;
   }
 
-  async finish<T>(what: string, work: Promise<T>, within: number): Promise<T> {
-    let over = false;
-    let failed: unknown;
-    let value: T[] = [];
-    work.then(
-      (v) => {
-        value = [v];
-        over = true;
-      },
-      (e: unknown) => {
-        failed = e;
-        over = true;
-      },
-    );
-    await this.until(what, () => over, within);
-    if (failed !== undefined) throw failed;
-    for (const v of value) return v;
-    throw new Error(`${what}: no value`);
-  }
-}
-
-export class Incarnation {
-  constructor(readonly rate = 1) {}
-
-  dead = false;
-  frozen = false;
-  private stash: (() => void)[] = [];
-
-  do(run: () => void): void {
-    if (this.dead) return;
-    if (this.frozen) this.stash.push(run);
-    else run();
-  }
-
-  wake(): void {
-    this.frozen = false;
-    const all = this.stash;
-    this.stash = [];
-    for (const run of all) run();
-  }
-
-  clock(base: Clock): Clock {
-    return {
-      now: () => base.now() * this.rate,
-      after: (ms, run) => {
-        let stopped = false;
-        const timer = base.after(ms / this.rate, () => {
-          this.do(() => {
-            if (!stopped) run();
-          });
-        });
-        return {
-          stop: () => {
-            stopped = true;
-            timer.stop();
-          },
-        };
-      },
+  /** Lets time go on until a promise ends, and returns or throws what it ends with; throws after `withinMs`. */
+  async finish<T>(what: string, work: Promise<T>, withinMs: number): Promise<T> {
+    let ended = false;
+    const end = (): void => {
+      ended = true;
     };
+    work.then(end, end);
+    await this.until(what, () => ended, withinMs);
+    return work;
   }
 }
--- a/packages/sim/src/sim-disk.ts
+++ b/packages/sim/src/sim-disk.ts
@@ -1,7 +1,7 @@
 /** A disk under a simulated clock: what is synced stays, the rest and each unsynced name may be lost with the power. */
 import type { Disk, DiskFile } from '@tillerstair/journal';
 import { delay, type Clock } from '@tillerstair/wire';
-import type { Incarnation } from './sim-clock.js';
+import type { Incarnation } from './incarnation.js';
 
 interface Content {
   synced: Buffer;
--- a/packages/sim/src/sim-list.ts
+++ b/packages/sim/src/sim-list.ts
@@ -1,6 +1,6 @@
 import type { ListedServer, ServerList } from '@tillerstair/control';
 import { delay, type Clock } from '@tillerstair/wire';
-import type { Incarnation } from './sim-clock.js';
+import type { Incarnation } from './incarnation.js';
 
 export interface ObservedRead {
   readonly at: number;
--- a/packages/sim/src/sim-net.ts
+++ b/packages/sim/src/sim-net.ts
@@ -1,22 +1,22 @@
+/** The simulated network: who serves at which address, which pairs are cut, and how long messages take. */
 import {
-  type CallOptions,
-  type Clock,
   ConnectionLostError,
   ConnectionRefusedError,
-  RequestCancelledError,
+  type CallOptions,
+  type Clock,
   type RequestHandler,
-  RequestTimeoutError,
-  rpcErrorOf,
-  toRpcError,
   type Transport,
 } from '@tillerstair/wire';
-import type { Incarnation } from './sim-clock.js';
+import type { Incarnation } from './incarnation.js';
+import { SimCall } from './sim-call.js';
 
-interface Host {
+/** A process that serves requests at an address. */
+export interface Host {
   readonly handler: RequestHandler;
-  readonly life: Incarnation;
+  readonly incarnation: Incarnation;
 }
 
+/** A message as it is sent, whether it arrives or not. */
 export interface ObservedMessage {
   readonly from: string;
   readonly to: string;
@@ -42,235 +42,203 @@
   readonly answer: unknown;
 }
 
-interface OpenCall {
-  readonly from: string;
-  readonly to: string;
-  reset(): void;
+/** What a caller sees of a cut: nothing, a refused connection, or one that is reset. */
+export type CutEffect = 'silent' | 'refuse' | 'reset';
+
+/** Which part of a conversation a message is. */
+export type MessagePart = 'body' | 'chunk' | 'response';
+
+/** Two addresses, in the direction of what is sent. */
+export type AddressPair = readonly [from: string, to: string];
+
+interface ConnectionListener {
+  readonly self: string;
+  onConnectionLost(peer: string): void;
 }
 
-interface Listener {
+/** Who calls whom. */
+interface CallTarget {
   readonly self: string;
-  onConnectionLost(lost: string): void;
+  readonly incarnation: Incarnation;
+  readonly to: string;
+  readonly kind: string;
 }
 
-/** What a caller sees of a cut: nothing, a refused connection, or one that is reset. */
-export type CutEffect = 'silent' | 'refuse' | 'reset';
+const deliveredOnce: Fate = { lost: false, lateBy: 0, repeats: 0 };
 
-const delivered: Fate = { lost: false, lateBy: 0, repeats: 0 };
+/** A message takes from this many ms to this many more, unless its fate or the latency says otherwise. */
+const shortestMs = 0.3;
+const rangeMs = 0.7;
+/** Messages of one pair keep their order by at least this much. */
+const orderMs = 0.001;
+/** A repeated message arrives from this many ms on. */
+const repeatMs = 1;
+/** How long it takes until peers see that a process is no longer there. */
+const lossSeenMs = 0.5;
 
-const headOf = (kind: string, part: 'body' | 'chunk' | 'response'): number =>
+/** The bytes that the TCP transport adds to a message. */
+const frameBytes = (kind: string, part: MessagePart): number =>
   `{"id":10000,${part === 'body' ? `"kind":"${kind}",` : ''}"${part}":}\n`.length;
 
+const pairKey = (from: string, to: string): string => `${from}>${to}`;
+
+/** The network of one world. Messages of a pair arrive in order unless their fate says otherwise. */
 export class SimNet {
-  private readonly hosts = new Map<string, Host>();
-  private readonly cuts = new Map<string, CutEffect>();
+  /** Requests so far. */
   messages = 0;
-  onMessage: ((m: ObservedMessage) => void) | undefined;
+  /** Called for each message that is sent, while set. */
+  onMessage: ((message: ObservedMessage) => void) | undefined;
+  /** Called with each answer that a handler gave, while set. */
+  onAnswer: ((answer: ObservedAnswer) => void) | undefined;
   /** Decides the fate of each message; every one is delivered once while unset. */
   fate: ((from: string, to: string) => Fate) | undefined;
-  /** Is told each answer that a handler gave. */
-  onAnswer: ((a: ObservedAnswer) => void) | undefined;
+  /** How much longer messages of a pair take, in ms. */
   extraLatency: (from: string, to: string) => number = () => 0;
+  /** The longest message of each kind, in characters. */
   readonly largest = new Map<string, number>();
-
-  private observe(
-    kind: string,
-    text: string,
-    from: string,
-    to: string,
-    part: 'body' | 'chunk' | 'response',
-  ): void {
-    this.onMessage?.({ from, to, kind, bytes: Buffer.byteLength(text) + headOf(kind, part) });
-    if (text.length > (this.largest.get(kind) ?? 0)) this.largest.set(kind, text.length);
-  }
+  private readonly hosts = new Map<string, Host>();
+  private readonly cuts = new Map<string, CutEffect>();
+  private readonly listeners: ConnectionListener[] = [];
+  private readonly openCalls = new Set<SimCall>();
+  private readonly lastArrivals = new Map<string, number>();
 
   constructor(
-    private readonly clock: Clock,
+    readonly clock: Clock,
     private readonly rng: () => number,
   ) {}
 
-  private readonly listeners: Listener[] = [];
-  private readonly open = new Set<OpenCall>();
-
-  closed(addr: string): void {
-    this.clock.after(0.5 + this.rng(), () => {
-      for (const l of this.listeners) l.onConnectionLost(addr);
+  /** The connections of an address are closed, since its process ended. */
+  closed(address: string): void {
+    this.clock.after(lossSeenMs + this.rng(), () => {
+      for (const listener of this.listeners) listener.onConnectionLost(address);
     });
   }
 
   /** Resets a share of the connections of an address; calls under way on them are lost. */
-  reset(addr: string, share: number): void {
+  reset(address: string, share: number): void {
     const peers = new Set<string>();
-    for (const call of this.open) {
-      if ((call.from !== addr && call.to !== addr) || this.rng() >= share) continue;
-      peers.add(call.from === addr ? call.to : call.from);
-      call.reset();
-    }
-    for (const l of this.listeners) {
-      if (l.self === addr) for (const peer of peers) l.onConnectionLost(peer);
-      if (peers.has(l.self)) l.onConnectionLost(addr);
+    for (const call of this.openCalls) {
+      if ((call.from !== address && call.to !== address) || this.rng() >= share) continue;
+      peers.add(call.from === address ? call.to : call.from);
+      call.cancel(new ConnectionLostError(call.to));
     }
-  }
-
-  private readonly lastAt = new Map<string, number>();
-
-  private deliver(from: string, to: string, run: () => void): void {
-    const fate = this.fate?.(from, to) ?? delivered;
-    for (let n = 0; n < fate.repeats; n++)
-      this.clock.after(1 + this.rng() * (1 + fate.lateBy), run);
-    if (fate.lost) return;
-    if (fate.lateBy > 0) {
-      this.clock.after(0.3 + fate.lateBy, run);
-      return;
+    for (const listener of this.listeners) {
+      if (listener.self === address) for (const peer of peers) listener.onConnectionLost(peer);
+      if (peers.has(listener.self)) listener.onConnectionLost(address);
     }
-    const pair = `${from}>${to}`;
-    const at = Math.max(
-      this.clock.now() + 0.3 + this.rng() * 0.7 + this.extraLatency(from, to),
-      (this.lastAt.get(pair) ?? 0) + 0.001,
-    );
-    this.lastAt.set(pair, at);
-    this.clock.after(at - this.clock.now(), run);
   }
 
-  cut(from: string, to: string, manner: CutEffect = 'silent'): void {
-    this.cuts.set(`${from}>${to}`, manner);
+  /** Cuts one direction. */
+  cut(from: string, to: string, effect: CutEffect = 'silent'): void {
+    this.cuts.set(pairKey(from, to), effect);
   }
 
-  cutBoth(as: readonly string[], bs: readonly string[]): void {
-    for (const a of as)
-      for (const b of bs) {
+  /** Cuts both directions between two groups. */
+  cutBoth(groupA: readonly string[], groupB: readonly string[]): void {
+    for (const a of groupA)
+      for (const b of groupB) {
         this.cut(a, b);
         this.cut(b, a);
       }
   }
 
   /** Ends the cuts of these pairs only. */
-  uncut(pairs: readonly (readonly [string, string])[]): void {
-    for (const [from, to] of pairs) this.cuts.delete(`${from}>${to}`);
+  uncut(pairs: readonly AddressPair[]): void {
+    for (const [from, to] of pairs) this.cuts.delete(pairKey(from, to));
   }
 
+  /** Ends all cuts. */
   healCuts(): void {
     this.cuts.clear();
   }
 
   isCut(from: string, to: string): boolean {
-    return this.cuts.has(`${from}>${to}`);
+    return this.cuts.has(pairKey(from, to));
   }
 
-  serve(addr: string, handler: RequestHandler, life: Incarnation): void {
-    this.hosts.set(addr, { handler, life });
+  serve(address: string, handler: RequestHandler, incarnation: Incarnation): void {
+    this.hosts.set(address, { handler, incarnation });
   }
 
-  stopServing(addr: string, life: Incarnation): void {
-    if (this.hosts.get(addr)?.life === life) this.hosts.delete(addr);
+  stopServing(address: string, incarnation: Incarnation): void {
+    if (this.hosts.get(address)?.incarnation === incarnation) this.hosts.delete(address);
   }
 
-  call(
-    from: string,
-    mine: Incarnation,
-    to: string,
-    kind: string,
-    body: unknown,
-    bounds: CallOptions,
-  ): Promise<unknown> {
-    const sent = JSON.stringify(body ?? null);
-    this.observe(kind, sent, from, to, 'body');
-    const wire: unknown = JSON.parse(sent);
-    this.messages++;
-    return new Promise((done, fail) => {
-      let over = false;
-      const gone = new AbortController();
-      const onGone = (): void => {
-        gone.abort();
-        finish(() => fail(new RequestCancelledError('unknown')));
-      };
-      const finish = (f: () => void): void => {
-        mine.do(() => {
-          if (over) return;
-          over = true;
-          this.open.delete(open);
-          late.stop();
-          bounds.signal?.removeEventListener('abort', onGone);
-          f();
-        });
-      };
-      const open: OpenCall = {
-        from,
-        to,
-        reset: () => {
-          gone.abort();
-          finish(() => fail(new ConnectionLostError(to)));
-        },
-      };
-      this.open.add(open);
-      const late = this.clock.after(bounds.timeoutMs, () => {
-        gone.abort();
-        finish(() => fail(new RequestTimeoutError(to)));
-      });
-      bounds.signal?.addEventListener('abort', onGone, { once: true });
-      const back = (f: () => void, host: Host): void => {
-        if (host.life.dead) return;
-        this.deliver(to, from, () => {
-          if (!this.isCut(to, from)) f();
-        });
-      };
-      this.deliver(from, to, () => {
-        const cut = this.cuts.get(`${from}>${to}`);
-        if (cut === 'refuse') finish(() => fail(new ConnectionRefusedError(to)));
-        if (cut === 'reset') finish(() => fail(new ConnectionLostError(to)));
-        if (cut !== undefined) return;
-        const host = this.hosts.get(to);
-        if (!host || host.life.dead) {
-          finish(() => fail(new ConnectionRefusedError(to)));
-          return;
-        }
-        const watch = (): void => {
-          if (over) return;
-          if (host.life.dead) finish(() => fail(new ConnectionLostError(to)));
-          else this.clock.after(20, watch);
-        };
-        this.clock.after(20, watch);
-        host.life.do(() => {
-          const emit = (chunk: unknown): void => {
-            const text = JSON.stringify(chunk);
-            this.observe(`${kind} chunk`, text, to, from, 'chunk');
-            back(() => {
-              mine.do(() => {
-                if (!over) bounds.onChunk?.(JSON.parse(text));
-              });
-            }, host);
-          };
-          void host.handler({ from, kind, body: wire }, emit, gone.signal).then(
-            (v) => {
-              const text = JSON.stringify(v ?? null);
-              this.onAnswer?.({ by: to, caller: from, kind, body: wire, answer: v });
-              this.observe(kind, text, to, from, 'response');
-              back(() => finish(() => done(JSON.parse(text))), host);
-            },
-            (e: unknown) => {
-              const m = toRpcError(e);
-              back(() => finish(() => fail(rpcErrorOf(m.code, m.message, m.executed))), host);
-            },
-          );
-        });
-      });
-    });
+  /** The process that a request reaches; throws what the caller sees otherwise, undefined where it sees nothing. */
+  hostFor(from: string, to: string): Host | undefined {
+    const effect = this.cuts.get(pairKey(from, to));
+    if (effect === 'refuse') throw new ConnectionRefusedError(to);
+    if (effect === 'reset') throw new ConnectionLostError(to);
+    if (effect === 'silent') return undefined;
+    const host = this.hosts.get(to);
+    if (!host || host.incarnation.dead) throw new ConnectionRefusedError(to);
+    return host;
   }
 
-  transport(self: string, life: Incarnation): Transport {
-    const heard: ((to: string) => void)[] = [];
+  /** Delivers a message as its fate says: `arrive` is called once, later, several times or never. */
+  deliver(from: string, to: string, arrive: () => void): void {
+    const fate = this.fate?.(from, to) ?? deliveredOnce;
+    for (let n = 0; n < fate.repeats; n++)
+      this.clock.after(repeatMs + this.rng() * (repeatMs + fate.lateBy), arrive);
+    if (fate.lost) return;
+    if (fate.lateBy > 0) {
+      this.clock.after(shortestMs + fate.lateBy, arrive);
+      return;
+    }
+    const pair = pairKey(from, to);
+    const at = Math.max(
+      this.clock.now() + shortestMs + this.rng() * rangeMs + this.extraLatency(from, to),
+      (this.lastArrivals.get(pair) ?? 0) + orderMs,
+    );
+    this.lastArrivals.set(pair, at);
+    this.clock.after(at - this.clock.now(), arrive);
+  }
+
+  /** Counts a message and reports it. */
+  observe(message: Omit<ObservedMessage, 'bytes'>, text: string, part: MessagePart): void {
+    const { kind } = message;
+    const bytes = Buffer.byteLength(text) + frameBytes(kind, part);
+    this.onMessage?.({ ...message, bytes });
+    if (text.length > (this.largest.get(kind) ?? 0)) this.largest.set(kind, text.length);
+  }
+
+  /** The network as the processes of one address use it. */
+  transport(self: string, incarnation: Incarnation): Transport {
+    const listeners: ((to: string) => void)[] = [];
     this.listeners.push({
       self,
-      onConnectionLost: (to) => life.do(() => heard.forEach((h) => h(to))),
+      onConnectionLost: (peer) => {
+        incarnation.do(() => {
+          for (const listener of listeners) listener(peer);
+        });
+      },
     });
     return {
       self,
-      onConnectionLost: (h) => {
-        heard.push(h);
+      onConnectionLost: (listener) => {
+        listeners.push(listener);
+      },
+      call: (to, kind, body, options) => this.call({ self, incarnation, to, kind }, body, options),
+      serve: (handler) => {
+        this.serve(self, handler, incarnation);
+        return Promise.resolve();
+      },
+      close: () => {
+        this.stopServing(self, incarnation);
+        return Promise.resolve();
       },
-      call: (to, kind, body, bounds) => this.call(self, life, to, kind, body, bounds),
-      serve: async (handler) => this.serve(self, handler, life),
-      close: async () => this.stopServing(self, life),
     };
   }
+
+  private call(target: CallTarget, body: unknown, options: CallOptions): Promise<unknown> {
+    const { self, incarnation, to, kind } = target;
+    const call = new SimCall(
+      this,
+      { from: self, to, kind, body: JSON.stringify(body ?? null), caller: incarnation },
+      options,
+      (ended) => this.openCalls.delete(ended),
+    );
+    this.openCalls.add(call);
+    return call.run();
+  }
 }
--- a/packages/sim/src/sim-pass.ts
+++ b/packages/sim/src/sim-pass.ts
@@ -3,7 +3,7 @@
 import { slotForKey } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
 import { strikes, type SimFaults } from './server-faults.js';
-import type { Incarnation } from './sim-clock.js';
+import type { Incarnation } from './incarnation.js';
 
 /** What a server has of a request after it ended. */
 export interface PassExecution {
--- a/packages/sim/src/sim-servers.ts
+++ b/packages/sim/src/sim-servers.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '@tillerstair/wire';
 import { healthyServer, type SimFaults } from './server-faults.js';
 import { SimBackend } from './sim-backend.js';
-import type { Incarnation } from './sim-clock.js';
+import type { Incarnation } from './incarnation.js';
 
 const recordedPromptLength = 60;
 
