--- a/packages/sim/src/faults-disk.ts
+++ b/packages/sim/src/faults-disk.ts
@@ -1,5 +1,5 @@
 /** Faults of disks: slow, full, stalled, lost. */
-import type { SimPlatter } from './sim-disk.js';
+import type { SimPlatter } from './sim-platter.js';
 import type { Fault, FaultTable, MachineKind } from './storm-fault.js';
 
 const kinds: readonly MachineKind[] = ['control', 'store'];
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -11,7 +11,7 @@
 } from '@tillerstair/zen';
 import { silentLogger, type Logger } from '@tillerstair/wire';
 import { Incarnation } from './incarnation.js';
-import { SimPlatter } from './sim-disk.js';
+import { SimPlatter } from './sim-platter.js';
 import type { World } from './world.js';
 
 export class Machine {
--- a/packages/sim/src/model-rig.ts
+++ b/packages/sim/src/model-rig.ts
@@ -12,7 +12,7 @@
 } from './model-actions.js';
 import { ModelHistory, type CallStart, type SentConfig } from './model-history.js';
 import { ModelNodes } from './model-nodes.js';
-import type { SimPlatter } from './sim-disk.js';
+import type { SimPlatter } from './sim-platter.js';
 import { stormConfig } from './storm-config.js';
 import { seededRng, World } from './world.js';
 
--- a/packages/sim/src/sim-disk.ts
+++ b/packages/sim/src/sim-disk.ts
@@ -1,15 +1,20 @@
-/** A disk under a simulated clock: what is synced stays, the rest and each unsynced name may be lost with the power. */
+/** The disk as one simulated process uses it: every step takes time and stops with the process. */
 import type { Disk, DiskFile } from '@tillerstair/journal';
 import { delay, type Clock } from '@tillerstair/wire';
 import type { Incarnation } from './incarnation.js';
+import { emptyContent, type FileContent } from './file-content.js';
+import type { SimPlatter } from './sim-platter.js';
 
-interface Content {
-  synced: Buffer;
-  cached: Buffer;
+const chunkBytes = 1000;
+const neverEnds = new Promise<never>(() => undefined);
+
+async function* slicesOf(bytes: Buffer): AsyncGenerator<Buffer> {
+  for (let start = 0; start < bytes.length; start += chunkBytes)
+    yield Promise.resolve(bytes.subarray(start, start + chunkBytes));
 }
 
-/** As a file system reports that it has no room left. */
-export class DiskFullError extends Error {
+/** As a file system reports that it has no space left. */
+class DiskFullError extends Error {
   readonly code = 'ENOSPC';
 
   constructor() {
@@ -17,191 +22,104 @@
   }
 }
 
-const forever = new Promise<never>(() => undefined);
-const none = Buffer.alloc(0);
-const chunkBytes = 1000;
-
-async function* slicesOf(bytes: Buffer): AsyncGenerator<Buffer> {
-  for (let at = 0; at < bytes.length; at += chunkBytes) yield bytes.subarray(at, at + chunkBytes);
-}
-
-export class SimPlatter {
-  /** Names as processes see them. */
-  private names = new Map<string, Content>();
-  /** Names as the folder was last synced. */
-  private syncedNames = new Map<string, Content>();
-  private waiting: (() => void)[] = [];
-  private isStalled = false;
-  delay = 0.2;
-  syncs = 0;
-  failSyncs = false;
-  /** While set, writes fail; a part of their bytes may reach the file. */
-  full = false;
-  crashAtStep = -1;
-  onCrash: () => void = () => undefined;
-  private steps = 0;
-
-  constructor(private readonly rng: () => number) {}
-
-  get stalled(): boolean {
-    return this.isStalled;
-  }
-
-  /** While set, writes and syncs neither end nor fail; they go on once it is unset. */
-  set stalled(on: boolean) {
-    this.isStalled = on;
-    if (on) return;
-    const released = this.waiting;
-    this.waiting = [];
-    for (const go of released) go();
-  }
-
-  private file(name: string): Content {
-    const old = this.names.get(name);
-    if (old) return old;
-    const made: Content = { synced: none, cached: none };
-    this.names.set(name, made);
-    return made;
-  }
-
-  powerLoss(): void {
-    this.names = this.namesAfterPowerLoss();
-    this.syncedNames = new Map(this.names);
-    for (const f of this.names.values()) {
-      const extra =
-        f.cached.length > f.synced.length
-          ? Math.floor(this.rng() * (f.cached.length - f.synced.length + 1))
-          : 0;
-      f.synced = Buffer.from(f.cached.subarray(0, f.synced.length + extra));
-      f.cached = f.synced;
-    }
-  }
-
-  /** Each name that was made, renamed or removed since the folder was synced is kept or lost by itself. */
-  private namesAfterPowerLoss(): Map<string, Content> {
-    const kept = new Map<string, Content>();
-    for (const name of new Set([...this.names.keys(), ...this.syncedNames.keys()])) {
-      const now = this.names.get(name);
-      const before = this.syncedNames.get(name);
-      const content = now === before || this.rng() < 0.5 ? now : before;
-      if (content) kept.set(name, content);
-    }
-    return kept;
+/** A platter as one incarnation of a process has it open. */
+export class SimDisk implements Disk {
+  constructor(
+    private readonly platter: SimPlatter,
+    private readonly clock: Clock,
+    private readonly incarnation: Incarnation,
+  ) {}
+
+  readonly open = async (name: string): Promise<DiskFile> => {
+    await this.whileAlive();
+    if (!this.platter.has(name) && this.platter.full) throw new DiskFullError();
+    const content = this.platter.file(name);
+    if (!this.platter.isNameSynced(name)) await this.syncNames();
+    return this.fileOf(name, content);
+  };
+
+  readonly setAside = async (name: string): Promise<void> => {
+    await this.work();
+    this.platter.rename(name, `${name}.damaged`);
+    await this.syncNames();
+  };
+
+  /** A step that takes as long as the platter does, and waits while it is stalled. */
+  async work(): Promise<void> {
+    await this.whileAlive();
+    await delay(this.clock, this.platter.delay);
+    await this.platter.untilReleased();
+    await this.step();
   }
 
-  wipe(): void {
-    this.names = new Map();
-    this.syncedNames = new Map();
+  /** A step at which the machine may crash. */
+  async step(): Promise<void> {
+    this.platter.step();
+    await this.whileAlive();
   }
 
-  corrupt(name: string, at: number): void {
-    const f = this.file(name);
-    const b = Buffer.from(f.synced);
-    b[at] = (b[at] ?? 0) ^ 0x20;
-    f.synced = b;
-    f.cached = b;
+  async write(file: FileContent, bytes: Buffer): Promise<void> {
+    await this.platter.untilReleased();
+    await this.whileAlive();
+    const written = this.platter.writableBytes(bytes.length);
+    file.cached = Buffer.concat([file.cached, bytes.subarray(0, written)]);
+    await this.step();
+    if (written < bytes.length) throw new DiskFullError();
   }
 
-  bytes(name: string): number {
-    return this.file(name).cached.length;
+  async sync(file: FileContent): Promise<void> {
+    await this.work();
+    if (this.platter.failSyncs) throw new Error('the disk failed to sync');
+    this.platter.syncs++;
+    file.synced = file.cached;
   }
 
-  /** The names of all files there are now. */
-  list(): readonly string[] {
-    return [...this.names.keys()].sort();
+  async syncNames(): Promise<void> {
+    await this.work();
+    this.platter.syncNames();
   }
 
-  /** Counts steps of writing anew and calls `onCrash` at the given one; -1 for none. */
-  crashFrom(step: number, onCrash: () => void): void {
-    this.steps = 0;
-    this.crashAtStep = step;
-    this.onCrash = onCrash;
-  }
-
-  private step(): void {
-    if (this.steps++ === this.crashAtStep) this.onCrash();
+  /** An open file, as an object of functions, so that tests may replace some of them. */
+  private fileOf(name: string, opened: FileContent): DiskFile {
+    let content = opened;
+    return {
+      chunks: () => slicesOf(content.cached),
+      append: (bytes) => this.write(content, bytes),
+      sync: () => this.sync(content),
+      cut: async (size) => {
+        await this.work();
+        content.cached = Buffer.from(content.cached.subarray(0, size));
+        content.synced = content.cached;
+      },
+      replace: async (chunks) => {
+        content = await this.replace(name, chunks);
+      },
+      close: () => Promise.resolve(),
+    };
   }
 
-  private async untilReleased(): Promise<void> {
-    while (this.isStalled) await new Promise<void>((go) => this.waiting.push(go));
+  private async replace(name: string, chunks: Iterable<Buffer>): Promise<FileContent> {
+    const nextName = `${name}.next`;
+    const next = emptyContent();
+    try {
+      await this.work();
+      this.platter.link(nextName, next);
+      await this.step();
+      for (const chunk of chunks) await this.write(next, chunk);
+      await this.sync(next);
+      this.platter.link(name, next);
+      this.platter.unlink(nextName);
+      await this.step();
+      await this.syncNames();
+      return next;
+    } catch (error) {
+      this.platter.unlink(nextName);
+      throw error;
+    }
   }
 
-  disk(clock: Clock, life: Incarnation): Disk {
-    const alive = async (): Promise<void> => {
-      if (life.dead) await forever;
-    };
-    const step = async (): Promise<void> => {
-      this.step();
-      await alive();
-    };
-    const work = async (): Promise<void> => {
-      await alive();
-      await delay(clock, this.delay);
-      await this.untilReleased();
-      await step();
-    };
-    const write = async (to: Content, bytes: Buffer): Promise<void> => {
-      await this.untilReleased();
-      await alive();
-      const part = this.full ? Math.floor(this.rng() * bytes.length) : bytes.length;
-      to.cached = Buffer.concat([to.cached, bytes.subarray(0, part)]);
-      await step();
-      if (part < bytes.length) throw new DiskFullError();
-    };
-    const sync = async (f: Content): Promise<void> => {
-      await work();
-      if (this.failSyncs) throw new Error('the disk failed to sync');
-      this.syncs++;
-      f.synced = f.cached;
-    };
-    const syncNames = async (): Promise<void> => {
-      await work();
-      this.syncedNames = new Map(this.names);
-    };
-    const open = async (name: string): Promise<DiskFile> => {
-      await alive();
-      const isNew = !this.names.has(name);
-      if (isNew && this.full) throw new DiskFullError();
-      let content = this.file(name);
-      if (this.syncedNames.get(name) !== content) await syncNames();
-      return {
-        chunks: () => slicesOf(content.cached),
-        append: (bytes) => write(content, bytes),
-        sync: () => sync(content),
-        cut: async (size) => {
-          await work();
-          content.cached = Buffer.from(content.cached.subarray(0, size));
-          content.synced = content.cached;
-        },
-        replace: async (chunks) => {
-          const nextName = `${name}.next`;
-          const next: Content = { synced: none, cached: none };
-          try {
-            await work();
-            this.names.set(nextName, next);
-            await step();
-            for (const chunk of chunks) await write(next, chunk);
-            await sync(next);
-            this.names.set(name, next);
-            this.names.delete(nextName);
-            await step();
-            await syncNames();
-          } catch (e) {
-            this.names.delete(nextName);
-            throw e;
-          }
-          content = next;
-        },
-        close: async () => undefined,
-      };
-    };
-    const setAside = async (name: string): Promise<void> => {
-      await work();
-      const content = this.names.get(name);
-      if (content) this.names.set(`${name}.damaged`, content);
-      this.names.delete(name);
-      await syncNames();
-    };
-    return { open, setAside };
+  /** Never resolves once the process is dead. */
+  private async whileAlive(): Promise<void> {
+    if (this.incarnation.dead) await neverEnds;
   }
 }
--- a/packages/sim/src/sim-list.ts
+++ b/packages/sim/src/sim-list.ts
@@ -1,76 +1,79 @@
+/** The simulated list of servers that controls and fronts read; changes show after a lag. */
 import type { ListedServer, ServerList } from '@tillerstair/control';
 import { delay, type Clock } from '@tillerstair/wire';
 import type { Incarnation } from './incarnation.js';
 
+/** A read of the list, whether it succeeded or not. */
 export interface ObservedRead {
   readonly at: number;
   readonly by: string;
 }
 
-interface Shown {
+interface ListVersion {
   readonly at: number;
   readonly servers: ReadonlyMap<string, ListedServer>;
 }
 
+const usualReadMs = 10;
+
+/** The list of one world. */
 export class SimList {
   readonly reads: ObservedRead[] = [];
+  /** Readers that cannot reach the list. */
   readonly cut = new Set<string>();
+  /** While set, reads fail. */
   failing = false;
+  /** While set, reads take all their time and fail. */
   hanging = false;
-  readMs = 10;
-  private past: readonly Shown[] = [{ at: -Infinity, servers: new Map() }];
+  /** How long a read takes, in ms. */
+  readMs = usualReadMs;
+  private versions: readonly ListVersion[] = [{ at: -Infinity, servers: new Map() }];
 
+  /** Changes show `lag` ms after they are made. */
   constructor(
     private readonly clock: Clock,
     readonly lag = 0,
   ) {}
 
-  private change(f: (servers: Map<string, ListedServer>) => void): number {
-    const servers = new Map(this.past.at(-1)?.servers);
-    f(servers);
-    const at = this.clock.now() + this.lag;
-    this.past = [...this.past, { at, servers }];
-    return at;
-  }
-
-  put(v: Partial<ListedServer> & Pick<ListedServer, 'id' | 'pool'>): number {
+  /** Adds a server, or replaces it; returns when that shows. */
+  put(server: Partial<ListedServer> & Pick<ListedServer, 'id' | 'pool'>): number {
     return this.change((servers) =>
-      servers.set(v.id, {
+      servers.set(server.id, {
         url: 'http://127.0.0.1:1',
         zone: 'zone-0',
         places: 16,
         draining: false,
-        ...v,
+        ...server,
       }),
     );
   }
 
+  /** Marks a server as draining; returns when that shows. */
   mark(id: string): number {
     return this.change((servers) => {
-      const old = servers.get(id);
-      if (old) servers.set(id, { ...old, draining: true });
+      const server = servers.get(id);
+      if (server) servers.set(id, { ...server, draining: true });
     });
   }
 
+  /** Removes a server; returns when that shows. */
   drop(id: string): number {
     return this.change((servers) => servers.delete(id));
   }
 
-  private visibleServers(): readonly ListedServer[] {
-    const now = this.clock.now();
-    return [...(this.past.findLast((s) => s.at <= now)?.servers.values() ?? [])];
-  }
-
+  /** Who read the list in a span of time. */
   readers(from: number, to = Infinity): ReadonlySet<string> {
-    return new Set(this.reads.filter((r) => r.at >= from && r.at < to).map((r) => r.by));
+    const reads = this.reads.filter(({ at }) => at >= from && at < to);
+    return new Set(reads.map(({ by }) => by));
   }
 
-  reader(by: string, life: Incarnation): ServerList {
-    const clock = life.clock(this.clock);
+  /** The list as one process reads it. */
+  reader(by: string, incarnation: Incarnation): ServerList {
+    const clock = incarnation.clock(this.clock);
     return {
-      read: async (within) => {
+      read: async (timeoutMs) => {
         this.reads.push({ at: this.clock.now(), by });
-        await delay(clock, this.hanging ? within : this.readMs / 2);
+        await delay(clock, this.hanging ? timeoutMs : this.readMs / 2);
         if (this.failing || this.hanging || this.cut.has(by))
           throw new Error('the list cannot be read');
         const servers = this.visibleServers();
@@ -79,4 +82,17 @@
       },
     };
   }
+
+  private change(edit: (servers: Map<string, ListedServer>) => void): number {
+    const servers = new Map(this.versions.at(-1)?.servers);
+    edit(servers);
+    const at = this.clock.now() + this.lag;
+    this.versions = [...this.versions, { at, servers }];
+    return at;
+  }
+
+  private visibleServers(): readonly ListedServer[] {
+    const now = this.clock.now();
+    return [...(this.versions.findLast(({ at }) => at <= now)?.servers.values() ?? [])];
+  }
 }
