--- /dev/null
+++ b/packages/sim/src/front-call.ts
@@ -0,0 +1,44 @@
+/** A request at a front as its caller sees it: nothing more comes from a front that died. */
+import type { CallOutcome } from '@tillerstair/session-owner';
+import type { Clock } from '@tillerstair/wire';
+import type { Incarnation } from './incarnation.js';
+
+const lossCheckMs = 50;
+const callerTimeoutMs = 20000;
+
+const frontLost: CallOutcome = { outcome: 'unknown', status: 0, errorCode: 'front-lost' };
+
+/**
+ * Resolves with the outcome of `send`, with `front-lost` once the front's incarnation is dead, and with the same after
+ * the caller's time-out, when the request is aborted.
+ */
+export const untilFrontAnswers = (
+  clock: Clock,
+  incarnation: Incarnation,
+  send: (emitThrough: (emit: () => void) => void, signal: AbortSignal) => Promise<CallOutcome>,
+): Promise<CallOutcome> => {
+  const cancellation = new AbortController();
+  const outcome = send((emit) => incarnation.do(emit), cancellation.signal);
+  return new Promise((resolve) => {
+    let ended = false;
+    const end = (result: CallOutcome): void => {
+      if (ended) return;
+      ended = true;
+      resolve(result);
+    };
+    const watch = (): void => {
+      if (ended) return;
+      if (incarnation.dead) end(frontLost);
+      else clock.after(lossCheckMs, watch);
+    };
+    clock.after(lossCheckMs, watch);
+    clock.after(callerTimeoutMs, () => {
+      cancellation.abort();
+      end(frontLost);
+    });
+    outcome.then(
+      (result) => incarnation.do(() => end(result)),
+      () => incarnation.do(() => end(frontLost)),
+    );
+  });
+};
--- a/packages/sim/src/index.ts
+++ b/packages/sim/src/index.ts
@@ -6,6 +6,8 @@
 export * from './sim-servers.js';
 export * from './sim-list.js';
 export * from './sim-pass.js';
+export * from './random.js';
+export * from './sim-cluster.js';
 export * from './world.js';
 export * from './pass.js';
 export * from './machine.js';
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -12,7 +12,7 @@
 import { silentLogger, type Logger } from '@tillerstair/wire';
 import { Incarnation } from './incarnation.js';
 import { SimPlatter } from './sim-platter.js';
-import type { World } from './world.js';
+import type { SimCluster } from './sim-cluster.js';
 
 export class Machine {
   readonly platter: SimPlatter;
@@ -28,7 +28,7 @@
   private readonly settings: ReloadableBounds;
 
   constructor(
-    readonly world: World,
+    readonly world: SimCluster,
     readonly kind: 'control' | 'store' | 'front',
     readonly index: number,
     private readonly fixedSeeds: readonly string[] | undefined,
--- a/packages/sim/src/model-rig.ts
+++ b/packages/sim/src/model-rig.ts
@@ -14,7 +14,8 @@
 import { ModelNodes } from './model-nodes.js';
 import type { SimPlatter } from './sim-platter.js';
 import { stormConfig } from './storm-config.js';
-import { seededRng, World } from './world.js';
+import { seededRng } from './random.js';
+import { World } from './world.js';
 
 /** Short bounds, so that a run of a minute of them stays cheap. */
 const bounds = {
--- a/packages/sim/src/storm-faults.ts
+++ b/packages/sim/src/storm-faults.ts
@@ -12,7 +12,7 @@
   type PlannedFault,
   type StormActions,
 } from './storm-fault.js';
-import { seededRng } from './world.js';
+import { seededRng } from './random.js';
 
 const faults: FaultTable = new Map([
   ...machineFaults,
--- a/packages/sim/src/storm-plan.ts
+++ b/packages/sim/src/storm-plan.ts
@@ -1,6 +1,7 @@
 /** What a storm's seed decides beforehand: the deployment and the plan of faults. */
 import type { PlannedFault } from './storm-fault.js';
-import { seededRng, type WorldSizes } from './world.js';
+import { seededRng } from './random.js';
+import type { WorldSizes } from './sim-cluster.js';
 
 const dealtPerPlan = 20;
 const wholeFleetEvery = 10;
--- a/packages/sim/src/storm.ts
+++ b/packages/sim/src/storm.ts
@@ -7,7 +7,8 @@
 import { Faults } from './storm-faults.js';
 import { badConfigs, stormConfig } from './storm-config.js';
 import { passChat } from './storm-pass.js';
-import { World, type WorldSizes } from './world.js';
+import type { WorldSizes } from './sim-cluster.js';
+import { World } from './world.js';
 
 export interface StormOptions {
   readonly seed: number;
