--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -62,7 +62,7 @@
     this.observations.barred = ids;
   }
 
-  /** The server told its load with a response. */
+  /** The server reported its load with a response. */
   recordReportedLoad(server: Server, load: ReportedLoad): void {
     this.observations.recordReportedLoad(server, load);
   }
--- a/packages/session-owner/src/server-observations.ts
+++ b/packages/session-owner/src/server-observations.ts
@@ -151,7 +151,7 @@
     });
   }
 
-  /** The server told its load with a response. */
+  /** The server reported its load with a response. */
   recordReportedLoad(server: Server, reportedLoad: ReportedLoad): void {
     this.update(server, { reportedLoad, reportedAt: this.clock.now() });
   }
--- a/tests/src/session-owner/batch-placement.test.ts
+++ b/tests/src/session-owner/batch-placement.test.ts
@@ -41,18 +41,20 @@
     },
   ],
 });
-const [talk, plain] = checkConfig(text).config?.routes ?? [];
+const routes = checkConfig(text).config?.routes ?? [];
+const talk = routes.at(0);
+const plain = routes.at(1);
 if (!talk || !plain) throw new Error('no routes');
 const perPlace = 100000 / places / 25;
 
-const server = (id: string, pool: string, room = 0): Server => ({
+const server = (id: string, pool: string, ownPlaces = 0): Server => ({
   id,
   pool,
   url: `http://127.0.0.1:1/${id}`,
   draining: false,
   down: false,
   zone: '',
-  places: room,
+  places: ownPlaces,
 });
 
 const placing = (servers: readonly Server[], zone = '') => {
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -324,7 +324,7 @@
     const tuned = (): number => w.committed?.weights.get(weightKey('models', 'm1')) ?? 1;
     let least = 1;
     for (let i = 0; i < 900; i++) {
-      const p = ps[i % ps.length];
+      const p = ps.at(i % ps.length);
       if (p) going.push(w.turn(p.program, null, `w #${i}`, `w${i}`));
       if (i === 450) w.master?.kill();
       least = Math.min(least, tuned());
