--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -57,7 +57,7 @@
     this.poller = new ServerPoller({ clock, backend, bounds, table, observations });
   }
 
-  /** Servers that the server list names as draining get nothing new. */
+  /** Sets the servers that get nothing new, since the front's own copy of the server list does not offer them. */
   setBarred(ids: ReadonlySet<string>): void {
     this.observations.barred = ids;
   }
--- a/packages/session-owner/src/server-observations.ts
+++ b/packages/session-owner/src/server-observations.ts
@@ -63,7 +63,7 @@
 /** The observations by server id. */
 export class ServerObservations {
   private readonly observations = new Map<string, Observation>();
-  /** Servers that the server list names as draining; they get nothing new. */
+  /** Servers that get nothing new, since the front's own copy of the server list does not offer them. */
   barred: ReadonlySet<string> = new Set();
 
   constructor(
