--- a/packages/session-owner/src/admission-queue.ts
+++ b/packages/session-owner/src/admission-queue.ts
@@ -1,7 +1,7 @@
 /**
  * Requests that wait for a server, in two classes: urgent and ordinary. It owns who waits and in which order. Invariants:
- * waiting is bounded in number and time (docs/design.md, "A turn"), nobody who comes later overtakes a request of its
- * own class that could be placed as well, and urgent requests do not starve the ordinary ones.
+ * waiting is bounded in number and time (docs/design.md, "A turn"), nobody who comes later overtakes a request of the
+ * same class that could be placed too, and urgent requests do not starve the ordinary ones.
  */
 import { AdmissionError, RequestCancelledError, toRpcError, type Clock } from '@tillerstair/wire';
 import { AdmissionRate } from './admission-rate.js';
--- a/packages/session-owner/src/admission-rate.ts
+++ b/packages/session-owner/src/admission-rate.ts
@@ -13,7 +13,7 @@
     this.admittedAt = clock.now();
   }
 
-  /** The queue was empty until now: the time before does not count as waiting. */
+  /** The queue was empty until now: nobody waited in the time before. */
   restart(): void {
     this.admittedAt = this.clock.now();
   }
--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -11,7 +11,7 @@
 import type { RouteKind, Server } from '@tillerstair/state';
 import { RpcError, toRpcError, type Clock } from '@tillerstair/wire';
 import type { CallOutcome } from './messages.js';
-import type { PrefixBlock } from './prompt-prefix.js';
+import type { PrefixBlock } from './prefix-blocks.js';
 
 /** What a request asks for when it waits for a server. */
 export interface PlacementRequest {
--- a/packages/session-owner/src/index.ts
+++ b/packages/session-owner/src/index.ts
@@ -8,7 +8,7 @@
 export * from './outcomes.js';
 export * from './placement.js';
 export * from './policies.js';
-export * from './prompt-prefix.js';
+export * from './prefix-blocks.js';
 export * from './quorum-request.js';
 export * from './server-observations.js';
 export * from './session-owner.js';
--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -9,7 +9,7 @@
 import type { Candidate, PlacementContext, PlacementPolicy } from './policies.js';
 import { PoolCredit, sharesOf } from './pool-credit.js';
 import { PrefixIndex } from './prefix-index.js';
-import { tokensOf, type PrefixBlock } from './prompt-prefix.js';
+import { tokensOf, type PrefixBlock } from './prefix-blocks.js';
 import {
   ServerObservations,
   type ObservationBounds,
--- a/packages/session-owner/src/prefix-index.ts
+++ b/packages/session-owner/src/prefix-index.ts
@@ -1,6 +1,6 @@
 /** Which servers were sent which prefixes of prompts, so that they may have them in their prefix cache. */
 import type { Server } from '@tillerstair/state';
-import { tokensOf, type PrefixBlock } from './prompt-prefix.js';
+import { tokensOf, type PrefixBlock } from './prefix-blocks.js';
 
 /** So many blocks are remembered; beyond that the least recently sent ones are dropped. */
 const maxBlocks = 20_000;
--- a/packages/session-owner/src/slot-replicator.ts
+++ b/packages/session-owner/src/slot-replicator.ts
@@ -234,7 +234,7 @@
     const fenced = await this.fencing.fenceQuorum(slot);
     const merged = this.merge(fenced);
     const uncertain = itemsBelowQuorum(merged, [...fenced.values()], this.quorum);
-    // `write` refuses a passed epoch as well; this spares the newer epoch's sequence, which `renumber` counts up.
+    // `write` refuses a passed epoch too; this spares the newer epoch's sequence, which `renumber` counts up.
     if (!this.isAt(ownershipEpoch)) return;
     const rewritten = this.renumber(uncertain, ownershipEpoch);
     for (const page of splitIntoPages(rewritten)) await this.write(ownershipEpoch, page);
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -13,7 +13,7 @@
 import type { PassTurn } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-import { prefixBlocksOfParts, type PrefixBlock } from './prompt-prefix.js';
+import { prefixBlocksOfParts, type PrefixBlock } from './prefix-blocks.js';
 import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import { streamProgram } from './stream-records.js';
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -13,7 +13,7 @@
 import { ProgramValue, type TurnValue } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-import { prefixBlocksOfMessages, type PrefixBlock } from './prompt-prefix.js';
+import { prefixBlocksOfMessages, type PrefixBlock } from './prefix-blocks.js';
 import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import { programKey, turnKey, turnSummary } from './turn-records.js';
--- a/tests/src/session-owner/server-eligibility.test.ts
+++ b/tests/src/session-owner/server-eligibility.test.ts
@@ -15,7 +15,7 @@
 const a = serverAt('a');
 const b = serverAt('b');
 
-/** Nothing new goes to server `a`, neither picked, nor counted as usable, nor allowed after a pick. */
+/** Nothing new goes to server `a`, neither picked, nor counted usable, nor allowed after a pick. */
 const assertNothingNew = (fixture: PlacementFixture): void => {
   assert.is(fixture.pick(), undefined);
   assert.is(fixture.usable(), false);
