--- a/tests/src/session-owner/slot-fencing.test.ts
+++ b/tests/src/session-owner/slot-fencing.test.ts
@@ -194,6 +194,23 @@
   assert.is(fixture.replicas.of('store/put').length, 3);
 });
 
+fencing('an ownership epoch that has passed is not fenced again', async () => {
+  const fixture = new ReplicatorFixture();
+  fixture.replicas.reply = () => failWith('connection-refused');
+  fixture.replicator.apply(slotAt(1));
+  await fixture.clock.settle();
+  fixture.replicas.reply = silence;
+  fixture.replicator.apply(slotAt(2));
+  await fixture.clock.run(1000);
+  assert.equal(
+    fixture.replicas
+      .of('store/fence')
+      .filter(({ ownershipEpoch }) => ownershipEpoch === 2)
+      .map(({ replica }) => replica),
+    ['s1', 's2', 's3'],
+  );
+});
+
 fencing('replicas that were not needed to open a slot are fenced too', async () => {
   const fixture = await ReplicatorFixture.open();
   assert.equal(
