--- a/packages/zen/src/read-lease.ts
+++ b/packages/zen/src/read-lease.ts
@@ -4,7 +4,7 @@
  * answering, so that a lease is never longer than a later master allows for.
  */
 import { versionOf, isNewerVersion, hasQuorum, type State } from '@tillerstair/state';
-import type { Round } from './pinger.js';
+import type { PingRoundResult } from './ping-round.js';
 
 /**
  * Remembers the last moment at which no newer state was committed than the one applied here. It learns so
@@ -24,7 +24,7 @@
   }
 
   /** Renews the lease if a majority of the voters answered in this round and none of those holds a newer state. */
-  renewFromRound(round: Round, applied: State | undefined, selfId: string): void {
+  renewFromRound(round: PingRoundResult, applied: State | undefined, selfId: string): void {
     // A node that is off the list serves nothing: the master no longer waits for it to apply what it commits.
     if (!applied?.nodes.has(selfId)) return;
     const holdNothingNewer = new Set(
@@ -32,6 +32,6 @@
         .filter((response) => !isNewerVersion(response.accepted, versionOf(applied)))
         .map((response) => response.from.id),
     );
-    if (hasQuorum(applied.voters, holdNothingNewer)) this.renew(round.at);
+    if (hasQuorum(applied.voters, holdNothingNewer)) this.renew(round.startedAt);
   }
 }
