--- a/packages/agent/src/list-watch.ts
+++ b/packages/agent/src/list-watch.ts
@@ -66,19 +66,23 @@
   }
 
   async run(zen: ZenNode): Promise<void> {
-    const { listEvery, heartbeatInterval } = this.bounds;
+    const { listReadInterval, heartbeatInterval } = this.bounds;
     while (!this.gone.signal.aborted) {
-      const bearable = zen.masterSeen ? heartbeatInterval + listEvery * 1.5 : listEvery * 2;
+      const bearable = zen.masterSeen
+        ? heartbeatInterval + listReadInterval * 1.5
+        : listReadInterval * 2;
       const readAt = Math.max(this.masterRead, this.ownRead);
       const now = this.clock.now();
       const late =
         this.used === 'unknown'
           ? zen.masterSeen === undefined && zen.leaseRenewedAt > -Infinity
           : this.used === 'yes' && now - readAt > bearable;
-      if (late) await this.ask(zen, now + listEvery);
+      if (late) await this.ask(zen, now + listReadInterval);
       await delay(
         this.clock,
-        late ? Math.max(listEvery / 10, now + listEvery - this.clock.now()) : listEvery / 10,
+        late
+          ? Math.max(listReadInterval / 10, now + listReadInterval - this.clock.now())
+          : listReadInterval / 10,
         this.gone.signal,
       );
     }
@@ -94,7 +98,7 @@
       const left = end - this.clock.now();
       const member = peers[this.turn % peers.length];
       if (!member || left <= 0) return;
-      const got = await this.askOne(member, Math.min(left, this.bounds.listEvery / 2));
+      const got = await this.askOne(member, Math.min(left, this.bounds.listReadInterval / 2));
       if (got !== 'read') this.turn++;
       if (got !== 'silent') return;
     }
--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -161,7 +161,7 @@
     const isUnresponsive = (id: string): boolean =>
       hasStandby ||
       this.unresponsiveStores.has(id) ||
-      master.unresponsiveFor(id) > this.bounds.replaceAfter;
+      master.unresponsiveFor(id) > this.bounds.replicaReplacementDelay;
     return new Set([...holders].filter((id) => !state.nodes.has(id) && isUnresponsive(id)));
   }
 
--- a/packages/control/src/list-reader.ts
+++ b/packages/control/src/list-reader.ts
@@ -56,13 +56,13 @@
   constructor(
     private readonly clock: Clock,
     private readonly list: ServerList,
-    private readonly bounds: Pick<ZenBounds, 'listEvery'>,
+    private readonly bounds: Pick<ZenBounds, 'listReadInterval'>,
     private readonly log: Logger,
   ) {}
 
   /** The pause between two readings, in ms. */
   get intervalMs(): number {
-    return this.bounds.listEvery;
+    return this.bounds.listReadInterval;
   }
 
   /** The newest reading: one under way, one that is not older than the interval, or a new one. Never rejects. */
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -122,7 +122,7 @@
     const receivedAt = this.clock.now();
     const response = await this.dispatch(request);
     const isMarked = isDrainingMark(request) && response.status === 200;
-    const isInTime = this.clock.now() - receivedAt <= this.bounds.drainingCommitWithin;
+    const isInTime = this.clock.now() - receivedAt <= this.bounds.drainingCommitTimeout;
     return !isMarked || isInTime ? response : lateDrainingMark();
   }
 
--- a/packages/control/src/operations/configuration.ts
+++ b/packages/control/src/operations/configuration.ts
@@ -59,7 +59,7 @@
     const committed = await master.decide((state) =>
       wasAccepted(state, identity) ? state : reduceState(state, { kind: 'config', record }),
     );
-    await master.inForce(committed);
+    await master.waitUntilInForce(committed);
     const newest = committed.state.config?.version ?? 0;
     return succeeded(newest === version ? { version, digest } : { version, digest, newest });
   } catch (error) {
@@ -104,7 +104,7 @@
       return state.config
         ? succeeded({ taken: false, text: state.config.text })
         : refused(HttpStatus.notFound, 'missing', noConfiguration);
-    await master.inForce({ state, at: master.committedAt });
+    await master.waitUntilInForce({ state, at: master.committedAt });
     return succeeded({ taken: true, version: identity.version });
   } catch (error) {
     if (error instanceof OperatorRequestError) return error.toResponse();
--- a/packages/control/src/operations/operation.ts
+++ b/packages/control/src/operations/operation.ts
@@ -133,7 +133,7 @@
   view: (state: State, isLive: IsLive) => unknown,
 ): Promise<OperatorResponse> => {
   const members = [...(master.committed?.nodes.values() ?? [])];
-  const replies = master.reach(members.filter((member) => kinds.includes(member.kind)));
+  const replies = master.pingPeers(members.filter((member) => kinds.includes(member.kind)));
   return readConfirmed(master, async (state) => {
     const replied = await replies;
     return view(state, (id) => replied.has(id));
--- a/packages/control/src/operations/voting-controls.ts
+++ b/packages/control/src/operations/voting-controls.ts
@@ -25,7 +25,7 @@
     assertVotersSettled(state);
     const member = memberOf(state, reference);
     if (member.kind !== 'control') throw new ConflictError(`${reference} is a ${member.kind}`);
-    if (!master.synced(member.id))
+    if (!master.holdsCommitted(member.id))
       throw new ConflictError(
         `${reference} does not hold the newest state on its disk yet; ask again`,
       );
--- a/packages/control/src/voter-replacement.ts
+++ b/packages/control/src/voter-replacement.ts
@@ -22,8 +22,8 @@
       (member) =>
         member.kind === 'control' &&
         !state.voters.current.includes(member.id) &&
-        master.heard(member.id) &&
-        master.synced(member.id),
+        master.isResponsive(member.id) &&
+        master.holdsCommitted(member.id),
     )
     .sort(
       (first, second) =>
--- a/packages/fleet/src/capacity-rig.ts
+++ b/packages/fleet/src/capacity-rig.ts
@@ -50,7 +50,7 @@
       ),
       20000,
     );
-    await w.clock.finish('servers in force', lead.inForce(c), 20000);
+    await w.clock.finish('servers in force', lead.waitUntilInForce(c), 20000);
     await rig.quiet();
     return rig;
   }
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -93,8 +93,8 @@
     const freshId = (): string => `${this.kind.charAt(0)}${w.freshId()}`;
     const pace = {
       clock,
-      syncWithin: w.bounds.syncWithin,
-      retryEvery: w.bounds.diskRetryEvery,
+      syncWithin: w.bounds.syncTimeout,
+      retryEvery: w.bounds.diskRetryInterval,
       log: this.log('disk'),
     };
     const member = { kind: this.kind, addr: this.addr, http: '', zone, data: '', name: this.name };
--- a/packages/zen/src/bootstrapper.ts
+++ b/packages/zen/src/bootstrapper.ts
@@ -55,7 +55,7 @@
       this.unchangedSince = this.clock.now();
       return false;
     }
-    if (this.clock.now() - this.unchangedSince < this.bounds.bootstrapStillFor) return false;
+    if (this.clock.now() - this.unchangedSince < this.bounds.bootstrapStablePeriod) return false;
     if (members[0]?.id !== view.localMember.id) return false;
     return this.propose(view.localMember, members);
   }
@@ -88,7 +88,7 @@
   ): Promise<boolean> {
     try {
       const body = { from: localMember, members };
-      const timeoutMs = this.bounds.joinWait;
+      const timeoutMs = this.bounds.joinTimeout;
       const response = await this.transport.call(voter.addr, 'zen/bootstrap', body, { timeoutMs });
       return BootstrapVoteResponse.parse(response).yes;
     } catch (e) {
--- a/packages/zen/src/bounds.ts
+++ b/packages/zen/src/bounds.ts
@@ -5,34 +5,34 @@
  */
 import { toTimerMs } from '@tillerstair/wire';
 
-/** Times used inside a cluster, in whole milliseconds (`joinTries` and `pingsFromAnotherMaster` are counts). */
+/** Times used inside a cluster, in whole milliseconds (`joinAttempts` and `pingsFromAnotherMaster` are counts). */
 export interface ZenBounds {
   /** Between two pings of a master and a follower. */
   readonly heartbeatInterval: number;
   /** How long a node may be silent before it is taken for failed. */
   readonly failureTimeout: number;
   /** How long a ping round waits for nodes that do not answer. */
-  readonly pingWait: number;
+  readonly pingRoundTimeout: number;
   /** How long a candidate waits for joins and votes, and a joining node for its master. */
-  readonly joinWait: number;
+  readonly joinTimeout: number;
   /** Attempts to join an elected master before another is looked for. */
-  readonly joinTries: number;
+  readonly joinAttempts: number;
   /** How long a publish may take to reach a majority before the master steps down. */
-  readonly publishWait: number;
+  readonly publishTimeout: number;
   /** How long a control's own sync may last before it stands down until its disk takes bytes again. */
-  readonly syncWithin: number;
+  readonly syncTimeout: number;
   /** How long to wait between attempts to write to a disk that failed. */
-  readonly diskRetryEvery: number;
+  readonly diskRetryInterval: number;
   /** For how long every ping round must show the same blank controls before they bootstrap a cluster. */
-  readonly bootstrapStillFor: number;
+  readonly bootstrapStablePeriod: number;
   /** How long a store may be silent before its replicas are filled elsewhere. */
-  readonly replaceAfter: number;
+  readonly replicaReplacementDelay: number;
   /** How long a front may serve without hearing that no newer state is committed. */
   readonly readLease: number;
   /** How long after an operator's call a draining mark may be committed for the call to be reported successful. */
-  readonly drainingCommitWithin: number;
+  readonly drainingCommitTimeout: number;
   /** Between two readings of the list of servers. */
-  readonly listEvery: number;
+  readonly listReadInterval: number;
   /** Pings of another master with a later term that make a master step down. */
   readonly pingsFromAnotherMaster: number;
 }
@@ -51,17 +51,17 @@
 export const zenBounds = (outer: OuterBounds): ZenBounds => ({
   heartbeatInterval: toTimerMs(outer.heartbeatInterval),
   failureTimeout: toTimerMs(outer.failureTimeout),
-  pingWait: toTimerMs(outer.serveWithin / 24),
-  joinWait: toTimerMs(outer.serveWithin / 8),
-  joinTries: 3,
-  publishWait: toTimerMs(outer.failureTimeout / 2),
-  syncWithin: toTimerMs(outer.failureTimeout / 2),
-  diskRetryEvery: toTimerMs(outer.heartbeatInterval / 4),
-  bootstrapStillFor: toTimerMs(outer.serveWithin / 6),
-  replaceAfter: toTimerMs(outer.failureTimeout * 2),
+  pingRoundTimeout: toTimerMs(outer.serveWithin / 24),
+  joinTimeout: toTimerMs(outer.serveWithin / 8),
+  joinAttempts: 3,
+  publishTimeout: toTimerMs(outer.failureTimeout / 2),
+  syncTimeout: toTimerMs(outer.failureTimeout / 2),
+  diskRetryInterval: toTimerMs(outer.heartbeatInterval / 4),
+  bootstrapStablePeriod: toTimerMs(outer.serveWithin / 6),
+  replicaReplacementDelay: toTimerMs(outer.failureTimeout * 2),
   readLease: toTimerMs((outer.drainingWithin * 5) / 6),
-  drainingCommitWithin: toTimerMs(outer.drainingWithin / 6),
-  listEvery: toTimerMs(outer.drainingWithin / 6),
+  drainingCommitTimeout: toTimerMs(outer.drainingWithin / 6),
+  listReadInterval: toTimerMs(outer.drainingWithin / 6),
   pingsFromAnotherMaster: 1,
 });
 
--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -64,10 +64,10 @@
   }
 
   private async majorityJoins(accepted: State): Promise<boolean> {
-    const end = this.clock.now() + this.bounds.joinWait;
+    const end = this.clock.now() + this.bounds.joinTimeout;
     while (!hasQuorum(accepted.voters, this.withLocal(this.pendingJoins.nodeIds()))) {
       if (this.clock.now() >= end || this.stopping.aborted) return false;
-      const wait = Math.min(this.bounds.joinWait / checksPerJoinWait, end - this.clock.now());
+      const wait = Math.min(this.bounds.joinTimeout / checksPerJoinWait, end - this.clock.now());
       await this.sleep.sleep(wait);
     }
     return true;
--- a/packages/zen/src/change-queue.ts
+++ b/packages/zen/src/change-queue.ts
@@ -7,7 +7,7 @@
 import { completeVotingChange, type State } from '@tillerstair/state';
 import { RpcError, TaskQueue, toRpcError } from '@tillerstair/wire';
 import { NotMasterError, QuorumUnavailableError, UnknownOutcomeError } from './master-errors.js';
-import type { Change, Committed } from './master-types.js';
+import type { Change, CommittedState } from './master-types.js';
 import type { Mastership } from './mastership.js';
 import type { PublishedState } from './published-state.js';
 
@@ -16,7 +16,7 @@
   readonly change: Change;
   /** Whether a majority must confirm this master before the task ends without a publish. */
   readonly needsConfirmation: boolean;
-  resolve(committed: Committed): void;
+  resolve(committed: CommittedState): void;
   reject(reason: Error): void;
 }
 
@@ -83,7 +83,7 @@
    * @throws whatever the change throws to refuse; NotMasterError if nothing was done; UnknownOutcomeError if the change
    * may have been made.
    */
-  submit(change: Change): Promise<Committed> {
+  submit(change: Change): Promise<CommittedState> {
     return this.enqueue(change, false);
   }
 
@@ -93,7 +93,7 @@
    *
    * @throws also QuorumUnavailableError if no majority does.
    */
-  decide(change: Change): Promise<Committed> {
+  decide(change: Change): Promise<CommittedState> {
     return this.enqueue(change, true);
   }
 
@@ -105,7 +105,7 @@
     this.taskQueue.close();
   }
 
-  private enqueue(change: Change, needsConfirmation: boolean): Promise<Committed> {
+  private enqueue(change: Change, needsConfirmation: boolean): Promise<CommittedState> {
     return new Promise((resolve, reject) => {
       if (this.mastership.lost.aborted) {
         reject(new NotMasterError());
--- a/packages/zen/src/front-barrier.ts
+++ b/packages/zen/src/front-barrier.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import { UnknownOutcomeError } from './master-errors.js';
-import type { Committed } from './master-types.js';
+import type { CommittedState } from './master-types.js';
 import type { Mastership } from './mastership.js';
 import type { MemberContacts } from './member-contacts.js';
 
@@ -49,7 +49,7 @@
    *
    * @throws UnknownOutcomeError when this control steps down meanwhile.
    */
-  async passed(committed: Committed): Promise<void> {
+  async passed(committed: CommittedState): Promise<void> {
     for (;;) {
       if (this.mastership.lost.aborted)
         throw new UnknownOutcomeError('this control stopped being master meanwhile');
@@ -60,7 +60,7 @@
   }
 
   /** Clock time, in ms, at which the barrier passes if no front reports meanwhile. */
-  private passesAt({ state, at }: Committed): number {
+  private passesAt({ state, at }: CommittedState): number {
     const { readLease } = this.bounds;
     const unknownFronts = Math.max(this.electedAt, ...this.departedAt.values()) + readLease;
     return this.isAppliedByFronts(state) ? unknownFronts : Math.max(unknownFronts, at + readLease);
--- a/packages/zen/src/gather-votes.ts
+++ b/packages/zen/src/gather-votes.ts
@@ -75,7 +75,7 @@
       to: voter.id,
     };
     const response = ValidateResponse.parse(
-      await transport.call(voter.addr, 'zen/validate', body, { timeoutMs: bounds.joinWait }),
+      await transport.call(voter.addr, 'zen/validate', body, { timeoutMs: bounds.joinTimeout }),
     );
     const state = response.state ? decodeState(new Map(response.state)) : undefined;
     if (state && isNewerVersion(versionOf(state), versionOf(this.newest))) this.newest = state;
@@ -96,7 +96,7 @@
   const { clock, bounds } = options;
   const round = new VoteRound(options, accepted, term);
   void round.requestVotes(joiners);
-  const end = clock.now() + bounds.joinWait;
+  const end = clock.now() + bounds.joinTimeout;
   while (round.isOpen && clock.now() < end && !round.hasVoterQuorum)
     await delay(clock, bounds.heartbeatInterval / checksPerHeartbeat);
   if (round.isOpen) await delay(clock, bounds.heartbeatInterval / lateVotesPerHeartbeat);
--- a/packages/zen/src/join-master.ts
+++ b/packages/zen/src/join-master.ts
@@ -17,7 +17,7 @@
   master: Member,
   ping: Ping,
 ): Promise<void> => {
-  const timeoutMs = bounds.pingWait;
+  const timeoutMs = bounds.pingRoundTimeout;
   const response = await transport.call(master.addr, 'zen/ping', ping, { timeoutMs });
   if (PingResponse.parse(response).from.id !== master.id)
     throw new ElectionError('other-node', `${master.addr} is another node now`);
@@ -25,7 +25,7 @@
 
 /**
  * Checks that the elected node is still the one at its address, then asks to join until the master has validated the
- * join. Fails after `joinTries` attempts, or at once if the master says that it is none or refuses the connection.
+ * join. Fails after `joinAttempts` attempts, or at once if the master says that it is none or refuses the connection.
  */
 export const joinMaster = async (
   options: RequestOptions,
@@ -37,11 +37,11 @@
   await requireSameNode(options, master, ping);
   for (let attempt = 1; ; attempt++) {
     try {
-      await transport.call(master.addr, 'zen/join', join, { timeoutMs: bounds.joinWait });
+      await transport.call(master.addr, 'zen/join', join, { timeoutMs: bounds.joinTimeout });
       return;
     } catch (e) {
       const error = toRpcError(e);
-      if (attempt >= bounds.joinTries || !mayRetry(error)) throw error;
+      if (attempt >= bounds.joinAttempts || !mayRetry(error)) throw error;
     }
   }
 };
--- a/packages/zen/src/master-finder.ts
+++ b/packages/zen/src/master-finder.ts
@@ -80,7 +80,7 @@
   /** A node that cannot sync a vote neither stands for election nor joins; it only answers pings. */
   private async waitForDisk(): Promise<undefined> {
     this.pendingJoins.rejectAll();
-    await delay(this.clock, this.bounds.diskRetryEvery, this.stopping);
+    await delay(this.clock, this.bounds.diskRetryInterval, this.stopping);
   }
 
   /** The bootstrapper refuses by itself beside an accepted state; to look here as well saves its work and its log lines. */
--- a/packages/zen/src/master-types.ts
+++ b/packages/zen/src/master-types.ts
@@ -8,7 +8,7 @@
 export type Change = (state: State) => State;
 
 /** A committed state. */
-export interface Committed {
+export interface CommittedState {
   readonly state: State;
   /** Clock time, in ms, of the commit. */
   readonly at: number;
@@ -56,14 +56,14 @@
    * @throws whatever the change throws to refuse; NotMasterError if nothing was done; UnknownOutcomeError if the change
    * may have been made.
    */
-  submit(change: Change): Promise<Committed>;
+  submit(change: Change): Promise<CommittedState>;
   /**
    * As `submit`, but a refusal, and a change that alters nothing, end only once a majority has confirmed this master
    * since the call (docs/design.md, "Versions of the configuration").
    *
    * @throws also QuorumUnavailableError if no majority does.
    */
-  decide(change: Change): Promise<Committed>;
+  decide(change: Change): Promise<CommittedState>;
   /**
    * A quorum read: the committed state, once a majority has confirmed this master since the call.
    *
@@ -76,13 +76,13 @@
    *
    * @throws UnknownOutcomeError when this control steps down meanwhile.
    */
-  inForce(committed: Committed): Promise<void>;
+  waitUntilInForce(committed: CommittedState): Promise<void>;
   /** For how long, in ms, the member has not answered; at most the time since the election. */
   unresponsiveFor(memberId: string): number;
   /** Whether the node replied within the last two heartbeats. */
-  heard(memberId: string): boolean;
+  isResponsive(memberId: string): boolean;
   /** Pings the nodes now; resolves with the ids of those that replied in this term within one heartbeat. */
-  reach(peers: readonly Member[]): Promise<ReadonlySet<string>>;
+  pingPeers(peers: readonly Member[]): Promise<ReadonlySet<string>>;
   /** Whether the node has acknowledged that the newest committed state is on its disk. */
-  synced(memberId: string): boolean;
+  holdsCommitted(memberId: string): boolean;
 }
--- a/packages/zen/src/master.ts
+++ b/packages/zen/src/master.ts
@@ -11,7 +11,13 @@
 import type { ElectionStore } from './election-store.js';
 import { FrontBarrier } from './front-barrier.js';
 import { NotMasterError } from './master-errors.js';
-import type { Change, Committed, MasterOptions, MasterStatus, MasterView } from './master-types.js';
+import type {
+  Change,
+  CommittedState,
+  MasterOptions,
+  MasterStatus,
+  MasterView,
+} from './master-types.js';
 import { checkMastership } from './mastership-check.js';
 import { Mastership } from './mastership.js';
 import { MemberContacts } from './member-contacts.js';
@@ -135,11 +141,11 @@
     });
   }
 
-  submit(change: Change): Promise<Committed> {
+  submit(change: Change): Promise<CommittedState> {
     return this.changes.submit(change);
   }
 
-  decide(change: Change): Promise<Committed> {
+  decide(change: Change): Promise<CommittedState> {
     return this.changes.decide(change);
   }
 
@@ -147,7 +153,7 @@
     return this.quorumRead.confirm();
   }
 
-  inForce(committed: Committed): Promise<void> {
+  waitUntilInForce(committed: CommittedState): Promise<void> {
     return this.fronts.passed(committed);
   }
 
@@ -155,11 +161,11 @@
     return this.contacts.unresponsiveFor(memberId);
   }
 
-  heard(memberId: string): boolean {
+  isResponsive(memberId: string): boolean {
     return this.contacts.isResponsive(memberId, this.bounds.heartbeatInterval);
   }
 
-  reach(peers: readonly Member[]): Promise<ReadonlySet<string>> {
+  pingPeers(peers: readonly Member[]): Promise<ReadonlySet<string>> {
     const { clusterId } = this.published.base;
     return pingPeers(
       { transport: this.transport, bounds: this.bounds },
@@ -168,7 +174,7 @@
     );
   }
 
-  synced(memberId: string): boolean {
+  holdsCommitted(memberId: string): boolean {
     return memberId === this.me.id || this.sender.holds(memberId, versionOf(this.committed));
   }
 
@@ -258,7 +264,7 @@
     };
     ValidateResponse.parse(
       await this.transport.call(member.addr, 'zen/validate', body, {
-        timeoutMs: this.bounds.joinWait,
+        timeoutMs: this.bounds.joinTimeout,
       }),
     );
   }
--- a/packages/zen/src/pace.ts
+++ b/packages/zen/src/pace.ts
@@ -11,10 +11,10 @@
   clock,
   log,
   get syncWithin() {
-    return bounds.syncWithin;
+    return bounds.syncTimeout;
   },
   get retryEvery() {
-    return bounds.diskRetryEvery;
+    return bounds.diskRetryInterval;
   },
 });
 
@@ -26,6 +26,6 @@
     return bounds.failureTimeout;
   },
   get retryEvery() {
-    return bounds.diskRetryEvery;
+    return bounds.diskRetryInterval;
   },
 });
--- a/packages/zen/src/publisher.ts
+++ b/packages/zen/src/publisher.ts
@@ -81,7 +81,7 @@
   }
 
   private async replicate(publication: Publication, round: AcceptanceRound): Promise<void> {
-    const timer = this.clock.after(this.bounds.publishWait, () => {
+    const timer = this.clock.after(this.bounds.publishTimeout, () => {
       round.fail(new PublishTimeoutError());
     });
     const onLost = (): void => {
@@ -119,7 +119,7 @@
 
   /**
    * A voter is offered the state until a majority has accepted it, any other node once; fault detection catches up with
-   * those that missed it. Without a majority the loop ends with the mastership, after `publishWait`.
+   * those that missed it. Without a majority the loop ends with the mastership, after `publishTimeout`.
    */
   private async sendUntilAccepted(member: Member, publication: Publication): Promise<boolean> {
     const isVoter = publication.state.votingMembers.has(member.id);
--- a/packages/zen/src/state-sender.ts
+++ b/packages/zen/src/state-sender.ts
@@ -128,7 +128,7 @@
       packed,
     };
     const reply = await this.transport.call(member.addr, 'zen/publish', body, {
-      timeoutMs: this.bounds.publishWait,
+      timeoutMs: this.bounds.publishTimeout,
     });
     return PublishResponse.parse(reply).outcome;
   }
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -282,7 +282,7 @@
     return new PingRound({
       clock: this.clock,
       transport,
-      pingWait: this.bounds.pingWait,
+      pingWait: this.bounds.pingRoundTimeout,
       knownMembers: this.knownMembers,
       localAddress: me.addr,
       seeds: () => this.seeds,
--- a/tests/src/control/allocation-controller.test.ts
+++ b/tests/src/control/allocation-controller.test.ts
@@ -67,12 +67,12 @@
 
 controller('a silent store is replaced only after the time that is waited for it', async () => {
   const state = without(sampleState(twoSlots), 's1');
-  let silence = bounds.replaceAfter;
+  let silence = bounds.replicaReplacementDelay;
   const { clock, allocation, master } = led(state, { unresponsiveFor: () => silence });
   allocation.settle(state);
   await clock.run(bounds.heartbeatInterval);
   assert.equal(joiningOf(allocation.settle(master.state)), []);
-  silence = bounds.replaceAfter + 1;
+  silence = bounds.replicaReplacementDelay + 1;
   await clock.run(bounds.heartbeatInterval);
   assert.equal(joiningOf(allocation.settle(master.state)), ['s4']);
 });
--- a/tests/src/control/list-poll.test.ts
+++ b/tests/src/control/list-poll.test.ts
@@ -33,7 +33,7 @@
 const started = (state: State = sampleState([])) => {
   const clock = new SimClock();
   const list = new ScriptedList();
-  const reader = new ListReader(clock, list, { listEvery: 500 }, silentLogger);
+  const reader = new ListReader(clock, list, { listReadInterval: 500 }, silentLogger);
   return {
     clock,
     list,
--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -19,7 +19,9 @@
     await press(w, 'o', 20000, everyFront(w));
     assert.is(shown.readers(from).size, 1);
     const span = w.clock.now() - from;
-    assert.ok(shown.reads.filter((r) => r.at >= from).length <= span / w.bounds.listEvery + 1);
+    assert.ok(
+      shown.reads.filter((r) => r.at >= from).length <= span / w.bounds.listReadInterval + 1,
+    );
   }
 });
 
@@ -35,7 +37,9 @@
   await w.clock.run(20000);
   for (const by of core) {
     const times = shown.reads.filter((r) => r.by === by && r.at >= from).map((r) => r.at);
-    times.slice(1).forEach((t, i) => assert.ok(t - (times[i] ?? 0) >= w.bounds.listEvery - 0.01));
+    times
+      .slice(1)
+      .forEach((t, i) => assert.ok(t - (times[i] ?? 0) >= w.bounds.listReadInterval - 0.01));
   }
 });
 
@@ -47,7 +51,7 @@
   const reader = new ListReader(
     clock,
     shown.reader('c', new Life()),
-    { listEvery: 500 },
+    { listReadInterval: 500 },
     silentLogger,
   );
   const t0 = clock.now();
@@ -71,7 +75,7 @@
   const reader = new ListReader(
     clock,
     shown.reader('c', new Life()),
-    { listEvery: 500 },
+    { listReadInterval: 500 },
     silentLogger,
   );
   for (let i = 0; i < 5; i++) {
@@ -90,7 +94,7 @@
   const reader = new ListReader(
     clock,
     shown.reader('c', new Life()),
-    { listEvery: 500 },
+    { listReadInterval: 500 },
     silentLogger,
   );
   const old = await clock.finish('old', reader.read(), 1000);
@@ -113,10 +117,10 @@
     committed,
     committedAt: 0,
     unresponsiveFor: () => 0,
-    heard: () => true,
-    synced: () => true,
-    reach: async () => new Set<string>(),
-    inForce: async () => undefined,
+    isResponsive: () => true,
+    holdsCommitted: () => true,
+    pingPeers: async () => new Set<string>(),
+    waitUntilInForce: async () => undefined,
     confirm: async () => committed,
     decide: () => Promise.reject(new Error('a poll asks for no proof')),
     submit: async (change) => {
--- a/tests/src/platform/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -97,14 +97,14 @@
 const times = (b: ZenBounds): readonly number[] => [
   b.heartbeatInterval,
   b.failureTimeout,
-  b.pingWait,
-  b.joinWait,
-  b.publishWait,
-  b.bootstrapStillFor,
-  b.replaceAfter,
+  b.pingRoundTimeout,
+  b.joinTimeout,
+  b.publishTimeout,
+  b.bootstrapStablePeriod,
+  b.replicaReplacementDelay,
   b.readLease,
-  b.drainingCommitWithin,
-  b.listEvery,
+  b.drainingCommitTimeout,
+  b.listReadInterval,
 ];
 
 settings('times derived from any settings are whole, positive and in order', async () => {
@@ -121,14 +121,14 @@
       for (const ms of times(b))
         assert.ok(Number.isInteger(ms) && ms > 0, `seed ${seed}: ${JSON.stringify(b)}`);
       assert.ok(
-        b.heartbeatInterval * 2 < b.failureTimeout && b.failureTimeout < b.replaceAfter,
+        b.heartbeatInterval * 2 < b.failureTimeout && b.failureTimeout < b.replicaReplacementDelay,
         `seed ${seed}: heartbeat, failure timeout, replacement`,
       );
       assert.ok(
-        b.readLease < daemonSettings.bounds.drainingWithin && b.listEvery < b.readLease,
+        b.readLease < daemonSettings.bounds.drainingWithin && b.listReadInterval < b.readLease,
         `seed ${seed}: list, lease, drain bound`,
       );
-      assert.ok(b.pingWait < b.joinWait, `seed ${seed}: ping, join`);
+      assert.ok(b.pingRoundTimeout < b.joinTimeout, `seed ${seed}: ping, join`);
     }
   }
 });
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -266,7 +266,10 @@
         () => w.committed?.voters.current.includes(m.control?.id ?? 'none') ?? false,
         20000,
       );
-      assert.ok(w.clock.now() - from < w.bounds.replaceAfter, `${w.clock.now() - from} ms`);
+      assert.ok(
+        w.clock.now() - from < w.bounds.replicaReplacementDelay,
+        `${w.clock.now() - from} ms`,
+      );
       assert.not(w.committed?.voters.next.includes(old));
       assert.is(w.committed?.voters.current.length, 3);
       await w.clock.run(2000);
--- a/tests/src/support/scripted-master.ts
+++ b/tests/src/support/scripted-master.ts
@@ -42,7 +42,7 @@
     return Promise.resolve(this.state);
   }
 
-  async inForce(): Promise<void> {
+  async waitUntilInForce(): Promise<void> {
     this.calls.push('inForce');
     return Promise.resolve();
   }
@@ -51,16 +51,16 @@
     return this.script.unresponsiveFor?.(id) ?? 0;
   }
 
-  heard(id: string): boolean {
+  isResponsive(id: string): boolean {
     return this.script.heardNodes?.includes(id) ?? true;
   }
 
-  async reach(): Promise<ReadonlySet<string>> {
+  async pingPeers(): Promise<ReadonlySet<string>> {
     this.calls.push('reach');
     return Promise.resolve(new Set(this.script.repliedNodes ?? this.state.nodes.keys()));
   }
 
-  synced(id: string): boolean {
+  holdsCommitted(id: string): boolean {
     return this.script.syncedNodes?.includes(id) ?? true;
   }
 
--- a/tests/src/support/zen-node-rig.ts
+++ b/tests/src/support/zen-node-rig.ts
@@ -121,7 +121,7 @@
   const rig = await nodeRig({ ...options, answers: { ...followersOfA, ...options.answers } });
   await rig.startFor(settleMs);
   const joined = rig.join(b);
-  await rig.clock.finish('join', joined, bounds.joinWait);
+  await rig.clock.finish('join', joined, bounds.joinTimeout);
   return rig;
 };
 
--- a/tests/src/zen/bootstrap.test.ts
+++ b/tests/src/zen/bootstrap.test.ts
@@ -52,7 +52,7 @@
     slots: 1,
   });
   /** Two rounds that saw the same, as far apart as a bootstrap needs. */
-  const twoRounds = async (view: BootstrapView, apart = bounds.bootstrapStillFor) => {
+  const twoRounds = async (view: BootstrapView, apart = bounds.bootstrapStablePeriod) => {
     await bootstrapper.round(view);
     await clock.run(apart);
     return bootstrapper.round(view);
@@ -101,7 +101,7 @@
 bootstraps('the members must have been the same for long enough', async () => {
   const electionStore = new MemoryElectionStore('a');
   const { bootstrapper, twoRounds, clock } = bootstrapperOf(electionStore);
-  assert.is(await twoRounds(viewOfA, bounds.bootstrapStillFor - 1), false);
+  assert.is(await twoRounds(viewOfA, bounds.bootstrapStablePeriod - 1), false);
   const others = [...blankReplies, blankPingResponse(member('d'))];
   await clock.run(1);
   assert.is(await bootstrapper.round(viewOf(a, others)), false);
--- a/tests/src/zen/finding-a-master.test.ts
+++ b/tests/src/zen/finding-a-master.test.ts
@@ -72,7 +72,7 @@
       ),
     },
   });
-  await rig.startFor(bounds.joinWait / 2);
+  await rig.startFor(bounds.joinTimeout / 2);
   assert.is(rig.transport.count('zen/join'), 0);
   assert.equal(
     rig.transport.sent.filter((request) => request.kind !== 'zen/ping'),
@@ -86,7 +86,7 @@
 };
 const bootstrapRequests = async (options: NodeOptions): Promise<number> => {
   const rig = await nodeRig({ answers: blank, ...options });
-  await rig.startFor(bounds.bootstrapStillFor * 3);
+  await rig.startFor(bounds.bootstrapStablePeriod * 3);
   return rig.transport.count('zen/bootstrap');
 };
 
@@ -115,7 +115,7 @@
   assert.is(rig.transport.sent.length, 0);
   assert.is(await outcomeOf(rig.join(b)), 'not-master');
   electionStore.writable = true;
-  await rig.clock.run(bounds.diskRetryEvery);
+  await rig.clock.run(bounds.diskRetryInterval);
   assert.ok(rig.transport.count('zen/ping') > 0);
 });
 
--- a/tests/src/zen/joining.test.ts
+++ b/tests/src/zen/joining.test.ts
@@ -48,7 +48,7 @@
 joins('is tried again after a time-out, as often as the bounds say', async () => {
   const { outcome, transport } = await joinRefusedWith(new RequestTimeoutError(a.addr));
   assert.is(outcome, 'request-timeout');
-  assert.is(transport.count('zen/join'), bounds.joinTries);
+  assert.is(transport.count('zen/join'), bounds.joinAttempts);
 });
 
 joins('is not tried again with a node that is no master, or does not run', async () => {
@@ -66,14 +66,14 @@
   const clock = new SimClock();
   const transport = new ScriptedTransport(async ({ to }) => {
     const answer = answers.get(to);
-    await delay(clock, answer === undefined ? bounds.joinWait : 1);
+    await delay(clock, answer === undefined ? bounds.joinTimeout : 1);
     if (answer === undefined) throw new RequestTimeoutError(to);
     if (answer instanceof Error) throw answer;
     return answer;
   });
   const parts = { localMember: a, clock, transport, bounds };
   const work = gatherVotes(parts, bootstrapped, term, [b, c]);
-  return clock.finish('votes', work, bounds.joinWait * 2);
+  return clock.finish('votes', work, bounds.joinTimeout * 2);
 };
 const granted = (state?: State): object => ({
   accepted: { term: state?.term ?? 0, version: state?.version ?? 1 },
--- a/tests/src/zen/leading.test.ts
+++ b/tests/src/zen/leading.test.ts
@@ -24,7 +24,7 @@
 
 leads('raises no term before a majority has joined', async () => {
   const rig = await nodeRig({ answers: followersOfA });
-  await rig.startFor(bounds.joinWait * 2);
+  await rig.startFor(bounds.joinTimeout * 2);
   assert.is(rig.electionStore.persisted.term, 0);
   assert.is(rig.transport.count('zen/validate'), 0);
   assert.is(rig.node.leading, undefined);
@@ -42,7 +42,10 @@
   const refused = () => Promise.reject(new ElectionError('stale-term', ''));
   const rig = await nodeRig({ answers: { ...followersOfA, 'zen/validate': refused } });
   await rig.startFor(settleMs);
-  assert.is(await rig.clock.finish('join', outcomeOf(rig.join(b)), bounds.joinWait), 'not-master');
+  assert.is(
+    await rig.clock.finish('join', outcomeOf(rig.join(b)), bounds.joinTimeout),
+    'not-master',
+  );
   assert.is(rig.transport.count('zen/publish'), 0);
 });
 
@@ -57,7 +60,7 @@
   await rig.startFor(settleMs);
   void rig.join(store).catch(() => undefined);
   void rig.join(b).catch(() => undefined);
-  await rig.clock.run(bounds.joinWait);
+  await rig.clock.run(bounds.joinTimeout);
   return rig.transport.count('zen/publish');
 };
 
@@ -84,7 +87,10 @@
     },
   });
   await rig.startFor(settleMs);
-  assert.is(await rig.clock.finish('join', outcomeOf(rig.join(b)), bounds.joinWait), 'not-master');
+  assert.is(
+    await rig.clock.finish('join', outcomeOf(rig.join(b)), bounds.joinTimeout),
+    'not-master',
+  );
   assert.equal([rig.electionStore.persisted.term, rig.electionStore.persisted.votedFor], [9, 'c']);
 });
 
@@ -127,14 +133,14 @@
   const other = { from: c, to: 'a', term: 2, clusterId: 'x' };
   void rig.handle('zen/node-ping', other, c);
   const join = outcomeOf(rig.join(c));
-  assert.is(await rig.clock.finish('join', join, bounds.joinWait), 'not-master');
+  assert.is(await rig.clock.finish('join', join, bounds.joinTimeout), 'not-master');
   assert.is(rig.transport.count('zen/validate'), before);
 });
 
 masters('commits the leave of a node that says so', async () => {
   const rig = await leadingRig();
   assert.ok(rig.node.applied?.nodes.has('b'));
-  await rig.clock.finish('leave', rig.handle('zen/leave', { from: b }, b), bounds.joinWait);
+  await rig.clock.finish('leave', rig.handle('zen/leave', { from: b }, b), bounds.joinTimeout);
   assert.not.ok(rig.node.applied?.nodes.has('b'));
 });
 
@@ -143,7 +149,7 @@
   const before = rig.transport.count('zen/validate');
   assert.is(await outcomeOf(rig.join(c, { clusterId: 'y' })), 'other-cluster');
   assert.is(rig.transport.count('zen/validate'), before);
-  assert.is(await rig.clock.finish('join', outcomeOf(rig.join(c)), bounds.joinWait), 'done');
+  assert.is(await rig.clock.finish('join', outcomeOf(rig.join(c)), bounds.joinTimeout), 'done');
   assert.ok(rig.node.applied?.nodes.has(c.id));
   assert.is(rig.node.masterSeen?.id, a.id);
 });
--- a/tests/src/zen/master-fault-detection.test.ts
+++ b/tests/src/zen/master-fault-detection.test.ts
@@ -227,14 +227,14 @@
 
 faults('a member counts as heard of for two heartbeats', async () => {
   const rig = await MasterRig.begun();
-  assert.ok(rig.master.heard('a'));
-  assert.not(rig.master.heard('nobody'));
+  assert.ok(rig.master.isResponsive('a'));
+  assert.not(rig.master.isResponsive('nobody'));
   await rig.clock.run(bounds.heartbeatInterval);
-  assert.ok(rig.master.heard('b'));
+  assert.ok(rig.master.isResponsive('b'));
   rig.peer('b').silent = true;
   await rig.clock.run(bounds.heartbeatInterval * 3);
-  assert.not(rig.master.heard('b'));
-  assert.ok(rig.master.heard('a'));
+  assert.not(rig.master.isResponsive('b'));
+  assert.ok(rig.master.isResponsive('a'));
 });
 
 faults('a member is unresponsive since its last answer, or else since the election', async () => {
@@ -247,16 +247,16 @@
 
 faults('a member is synced only while it is known to hold the committed state', async () => {
   const rig = await MasterRig.begun();
-  assert.ok(rig.master.synced('a'));
-  assert.ok(rig.master.synced('b'));
-  assert.not(rig.master.synced('nobody'));
+  assert.ok(rig.master.holdsCommitted('a'));
+  assert.ok(rig.master.holdsCommitted('b'));
+  assert.not(rig.master.holdsCommitted('nobody'));
   rig.peer('b').on('zen/publish', () => {
     throw new UnavailableError('unavailable', 'not synced');
   });
   await rig.outcome(
     rig.master.submit((state) => reduceState(state, { kind: 'join', member: store })),
   );
-  assert.not(rig.master.synced('b'));
+  assert.not(rig.master.holdsCommitted('b'));
 });
 
 faults('only members that reply in the term of the master are reached', async () => {
@@ -265,7 +265,7 @@
   rig.peer('d').silent = true;
   const reached = await rig.clock.finish(
     'the pings',
-    rig.master.reach(['a', 'b', 'c', 'd'].map((id) => memberOf(id))),
+    rig.master.pingPeers(['a', 'b', 'c', 'd'].map((id) => memberOf(id))),
     bounds.heartbeatInterval + roundTrip,
   );
   assert.equal([...reached], ['a', 'b']);
--- a/tests/src/zen/master-publication.test.ts
+++ b/tests/src/zen/master-publication.test.ts
@@ -44,7 +44,7 @@
     const rig = await MasterRig.elected();
     rig.peer('b').silent = true;
     rig.peer('c').silent = true;
-    assert.is(await rig.outcome(rig.begin(), bounds.publishWait + 1), 'unknown unknown');
+    assert.is(await rig.outcome(rig.begin(), bounds.publishTimeout + 1), 'unknown unknown');
     assert.is(rig.master.committed, undefined);
     assert.ok(rig.master.lost.aborted);
     assert.is(rig.sentOf('zen/commit').length, 0);
@@ -77,7 +77,7 @@
         return { outcome: 'accepted' };
       });
     assert.is(await rig.outcome(rig.begin()), 'done');
-    await rig.clock.run(bounds.publishWait + roundTrip);
+    await rig.clock.run(bounds.publishTimeout + roundTrip);
     assert.equal(rig.master.committed?.voters, voters);
     assert.ok(rig.master.lost.aborted);
   },
@@ -178,7 +178,7 @@
   const rig = await MasterRig.begun();
   rig.peer('c').delayMs = roundTrip * 20;
   assert.is(await rig.outcome(rig.master.submit(addStore('s'))), 'done');
-  assert.not(rig.master.synced('c'), 'an older state is not the committed one');
+  assert.not(rig.master.holdsCommitted('c'), 'an older state is not the committed one');
   const before = rig.sent.length;
   assert.is(await rig.outcome(rig.master.submit(addStore('t'))), 'done');
   const later = rig.sent.slice(before).filter((m) => m.kind === 'zen/publish');
@@ -212,8 +212,8 @@
   });
   await rig.outcome(rig.begin());
   await rig.clock.run(roundTrip * 2);
-  assert.not(rig.master.synced('b'));
-  assert.ok(rig.master.synced('c'));
+  assert.not(rig.master.holdsCommitted('b'));
+  assert.ok(rig.master.holdsCommitted('c'));
   const before = rig.sent.length;
   await rig.outcome(rig.master.submit(addStore('s')));
   const later = rig.sent.slice(before).filter((m) => m.kind === 'zen/publish');
@@ -231,13 +231,13 @@
   async () => {
     const rig = await MasterRig.begun();
     await rig.clock.run(bounds.heartbeatInterval / 2);
-    assert.ok(rig.master.synced('c'));
+    assert.ok(rig.master.holdsCommitted('c'));
     rig.peer('c').applied = noVersion;
     rig.peer('c').on('zen/publish', () => {
       throw new UnavailableError('unavailable', 'not synced');
     });
     await rig.clock.run(bounds.heartbeatInterval + roundTrip * 3);
-    assert.not(rig.master.synced('c'));
+    assert.not(rig.master.holdsCommitted('c'));
   },
 );
 
--- a/tests/src/zen/master-rig.ts
+++ b/tests/src/zen/master-rig.ts
@@ -230,7 +230,7 @@
   /** A master that has committed its first state. */
   static async begun(options: MasterRigOptions = {}): Promise<MasterRig> {
     const rig = await MasterRig.elected(options);
-    await rig.clock.finish('begin', rig.begin(), bounds.publishWait);
+    await rig.clock.finish('begin', rig.begin(), bounds.publishTimeout);
     await rig.clock.run(roundTrip * 2);
     return rig;
   }
--- a/tests/src/zen/master-tasks.test.ts
+++ b/tests/src/zen/master-tasks.test.ts
@@ -57,7 +57,7 @@
 tasks('changes that wait together are published together', async () => {
   const rig = await MasterRig.begun();
   const work = ['s', 't', 'u'].map((id) => rig.master.submit(addStore(id)));
-  await rig.clock.finish('all', Promise.all(work), bounds.publishWait);
+  await rig.clock.finish('all', Promise.all(work), bounds.publishTimeout);
   await rig.clock.run(roundTrip * 2);
   assert.is(rig.master.committed?.version, newestVersion + 2);
   assert.equal(
@@ -70,10 +70,10 @@
   const rig = await MasterRig.begun();
   const refused = outcomeOf(rig.master.submit(refuse));
   const made = outcomeOf(rig.master.submit(addStore('s')));
-  assert.equal(await rig.clock.finish('both', Promise.all([refused, made]), bounds.publishWait), [
-    'refused no',
-    'done',
-  ]);
+  assert.equal(
+    await rig.clock.finish('both', Promise.all([refused, made]), bounds.publishTimeout),
+    ['refused no', 'done'],
+  );
   assert.ok(rig.master.committed?.nodes.has('s'));
 });
 
@@ -146,10 +146,10 @@
   const committed = await rig.clock.finish(
     'the commit',
     rig.master.submit(change),
-    bounds.publishWait,
+    bounds.publishTimeout,
   );
   const from = rig.clock.now();
-  await rig.clock.finish('in force', outcomeOf(rig.master.inForce(committed)), 20000);
+  await rig.clock.finish('in force', outcomeOf(rig.master.waitUntilInForce(committed)), 20000);
   return rig.clock.now() - from;
 };
 
@@ -190,7 +190,7 @@
   const committed = await rig.clock.finish(
     'the commit',
     rig.master.submit(addStore('s')),
-    bounds.publishWait,
+    bounds.publishTimeout,
   );
   await rig.clock.run(roundTrip);
   rig.master.onMasterPing({
@@ -200,7 +200,7 @@
     report: null,
   });
   const from = rig.clock.now();
-  await rig.clock.finish('in force', outcomeOf(rig.master.inForce(committed)), 20000);
+  await rig.clock.finish('in force', outcomeOf(rig.master.waitUntilInForce(committed)), 20000);
   assert.is(rig.clock.now(), from);
 });
 
@@ -221,9 +221,9 @@
   const committed = await rig.clock.finish(
     'the commit',
     rig.master.submit(addStore('s')),
-    bounds.publishWait,
+    bounds.publishTimeout,
   );
-  const work = outcomeOf(rig.master.inForce(committed));
+  const work = outcomeOf(rig.master.waitUntilInForce(committed));
   rig.master.stepDown('test');
   assert.is(await rig.clock.finish('the answer', work, roundTrip), 'unknown unknown');
 });
--- a/tests/src/zen/ping-rounds.test.ts
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -29,14 +29,14 @@
     const pings = new PingRound({
       clock,
       transport,
-      pingWait: bounds.pingWait,
+      pingWait: bounds.pingRoundTimeout,
       knownMembers,
       localAddress: a.addr,
       seeds: () => seeds,
       ping: () => ({ from: a, known: knownMembers.controls(), clusterId: '' }),
       stopping: stopping.signal,
     });
-    return clock.finish('round', pings.run(), bounds.pingWait * 2);
+    return clock.finish('round', pings.run(), bounds.pingRoundTimeout * 2);
   };
   return { clock, transport, knownMembers, round };
 };
@@ -62,11 +62,11 @@
   assert.equal((await refuses.round()).pingResponses, []);
   assert.is(refuses.clock.now(), before);
   const hangs = roundsOf(({ to }, clock) =>
-    delay(clock, bounds.pingWait * 9).then(() => pingResponse(member(to))),
+    delay(clock, bounds.pingRoundTimeout * 9).then(() => pingResponse(member(to))),
   );
   const start = hangs.clock.now();
   assert.equal((await hangs.round()).pingResponses, []);
-  assert.is(hangs.clock.now() - start, bounds.pingWait);
+  assert.is(hangs.clock.now() - start, bounds.pingRoundTimeout);
 });
 
 rounds('asks nobody any more whose addresses have failed often enough', async () => {
