--- a/packages/zen/src/bounds.ts
+++ b/packages/zen/src/bounds.ts
@@ -9,7 +9,7 @@
 export interface ZenBounds {
   /** Between two pings of a master and a follower. */
   readonly heartbeatInterval: number;
-  /** How long a node may be silent before it is taken for failed. */
+  /** How long a node may be silent before it counts as failed. */
   readonly failureTimeout: number;
   /** How long a ping round waits for nodes that do not answer. */
   readonly pingRoundTimeout: number;
@@ -19,7 +19,7 @@
   readonly joinAttempts: number;
   /** How long a publish may take to reach a majority before the master steps down. */
   readonly publishTimeout: number;
-  /** How long a control's own sync may last before it stands down until its disk takes bytes again. */
+  /** How long a sync of a control may last before it neither leads nor votes until its disk accepts writes again. */
   readonly syncTimeout: number;
   /** How long to wait between attempts to write to a disk that failed. */
   readonly diskRetryInterval: number;
@@ -37,13 +37,15 @@
   readonly pingsFromAnotherMaster: number;
 }
 
-/** What a deployment states, in milliseconds. */
+/** What a deployment states, in whole milliseconds. */
 export interface OuterBounds {
   /** Within which time a cluster that starts must serve. */
   readonly serveWithin: number;
   /** Within which time a server that drains must get nothing new. */
   readonly drainingWithin: number;
+  /** Between two pings of a master and a follower. */
   readonly heartbeatInterval: number;
+  /** How long a node may be silent before it counts as failed. */
   readonly failureTimeout: number;
 }
 
--- a/packages/zen/src/master-types.ts
+++ b/packages/zen/src/master-types.ts
@@ -1,8 +1,9 @@
 /** What a master is made of, and what the rest of a control may ask of it. */
-import type { Member, State, StateVersion } from '@tillerstair/state';
+import type { Member, State } from '@tillerstair/state';
 import type { Clock, Logger, Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
+import type { MasterPingResponse } from './messages.js';
 
 /** A change of the cluster state; returns the state itself if there is nothing to alter, throws to refuse. */
 export type Change = (state: State) => State;
@@ -30,16 +31,8 @@
   readonly onReport: (memberId: string, report: unknown) => void;
 }
 
-/** What a master answers to the ping of a follower. */
-export interface MasterStatus {
-  readonly leading: boolean;
-  /** Whether the follower is on the list of nodes. */
-  readonly listed: boolean;
-  readonly term: number;
-  readonly committed: StateVersion;
-  /** How long ago, in ms, a majority of the voters was last heard of; read leases are dated back by it. */
-  readonly age: number;
-}
+/** What a master answers to the ping of a follower; its node adds what it reports of the list of servers. */
+export type MasterStatus = Omit<MasterPingResponse, 'reported'>;
 
 /** A master as the rest of its control sees it. */
 export interface MasterView {
--- a/packages/zen/src/master.ts
+++ b/packages/zen/src/master.ts
@@ -21,7 +21,7 @@
 import { checkMastership } from './mastership-check.js';
 import { Mastership } from './mastership.js';
 import { MemberContacts } from './member-contacts.js';
-import { ValidateResponse, type Join, type MasterPing } from './messages.js';
+import { ValidateResponse, type Join, type JoinResponse, type MasterPing } from './messages.js';
 import { NodesFaultDetector } from './nodes-fault-detector.js';
 import { PublishedState } from './published-state.js';
 import { Publisher } from './publisher.js';
@@ -119,7 +119,7 @@
 
   /**
    * Publishes the newest accepted state under this term, with this control and those that voted for it on the list;
-   * whatever an earlier master committed is thereby kept. Resolves once that is committed.
+   * whatever an earlier master committed stays in force. Resolves once that is committed.
    *
    * @param askedAt - Clock time, in ms, at which the votes were asked for.
    */
@@ -186,10 +186,10 @@
   /**
    * Takes a node into the cluster: once it has validated its join, it is put on the list and sent the state in full.
    *
-   * @throws NotMasterError if the node has voted in a later term, which ends this mastership; the node's own error if
-   * it does not validate.
+   * @throws NotMasterError if the node has voted in a later term, which ends this mastership; the node's error if it
+   * does not validate.
    */
-  async onJoin(join: Join): Promise<{ readonly term: number }> {
+  async onJoin(join: Join): Promise<JoinResponse> {
     const member = join.from;
     if (join.term > this.term) {
       this.stepDown(`${member.addr} joins with term ${join.term}`);
--- a/packages/zen/src/mastership-check.ts
+++ b/packages/zen/src/mastership-check.ts
@@ -1,5 +1,5 @@
 /**
- * The master's watch on itself: it steps down when its own disk takes no writes or no majority of the voters replies
+ * The master's watch on itself: it steps down when its disk accepts no writes or no majority of the voters replies
  * (docs/zen.md, "Kept, on the ordinary path": a master that no longer sees enough eligible nodes rejoins). It owns no state.
  */
 import { delay, type Clock } from '@tillerstair/wire';
@@ -26,7 +26,7 @@
 export const checkMastership = async (options: MastershipCheckOptions): Promise<void> => {
   const { clock, bounds, electionStore, mastership, published, contacts } = options;
   while (!mastership.lost.aborted) {
-    if (!electionStore.writable) mastership.stepDown('its own disk takes no writes');
+    if (!electionStore.writable) mastership.stepDown('the local disk accepts no writes');
     if (contacts.majorityAge(published.base.voters) > bounds.failureTimeout)
       mastership.stepDown('no majority of controls replies');
     await delay(clock, bounds.heartbeatInterval / checksPerHeartbeat, mastership.lost);
