--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -40,7 +40,7 @@
   );
 };
 
-/** What one change of one key costs each role, in the code that `Master`, `Receiver`, `Agent` and `Front` run for it. */
+/** What one change of one key costs each role, in the code that `Master`, `PublishReceiver`, `Agent` and `Front` run for it. */
 const applyCost = async (z: StateSizes): Promise<Values> => {
   const [s, mb] = await retainedMb(() => stateOf(z));
   const t = withOneDraining(s);
--- a/packages/zen/src/bootstrapper.ts
+++ b/packages/zen/src/bootstrapper.ts
@@ -7,7 +7,7 @@
 import { closureOf, clusterIdOf, membersKey, type BootstrapView } from './bootstrap-closure.js';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
-import { BootstrapVote, BootstrapVoteResponse } from './messages.js';
+import { BootstrapVoteResponse, type BootstrapVote } from './messages.js';
 
 /** What a bootstrapper needs of its node. */
 export interface BootstrapperOptions {
@@ -115,8 +115,10 @@
   }
 
   /** Answers another control's proposal: yes only if the local last round saw exactly these members. */
-  async onVoteRequest(localMember: Member, body: unknown): Promise<BootstrapVoteResponse> {
-    const { members } = BootstrapVote.parse(body);
+  async onVoteRequest(
+    localMember: Member,
+    { members }: BootstrapVote,
+  ): Promise<BootstrapVoteResponse> {
     if (membersKey(members) !== this.lastClosureKey) return { yes: false };
     return { yes: await this.vote(localMember, members) };
   }
--- a/packages/zen/src/disk-election-store.ts
+++ b/packages/zen/src/disk-election-store.ts
@@ -58,7 +58,7 @@
 
   /**
    * Memory changes before the disk does. When the append fails the record may or may not be on disk, so it stays in
-   * memory: a vote that may be on disk is not given again, a state that may be on disk counts as accepted. Neither is
+   * memory: a vote that may be on disk is not given again, a state that may be on disk is taken for accepted. Neither is
    * acknowledged to anyone, and the journal takes no more before the disk holds just what memory holds.
    */
   private async record(
--- a/packages/zen/src/index.ts
+++ b/packages/zen/src/index.ts
@@ -8,6 +8,7 @@
 export * from './disk-election-store.js';
 export * from './memory-election-store.js';
 export * from './zen-node.js';
+export * from './zen-node-options.js';
 export type { Committed, MasterView } from './master-types.js';
 export * from './pace.js';
 export * from './quorum-read.js';
--- a/packages/zen/src/messages.ts
+++ b/packages/zen/src/messages.ts
@@ -58,6 +58,9 @@
   have: StateVersion,
 });
 
+/** A request for a vote, or for the confirmation of one. */
+export type Validate = z.infer<typeof Validate>;
+
 /** The response to a validation is a vote on disk, with the accepted state if that is ahead. */
 export const ValidateResponse = z.object({
   accepted: StateVersion,
@@ -66,7 +69,7 @@
 /** A vote, or the confirmation of one. */
 export type ValidateResponse = z.infer<typeof ValidateResponse>;
 
-/** `zen/publish`: a state of the master of a term; `packed` is a `Payload` as compressed JSON in base 64. */
+/** `zen/publish`: a state of the master of a term; `packed` is a `PublishPayload` as compressed JSON in base 64. */
 export const Publish = z.object({
   from: Member,
   term: z.number(),
@@ -130,6 +133,8 @@
 
 /** `zen/bootstrap`: a blank control asks another for its vote on these members. */
 export const BootstrapVote = z.object({ from: Member, members: z.array(Member) });
+/** A proposal to bootstrap a cluster. */
+export type BootstrapVote = z.infer<typeof BootstrapVote>;
 
 /** The response to a bootstrap vote: yes only if it is on disk. */
 export const BootstrapVoteResponse = z.object({ yes: z.boolean() });
--- a/packages/zen/src/publish-receiver.ts
+++ b/packages/zen/src/publish-receiver.ts
@@ -16,7 +16,7 @@
 } from '@tillerstair/state';
 import { ElectionError, TaskQueue } from '@tillerstair/wire';
 import type { ElectionStore } from './election-store.js';
-import { PublishPayload, Publish, type PublishResponse } from './messages.js';
+import { PublishPayload, type Publish, type PublishResponse } from './messages.js';
 
 /** What a receiver needs of its node. */
 export interface PublishReceiverOptions {
@@ -89,8 +89,7 @@
    * Accepts a published state; resolves once it is on disk, or with `need-full` if a difference starts from another
    * state than the accepted one. Rejects with `other-cluster`, `stale-term` or `stale-state`.
    */
-  async onPublish(body: unknown): Promise<PublishResponse> {
-    const publish = Publish.parse(body);
+  async onPublish(publish: Publish): Promise<PublishResponse> {
     this.requireCluster(publish);
     this.requireTerm(publish);
     const decoded = decode(unpack(publish.packed), this.electionStore.persisted.accepted);
--- a/packages/zen/src/request-dispatcher.ts
+++ b/packages/zen/src/request-dispatcher.ts
@@ -12,13 +12,16 @@
 import type { Leadership } from './leadership.js';
 import type { LocalNode } from './local-node.js';
 import {
+  BootstrapVote,
   Commit,
   Join,
   Leave,
   MasterPing,
   NodePing,
   Ping,
+  Publish,
   SteppedDown,
+  Validate,
   type JoinResponse,
   type MasterPingResponse,
   type NodePingResponse,
@@ -74,10 +77,13 @@
     const { electionStore, member } = localNode;
     this.handlers = new Map<string, RequestHandler>([
       ['zen/ping', (body) => this.onPing(Ping.parse(body))],
-      ['zen/bootstrap', (body) => bootstrapper.onVoteRequest(member, body)],
+      ['zen/bootstrap', (body) => bootstrapper.onVoteRequest(member, BootstrapVote.parse(body))],
       ['zen/join', (body) => this.onJoin(Join.parse(body))],
-      ['zen/validate', (body) => grantVote(electionStore, follower.joiningId, body)],
-      ['zen/publish', (body) => receiver.onPublish(body)],
+      [
+        'zen/validate',
+        (body) => grantVote(electionStore, follower.joiningId, Validate.parse(body)),
+      ],
+      ['zen/publish', (body) => receiver.onPublish(Publish.parse(body))],
       ['zen/commit', (body) => receiver.onCommit(Commit.parse(body).stateVersion)],
       ['zen/node-ping', (body) => this.onNodePing(NodePing.parse(body))],
       ['zen/master-ping', (body) => this.onMasterPing(MasterPing.parse(body))],
--- a/packages/zen/src/vote.ts
+++ b/packages/zen/src/vote.ts
@@ -2,7 +2,7 @@
 import { encodeState, isNewerVersion, versionOf } from '@tillerstair/state';
 import { ElectionError } from '@tillerstair/wire';
 import type { ElectionStore, PersistentState } from './election-store.js';
-import { Validate, type ValidateResponse } from './messages.js';
+import type { Validate, ValidateResponse } from './messages.js';
 
 /** One vote a term, and none in a lower term (docs/zen.md, "One master a term"). */
 const requireVoteIsFree = (persisted: PersistentState, candidateId: string, term: number): void => {
@@ -21,9 +21,8 @@
 export const grantVote = async (
   electionStore: ElectionStore,
   joiningId: string | undefined,
-  body: unknown,
+  { from, term, clusterId, have }: Validate,
 ): Promise<ValidateResponse> => {
-  const { from, term, clusterId, have } = Validate.parse(body);
   if (joiningId !== from.id) throw new ElectionError('not-joining', 'this node is not joining you');
   const localClusterId = electionStore.persisted.accepted?.clusterId ?? '';
   if (localClusterId && localClusterId !== clusterId)
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -2,7 +2,7 @@
  * A node of the cluster (docs/zen.md): finds a master, then leads or follows until that ends, over and over. This module
  * puts the parts together; each owns its own state, and the election store alone what must survive a restart.
  */
-import type { Member, Replication, State } from '@tillerstair/state';
+import type { Member, State } from '@tillerstair/state';
 import {
   createAbortController,
   delay,
@@ -10,12 +10,10 @@
   type Clock,
   type Logger,
   type RpcRequest,
-  type Transport,
 } from '@tillerstair/wire';
 import { Bootstrapper } from './bootstrapper.js';
 import type { ZenBounds } from './bounds.js';
 import { Candidate } from './candidate.js';
-import type { ElectionStore } from './election-store.js';
 import { Follower } from './follower.js';
 import { InterruptibleSleep } from './interruptible-sleep.js';
 import { KnownMembers } from './known-members.js';
@@ -30,42 +28,11 @@
 import { ReadLease } from './read-lease.js';
 import { renewReadLease } from './read-lease-renewal.js';
 import { RequestDispatcher } from './request-dispatcher.js';
+import type { ZenNodeOptions } from './zen-node-options.js';
 
 /** After an unexpected error the node goes on after this part of a heartbeat. */
 const errorPausesPerHeartbeat = 10;
 
-/** What a node is made of, and what the program around it hears of. */
-export interface ZenNodeOptions {
-  readonly me: Member;
-  /** Addresses that are pinged whoever else is known. */
-  readonly seeds: readonly string[];
-  readonly clock: Clock;
-  readonly transport: Transport;
-  readonly electionStore: ElectionStore;
-  readonly bounds: ZenBounds;
-  readonly log: Logger;
-  /** Number of slots, used when the cluster is bootstrapped. */
-  readonly slots: number;
-  /** Replicas and write quorum of every slot, used when the cluster is bootstrapped. */
-  readonly replication?: Replication;
-  /** Whether this node may help to bootstrap a cluster; not when the installation has run before. */
-  readonly mayBootstrap?: boolean;
-  /** Derives what follows from a batch of changes, before the master publishes it. */
-  readonly settle?: (state: State) => State;
-  /** Called with each committed state, one after the other. */
-  readonly onApplied?: (state: State) => Promise<void>;
-  /** What this node tells its master with every ping. */
-  readonly report?: () => unknown;
-  /** Hears, on the master, what each node reports. */
-  readonly onReport?: (id: string, report: unknown) => void;
-  /** What a master tells its nodes with every ping response. */
-  readonly listReport?: () => unknown;
-  /** Hears what the master reports, and the clock time in milliseconds at which it was asked. */
-  readonly onListReport?: (reported: unknown, requestedAt: number) => void;
-  /** Hears of each mastership that this node takes up. */
-  readonly onLead?: (master: MasterView) => void;
-}
-
 /** One node, from `start` to `stop`. */
 export class ZenNode {
   private readonly clock: Clock;
@@ -236,7 +203,7 @@
     this.sleep.wake();
   }
 
-  /** Begins to look for a master. Requests are answered before as well. */
+  /** Begins to look for a master; requests are answered even before. */
   start(): void {
     this.ended = this.run();
     if (this.localNode.member.kind === 'front') void this.renewReadLease();
--- a/tests/src/support/zen-rig.ts
+++ b/tests/src/support/zen-rig.ts
@@ -8,7 +8,7 @@
   type State,
 } from '@tillerstair/state';
 import { toRpcError, type Transport } from '@tillerstair/wire';
-import { MemoryElectionStore, zenBounds, type PingResponse } from '@tillerstair/zen';
+import { MemoryElectionStore, zenBounds, type PingResponse, type Publish } from '@tillerstair/zen';
 
 /** Bounds as a small site states them, in milliseconds. */
 export const bounds = zenBounds({
@@ -43,7 +43,11 @@
 const pack = (payload: object): string => deflateSync(JSON.stringify(payload)).toString('base64');
 
 /** The body of a publish of the whole state by `from`. */
-export const publishOf = (from: Member, state: State, to = ''): object => ({
+export const publishOf = (
+  from: Member,
+  state: State,
+  to = '',
+): Publish & { readonly to: string } => ({
   from,
   to,
   term: state.term,
@@ -52,7 +56,7 @@
 });
 
 /** The body of a publish of the difference between two states. */
-export const publishDiffOf = (from: Member, base: State, state: State): object => ({
+export const publishDiffOf = (from: Member, base: State, state: State): Publish => ({
   from,
   term: state.term,
   clusterId: state.clusterId,
--- a/tests/src/zen/publish-receiver.test.ts
+++ b/tests/src/zen/publish-receiver.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { encodeState, bootstrapState, type Member, type State } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
-import { MemoryElectionStore, PublishReceiver } from '@tillerstair/zen';
+import { MemoryElectionStore, PublishReceiver, type Publish } from '@tillerstair/zen';
 
 const receiver = suite('publish receiver');
 
@@ -21,7 +21,7 @@
 const bootstrapped = bootstrapState('cluster', [master, memberOf('b')], 1);
 const stateAt = (version: number): State => ({ ...bootstrapped, term: 2, version, master: 'a' });
 
-const publishOf = (s: State): object => ({
+const publishOf = (s: State): Publish => ({
   from: master,
   term: s.term,
   clusterId: s.clusterId,
--- a/tests/src/zen/vote.test.ts
+++ b/tests/src/zen/vote.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Member, type State } from '@tillerstair/state';
-import { grantVote } from '@tillerstair/zen';
+import { grantVote, type Validate } from '@tillerstair/zen';
 import {
   a,
   b,
@@ -15,7 +15,7 @@
 
 const votes = suite('a vote');
 
-const validateOf = (from: Member, term: number, have: State = bootstrapped): object => ({
+const validateOf = (from: Member, term: number, have: State = bootstrapped): Validate => ({
   from,
   term,
   clusterId: have.clusterId,
