--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -8,7 +8,7 @@
 import type { Server } from '@tillerstair/state';
 import { toRpcError, UnavailableError, withTimeout } from '@tillerstair/wire';
 import { AttemptMachine } from './attempt-machine.js';
-import type { Ended, Head, ServerLoad, Sink } from './backend.js';
+import type { BackendOutcome, ResponseHead, ReportedLoad, ResponseSink } from './backend.js';
 import {
   encodeBody,
   passRoutePath,
@@ -51,13 +51,13 @@
 const inProgress = 'an operation with this key is in progress';
 
 /** A server's whole answer, collected from its parts. */
-class CollectedResponse implements Sink {
-  private received: Head = { status: 0, headers: [] };
+class CollectedResponse implements ResponseSink {
+  private received: ResponseHead = { status: 0, headers: [] };
   private readonly parts: Buffer[] = [];
 
-  constructor(private readonly onLoad: (load: ServerLoad) => void) {}
+  constructor(private readonly onLoad: (load: ReportedLoad) => void) {}
 
-  head(head: Head): void {
+  head(head: ResponseHead): void {
     this.received = head;
   }
 
@@ -65,12 +65,12 @@
     this.parts.push(Buffer.from(text, 'latin1'));
   }
 
-  load(load: ServerLoad): void {
+  load(load: ReportedLoad): void {
     this.onLoad(load);
   }
 
   /** The end with the answer in it, if there is one. */
-  finish(ended: Ended): Ended {
+  finish(ended: BackendOutcome): BackendOutcome {
     if (ended.kind !== 'done') return ended;
     const { status: code, headers } = this.received;
     const body = {
@@ -154,7 +154,7 @@
     deadline: number,
     signal: AbortSignal,
     mayStillRun: () => boolean,
-  ): Promise<Ended> {
+  ): Promise<BackendOutcome> {
     const response = new CollectedResponse((load) => this.owner.reportLoad(server, load));
     const ended = await this.owner.backend.pass(
       server,
