--- a/packages/zen/src/bootstrap-closure.ts
+++ b/packages/zen/src/bootstrap-closure.ts
@@ -65,7 +65,7 @@
   if (silentControls.length > 0)
     return noClosure(`${addressesOf(silentControls)} heard of but silent`);
   return {
-    members: [...members.values()].sort((left, right) => (left.id < right.id ? -1 : 1)),
+    members: [...members.values()].sort((a, b) => (a.id < b.id ? -1 : 1)),
     reason: '',
   };
 };
--- a/packages/zen/src/elect.ts
+++ b/packages/zen/src/elect.ts
@@ -21,11 +21,8 @@
     }
   | { readonly kind: 'none'; readonly reason: string };
 
-const compareIds = (left: Member, right: Member): number =>
-  left.id < right.id ? -1 : left.id > right.id ? 1 : 0;
-
 const firstById = (members: readonly Member[]): Member | undefined =>
-  [...members].sort(compareIds)[0];
+  [...members].sort((a, b) => (a.id < b.id ? -1 : a.id > b.id ? 1 : 0))[0];
 
 /** The voters of the newest state that this node or anyone who replied has accepted. */
 export const newestVoters = (
--- a/packages/zen/src/interruptible-sleep.ts
+++ b/packages/zen/src/interruptible-sleep.ts
@@ -1,7 +1,7 @@
 /** Pauses that another part of the node may end early, such as the wait before the next ping of a master. */
 import { delay, type Clock } from '@tillerstair/wire';
 
-/** Holds at most one pause at a time; `wake` ends the one that is under way. */
+/** At most one pause at a time; `wake` ends the one that is under way. */
 export class InterruptibleSleep {
   private sleeper = new AbortController();
 
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -1,6 +1,6 @@
 /**
  * A node of the cluster (docs/zen.md): finds a master, then leads or follows until that ends, over and over. This module
- * puts the parts together; each owns its own state, and the election store alone what must survive a restart.
+ * puts the parts together; each owns its state, and the election store alone what must survive a restart.
  */
 import type { Member, State } from '@tillerstair/state';
 import {
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -79,10 +79,10 @@
   await diffs(r, 5);
   const lines = await linesOf(r);
   const [id = '', recordVote = '', full = '', ...rest] = lines;
-  const other = frame([{ t: 'promise', term: 3, to: 'b' }])
+  const other = frame([{ t: 'vote', term: 3, to: 'b' }])
     .toString('utf8')
     .trimEnd();
-  const lower = frame([{ t: 'promise', term: 2, to: 'a' }])
+  const lower = frame([{ t: 'vote', term: 2, to: 'a' }])
     .toString('utf8')
     .trimEnd();
   const cases: readonly (readonly string[])[] = [
--- a/tests/src/zen/publish-refusals.test.ts
+++ b/tests/src/zen/publish-refusals.test.ts
@@ -81,8 +81,9 @@
 refusals('that is older than the accepted one is refused', async () => {
   const electionStore = await storeWith(stateAt(4, 9));
   await electionStore.recordVote(4, 'a');
-  const { publish } = receiverOf(electionStore);
+  const { publish, terms } = receiverOf(electionStore);
   assert.is(await publish(a, stateAt(4, 8)), 'stale-state');
+  assert.equal(terms, []);
   assert.is(electionStore.persisted.accepted?.version, 9);
 });
 
