--- a/tests/src/zen/discovery-under-failure.test.ts
+++ b/tests/src/zen/discovery-under-failure.test.ts
@@ -121,11 +121,12 @@
   for (const seed of seeds) {
     const w = await worldUp(seed, small);
     const old = w.master;
-    const [behind, ahead] = w
-      .of('control')
-      .filter((m) => m !== old)
-      .sort((a, b) => ((a.control?.id ?? '') < (b.control?.id ?? '') ? -1 : 1));
-    if (!old || !behind || !ahead) throw new Error('three controls are needed');
+    const others = w.of('control').filter((m) => m !== old);
+    assert.is(others.length, 2, 'three controls are needed');
+    const [behind] = [...others].sort((a, b) =>
+      (a.control?.id ?? '') < (b.control?.id ?? '') ? -1 : 1,
+    );
+    if (!old) throw new Error('a master is needed');
     w.net.cutBoth(
       [behind.addr],
       w.machines.map((m) => m.addr).filter((a) => a !== behind.addr),
@@ -150,8 +151,8 @@
     const both = await w.clock.finish(
       'both',
       Promise.all(
-        [a, b].map((m, i) =>
-          m?.control?.operate({
+        [a, b].map(async (m, i) =>
+          m.control?.operate({
             method: 'PUT',
             path: '/v1/config',
             body: configText(1, 'models', 'shop', i + 1),
@@ -169,13 +170,13 @@
   for (const seed of seeds) {
     const w = await worldUp(seed, five);
     const survivor = w.of('control')[4];
-    const cluster = survivor?.control?.zen.clusterId;
+    const cluster = survivor.control?.zen.clusterId;
     for (const m of w.of('control')) if (m !== survivor) m.kill();
     const fresh = [5, 6, 7].map((n) => `control-${n}`);
     for (let i = 0; i < 3; i++) w.add('control', [...fresh.slice(0, 2), 'control-4']).start();
     await w.clock.run(20000);
     for (const n of fresh) assert.ok(['', cluster].includes(w.at(n).control?.zen.clusterId));
-    assert.is(survivor?.control?.zen.clusterId, cluster);
+    assert.is(survivor.control?.zen.clusterId, cluster);
     assert.is(w.masters().length, 0);
   }
 });
@@ -208,8 +209,9 @@
     for (const seed of seeds) {
       const w = await worldUp(seed, small);
       const master = w.master;
-      const [c, d] = w.of('control').filter((m) => m !== master);
-      if (!c || !d) throw new Error('no controls');
+      const others = w.of('control').filter((m) => m !== master);
+      assert.is(others.length, 2);
+      const [c, d] = others;
       const before = c.control?.id ?? '';
       c.kill('power');
       c.platter.wipe();
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -32,8 +32,7 @@
   data: '',
   name: '',
 });
-const [a, b, c] = ['a', 'b', 'c'].map((id) => member(id));
-if (!a || !b || !c) throw new Error('no members');
+const [a, b, c] = [member('a'), member('b'), member('c')];
 const base = bootstrapState('x', [a, b, c], 8);
 const at = (term: number, version: number, master = 'a'): State => ({
   ...base,
@@ -54,7 +53,10 @@
   const applied: State[] = [];
   const r = new PublishReceiver({
     electionStore,
-    onApplied: async (s) => void applied.push(s),
+    onApplied: (s) => {
+      applied.push(s);
+      return Promise.resolve();
+    },
     isMaster: () => true,
     onTerm: () => undefined,
     onPublished: () => undefined,
@@ -113,7 +115,7 @@
     const electionStore = await open();
     const r = new PublishReceiver({
       electionStore,
-      onApplied: async () => undefined,
+      onApplied: () => Promise.resolve(),
       isMaster: () => true,
       onTerm: () => undefined,
       onPublished: () => undefined,
--- a/tests/src/zen/partitioned-control.test.ts
+++ b/tests/src/zen/partitioned-control.test.ts
@@ -168,27 +168,27 @@
           const w = await worldUp(seed, small);
           const target = w.of('control').find((m) => (m === w.master) === (role === 'master'));
           if (!target) throw new Error('no control');
-          const r = await cutRun(w, seed, target, way);
-          const outcome = configHistory(r.calls);
+          const run = await cutRun(w, seed, target, way);
+          const outcome = configHistory(run.calls);
           assert.equal(outcome.breaches, [], `seed ${seed}`);
           assert.ok(outcome.checked > 50);
           const { heartbeatInterval, failureTimeout, readLease } = w.bounds;
-          const atTarget = duringCut(r).filter((a) => a.at === target);
+          const atTarget = duringCut(run).filter((a) => a.at === target);
           assert.ok(atTarget.length > 10);
           for (const a of atTarget) {
-            const what = `seed ${seed}: ${a.operation.method} ${a.operation.path} got ${a.status} from ${a.from - r.cutAt} to ${a.to - r.cutAt}`;
+            const what = `seed ${seed}: ${a.operation.method} ${a.operation.path} got ${a.status} from ${a.from - run.cutAt} to ${a.to - run.cutAt}`;
             assert.ok(a.status === 503 || a.status === 504, what);
             if (!isChange(a) && a.operation.method === 'GET') assert.is(a.status, 503, what);
             assert.ok(a.to - a.from <= failureTimeout + heartbeatInterval, what);
             if (role === 'master' && a.operation.method === 'GET')
               assert.ok(a.to - a.from <= heartbeatInterval * 1.5, what);
           }
-          for (const a of r.answered)
+          for (const a of run.answered)
             assert.ok(
               a.to - a.from <= failureTimeout * 2 + readLease,
               `${a.operation.method} ${a.operation.path} took ${a.to - a.from}`,
             );
-          const elsewhere = duringCut(r).filter(
+          const elsewhere = duringCut(run).filter(
             (a) => a.at !== target && isChange(a) && a.status === 200,
           );
           assert.ok(
@@ -326,7 +326,7 @@
     )
       asked.rounds++;
   };
-  const many = Array.from({ length: 40 }, (_, n) =>
+  const many = Array.from({ length: 40 }, async (_, n) =>
     n % 2 === 0
       ? w.master?.control?.operate({ method: 'GET', path: '/v1/config', body: '' })
       : w.master?.control?.operate({
--- a/tests/src/zen/publish-receiver.test.ts
+++ b/tests/src/zen/publish-receiver.test.ts
@@ -29,7 +29,7 @@
 });
 
 /** Lets a test decide when a vote is on disk. */
-class SlowVoteKeep extends MemoryElectionStore {
+class SlowVoteElectionStore extends MemoryElectionStore {
   private release: () => void = () => undefined;
 
   override async recordVote(term: number, to: string): Promise<void> {
@@ -45,11 +45,11 @@
 }
 
 receiver('an older state that waited for its vote never replaces a newer one', async () => {
-  const electionStore = new SlowVoteKeep('b');
+  const electionStore = new SlowVoteElectionStore('b');
   await electionStore.accept(bootstrapped);
   const r = new PublishReceiver({
     electionStore,
-    onApplied: async () => undefined,
+    onApplied: () => Promise.resolve(),
     isMaster: () => true,
     onTerm: () => undefined,
     onPublished: () => undefined,
