--- a/packages/zen/src/election-log.ts
+++ b/packages/zen/src/election-log.ts
@@ -153,6 +153,8 @@
   try {
     return await replay(disk, pace);
   } catch (e) {
+    // The journal itself waits for a disk that fails, so that no such error arrives here; were one to, a sound log must
+    // not be set aside for it.
     if (isDiskTrouble(e)) throw e;
     const reason = e instanceof Error ? e.message : String(e);
     pace.log?.warn(
--- a/packages/zen/src/pending-joins.ts
+++ b/packages/zen/src/pending-joins.ts
@@ -3,6 +3,7 @@
  * either leads and answers them, or follows another and rejects them with "not master".
  */
 import { ElectionError } from '@tillerstair/wire';
+import { NotMasterError } from './master-errors.js';
 import type { Join, JoinResponse } from './messages.js';
 
 /** A join whose sender waits for its response. */
@@ -24,7 +25,7 @@
   /** Resolves when a master has validated the join; rejects it with `not-master` while none are queued. */
   add(join: Join): Promise<JoinResponse> {
     const { queue } = this;
-    if (!queue) return Promise.reject(new ElectionError('not-master', 'this node follows another'));
+    if (!queue) return Promise.reject(new NotMasterError('this node follows another'));
     return new Promise((resolve, reject) => {
       const earlier = queue.get(join.from.id);
       earlier?.reject(new ElectionError('superseded', 'a later join replaced this one'));
@@ -52,6 +53,6 @@
   /** Rejects all joins, since another control leads or none can, and queues no more. */
   rejectAll(): void {
     for (const pending of this.take())
-      pending.reject(new ElectionError('not-master', 'another control was elected'));
+      pending.reject(new NotMasterError('another control was elected'));
   }
 }
