--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -58,12 +58,15 @@
   async run(): Promise<WonElection | undefined> {
     const { accepted } = this.localNode;
     if (!accepted) return undefined;
-    const won = (await this.majorityJoins(accepted)) ? await this.gather(accepted) : undefined;
+    const won = (await this.waitForMajority(accepted))
+      ? await this.requestVotes(accepted)
+      : undefined;
     if (!won) this.pendingJoins.rejectAll();
     return won;
   }
 
-  private async majorityJoins(accepted: State): Promise<boolean> {
+  /** Resolves with false if no majority of the voters has joined within the join wait. */
+  private async waitForMajority(accepted: State): Promise<boolean> {
     const end = this.clock.now() + this.bounds.joinWait;
     while (!hasQuorum(accepted.voters, this.withLocal(this.pendingJoins.nodeIds()))) {
       if (this.clock.now() >= end || this.stopping.aborted) return false;
@@ -73,7 +76,8 @@
     return true;
   }
 
-  private async gather(accepted: State): Promise<WonElection | undefined> {
+  /** Votes for this node in a new term, above that of every joiner, and asks the joiners for their votes. */
+  private async requestVotes(accepted: State): Promise<WonElection | undefined> {
     const joins = this.pendingJoins.list();
     const requestedAt = this.clock.now();
     const { localNode } = this;
