--- a/tests/src/zen/publish-receiver.test.ts
+++ b/tests/src/zen/publish-receiver.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { encodeState, bootstrapState, type Member, type State } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
-import { MemoryElectionStore, PublishReceiver } from '@tillerstair/zen';
+import { MemoryElectionStore, PublishReceiver, type Publish } from '@tillerstair/zen';
 
 const receiver = suite('publish receiver');
 
@@ -21,7 +21,7 @@
 const bootstrapped = bootstrapState('cluster', [master, memberOf('b')], 1);
 const stateAt = (version: number): State => ({ ...bootstrapped, term: 2, version, master: 'a' });
 
-const publishOf = (s: State): object => ({
+const publishOf = (s: State): Publish => ({
   from: master,
   term: s.term,
   clusterId: s.clusterId,
@@ -29,7 +29,7 @@
 });
 
 /** Lets a test decide when a vote is on disk. */
-class SlowVoteKeep extends MemoryElectionStore {
+class SlowVoteElectionStore extends MemoryElectionStore {
   private release: () => void = () => undefined;
 
   override async recordVote(term: number, to: string): Promise<void> {
@@ -45,11 +45,11 @@
 }
 
 receiver('an older state that waited for its vote never replaces a newer one', async () => {
-  const electionStore = new SlowVoteKeep('b');
+  const electionStore = new SlowVoteElectionStore('b');
   await electionStore.accept(bootstrapped);
   const r = new PublishReceiver({
     electionStore,
-    onApplied: async () => undefined,
+    onApplied: () => Promise.resolve(),
     isMaster: () => true,
     onTerm: () => undefined,
     onPublished: () => undefined,
