--- a/packages/session-owner/src/owner-services.ts
+++ b/packages/session-owner/src/owner-services.ts
@@ -1,7 +1,7 @@
 /** What the requests of all interfaces need of the session owner that runs them. */
 import type { Config, Route, RouteKind, Server } from '@tillerstair/state';
 import type { ServerDispatcher } from './attempt-machine.js';
-import type { Backend, ServerLoad } from './backend.js';
+import type { Backend, ReportedLoad } from './backend.js';
 import type { PassTurn } from './stored-values.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import type { CompiledState } from './compiled-state.js';
@@ -36,7 +36,7 @@
    */
   findTurn(attempt: string): Promise<readonly FoundTurn[]>;
   /** Records a server's own report of its load. */
-  reportLoad(server: Server, load: ServerLoad): void;
+  reportLoad(server: Server, load: ReportedLoad): void;
   /** Ends a request's stay at a server; `tokensPerSecond` is what it generated there. */
   releaseServer(server: Server, healthy: boolean, tokensPerSecond?: number): void;
 }
--- a/packages/sim/src/model-nodes.ts
+++ b/packages/sim/src/model-nodes.ts
@@ -1,7 +1,7 @@
 /** What each control has promised and stored, seen from outside: checks that nothing of it is taken back. */
 import { inflateSync } from 'node:zlib';
 import { versionOf, isNewerVersion, type StateVersion, type State } from '@tillerstair/state';
-import { Accepted, Payload, Publish, Validate } from '@tillerstair/zen';
+import { PublishResponse, PublishPayload, Publish, Validate } from '@tillerstair/zen';
 import { z } from 'zod';
 import type { Machine } from './machine.js';
 import type { ModelHistory } from './model-history.js';
@@ -19,7 +19,7 @@
 const markText = (m: StateVersion): string => `${m.term}.${m.version}`;
 
 const publishedMark = (packed: string): StateVersion => {
-  const payload = Payload.parse(
+  const payload = PublishPayload.parse(
     JSON.parse(inflateSync(Buffer.from(packed, 'base64')).toString('utf8')),
   );
   if ('diff' in payload) return payload.diff.to;
@@ -72,7 +72,7 @@
   }
 
   private accepted(a: Answered): void {
-    if (Accepted.parse(a.answer).outcome !== 'accepted') return;
+    if (PublishResponse.parse(a.answer).outcome !== 'accepted') return;
     const { packed, term } = Publish.parse(a.body);
     const { to } = Addressed.parse(a.body);
     const mark = publishedMark(packed);
--- a/packages/zen/src/state-sender.ts
+++ b/packages/zen/src/state-sender.ts
@@ -15,7 +15,7 @@
 import type { ZenBounds } from './bounds.js';
 import type { Mastership } from './mastership.js';
 import type { MemberContacts } from './member-contacts.js';
-import { Accepted } from './messages.js';
+import { PublishResponse } from './messages.js';
 import { Publication } from './publication.js';
 import type { PublishedState } from './published-state.js';
 
@@ -130,6 +130,6 @@
     const reply = await this.transport.call(member.addr, 'zen/publish', body, {
       timeoutMs: this.bounds.publishWait,
     });
-    return Accepted.parse(reply).outcome;
+    return PublishResponse.parse(reply).outcome;
   }
 }
--- a/tests/src/zen/read-lease.test.ts
+++ b/tests/src/zen/read-lease.test.ts
@@ -24,7 +24,7 @@
 
 const renewedBy = (pingResponses: readonly PingResponse[], state = applied, id = 'f'): number => {
   const lease = new ReadLease();
-  lease.renewFromRound({ at: 500, pingResponses }, state, id);
+  lease.renewFromRound({ startedAt: 500, pingResponses }, state, id);
   return lease.leaseRenewedAt;
 };
 
@@ -46,7 +46,11 @@
 
 leases('a member that has applied no state has no lease', () => {
   const lease = new ReadLease();
-  lease.renewFromRound({ at: 500, pingResponses: [replyOf('a'), replyOf('b')] }, undefined, 'f');
+  lease.renewFromRound(
+    { startedAt: 500, pingResponses: [replyOf('a'), replyOf('b')] },
+    undefined,
+    'f',
+  );
   assert.is(lease.leaseRenewedAt, -Infinity);
 });
 
