--- a/tests/src/state/flat-table.test.ts
+++ b/tests/src/state/state-table.test.ts
@@ -1,4 +1,4 @@
-/** The flat table of a cluster state: what is refused when it is read, and which state a diff may be applied to. */
+/** The table of a cluster state: what is refused when it is read, and which state a diff may be applied to. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -11,7 +11,7 @@
 } from '@tillerstair/state';
 import { sampleState } from '../support/sample-state.js';
 
-const table = suite('flat table');
+const table = suite('state table');
 
 const config = { version: 1, text: 't', digest: 'd', compiled: '{}', changeId: '' };
 const full = sampleState(undefined, {
