--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -100,7 +100,7 @@
 
 /**
  * Starts a control and resolves once it serves. Rejects where the data folder is in use or damaged beyond repair, or an
- * address is taken.
+ * address cannot be bound; the process is then to end, which releases what was opened until there.
  */
 export const startControl = async (
   settings: ControlSettings,
