--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -18,7 +18,7 @@
 } from './messages.js';
 import { operateLocally } from './operations/local-operations.js';
 import { isReadOnly, operate } from './operations/operations.js';
-import { failedForward, lateDrainingMark, notCarriedOut } from './operations/responses.js';
+import { failedForward, HttpStatus, lateDrainingMark, notCarriedOut } from './operations/responses.js';
 import { tuneWeights } from './weight-tuning.js';
 
 /** What a control is made of: what zen needs, and the deployment's list of servers if there is one. */
@@ -121,7 +121,7 @@
   async operate(request: OperatorRequest): Promise<OperatorResponse> {
     const receivedAt = this.clock.now();
     const response = await this.dispatch(request);
-    const isMarked = isDrainingMark(request) && response.status === 200;
+    const isMarked = isDrainingMark(request) && response.status === HttpStatus.ok;
     const isInTime = this.clock.now() - receivedAt <= this.bounds.drainingCommitWithin;
     return !isMarked || isInTime ? response : lateDrainingMark();
   }
