--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -18,7 +18,12 @@
 } from './messages.js';
 import { operateLocally } from './operations/local-operations.js';
 import { isReadOnly, operate } from './operations/operations.js';
-import { failedForward, HttpStatus, lateDrainingMark, notCarriedOut } from './operations/responses.js';
+import {
+  failedForward,
+  HttpStatus,
+  lateDrainingMark,
+  notCarriedOut,
+} from './operations/responses.js';
 import { tuneWeights } from './weight-tuning.js';
 
 /** What a control is made of: what zen needs, and the deployment's list of servers if there is one. */
--- a/packages/state/src/allocation/replicas.ts
+++ b/packages/state/src/allocation/replicas.ts
@@ -77,8 +77,9 @@
   const liveReplicas = liveStores.filter((store) => slot.replicas.includes(store.id));
   if (liveReplicas.length < state.replication.quorum) return undefined;
   const staying = liveReplicas.filter((store) => store.id !== replaced);
-  const candidates = usableStores.filter((store) => !slot.replicas.includes(store.id));
-  return spreadOverZones(candidates, staying, staying.length + 1, slotsPerStore).at(staying.length);
+  return spreadOverZones(usableStores, staying, staying.length + 1, slotsPerStore).at(
+    staying.length,
+  );
 };
 
 const withoutJoiningReplica = (slot: Slot): Slot => ({
