--- a/tests/src/control/operator-answers.test.ts
+++ b/tests/src/control/operator-answers.test.ts
@@ -1,4 +1,4 @@
-/** What operators are told: findings, unknown outcomes, stores emptied by name, the page. */
+/** Answers to operators: findings, unknown outcomes, emptying stores by name, the operators' page. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { OperatorResponse } from '@tillerstair/control';
@@ -6,30 +6,39 @@
 import { OperatorDesk, operatorPage } from '@tillerstair/platform';
 import { serveHttp } from '@tillerstair/wire';
 import { configText } from '../support/world-helpers.js';
-import { way, whole, text, up, deskOf } from '../support/operator-world.js';
+import {
+  platformRoute,
+  platformConfiguration,
+  jsonText,
+  startWorld,
+  operatorAt,
+} from '../support/operator-world.js';
 
-const telling = suite('what operators are told');
+const answers = suite('answers to operators');
 
 const invalidPatches = [
   { edition: 7, remove: { depots: ['d1'] } },
   { edition: 5, remove: { ways: ['r1'] } },
-  { edition: 7, upsert: { ways: [way('r1', { deadlineMs: 0 })] } },
+  { edition: 7, upsert: { ways: [platformRoute('r1', { deadlineMs: 0 })] } },
   '{',
 ];
 
-telling('an invalid configuration is refused whole, with findings', async () => {
-  const w = await up(49);
-  const desk = deskOf(w);
-  assert.is((await desk.change('PUT', 0, whole(5))).status, 200);
+answers('an invalid configuration is rejected with findings and changes nothing', async () => {
+  const w = await startWorld(49);
+  const desk = operatorAt(w);
+  assert.is((await desk.change('PUT', 0, platformConfiguration(5))).status, 200);
   const bad: readonly (readonly [string, unknown])[] = [
     ['not JSON', '{"edition": 7, "ways": ['],
     ['no depots', { edition: 7, ways: [] }],
-    ['unknown service', whole(7, { ways: [way('r1', { depot: 'none' })] })],
+    [
+      'unknown service',
+      platformConfiguration(7, { ways: [platformRoute('r1', { depot: 'none' })] }),
+    ],
     [
       'unknown service in shares',
-      whole(7, {
+      platformConfiguration(7, {
         ways: [
-          way('r1', {
+          platformRoute('r1', {
             depot: undefined,
             dispatch: [
               { depot: 'd1', share: 1 },
@@ -39,16 +48,18 @@
         ],
       }),
     ],
-    ['no service', whole(7, { ways: [way('r1', { depot: undefined })] })],
+    ['no service', platformConfiguration(7, { ways: [platformRoute('r1', { depot: undefined })] })],
     [
       'same host and prefix',
-      whole(7, { ways: [way('r1'), way('r5', { pathPrefix: '/r1/', host: 'A.example' })] }),
+      platformConfiguration(7, {
+        ways: [platformRoute('r1'), platformRoute('r5', { pathPrefix: '/r1/', host: 'A.example' })],
+      }),
     ],
     [
       'weights of 0',
-      whole(7, {
+      platformConfiguration(7, {
         ways: [
-          way('r1', {
+          platformRoute('r1', {
             depot: undefined,
             dispatch: [
               { depot: 'd1', share: 0 },
@@ -58,59 +69,68 @@
         ],
       }),
     ],
-    ['no deadline', whole(7, { ways: [way('r1', { deadlineMs: 0 })] })],
-    ['the current edition', whole(5, { intakeLimits: undefined })],
-    ['an edition below', whole(4)],
+    ['no deadline', platformConfiguration(7, { ways: [platformRoute('r1', { deadlineMs: 0 })] })],
+    ['the current edition', platformConfiguration(5, { intakeLimits: undefined })],
+    ['an edition below', platformConfiguration(4)],
   ];
   for (const [what, body] of bad) assert.is((await desk.change('PUT', 5, body)).status, 400, what);
   assert.match(
-    text((await desk.change('PUT', 5, bad[2]?.[1])).body),
+    jsonText((await desk.change('PUT', 5, bad[2]?.[1])).body),
     'pool none is not in this file',
   );
   for (const p of invalidPatches)
-    assert.is((await desk.change('PATCH', 5, p)).status, 400, text(p));
-  assert.is((await desk.change('PUT', 'five', whole(7))).status, 400);
-  assert.is(await desk.read(), text(whole(5)));
-  assert.is((await desk.change('PUT', 5, whole(7))).status, 200);
+    assert.is((await desk.change('PATCH', 5, p)).status, 400, jsonText(p));
+  assert.is((await desk.change('PUT', 'five', platformConfiguration(7))).status, 400);
+  assert.is(await desk.read(), jsonText(platformConfiguration(5)));
+  assert.is((await desk.change('PUT', 5, platformConfiguration(7))).status, 200);
 });
 
-telling('a configuration of ten thousand routes is taken and read back', async () => {
-  const w = await up(50);
-  const big = whole(1, { ways: Array.from({ length: 10000 }, (_, i) => way(`r${i}`)) });
-  assert.ok(text(big).length > 2 << 20);
-  const desk = deskOf(w);
+answers('a configuration of ten thousand routes is accepted and read back', async () => {
+  const w = await startWorld(50);
+  const big = platformConfiguration(1, {
+    ways: Array.from({ length: 10000 }, (_, i) => platformRoute(`r${i}`)),
+  });
+  assert.ok(jsonText(big).length > 2 << 20);
+  const desk = operatorAt(w);
   assert.is((await desk.change('PUT', 0, big)).status, 200);
-  assert.is(await desk.read(), text(big));
+  assert.is(await desk.read(), jsonText(big));
 });
 
-telling('an order without a master is put off, and one whose end is unknown says so', async () => {
-  const w = await up(51);
-  assert.is((await deskOf(w).change('PUT', 0, whole(1))).status, 200);
-  const [a, b, c] = w.of('control');
-  const alone = [a, b, c].find((m) => m !== w.master);
-  for (const m of [a, b, c]) if (m !== alone) m?.kill('power');
-  await w.clock.run(8000);
-  const node = alone?.control;
-  if (!node) throw new Error('no control');
-  const desk = new OperatorDesk((o) => node.operate(o));
-  const put = await w.clock.finish('PUT', desk.change('PUT', '1', text(whole(2))), 30000);
-  assert.is(put.status, 503);
-  assert.ok((put.retryAfter ?? 0) > 0);
-  const read = await w.clock.finish('GET', desk.read(), 30000);
-  assert.is(typeof read === 'string' ? 200 : read.status, 503);
-  const late = new OperatorDesk(async () => ({ status: 504, body: { executed: 'unknown' } }));
-  assert.is((await late.change('PUT', '1', text(whole(2)))).status, 504);
-});
+answers(
+  'a change without a master is answered 503, and one whose outcome is unknown 504',
+  async () => {
+    const w = await startWorld(51);
+    assert.is((await operatorAt(w).change('PUT', 0, platformConfiguration(1))).status, 200);
+    const [a, b, c] = w.of('control');
+    const alone = [a, b, c].find((m) => m !== w.master);
+    for (const m of [a, b, c]) if (m !== alone) m?.kill('power');
+    await w.clock.run(8000);
+    const node = alone?.control;
+    if (!node) throw new Error('no control');
+    const desk = new OperatorDesk((o) => node.operate(o));
+    const put = await w.clock.finish(
+      'PUT',
+      desk.change('PUT', '1', jsonText(platformConfiguration(2))),
+      30000,
+    );
+    assert.is(put.status, 503);
+    assert.ok((put.retryAfter ?? 0) > 0);
+    const read = await w.clock.finish('GET', desk.read(), 30000);
+    assert.is(typeof read === 'string' ? 200 : read.status, 503);
+    const late = new OperatorDesk(async () => ({ status: 504, body: { executed: 'unknown' } }));
+    assert.is((await late.change('PUT', '1', jsonText(platformConfiguration(2)))).status, 504);
+  },
+);
 
-telling('a store is emptied by its name; unknown ones and too few are told apart', async () => {
-  const w = await up(52, { controls: 3, stores: 4, fronts: 2 });
+answers('a store is emptied by its name; an unknown one is 404, too few others 409', async () => {
+  const w = await startWorld(52, { controls: 3, stores: 4, fronts: 2 });
   await w.operate('PUT', '/v1/config', configText(0));
   await w.clock.until(
     'replicas',
     () => w.committed?.slots.every((s) => s.replicas.length === 3) ?? false,
     20000,
   );
-  const desk = deskOf(w);
+  const desk = operatorAt(w);
   const name = 'store-number-1';
   assert.is((await desk.retire('POST', 'nobody')).status, 404);
   assert.is((await desk.retire('GET', 'nobody')).status, 404);
@@ -136,16 +156,19 @@
   assert.is((await desk.retire('POST', name)).status, 200);
   w.master?.kill('power');
   await w.clock.until('a new master', () => w.master !== undefined, 20000);
-  assert.equal((await deskOf(w).retire('GET', name)).body, { state: 'delivered' });
+  assert.equal((await operatorAt(w).retire('GET', name)).body, { state: 'delivered' });
 });
 
-telling("the page speaks the platform's dialect", async () => {
+answers("the operators' page uses the platform's statuses and forms", async () => {
   const asked: string[] = [];
   const outcomes = new Map<string, OperatorResponse>([
     ['PUT /v1/config', { status: 409, body: {} }],
     [
       'GET /v1/config',
-      { status: 200, body: { version: 4, text: text({ origin: '{"edition":4}' }), changeId: '' } },
+      {
+        status: 200,
+        body: { version: 4, text: jsonText({ origin: '{"edition":4}' }), changeId: '' },
+      },
     ],
     ['POST /v1/config/prepare', { status: 409, body: {} }],
     ['POST /v1/stores/a%20b/empty', { status: 200, body: { done: false } }],
@@ -167,7 +190,10 @@
         ...(body === undefined ? {} : { body }),
       });
     const pad = ' '.repeat(5 << 20);
-    assert.is((await ask('PUT', '/configuration', text(whole(4)) + pad)).status, 412);
+    assert.is(
+      (await ask('PUT', '/configuration', jsonText(platformConfiguration(4)) + pad)).status,
+      412,
+    );
     const read = await ask('GET', '/configuration');
     assert.is(read.status, 200);
     assert.is(read.headers.get('content-type'), 'application/json');
@@ -188,4 +214,4 @@
   }
 });
 
-telling.run();
+answers.run();
--- a/tests/src/control/operator.test.ts
+++ b/tests/src/control/operator.test.ts
@@ -3,66 +3,82 @@
 import * as assert from 'uvu/assert';
 import { OperatorDesk } from '@tillerstair/platform';
 import { compiledConfig, findRoute, buildRouteTable } from '@tillerstair/state';
-import { way, engine, depot, whole, text, up, deskOf } from '../support/operator-world.js';
+import {
+  platformRoute,
+  engine,
+  platformService,
+  platformConfiguration,
+  jsonText,
+  startWorld,
+  operatorAt,
+} from '../support/operator-world.js';
 
-const operator = suite('the operator');
+const operator = suite('configuration changes of operators');
 
 operator(
   'versions go up in uneven steps, and what was sent is read back word for word at any control',
   async () => {
-    const w = await up(41);
-    const desk = deskOf(w);
+    const w = await startWorld(41);
+    const desk = operatorAt(w);
     const empty = await desk.read();
     assert.is(typeof empty === 'string' ? 200 : empty.status, 404);
-    const first = `${JSON.stringify(whole(3), null, 1)}\n`;
+    const first = `${JSON.stringify(platformConfiguration(3), null, 1)}\n`;
     assert.is((await desk.change('PUT', 0, first)).status, 200);
     assert.is(w.committed?.config?.version, 3);
-    assert.is((await desk.change('PUT', 3, whole(11))).status, 200);
-    assert.is((await desk.change('PUT', 3, whole(12))).status, 412);
-    assert.is((await desk.change('PUT', 0, whole(1))).status, 412);
-    for (const n of [0, 1, 2]) assert.is(await deskOf(w, n).read(), text(whole(11)));
+    assert.is((await desk.change('PUT', 3, platformConfiguration(11))).status, 200);
+    assert.is((await desk.change('PUT', 3, platformConfiguration(12))).status, 412);
+    assert.is((await desk.change('PUT', 0, platformConfiguration(1))).status, 412);
+    for (const n of [0, 1, 2])
+      assert.is(await operatorAt(w, n).read(), jsonText(platformConfiguration(11)));
     assert.is(w.committed?.config?.version, 11);
   },
 );
 
 operator(
-  'the same order again is taken, also after a later one; another one on the same base is not',
+  'the same change again is acknowledged, also after a later one; another on the same base is not',
   async () => {
-    const w = await up(42);
-    const desk = deskOf(w);
-    assert.is((await desk.change('PUT', 0, whole(2))).status, 200);
-    assert.is((await desk.change('PUT', 0, whole(2))).status, 200);
-    const patch = { edition: 5, upsert: { ways: [way('r3')] }, remove: { ways: ['r1'] } };
+    const w = await startWorld(42);
+    const desk = operatorAt(w);
+    assert.is((await desk.change('PUT', 0, platformConfiguration(2))).status, 200);
+    assert.is((await desk.change('PUT', 0, platformConfiguration(2))).status, 200);
+    const patch = { edition: 5, upsert: { ways: [platformRoute('r3')] }, remove: { ways: ['r1'] } };
     for (const n of [0, 1, 2])
-      assert.is((await deskOf(w, n).change('PATCH', 2, patch)).status, 200);
+      assert.is((await operatorAt(w, n).change('PATCH', 2, patch)).status, 200);
     assert.is((await desk.change('PATCH', 2, { ...patch, edition: 6 })).status, 412);
-    assert.is((await desk.change('PUT', 5, whole(9))).status, 200);
+    assert.is((await desk.change('PUT', 5, platformConfiguration(9))).status, 200);
     for (const again of [
-      await desk.change('PUT', 0, whole(2)),
+      await desk.change('PUT', 0, platformConfiguration(2)),
       await desk.change('PATCH', 2, patch),
-      await desk.change('PUT', 5, whole(9)),
+      await desk.change('PUT', 5, platformConfiguration(9)),
     ])
       assert.is(again.status, 200);
-    assert.is((await desk.change('PUT', 0, whole(2, { intakeLimits: undefined }))).status, 412);
+    assert.is(
+      (await desk.change('PUT', 0, platformConfiguration(2, { intakeLimits: undefined }))).status,
+      412,
+    );
     assert.is(w.committed?.config?.version, 9);
-    assert.is(await desk.read(), text(whole(9)));
+    assert.is(await desk.read(), jsonText(platformConfiguration(9)));
     w.master?.kill('power');
     await w.clock.until('a new master', () => w.master !== undefined, 20000);
-    assert.is((await deskOf(w).change('PATCH', 2, patch)).status, 200);
+    assert.is((await operatorAt(w).change('PATCH', 2, patch)).status, 200);
     assert.is(w.committed?.config?.version, 9);
   },
 );
 
-operator('of two orders on one base one wins', async () => {
+operator('of two changes on one base one wins', async () => {
   for (const seed of [43, 44, 45]) {
-    const w = await up(seed);
-    assert.is((await deskOf(w).change('PUT', 0, whole(1))).status, 200);
+    const w = await startWorld(seed);
+    assert.is((await operatorAt(w).change('PUT', 0, platformConfiguration(1))).status, 200);
     const nodes = w.of('control').flatMap((m) => m.control ?? []);
     const race = nodes.map((node, i) => {
       const desk = new OperatorDesk((o) => node.operate(o));
       return i === 0
-        ? desk.change('PATCH', '1', text({ edition: 4, upsert: { ways: [way('r9')] } }))
-        : desk.change('PUT', '1', text(whole(4 + i)));
+        ? desk.change(
+            'PATCH',
+            '1',
+            jsonText({ edition: 4, upsert: { ways: [platformRoute('r9')] } }),
+          )
+        : desk.change('PUT', '1', jsonText(platformConfiguration(4 + i)));
     });
     const got = (await w.clock.finish('race', Promise.all(race), 30000)).map((o) => o.status);
     assert.equal([...got].sort(), [200, 412, 412]);
@@ -73,39 +89,42 @@
 operator(
   'a patch puts items in their places, adds and removes by name, and keeps unknown fields',
   async () => {
-    const w = await up(46);
-    const desk = deskOf(w);
-    assert.is((await desk.change('PUT', 0, whole(1, { note: { a: [1] } }))).status, 200);
-    const r1 = way('r1', { deadlineMs: 900, depot: 'd3' });
+    const w = await startWorld(46);
+    const desk = operatorAt(w);
+    assert.is(
+      (await desk.change('PUT', 0, platformConfiguration(1, { note: { a: [1] } }))).status,
+      200,
+    );
+    const r1 = platformRoute('r1', { deadlineMs: 900, depot: 'd3' });
     const patch = {
       edition: 4,
-      upsert: { ways: [way('r3'), r1], depots: [depot('d3')] },
+      upsert: { ways: [platformRoute('r3'), r1], depots: [platformService('d3')] },
       remove: { ways: ['r2', 'none'], depots: ['d2'] },
     };
     assert.is((await desk.change('PATCH', 1, patch)).status, 200);
     const want = {
-      ...whole(4),
-      ways: [r1, way('r3')],
-      depots: [depot('d1', { engine }), depot('d3')],
+      ...platformConfiguration(4),
+      ways: [r1, platformRoute('r3')],
+      depots: [platformService('d1', { engine }), platformService('d3')],
       note: { a: [1] },
     };
-    assert.equal(JSON.parse(String(await desk.read())), JSON.parse(text(want)));
+    assert.equal(JSON.parse(String(await desk.read())), JSON.parse(jsonText(want)));
     const config = compiledConfig(w.committed?.config);
     assert.equal(
       config?.routes.map((l) => l.name),
       ['r1', 'r3'],
     );
     assert.is(config?.routes[0]?.pass?.deadlineMs, 900);
-    const first = await deskOf(await up(47)).change('PATCH', 0, patch);
+    const first = await operatorAt(await startWorld(47)).change('PATCH', 0, patch);
     assert.is(first.status, 412);
   },
 );
 
 operator(
-  "what the platform says of routes and services stands in the product's own words",
+  "the platform's routes and services are translated to the product's configuration",
   async () => {
-    const w = await up(48);
-    assert.is((await deskOf(w).change('PUT', 0, whole(1))).status, 200);
+    const w = await startWorld(48);
+    assert.is((await operatorAt(w).change('PUT', 0, platformConfiguration(1))).status, 200);
     const config = compiledConfig(w.committed?.config);
     if (!config) throw new Error('no configuration');
     const [a, b] = config.routes;
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -18,9 +18,9 @@
 } from '@tillerstair/state';
 import { small } from '../support/world-helpers.js';
 
-const orders = suite('orders that are sent again');
+const repeatedChanges = suite('changes that are sent again');
 
-const way = (name: string, more: object = {}) => ({
+const platformRoute = (name: string, more: object = {}) => ({
   name,
   host: 'a.example',
   pathPrefix: `/${name}/`,
@@ -29,29 +29,29 @@
   depot: 'd1',
   ...more,
 });
-const whole = (edition: number, note = '') =>
-  JSON.stringify({ edition, ways: [way('r1')], depots: [{ name: 'd1' }], note });
-const patch = (edition: number, name: string) =>
-  JSON.stringify({ edition, upsert: { ways: [way(name)] } });
+const configurationText = (edition: number, note = '') =>
+  JSON.stringify({ edition, ways: [platformRoute('r1')], depots: [{ name: 'd1' }], note });
+const patchText = (edition: number, name: string) =>
+  JSON.stringify({ edition, upsert: { ways: [platformRoute(name)] } });
 
-interface Order {
+interface ConfigurationChange {
   readonly method: 'PUT' | 'PATCH';
   readonly base: number;
   readonly version: number;
   readonly body: string;
 }
 
-const put = (base: number, version: number, note = ''): Order => ({
+const put = (base: number, version: number, note = ''): ConfigurationChange => ({
   method: 'PUT',
   base,
   version,
-  body: whole(version, note),
+  body: configurationText(version, note),
 });
-const patching = (base: number, version: number, name: string): Order => ({
+const patching = (base: number, version: number, name: string): ConfigurationChange => ({
   method: 'PATCH',
   base,
   version,
-  body: patch(version, name),
+  body: patchText(version, name),
 });
 
 const answerOf = (o: OperatorResponse | undefined): ConfigAnswer => {
@@ -60,15 +60,18 @@
   return o?.status === 503 || o?.status === 400 ? { kind: 'no-effect' } : { kind: 'unclear' };
 };
 
-/** The operators at their desks, one at each control, with a record of their calls. */
-class Desks {
+/** Operators, one at each control, with a record of their calls. */
+class Operators {
   readonly calls: ConfigCalls;
 
   constructor(readonly w: World) {
     this.calls = new ConfigCalls(w.clock);
   }
 
-  send(o: Order, at: Machine | undefined = this.w.master): Promise<OperatorResponse | undefined> {
+  send(
+    o: ConfigurationChange,
+    at: Machine | undefined = this.w.master,
+  ): Promise<OperatorResponse | undefined> {
     const node = at?.control;
     const what = {
       kind: 'change' as const,
@@ -83,7 +86,7 @@
     return this.calls.record(what, () => desk.change(o.method, String(o.base), o.body), answerOf);
   }
 
-  async status(o: Order, at?: Machine): Promise<number> {
+  async status(o: ConfigurationChange, at?: Machine): Promise<number> {
     return (
       (await this.w.clock.finish(`${o.method} ${o.version}`, this.send(o, at), 30000))?.status ?? 0
     );
@@ -94,12 +97,12 @@
   }
 }
 
-const up = async (seed: number): Promise<Desks> => {
+const startOperators = async (seed: number): Promise<Operators> => {
   const w = new World(seed, { ...small, stores: 1, fronts: 0 });
   w.start();
   await w.clock.until('a master', () => w.master !== undefined, 12000);
   await w.clock.until('all nodes', () => w.committed?.nodes.size === 4, 12000);
-  return new Desks(w);
+  return new Operators(w);
 };
 
 const recordOf = (version: number) => ({
@@ -110,8 +113,8 @@
   changeId: `order ${version}`,
 });
 
-orders(
-  'the record of taken changes is bounded, exact within its bound, and in doubt beyond',
+repeatedChanges(
+  'the record of accepted changes is bounded, exact within its bound, and in doubt beyond',
   () => {
     const count = minimumRememberedChanges + 500;
     let s: State = bootstrapState('x', [], 8);
@@ -146,7 +149,7 @@
   },
 );
 
-orders('a version that begins or ends as another is told apart', () => {
+repeatedChanges('a version that begins or ends as another is told apart', () => {
   const taken: AcceptedChanges = recordAcceptedChange(
     recordAcceptedChange(new Map(), 1, 'a'),
     21,
@@ -158,17 +161,17 @@
   assert.is(acceptedChangeOutcome(new Map(), 1, 'a'), 'not-accepted');
 });
 
-orders(
-  'hundreds of changes, eight under way, patches among them: each that was taken is acknowledged again anywhere',
+repeatedChanges(
+  'hundreds of changes, eight under way, patches among them: each accepted one is acknowledged again by any control',
   async () => {
-    const d = await up(61);
+    const d = await startOperators(61);
     const { w } = d;
     const rng = seededRng(61);
     const anyControl = (): Machine | undefined => w.of('control')[Math.floor(rng() * 3)];
-    const taken: Order[] = [put(0, 1)];
+    const taken: ConfigurationChange[] = [put(0, 1)];
     assert.is(await d.status(put(0, 1)), 200);
     let version = 1;
-    const lost: Order[] = [];
+    const lost: ConfigurationChange[] = [];
     const operator = async (n: number): Promise<void> => {
       for (let k = 0; taken.length < 520; k++) {
         const base = version;
@@ -181,7 +184,11 @@
         if (status === 200) version = Math.max(version, next);
         const again = taken[Math.floor(rng() * taken.length)];
         if (again && k % 4 === 0)
-          assert.is((await d.send(again, anyControl()))?.status, 200, 'a taken order sent again');
+          assert.is(
+            (await d.send(again, anyControl()))?.status,
+            200,
+            'an accepted change sent again',
+          );
       }
     };
     await w.clock.finish(
@@ -203,10 +210,10 @@
   },
 );
 
-orders(
+repeatedChanges(
   'a patch whose base passes between its two steps is refused, or acknowledged if it was the one that won',
   async () => {
-    const d = await up(62);
+    const d = await startOperators(62);
     const { w } = d;
     assert.is(await d.status(put(0, 1)), 200);
     const node = w.master?.control;
@@ -232,10 +239,10 @@
   },
 );
 
-orders(
+repeatedChanges(
   'two resends at once on different controls are both acknowledged, and change once',
   async () => {
-    const d = await up(63);
+    const d = await startOperators(63);
     const { w } = d;
     assert.is(await d.status(put(0, 1)), 200);
     for (const o of [put(1, 2, 'a'), patching(2, 4, 'r2')]) {
@@ -250,11 +257,11 @@
   },
 );
 
-orders(
+repeatedChanges(
   'the same number for two changes: one is confirmed, the other is refused whenever it is sent',
   async () => {
     for (const seed of [64, 65, 66]) {
-      const d = await up(seed);
+      const d = await startOperators(seed);
       const { w } = d;
       assert.is(await d.status(put(0, 1)), 200);
       const rivals = [put(1, 4, 'one'), put(1, 4, 'two'), patching(1, 4, 'r5')];
@@ -269,8 +276,8 @@
 );
 
 /** Sends a change to a master that is cut off from its peers just after its publish left it, or just before. */
-const unheard = async (seed: number, reachesPeer: boolean) => {
-  const d = await up(seed);
+const sendToIsolatedMaster = async (seed: number, reachesPeer: boolean) => {
+  const d = await startOperators(seed);
   const { w } = d;
   assert.is(await d.status(put(0, 1)), 200);
   const old = w.master;
@@ -290,10 +297,10 @@
   return { d, w, old, lost };
 };
 
-orders(
+repeatedChanges(
   'a change that got no majority and is adopted by the next master is acknowledged when sent again',
   async () => {
-    const { d, w, lost } = await unheard(67, true);
+    const { d, w, lost } = await sendToIsolatedMaster(67, true);
     assert.is(w.committed?.config?.version, 3, 'the next master adopted it');
     assert.is(await d.status(lost), 200);
     assert.is(await d.status(put(1, 3, 'rival')), 412);
@@ -301,10 +308,10 @@
   },
 );
 
-orders(
-  'a change that got no majority, with another taken under its number meanwhile, is refused when sent again',
+repeatedChanges(
+  'a change that got no majority, with another accepted under its number meanwhile, is refused when sent again',
   async () => {
-    const { d, w, old, lost } = await unheard(68, false);
+    const { d, w, old, lost } = await sendToIsolatedMaster(68, false);
     assert.is(w.committed?.config?.version, 1);
     const rival = put(1, 3, 'rival');
     assert.is(await d.status(rival), 200);
@@ -319,21 +326,24 @@
   },
 );
 
-orders('an invalid order is refused each time, also where its base has passed', async () => {
-  const d = await up(69);
-  assert.is(await d.status(put(0, 5)), 200);
-  const invalid = [
-    put(5, 5),
-    put(5, 4),
-    { ...put(5, 7), body: '{"edition":7}' },
-    { ...patching(5, 7, 'r'), body: '{"edition":7,"remove":{"depots":["d1"]}}' },
-    patching(5, 5, 'r'),
-  ];
-  for (const at of d.w.of('control'))
-    for (const o of invalid) assert.is(await d.status(o, at), 400);
-  assert.is(await d.status(put(5, 9)), 200);
-  for (const o of invalid) assert.ok([400, 412].includes(await d.status(o)), o.body);
-  d.check();
-});
+repeatedChanges(
+  'an invalid change is rejected each time, also where its base has passed',
+  async () => {
+    const d = await startOperators(69);
+    assert.is(await d.status(put(0, 5)), 200);
+    const invalid = [
+      put(5, 5),
+      put(5, 4),
+      { ...put(5, 7), body: '{"edition":7}' },
+      { ...patching(5, 7, 'r'), body: '{"edition":7,"remove":{"depots":["d1"]}}' },
+      patching(5, 5, 'r'),
+    ];
+    for (const at of d.w.of('control'))
+      for (const o of invalid) assert.is(await d.status(o, at), 400);
+    assert.is(await d.status(put(5, 9)), 200);
+    for (const o of invalid) assert.ok([400, 412].includes(await d.status(o)), o.body);
+    d.check();
+  },
+);
 
-orders.run();
+repeatedChanges.run();
--- a/tests/src/control/server-list.test.ts
+++ b/tests/src/control/server-list.test.ts
@@ -22,7 +22,7 @@
 const frontsKnow = (w: World, server: string): boolean =>
   w.of('front').some((m) => m.front?.owner.current?.state.servers.get(server)?.draining === true);
 
-list('servers become known, with their zone and places, and vanish when gone', async () => {
+list('servers become known, with their zone and places, and vanish when unlisted', async () => {
   for (const seed of seeds) {
     const { w, shown } = await listUp(seed);
     const at = shown.put({ id: 's3', pool: 'shop', zone: 'zone-2', places: 7 });
@@ -39,7 +39,7 @@
   }
 });
 
-list('a pool no configuration names is kept', async () => {
+list('a pool that no configuration names stays known', async () => {
   const { w, shown } = await listUp(21);
   shown.put({ id: 'n1', pool: 'not-yet' });
   await w.clock.until('n1', () => known(w).every((ids) => ids.includes('n1')), 700);
@@ -61,7 +61,7 @@
   }
 });
 
-list('once leaving, always leaving for one id', async () => {
+list('a server that drains once drains for good under its id', async () => {
   const { w, shown } = await listUp(22);
   shown.mark('s1');
   await w.clock.run(1000);
@@ -134,29 +134,32 @@
   }
 });
 
-list('a core cut in two, or a front cut from it, sends nothing late', async () => {
-  for (const seed of seeds) {
-    const up = await listUp(seed);
-    const { w, shown } = up;
-    const core = w.of('control').map((m) => m.addr);
-    const [lone] = w.of('front').map((m) => m.addr);
-    if (lone === undefined) throw new Error('no front');
-    const at = shown.mark('s1');
-    if (seed % 2 === 0) w.net.cutBoth([lone], core);
-    else
-      for (const a of core)
-        w.net.cutBoth(
-          [a],
-          core.filter((b) => b !== a),
-        );
-    await press(w, 'u', 6000, everyFront(w));
-    w.net.mend();
-    await w.clock.run(8000);
-    await press(w, 'v', 1500, everyFront(w));
-    assertLeft(up, 's1', at);
-    assert.ok(began(w, 's2', at + 14000) > 20);
-  }
-});
+list(
+  'after a partition of the controls, or of a front from them, nothing is sent late',
+  async () => {
+    for (const seed of seeds) {
+      const up = await listUp(seed);
+      const { w, shown } = up;
+      const core = w.of('control').map((m) => m.addr);
+      const [lone] = w.of('front').map((m) => m.addr);
+      if (lone === undefined) throw new Error('no front');
+      const at = shown.mark('s1');
+      if (seed % 2 === 0) w.net.cutBoth([lone], core);
+      else
+        for (const a of core)
+          w.net.cutBoth(
+            [a],
+            core.filter((b) => b !== a),
+          );
+      await press(w, 'u', 6000, everyFront(w));
+      w.net.mend();
+      await w.clock.run(8000);
+      await press(w, 'v', 1500, everyFront(w));
+      assertLeft(up, 's1', at);
+      assert.ok(began(w, 's2', at + 14000) > 20);
+    }
+  },
+);
 
 list('an agent that starts anew while there is no master frees no barred server', async () => {
   for (const seed of seeds) {
--- a/tests/src/support/operator-world.ts
+++ b/tests/src/support/operator-world.ts
@@ -4,7 +4,7 @@
 import { World } from '@tillerstair/sim';
 import { small } from './world-helpers.js';
 
-export const way = (name: string, more: object = {}) => ({
+export const platformRoute = (name: string, more: object = {}) => ({
   name,
   host: 'a.example',
   pathPrefix: `/${name}/`,
@@ -31,7 +31,7 @@
   models: [{ name: 'm' }],
 };
 
-export const depot = (name: string, more: object = {}) => ({
+export const platformService = (name: string, more: object = {}) => ({
   name,
   healthPath: '/health',
   connLimit: 240,
@@ -41,11 +41,11 @@
   ...more,
 });
 
-export const whole = (edition: number, more: object = {}) => ({
+export const platformConfiguration = (edition: number, more: object = {}) => ({
   edition,
   ways: [
-    way('r1'),
-    way('r2', {
+    platformRoute('r1'),
+    platformRoute('r2', {
       wayKind: 'keyed_once',
       urgency: 3,
       depot: null,
@@ -56,7 +56,7 @@
       retained: true,
     }),
   ],
-  depots: [depot('d1', { engine }), depot('d2', { selfDedupes: true })],
+  depots: [platformService('d1', { engine }), platformService('d2', { selfDedupes: true })],
   intakeLimits: {
     maxHeaderBytes: 16384,
     maxBodyBytes: 4194304,
@@ -66,9 +66,9 @@
   ...more,
 });
 
-export const text = (v: unknown): string => JSON.stringify(v);
+export const jsonText = (v: unknown): string => JSON.stringify(v);
 
-export const up = async (seed: number, sizes = small): Promise<World> => {
+export const startWorld = async (seed: number, sizes = small): Promise<World> => {
   const w = new World(seed, sizes);
   w.start();
   await w.clock.until('a master', () => w.master !== undefined, 12000);
@@ -77,7 +77,7 @@
   return w;
 };
 
-export const deskOf = (w: World, n?: number) => {
+export const operatorAt = (w: World, n?: number) => {
   const node = n === undefined ? w.master?.control : w.of('control')[n]?.control;
   if (!node) throw new Error('no control');
   const desk = new OperatorDesk((o) => node.operate(o));
@@ -89,7 +89,7 @@
     ): Promise<OperatorResponse> =>
       w.clock.finish(
         method,
-        desk.change(method, String(base), typeof body === 'string' ? body : text(body)),
+        desk.change(method, String(base), typeof body === 'string' ? body : jsonText(body)),
         30000,
       ),
     read: () => w.clock.finish('GET', desk.read(), 30000),
