--- a/tests/src/control/operator-answers.test.ts
+++ b/tests/src/control/operator-answers.test.ts
@@ -23,59 +23,58 @@
   '{',
 ];
 
+const invalidConfigurations: readonly (readonly [string, unknown])[] = [
+  ['not JSON', '{"edition": 7, "ways": ['],
+  ['no depots', { edition: 7, ways: [] }],
+  ['unknown service', platformConfiguration(7, { ways: [platformRoute('r1', { depot: 'none' })] })],
+  [
+    'unknown service in shares',
+    platformConfiguration(7, {
+      ways: [
+        platformRoute('r1', {
+          depot: undefined,
+          dispatch: [
+            { depot: 'd1', share: 1 },
+            { depot: 'x', share: 0 },
+          ],
+        }),
+      ],
+    }),
+  ],
+  ['no service', platformConfiguration(7, { ways: [platformRoute('r1', { depot: undefined })] })],
+  [
+    'same host and prefix',
+    platformConfiguration(7, {
+      ways: [platformRoute('r1'), platformRoute('r5', { pathPrefix: '/r1/', host: 'A.example' })],
+    }),
+  ],
+  [
+    'weights of 0',
+    platformConfiguration(7, {
+      ways: [
+        platformRoute('r1', {
+          depot: undefined,
+          dispatch: [
+            { depot: 'd1', share: 0 },
+            { depot: 'd2', share: 0 },
+          ],
+        }),
+      ],
+    }),
+  ],
+  ['no deadline', platformConfiguration(7, { ways: [platformRoute('r1', { deadlineMs: 0 })] })],
+  ['the current edition', platformConfiguration(5, { intakeLimits: undefined })],
+  ['an edition below', platformConfiguration(4)],
+];
+
 answers('an invalid configuration is rejected with findings and changes nothing', async () => {
   const w = await startWorld(49);
   const desk = operatorAt(w);
   assert.is((await desk.change('PUT', 0, platformConfiguration(5))).status, 200);
-  const bad: readonly (readonly [string, unknown])[] = [
-    ['not JSON', '{"edition": 7, "ways": ['],
-    ['no depots', { edition: 7, ways: [] }],
-    [
-      'unknown service',
-      platformConfiguration(7, { ways: [platformRoute('r1', { depot: 'none' })] }),
-    ],
-    [
-      'unknown service in shares',
-      platformConfiguration(7, {
-        ways: [
-          platformRoute('r1', {
-            depot: undefined,
-            dispatch: [
-              { depot: 'd1', share: 1 },
-              { depot: 'x', share: 0 },
-            ],
-          }),
-        ],
-      }),
-    ],
-    ['no service', platformConfiguration(7, { ways: [platformRoute('r1', { depot: undefined })] })],
-    [
-      'same host and prefix',
-      platformConfiguration(7, {
-        ways: [platformRoute('r1'), platformRoute('r5', { pathPrefix: '/r1/', host: 'A.example' })],
-      }),
-    ],
-    [
-      'weights of 0',
-      platformConfiguration(7, {
-        ways: [
-          platformRoute('r1', {
-            depot: undefined,
-            dispatch: [
-              { depot: 'd1', share: 0 },
-              { depot: 'd2', share: 0 },
-            ],
-          }),
-        ],
-      }),
-    ],
-    ['no deadline', platformConfiguration(7, { ways: [platformRoute('r1', { deadlineMs: 0 })] })],
-    ['the current edition', platformConfiguration(5, { intakeLimits: undefined })],
-    ['an edition below', platformConfiguration(4)],
-  ];
-  for (const [what, body] of bad) assert.is((await desk.change('PUT', 5, body)).status, 400, what);
+  for (const [what, body] of invalidConfigurations)
+    assert.is((await desk.change('PUT', 5, body)).status, 400, what);
   assert.match(
-    jsonText((await desk.change('PUT', 5, bad[2]?.[1])).body),
+    jsonText((await desk.change('PUT', 5, invalidConfigurations[2]?.[1])).body),
     'pool none is not in this file',
   );
   for (const p of invalidPatches)
