--- a/packages/zen/src/bootstrapper.ts
+++ b/packages/zen/src/bootstrapper.ts
@@ -7,7 +7,7 @@
 import { closureOf, clusterIdOf, membersKey, type BootstrapView } from './bootstrap-closure.js';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
-import { BootstrapVote, BootstrapVoteResponse } from './messages.js';
+import { BootstrapVoteResponse, type BootstrapVote } from './messages.js';
 
 /** What a bootstrapper needs of its node. */
 export interface BootstrapperOptions {
@@ -55,7 +55,7 @@
       this.unchangedSince = this.clock.now();
       return false;
     }
-    if (this.clock.now() - this.unchangedSince < this.bounds.bootstrapStillFor) return false;
+    if (this.clock.now() - this.unchangedSince < this.bounds.bootstrapStablePeriod) return false;
     if (members[0]?.id !== view.localMember.id) return false;
     return this.propose(view.localMember, members);
   }
@@ -88,7 +88,7 @@
   ): Promise<boolean> {
     try {
       const body = { from: localMember, members };
-      const timeoutMs = this.bounds.joinWait;
+      const timeoutMs = this.bounds.joinTimeout;
       const response = await this.transport.call(voter.addr, 'zen/bootstrap', body, { timeoutMs });
       return BootstrapVoteResponse.parse(response).yes;
     } catch (e) {
@@ -115,8 +115,10 @@
   }
 
   /** Answers another control's proposal: yes only if the local last round saw exactly these members. */
-  async onVoteRequest(localMember: Member, body: unknown): Promise<BootstrapVoteResponse> {
-    const { members } = BootstrapVote.parse(body);
+  async onVoteRequest(
+    localMember: Member,
+    { members }: BootstrapVote,
+  ): Promise<BootstrapVoteResponse> {
     if (membersKey(members) !== this.lastClosureKey) return { yes: false };
     return { yes: await this.vote(localMember, members) };
   }
--- a/packages/zen/src/master.ts
+++ b/packages/zen/src/master.ts
@@ -11,11 +11,17 @@
 import type { ElectionStore } from './election-store.js';
 import { FrontBarrier } from './front-barrier.js';
 import { NotMasterError } from './master-errors.js';
-import type { Change, Committed, MasterOptions, MasterStatus, MasterView } from './master-types.js';
+import type {
+  Change,
+  CommittedState,
+  MasterOptions,
+  MasterStatus,
+  MasterView,
+} from './master-types.js';
 import { checkMastership } from './mastership-check.js';
 import { Mastership } from './mastership.js';
 import { MemberContacts } from './member-contacts.js';
-import { ValidateResponse, type Join, type MasterPing } from './messages.js';
+import { ValidateResponse, type Join, type JoinResponse, type MasterPing } from './messages.js';
 import { NodesFaultDetector } from './nodes-fault-detector.js';
 import { PublishedState } from './published-state.js';
 import { Publisher } from './publisher.js';
@@ -113,7 +119,7 @@
 
   /**
    * Publishes the newest accepted state under this term, with this control and those that voted for it on the list;
-   * whatever an earlier master committed is thereby kept. Resolves once that is committed.
+   * whatever an earlier master committed stays in force. Resolves once that is committed.
    *
    * @param askedAt - Clock time, in ms, at which the votes were asked for.
    */
@@ -135,11 +141,11 @@
     });
   }
 
-  submit(change: Change): Promise<Committed> {
+  submit(change: Change): Promise<CommittedState> {
     return this.changes.submit(change);
   }
 
-  decide(change: Change): Promise<Committed> {
+  decide(change: Change): Promise<CommittedState> {
     return this.changes.decide(change);
   }
 
@@ -147,7 +153,7 @@
     return this.quorumRead.confirm();
   }
 
-  inForce(committed: Committed): Promise<void> {
+  waitUntilInForce(committed: CommittedState): Promise<void> {
     return this.fronts.passed(committed);
   }
 
@@ -155,11 +161,11 @@
     return this.contacts.unresponsiveFor(memberId);
   }
 
-  heard(memberId: string): boolean {
+  isResponsive(memberId: string): boolean {
     return this.contacts.isResponsive(memberId, this.bounds.heartbeatInterval);
   }
 
-  reach(peers: readonly Member[]): Promise<ReadonlySet<string>> {
+  pingPeers(peers: readonly Member[]): Promise<ReadonlySet<string>> {
     const { clusterId } = this.published.base;
     return pingPeers(
       { transport: this.transport, bounds: this.bounds },
@@ -168,7 +174,7 @@
     );
   }
 
-  synced(memberId: string): boolean {
+  holdsCommitted(memberId: string): boolean {
     return memberId === this.me.id || this.sender.holds(memberId, versionOf(this.committed));
   }
 
@@ -180,10 +186,10 @@
   /**
    * Takes a node into the cluster: once it has validated its join, it is put on the list and sent the state in full.
    *
-   * @throws NotMasterError if the node has voted in a later term, which ends this mastership; the node's own error if
-   * it does not validate.
+   * @throws NotMasterError if the node has voted in a later term, which ends this mastership; the node's error if it
+   * does not validate.
    */
-  async onJoin(join: Join): Promise<{ readonly term: number }> {
+  async onJoin(join: Join): Promise<JoinResponse> {
     const member = join.from;
     if (join.term > this.term) {
       this.stepDown(`${member.addr} joins with term ${join.term}`);
@@ -258,7 +264,7 @@
     };
     ValidateResponse.parse(
       await this.transport.call(member.addr, 'zen/validate', body, {
-        timeoutMs: this.bounds.joinWait,
+        timeoutMs: this.bounds.joinTimeout,
       }),
     );
   }
--- a/tests/src/sim/never-list-while-serving.test.ts
+++ b/tests/src/sim/never-list-while-serving.test.ts
@@ -128,7 +128,8 @@
           woken = true;
         }
         for (const m of w.of('front'))
-          if (!m.incarnation.frozen) going.push(w.turn(p.program, null, `l #${seed}-${i}`, `l${i++}`, m));
+          if (!m.incarnation.frozen)
+            going.push(w.turn(p.program, null, `l #${seed}-${i}`, `l${i++}`, m));
         await w.clock.run(100);
       }
       await w.clock.finish('all', Promise.all(going), 60000);
--- a/tests/src/zen/discovery-under-failure.test.ts
+++ b/tests/src/zen/discovery-under-failure.test.ts
@@ -121,12 +121,12 @@
   for (const seed of seeds) {
     const w = await worldUp(seed, small);
     const old = w.master;
-    const others = w
-      .of('control')
-      .filter((m) => m !== old)
-      .sort((a, b) => ((a.control?.id ?? '') < (b.control?.id ?? '') ? -1 : 1));
-    if (!old || others.length !== 2) throw new Error('three controls are needed');
-    const [behind] = others;
+    const others = w.of('control').filter((m) => m !== old);
+    assert.is(others.length, 2, 'three controls are needed');
+    const [behind] = [...others].sort((a, b) =>
+      (a.control?.id ?? '') < (b.control?.id ?? '') ? -1 : 1,
+    );
+    if (!old) throw new Error('a master is needed');
     w.net.cutBoth(
       [behind.addr],
       w.machines.map((m) => m.addr).filter((a) => a !== behind.addr),
@@ -151,19 +151,18 @@
     const both = await w.clock.finish(
       'both',
       Promise.all(
-        [a, b].flatMap(
-          (m, i) =>
-            m.control?.operate({
-              method: 'PUT',
-              path: '/v1/config',
-              body: configText(1, 'models', 'shop', i + 1),
-            }) ?? [],
+        [a, b].map(async (m, i) =>
+          m.control?.operate({
+            method: 'PUT',
+            path: '/v1/config',
+            body: configText(1, 'models', 'shop', i + 1),
+          }),
         ),
       ),
       20000,
     );
-    assert.equal(both.map((o) => o.status).sort(), [200, 409]);
-    assert.match(JSON.stringify(both.find((o) => o.status === 409)?.body), '"current":2');
+    assert.equal(both.map((o) => o?.status).sort(), [200, 409]);
+    assert.match(JSON.stringify(both.find((o) => o?.status === 409)?.body), '"current":2');
   }
 });
 
@@ -211,7 +210,7 @@
       const w = await worldUp(seed, small);
       const master = w.master;
       const others = w.of('control').filter((m) => m !== master);
-      assert.is(others.length, 2, 'three controls are needed');
+      assert.is(others.length, 2);
       const [c, d] = others;
       const before = c.control?.id ?? '';
       c.kill('power');
--- a/tests/src/zen/election-store.test.ts
+++ b/tests/src/zen/election-store.test.ts
@@ -131,11 +131,16 @@
   const { clock, platter, open } = rig();
   platter.failSyncs = true;
   let isOpen = false;
-  const opened = DiskElectionStore.open(platter.disk(clock, new Incarnation()), () => 'me', 1 << 20, {
-    clock,
-    syncWithin: 1500,
-    retryEvery: 250,
-  }).then(() => {
+  const opened = DiskElectionStore.open(
+    platter.disk(clock, new Incarnation()),
+    () => 'me',
+    1 << 20,
+    {
+      clock,
+      syncWithin: 1500,
+      retryEvery: 250,
+    },
+  ).then(() => {
     isOpen = true;
   });
   await clock.run(5000);
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -32,7 +32,7 @@
   data: '',
   name: '',
 });
-const [a, b, c] = ['a', 'b', 'c'].map((id) => member(id));
+const [a, b, c] = [member('a'), member('b'), member('c')];
 const base = bootstrapState('x', [a, b, c], 8);
 const at = (term: number, version: number, master = 'a'): State => ({
   ...base,
