--- a/packages/sim/src/model-rig.ts
+++ b/packages/sim/src/model-rig.ts
@@ -1,76 +1,58 @@
-/** The simulated controls of a model run, with the operators that call them and the troubles that befall them. */
-import type { OperatorResponse } from '@tillerstair/control';
-import { configDigest } from '@tillerstair/state';
-import { z } from 'zod';
+/** Runs the actions of a model run on simulated controls and checks every statement that a node makes. */
 import type { Machine } from './machine.js';
-import {
-  atMaster,
-  type CutDirection,
-  type DiskFault,
-  type ModelAction,
-  type ModelRun,
-} from './model-actions.js';
-import { ModelHistory, type CallStart, type SentConfig } from './model-history.js';
+import { atMaster, type ModelAction, type ModelRun } from './model-actions.js';
+import { modelBounds, ModelDisturbances } from './model-disturbances.js';
+import { ModelHistory, type SentConfig } from './model-history.js';
 import { ModelNodes } from './model-nodes.js';
-import type { SimPlatter } from './sim-platter.js';
-import { stormConfig } from './storm-config.js';
+import { ModelOperators } from './model-operators.js';
 import { seededRng } from './random.js';
 import { World } from './world.js';
 
-/** Short bounds, so that a run of a minute of them stays cheap. */
-const bounds = {
-  serveWithin: 2400,
-  drainingWithin: 600,
-  heartbeatInterval: 200,
-  failureTimeout: 600,
-};
 const mostControls = 7;
-/** Once all troubles have ended, reads and changes succeed within this time. */
+/** Once all disturbances have ended, reads and changes succeed within this time. */
 const healedWithinMs = 60000;
-const usualDiskMs = 0.2;
-const slowDiskMs = 120;
-
-const Read = z.object({ version: z.number(), text: z.string() });
-const WrongBase = z.object({ errorCode: z.literal('wrong-base'), current: z.number() });
-
-type Answer = () => void;
+const pollMs = 20;
+/** Time that goes on after each action. */
+const actionMs = 2;
+/** How often, at each poll, a client tries again. */
+const retryShare = 0.1;
+
+/** What an action does to the rig. */
+type ActionHandlers = {
+  readonly [Kind in ModelAction['kind']]: (
+    action: Extract<ModelAction, { readonly kind: Kind }>,
+  ) => void;
+};
 
-/** Runs the actions of a model run and checks every statement that a node makes. */
+/** One run: its world, the history that its statements are checked against, and what was done. */
 export class ModelRig {
   readonly history = new ModelHistory();
+  readonly actions: ModelAction[] = [];
   private readonly nodes = new ModelNodes(this.history);
+  private readonly operators = new ModelOperators(this.history);
+  private readonly disturbances: ModelDisturbances;
   private readonly world: World;
   private readonly rng: () => number;
-  private readonly sent: SentConfig[] = [];
-  private answers: Answer[] = [];
-  private network = { lost: 0, late: 0, repeated: 0 };
-  readonly actions: ModelAction[] = [];
 
   constructor(
     readonly seed: number,
     readonly controls: number,
   ) {
     this.rng = seededRng(seed * 31 + 7);
-    this.world = new World(seed, { controls, stores: 0, fronts: 0, outer: bounds });
+    this.world = new World(seed, { controls, stores: 0, fronts: 0, outer: modelBounds });
     this.world.skewed = true;
-    this.world.net.onAnswer = (a) => this.nodes.answered(a);
-    this.world.net.fate = () => ({
-      lost: this.chance(this.network.lost),
-      lateBy: this.chance(this.network.late) ? this.rng() * bounds.failureTimeout : 0,
-      repeats: this.chance(this.network.repeated) ? 1 : 0,
-    });
+    this.world.net.onAnswer = (answer) => this.nodes.answered(answer);
+    this.disturbances = new ModelDisturbances(this.world, this.nodes, this.history, this.rng);
   }
 
+  /** The run so far, to be repeated. */
   get run(): ModelRun {
     return { seed: this.seed, controls: this.controls, actions: this.actions };
   }
 
-  set trace(say: (line: string) => void) {
-    this.world.trace = say;
-  }
-
-  private chance(percent: number): boolean {
-    return percent > 0 && this.rng() * 100 < percent;
+  /** Gets the log lines of all nodes. */
+  set trace(onLine: (line: string) => void) {
+    this.world.trace = onLine;
   }
 
   /** Starts the controls and waits for the first master. */
@@ -80,53 +62,45 @@
   }
 
   /** Whether an action stays within the losses that the cluster is to bear. */
-  allows(a: ModelAction): boolean {
-    switch (a.kind) {
-      case 'wipe':
-        return this.mayLoseDisk(this.at(a.at));
-      case 'replace':
-        return this.world.machines.length > 2 && this.mayLoseDisk(this.at(a.at));
-      case 'add':
-        return this.world.machines.length < mostControls;
-      case 'resend':
-        return this.sent.length > 0;
-      default:
-        return true;
-    }
+  allows(action: ModelAction): boolean {
+    if (action.kind === 'wipe') return this.disturbances.mayLoseDisk(this.at(action.at));
+    if (action.kind === 'replace')
+      return this.world.machines.length > 2 && this.disturbances.mayLoseDisk(this.at(action.at));
+    if (action.kind === 'add') return this.world.machines.length < mostControls;
+    return action.kind !== 'resend' || this.operators.hasSent;
+  }
+
+  /** Does one action and lets a little time go on. */
+  async act(action: ModelAction): Promise<void> {
+    this.actions.push(action);
+    this.apply(action);
+    await this.advance(action.kind === 'wait' ? action.ms : actionMs);
   }
 
-  /** A disk may go if, without it, a majority of the voters has the newest committed state on disk. */
-  private mayLoseDisk(m: Machine): boolean {
-    const s = this.history.newest;
-    if (!s) return false;
-    const kept = new Set(
-      this.world.machines.filter((x) => x !== m).map((x) => this.nodes.identityOf(x)),
-    );
-    return [s.voters.current, s.voters.next].every(
-      (group) =>
-        group.filter((id) => kept.has(id) && this.nodes.stores(id, s)).length * 2 > group.length,
-    );
+  /** Heals everything and reads and writes once more: all that was acknowledged is still there. */
+  async finish(): Promise<void> {
+    this.disturbances.heal();
+    await this.readAndWrite();
   }
 
-  private at(n: number): Machine {
+  private at(index: number): Machine {
     const { machines, master } = this.world;
-    const m = n === atMaster && master ? master : machines[Math.max(0, n) % machines.length];
-    if (!m) throw new Error('there is no machine');
-    return m;
+    if (index === atMaster && master) return master;
+    const machine = machines.at(Math.max(0, index) % machines.length);
+    if (!machine) throw new Error('there is no machine');
+    return machine;
   }
 
   private observe(): void {
-    for (const m of this.world.machines) {
-      const { control } = m;
+    for (const machine of this.world.machines) {
+      const { control } = machine;
       if (!control) continue;
-      const led = control.zen.leading?.committed;
-      if (led) this.history.committed(m.addr, led);
-      if (control.zen.applied) this.history.committed(m.addr, control.zen.applied);
-      this.nodes.observe(m, this.world.clock.now());
+      const committed = control.zen.leading?.committed;
+      if (committed) this.history.committed(machine.addr, committed);
+      if (control.zen.applied) this.history.committed(machine.addr, control.zen.applied);
+      this.nodes.observe(machine, this.world.clock.now());
     }
-    const { answers } = this;
-    this.answers = [];
-    for (const answer of answers) answer();
+    this.operators.checkAnswers();
   }
 
   private async advance(ms: number): Promise<void> {
@@ -146,236 +120,88 @@
         this.history.broken('serves again once healed', `${what}: not within ${healedWithinMs} ms`);
         return false;
       }
-      await this.advance(20);
+      await this.advance(pollMs);
     }
     return true;
   }
 
-  private later(ms: number, run: () => void): void {
-    this.world.clock.after(ms, run);
-  }
-
-  async act(a: ModelAction): Promise<void> {
-    this.actions.push(a);
-    await this.apply(a);
-    await this.advance(a.kind === 'wait' ? a.ms : 2);
-  }
-
-  private async apply(a: ModelAction): Promise<void> {
-    switch (a.kind) {
-      case 'network':
-        this.network = a;
-        return;
-      case 'cut':
-        return this.cut([this.at(a.at)], a.direction, a.ms);
-      case 'split':
-        return this.cut(
-          this.world.machines.filter((_, i) => ((a.members >> i) & 1) === 1),
-          'both',
-          a.ms,
-        );
-      case 'freeze':
-        return this.freeze(this.at(a.at), a.ms);
-      case 'kill':
-        return this.kill(this.at(a.at), a.power ? 'power' : 'process', a.ms);
-      case 'power-all':
-        for (const m of this.world.machines) this.kill(m, 'power', a.ms);
-        return;
-      case 'wipe':
-        return this.wipe(this.at(a.at), a.ms);
-      case 'replace':
-        return a.planned ? this.replacePlanned(this.at(a.at)) : this.replace(this.at(a.at));
-      case 'add':
-        this.world.add('control').start();
-        return;
-      case 'slow-disk':
-      case 'full-disk':
-      case 'stalled-disk':
-        return this.disturbDisk(this.at(a.at), a.kind, a.ms);
-      case 'put':
-        return this.put(
-          this.at(a.at),
-          this.configOn(
-            a.stale
-              ? Math.max(0, this.history.committedVersion - 1)
-              : this.history.committedVersion,
-          ),
-        );
-      case 'race':
-        this.put(this.at(a.at), this.configOn(this.history.committedVersion));
-        return this.put(this.at(a.other), this.configOn(this.history.committedVersion));
-      case 'resend': {
-        const config = this.sent[this.sent.length - 1 - (a.which % this.sent.length)];
-        if (config) this.put(this.at(a.at), config);
-        return;
-      }
-      case 'read':
-        return this.read(this.at(a.at));
-      case 'read-all':
-        for (const m of this.world.machines) this.read(m);
-        return;
-      case 'heal':
-        return this.heal();
-      case 'wait':
-        return;
-    }
-  }
-
-  private cut(group: readonly Machine[], direction: CutDirection, ms: number): void {
-    const rest = this.world.machines.filter((m) => !group.includes(m));
-    const pairs = group.flatMap((a) => rest.flatMap((b) => pairsOf(a.addr, b.addr, direction)));
-    for (const [from, to] of pairs) this.world.net.cut(from, to);
-    this.later(ms, () => this.world.net.uncut(pairs));
-  }
-
-  private freeze(m: Machine, ms: number): void {
-    const { incarnation: life } = m;
-    m.freeze();
-    this.later(ms, () => {
-      if (m.incarnation === life) m.wake();
-    });
-  }
-
-  private kill(m: Machine, how: 'process' | 'power', ms: number): void {
-    m.kill(how);
-    const { incarnation: life } = m;
-    this.later(ms, () => {
-      if (m.incarnation === life && this.world.machines.includes(m)) m.start();
-    });
-  }
-
-  private wipe(m: Machine, ms: number): void {
-    this.kill(m, 'power', ms);
-    m.platter.wipe();
-    this.nodes.diskLost(m);
-  }
-
-  private replace(m: Machine): void {
-    m.kill('power');
-    this.world.remove(m);
-    this.world.add('control').start();
-  }
-
-  private replacePlanned(m: Machine): void {
-    this.world.add('control').start();
-    this.later(bounds.failureTimeout * 4, () => {
-      const { control } = m;
-      if (!control || !this.world.machines.includes(m) || !this.mayLoseDisk(m)) return;
-      const end = (): void => {
-        if (!this.world.machines.includes(m)) return;
-        m.kill('power');
-        this.world.remove(m);
-      };
-      m.incarnation.do(() => void control.stop().catch(() => undefined));
-      this.later(bounds.failureTimeout, () => {
-        if (this.mayLoseDisk(m)) end();
-        else if (this.world.machines.includes(m)) this.kill(m, 'process', bounds.heartbeatInterval);
-      });
-    });
-  }
-
-  private disturbDisk({ platter }: Machine, kind: DiskFault, ms: number): void {
-    if (kind === 'slow-disk') platter.delay = slowDiskMs;
-    if (kind === 'full-disk') platter.full = true;
-    if (kind === 'stalled-disk') platter.stalled = true;
-    this.later(ms, () => endDiskTrouble(platter));
-  }
-
-  private configOn(base: number): SentConfig {
-    const text =
-      stormConfig({ base, turnPools: ['models'], callPool: 'shop', extra: 0 }) +
-      ' '.repeat(this.sent.length + 1);
-    const config = { version: base + 1, base, digest: configDigest(text), text };
-    this.sent.push(config);
-    return config;
-  }
-
-  private put(m: Machine, config: SentConfig): void {
-    this.call(m, 'PUT', config.text, (out, start) => {
-      if (out.status === 200) return this.history.acknowledged(config, m.addr);
-      const wrong = WrongBase.safeParse(out.body);
-      if (out.status === 409) this.history.refused(config, m.addr, start, wrong.data?.current);
-    });
+  private readonly handlers: ActionHandlers = {
+    network: (action) => {
+      this.disturbances.network = action;
+    },
+    cut: ({ at, direction, ms }) => this.disturbances.cut([this.at(at)], direction, ms),
+    split: ({ members, ms }) => {
+      const group = this.world.machines.filter((_, i) => ((members >> i) & 1) === 1);
+      this.disturbances.cut(group, 'both', ms);
+    },
+    freeze: ({ at, ms }) => this.disturbances.freeze(this.at(at), ms),
+    kill: ({ at, power, ms }) =>
+      this.disturbances.kill(this.at(at), power ? 'power' : 'process', ms),
+    'power-all': ({ ms }) => {
+      for (const machine of this.world.machines) this.disturbances.kill(machine, 'power', ms);
+    },
+    wipe: ({ at, ms }) => this.disturbances.wipe(this.at(at), ms),
+    replace: ({ at, planned }) => {
+      if (planned) this.disturbances.replacePlanned(this.at(at));
+      else this.disturbances.replace(this.at(at));
+    },
+    add: () => this.world.add('control').start(),
+    'slow-disk': ({ at, kind, ms }) => this.disturbances.disturbDisk(this.at(at), kind, ms),
+    'full-disk': ({ at, kind, ms }) => this.disturbances.disturbDisk(this.at(at), kind, ms),
+    'stalled-disk': ({ at, kind, ms }) => this.disturbances.disturbDisk(this.at(at), kind, ms),
+    put: ({ at, stale }) => this.put(at, stale),
+    race: ({ at, other }) => {
+      this.operators.put(this.at(at), this.newConfig());
+      this.operators.put(this.at(other), this.newConfig());
+    },
+    resend: ({ at, which }) => {
+      const config = this.operators.sentBefore(which);
+      if (config) this.operators.put(this.at(at), config);
+    },
+    read: ({ at }) => this.operators.read(this.at(at)),
+    'read-all': () => {
+      for (const machine of this.world.machines) this.operators.read(machine);
+    },
+    wait: () => undefined,
+    heal: () => this.disturbances.heal(),
+  };
+
+  // eslint-disable-next-line @typescript-eslint/no-unnecessary-type-parameters -- it ties the handler's parameter to the kind
+  private apply<Kind extends ModelAction['kind']>(
+    action: Extract<ModelAction, { readonly kind: Kind }>,
+  ): void {
+    this.handlers[action.kind](action);
   }
 
-  private read(m: Machine, onRead: (version: number) => void = () => undefined): void {
-    this.call(m, 'GET', '', (out, start) => {
-      if (out.status === 404) this.history.read(undefined, m.addr, start);
-      if (out.status !== 200) return;
-      const found = Read.parse(out.body);
-      this.history.read(
-        { version: found.version, digest: configDigest(found.text) },
-        m.addr,
-        start,
-      );
-      onRead(found.version);
-    });
+  private newConfig(): SentConfig {
+    return this.operators.configOn(this.history.committedVersion);
   }
 
-  /** Calls a control as a client does: while its process is frozen or dead, nothing is taken and nothing answered. */
-  private call(
-    m: Machine,
-    method: string,
-    body: string,
-    onAnswer: (out: OperatorResponse, start: CallStart) => void,
-  ): void {
-    const { control, incarnation: life } = m;
-    if (!control) return;
-    const start = this.history.begin();
-    life.do(() => {
-      void control.operate({ method, path: '/v1/config', body }).then(
-        (out) => life.do(() => this.answers.push(() => onAnswer(out, start))),
-        () => undefined,
-      );
-    });
-  }
-
-  private heal(): void {
-    this.network = { lost: 0, late: 0, repeated: 0 };
-    this.world.net.healCuts();
-    for (const m of this.world.machines) {
-      if (m.incarnation.frozen) m.wake();
-      if (!m.up) m.start();
-      endDiskTrouble(m.platter);
-    }
+  private put(at: number, stale: boolean): void {
+    const machine = this.at(at);
+    const { committedVersion } = this.history;
+    const base = stale ? Math.max(0, committedVersion - 1) : committedVersion;
+    this.operators.put(machine, this.operators.configOn(base));
   }
 
-  /** Heals everything and reads and writes once more: all that was acknowledged is still there. */
-  async finish(): Promise<void> {
-    this.heal();
-    await this.readAndWrite();
+  private anyMachine(): Machine {
+    return this.at(Math.floor(this.rng() * this.world.machines.length));
   }
 
   private async readAndWrite(): Promise<void> {
     let read = -1;
-    const askAt = (): Machine => this.at(Math.floor(this.rng() * this.world.machines.length));
-    const readBack = await this.advanceUntil('a read', () => {
-      if (read < 0 && this.rng() < 0.1) this.read(askAt(), (version) => (read = version));
+    const hasRead = await this.advanceUntil('a read', () => {
+      if (read < 0 && this.rng() < retryShare)
+        this.operators.read(this.anyMachine(), (version) => (read = version));
       return read >= 0 || (this.history.newest !== undefined && !this.history.newest.config);
     });
-    if (!readBack) return;
-    const last = this.configOn(this.history.committedVersion);
+    if (!hasRead) return;
+    const last = this.newConfig();
     await this.advanceUntil('a last change', () => {
-      if (this.rng() < 0.1) this.put(askAt(), last);
+      if (this.rng() < retryShare) this.operators.put(this.anyMachine(), last);
       return this.history.committedVersion >= last.version;
     });
-    this.read(askAt());
-    await this.advance(bounds.failureTimeout);
+    this.operators.read(this.anyMachine());
+    await this.advance(modelBounds.failureTimeout);
   }
 }
-
-const endDiskTrouble = (platter: SimPlatter): void => {
-  platter.delay = usualDiskMs;
-  platter.full = false;
-  platter.stalled = false;
-};
-
-const pairsOf = (
-  a: string,
-  b: string,
-  direction: CutDirection,
-): readonly (readonly [string, string])[] => {
-  const out: readonly [string, string] = [a, b];
-  const back: readonly [string, string] = [b, a];
-  return direction === 'both' ? [out, back] : direction === 'out' ? [out] : [back];
-};
