--- /dev/null
+++ b/packages/sim/src/pending-work.ts
@@ -0,0 +1,18 @@
+/** Work that was begun and not waited for. */
+
+/** A set of promises that have not ended; how they end does not matter. */
+export class PendingWork {
+  private readonly pending = new Set<Promise<unknown>>();
+
+  get size(): number {
+    return this.pending.size;
+  }
+
+  add(work: Promise<unknown>): void {
+    this.pending.add(work);
+    const remove = (): void => {
+      this.pending.delete(work);
+    };
+    void work.then(remove, remove);
+  }
+}
