--- a/packages/sim/src/config-calls.ts
+++ b/packages/sim/src/config-calls.ts
@@ -1,3 +1,4 @@
+/** Operators' calls on the configuration, recorded for the check of their history. */
 import type { ConfigAnswer, ConfigCall } from '@tillerstair/checker';
 import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
 import { configDigest } from '@tillerstair/state';
--- a/packages/sim/src/control-model.ts
+++ b/packages/sim/src/control-model.ts
@@ -23,6 +23,7 @@
   readonly except?: readonly ModelRule[];
 }
 
+/** What came of a series of runs: how many, how many statements were checked, and the first that broke a rule. */
 export interface ModelResult {
   readonly runs: number;
   readonly checked: number;
@@ -35,7 +36,7 @@
   rig.history.findings.filter((f) => !except.includes(f.rule));
 
 const mustBeSound = (rig: ModelRig, except: readonly ModelRule[]): void => {
-  const [first] = findingsOf(rig, except);
+  const first = findingsOf(rig, except).at(0);
   if (first) throw new RuleBrokenError(`${first.rule}: ${first.text}`);
 };
 
--- a/packages/sim/src/faults-disk.ts
+++ b/packages/sim/src/faults-disk.ts
@@ -38,6 +38,7 @@
     return c.tools.runDiskLoss(() => c.tools.wipe(m, c.durationMs)) && m.addr;
   };
 
+/** These faults by name. */
 export const diskFaults: FaultTable = new Map<string, Fault>(
   kinds.flatMap((kind): [string, Fault][] => [
     [`slow-${kind}`, diskFault(kind, slow)],
--- a/packages/sim/src/faults-machine.ts
+++ b/packages/sim/src/faults-machine.ts
@@ -159,6 +159,7 @@
     return 'all';
   };
 
+/** These faults by name. */
 export const machineFaults: FaultTable = new Map<string, Fault>([
   ...kinds.flatMap((kind): [string, Fault][] => [
     [`kill-${kind}`, kill(kind, 'process')],
--- a/packages/sim/src/faults-members.ts
+++ b/packages/sim/src/faults-members.ts
@@ -176,6 +176,7 @@
   return some.map((m) => m.addr).join(' ');
 };
 
+/** These faults by name. */
 export const membershipFaults: FaultTable = new Map<string, Fault>([
   ['swap-control', replace('control')],
   ['swap-store', replace('store')],
--- a/packages/sim/src/faults-network.ts
+++ b/packages/sim/src/faults-network.ts
@@ -122,6 +122,7 @@
   return 'all';
 };
 
+/** These faults by name. */
 export const networkFaults: FaultTable = new Map<string, Fault>([
   ...kinds.flatMap((kind): [string, Fault][] => [
     [`cut-${kind}`, cut(kind, 'silent')],
--- a/packages/sim/src/faults-operator.ts
+++ b/packages/sim/src/faults-operator.ts
@@ -121,6 +121,7 @@
   return m.addr;
 };
 
+/** These faults by name. */
 export const operatorFaults: FaultTable = new Map<string, Fault>([
   ['config', repeated(1, (c) => c.storm.reconfigure())],
   ['many-configs', repeated(8, (c) => c.storm.reconfigure())],
--- a/packages/sim/src/faults-server.ts
+++ b/packages/sim/src/faults-server.ts
@@ -115,6 +115,7 @@
   return pairs.join(' ');
 };
 
+/** These faults by name. */
 export const serverFaults: FaultTable = new Map<string, Fault>([
   ['lose-outcomes', serverFault({ loseEvery: 3 })],
   ['cut-streams', serverFault({ cutEvery: 3 })],
--- a/packages/sim/src/index.ts
+++ b/packages/sim/src/index.ts
@@ -1,3 +1,7 @@
+/**
+ * The simulator: real node code on simulated clocks, networks and disks. It is for storms of faults, for the model test
+ * of the controls, and for tests; no daemon uses it.
+ */
 export * from './sim-clock.js';
 export * from './incarnation.js';
 export * from './sim-net.js';
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -1,3 +1,4 @@
+/** A simulated machine: its disk, and the real node code of its kind, started, killed, frozen and woken. */
 import { Agent } from '@tillerstair/agent';
 import { ControlNode } from '@tillerstair/control';
 import { Front } from '@tillerstair/proxy';
@@ -14,6 +15,7 @@
 import { SimPlatter } from './sim-platter.js';
 import type { SimCluster } from './sim-cluster.js';
 
+/** A machine of one kind; a front has two processes, the proxy and the agent, and each has an incarnation of its own. */
 export class Machine {
   readonly platter: SimPlatter;
   incarnation = new Incarnation();
@@ -23,7 +25,9 @@
   replicaStore: ReplicaStore | undefined;
   front: Front | undefined;
   agent: Agent | undefined;
+  /** Whether it was started and not killed since. */
   up = false;
+  /** Why its last start failed; empty if it did not. */
   startFailed = '';
   private readonly settings: ReloadableBounds;
 
@@ -61,6 +65,7 @@
     return { debug: at, info: at, warn: at, error: at };
   }
 
+  /** Starts all its processes, as new incarnations. */
   start(): void {
     const rate = this.world.skewed ? 0.97 + this.world.rng() * 0.06 : 1;
     this.incarnation = new Incarnation(rate);
@@ -169,15 +174,18 @@
       affinity: true,
     });
     const feed = w.net.transport(`${this.addr}/feed`, life);
-    await feed.serve(async (rpc) =>
-      rpc.kind === 'front/hello'
-        ? { id: front.p.id, addr: `${this.addr}/data`, http: '' }
-        : front.feed(rpc.body),
+    const hello = { id: front.p.id, addr: `${this.addr}/data`, http: '' };
+    await feed.serve(
+      (rpc) =>
+        new Promise((resolve) => {
+          resolve(rpc.kind === 'front/hello' ? hello : front.feed(rpc.body));
+        }),
     );
     await front.start();
     this.front = front;
   }
 
+  /** Ends all processes at once; with `power`, what was not synced may be lost. */
   kill(how: 'process' | 'power' = 'process'): void {
     this.incarnation.dead = true;
     this.proxyIncarnation.dead = true;
--- a/packages/sim/src/model-history.ts
+++ b/packages/sim/src/model-history.ts
@@ -16,6 +16,7 @@
   'reads hold every acknowledged change',
   'serves again once healed',
 ] as const;
+/** One of the rules. */
 export type ModelRule = (typeof modelRules)[number];
 
 /** A rule that was broken, with what showed it. */
--- a/packages/sim/src/pass.ts
+++ b/packages/sim/src/pass.ts
@@ -1,3 +1,4 @@
+/** Requests on pass routes, as callers send them and as storms and tests configure them. */
 import type { PassRecord } from '@tillerstair/checker';
 import { passOn } from '@tillerstair/proxy';
 import {
@@ -11,6 +12,7 @@
 import type { Machine } from './machine.js';
 import type { World } from './world.js';
 
+/** A request on a pass route; what is left out has a value that fits the route. */
 export interface PassSpec {
   readonly path: string;
   readonly body?: string;
@@ -51,91 +53,124 @@
   ];
 };
 
-const mannerOf = (path: string): PassRecord['manner'] => {
-  const name = path.split('/')[1];
-  return name === 'keyed' || name === 'own'
-    ? 'keyed'
-    : name === 'once'
-      ? 'once'
-      : name === 'again'
-        ? 'repeatable'
-        : 'stream';
-};
+const manners: ReadonlyMap<string, PassRecord['manner']> = new Map([
+  ['keyed', 'keyed'],
+  ['own', 'keyed'],
+  ['once', 'once'],
+  ['again', 'repeatable'],
+]);
+
+const mannerOf = (path: string): PassRecord['manner'] =>
+  manners.get(path.split('/').at(1) ?? '') ?? 'stream';
+
+const defaultMostTokens = 10;
+const defaultDeadlineMs = 8000;
+const promptTokens = 10;
+
+type Headers = PassRequest['headers'];
 
-const requestOf = (w: World, spec: PassSpec): PassRequest => {
-  const { path, key = '', program = '', budget = null, most = 10 } = spec;
-  const attempt = spec.attempt ?? `r${w.freshId()}`;
-  const streamed = mannerOf(path) === 'stream';
+const headersOf = (spec: PassSpec, attempt: string, most: number): Headers => {
+  const { path, key = '', program = '' } = spec;
   const headers: [string, string][] = [['x-request-id', attempt]];
   if (key !== '') headers.push(['operation-key', key]);
   if (program !== '') headers.push(['x-program', program]);
-  if (streamed) headers.push(['x-tokens', `10,${most}`]);
+  if (mannerOf(path) === 'stream') headers.push(['x-tokens', `${promptTokens},${most}`]);
+  return headers;
+};
+
+/** Where a turn stands in its conversation, and what is resumed. */
+const positionOf = ({
+  parts = [],
+  after = '',
+  resume = '',
+}: PassSpec): Pick<PassRequest, 'parts' | 'after' | 'resume'> => ({ parts, after, resume });
+
+const requestOf = (world: World, spec: PassSpec): PassRequest => {
+  const { path, key = '', program = '', budget = null, most = defaultMostTokens } = spec;
+  const attempt = spec.attempt ?? `r${world.freshId()}`;
   return {
     tenant: 't',
     host: passHost,
     method: 'POST',
     path,
-    headers,
+    headers: headersOf(spec, attempt, most),
     body: encodeBody(Buffer.from(spec.body ?? '', 'latin1')),
     attempt,
     key,
-    left: spec.deadlineMs ?? 8000,
+    left: spec.deadlineMs ?? defaultDeadlineMs,
     program,
     budget,
     most,
-    parts: spec.parts ?? [],
-    after: spec.after ?? '',
-    resume: spec.resume ?? '',
+    ...positionOf(spec),
   };
 };
 
-/** Sends a request on a pass route as a caller would, and records what the caller was told. */
-export const passAt = async (w: World, spec: PassSpec, at?: Machine): Promise<PassRecord> => {
-  const ask = requestOf(w, spec);
-  const from = w.clock.now();
-  let got = '';
-  let begun = false;
-  const v = await w.sendAsCaller(
+const outcomeOfError = (error: unknown): CallOutcome => {
+  const { code } = toRpcError(error);
+  return { outcome: code === 'not-ready' ? 'refused' : 'unknown', status: 503, errorCode: code };
+};
+
+/** What a caller has received of a response. */
+class ReceivedBody {
+  text = '';
+  private hasHead = false;
+
+  /** The first part is the head. */
+  add(index: number, text: string): void {
+    if (index === 0) this.hasHead = true;
+    else this.text += text;
+  }
+
+  get isPartial(): boolean {
+    return this.hasHead && this.text !== '';
+  }
+}
+
+const reportedOf = ({ outcome }: CallOutcome, received: ReceivedBody): PassRecord['reported'] =>
+  outcome !== 'done' && received.isPartial ? 'partial' : outcome;
+
+/** The status and body of a response that came in one piece, or else of what was received in parts. */
+const responseOf = (
+  outcome: CallOutcome,
+  received: ReceivedBody,
+): Pick<PassRecord, 'status' | 'body'> => {
+  const response = ForwardedResponse.safeParse(outcome.body).data;
+  if (response)
+    return { status: response.status, body: decodeBody(response.body).toString('latin1') };
+  return { status: outcome.outcome === 'done' ? 200 : outcome.status, body: received.text };
+};
+
+/** Sends a request on a pass route as a caller would, and records what the caller was answered. */
+export const passAt = async (world: World, spec: PassSpec, at?: Machine): Promise<PassRecord> => {
+  const request = requestOf(world, spec);
+  const from = world.clock.now();
+  const received = new ReceivedBody();
+  const outcome = await world.sendAsCaller(
     at,
-    (front, emit, gone) =>
-      passOn(
-        front,
-        ask,
-        emit,
-        spec.cancelled ? AbortSignal.any([gone, spec.cancelled]) : gone,
-      ).catch((e: unknown): CallOutcome => {
-        const m = toRpcError(e);
-        return {
-          outcome: m.code === 'not-ready' ? 'refused' : 'unknown',
-          status: 503,
-          errorCode: m.code,
-        };
-      }),
-    (n, text) => {
-      if (n === 0) begun = true;
-      else got += text;
+    (front, emit, timeout) => {
+      const signal = spec.cancelled ? AbortSignal.any([timeout, spec.cancelled]) : timeout;
+      return passOn(front, request, emit, signal).catch(outcomeOfError);
     },
+    (index, text) => received.add(index, text),
   );
-  const whole = ForwardedResponse.safeParse(v.body);
   const row: PassRecord = {
-    manner: mannerOf(ask.path),
-    path: ask.path,
-    resumable: ask.path.startsWith('/live/'),
-    key: ask.key,
-    attempt: ask.attempt,
-    program: ask.program,
-    budget: ask.budget,
-    most: ask.most,
-    after: ask.after,
+    manner: mannerOf(request.path),
+    path: request.path,
+    resumable: request.path.startsWith('/live/'),
+    key: request.key,
+    attempt: request.attempt,
+    program: request.program,
+    budget: request.budget,
+    most: request.most,
+    after: request.after,
     input: spec.body ?? '',
     from,
-    to: w.clock.now(),
-    reported: v.outcome === 'done' ? 'done' : begun && got !== '' ? 'partial' : v.outcome,
-    status: whole.success ? whole.data.status : v.outcome === 'done' ? 200 : v.status,
-    errorCode: v.errorCode ?? '',
-    retryAfter: v.retryAfter ?? 0,
-    body: whole.success ? decodeBody(whole.data.body).toString('latin1') : got,
+    to: world.clock.now(),
+    reported: reportedOf(outcome, received),
+    errorCode: outcome.errorCode ?? '',
+    retryAfter: outcome.retryAfter ?? 0,
+    ...responseOf(outcome, received),
   };
-  w.passes.push(row);
+  world.passes.push(row);
   return row;
 };
--- a/packages/sim/src/storm-config.ts
+++ b/packages/sim/src/storm-config.ts
@@ -1,5 +1,7 @@
+/** The configurations of storms: sound ones that differ from one another, and ones that must be refused. */
 import { passRoutes } from './pass.js';
 
+/** What a configuration is made from: its base, the pools of turns and calls, and how many routes more it has. */
 export interface StormConfig {
   readonly base: number;
   readonly turnPools: readonly string[];
@@ -12,6 +14,7 @@
 const usualDeadlineMs = 8000;
 const usualIdleMs = 60000;
 
+/** The text of a sound configuration. */
 export const stormConfig = ({
   base,
   turnPools,
--- a/packages/sim/src/storm-fault.ts
+++ b/packages/sim/src/storm-fault.ts
@@ -5,6 +5,7 @@
 import type { CutEffect } from './sim-net.js';
 import type { World } from './world.js';
 
+/** The kinds of machines. */
 export type MachineKind = Machine['kind'];
 
 /** One fault of a plan: the `n`-th, `gap` ms after the one before it. */
@@ -70,9 +71,11 @@
 /** Faults by name. */
 export type FaultTable = ReadonlyMap<string, Fault>;
 
+/** Any one of a list; undefined where it is empty. */
 export const pickOf = <T>(rng: () => number, from: readonly T[]): T | undefined =>
   from[Math.floor(rng() * from.length)];
 
+/** Any one of the servers that faults may befall. */
 export const serverFor = (rng: () => number): string =>
   pickOf(rng, faultyServers) ?? faultyServers[0];
 
--- a/packages/sim/src/storm-pass.ts
+++ b/packages/sim/src/storm-pass.ts
@@ -1,3 +1,4 @@
+/** The callers of a storm on pass routes. */
 import type { PassRecord } from '@tillerstair/checker';
 import { passAt, type PassSpec } from './pass.js';
 import type { Storm } from './storm.js';
