--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -1,3 +1,4 @@
+/** Sweeps on the processor time and memory that single steps cost, in the code that the roles run. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -34,7 +35,7 @@
 const packed = (v: unknown): string => deflateSync(JSON.stringify(v)).toString('base64');
 
 const withOneDraining = (s: State): State => {
-  const first = [...s.servers.keys()][0];
+  const first = [...s.servers.keys()].at(0);
   return next(
     first === undefined ? s : reduceState(s, { kind: 'server-mark', id: first, draining: true }),
   );
@@ -107,7 +108,7 @@
   ]);
 };
 
-const routeCost = async (routes: number): Promise<Values> => {
+const routeCost = (routes: number): Values => {
   const text = configOf(1, routes);
   const s = stateOf({ ...plainState, routes });
   const t = next(configured(s, routes + 1));
@@ -128,6 +129,9 @@
   ]);
 };
 
+const chunkTexts = (turn: number, count: number): string[] =>
+  Array.from({ length: count }, (_, i) => `${turn}.${i} `.slice(0, 4));
+
 /** One program at its last turn: its history as one conversation of so many thousand characters. */
 const historyCost = async (thousands: number): Promise<Values> => {
   const turns = 81;
@@ -144,7 +148,7 @@
         pool: 'models',
         server: 's',
         cost: 0,
-        chunks: Array.from({ length: Math.ceil(each / 4) }, (_, i) => `${n}.${i} `.slice(0, 4)),
+        chunks: chunkTexts(n, Math.ceil(each / 4)),
       };
       return JSON.stringify({ key: `p/p/t/t${n}`, ownershipEpoch: 1, seq: n, value: v });
     }).map((text): unknown => JSON.parse(text)),
@@ -164,10 +168,10 @@
 
 const stub = (): Transport => ({
   self: 'owner',
-  call: async (_to, kind) => (kind === 'store/fence' ? { items: [], next: '' } : {}),
-  serve: async () => undefined,
+  call: (_to, kind) => Promise.resolve(kind === 'store/fence' ? { items: [], next: '' } : {}),
+  serve: () => Promise.resolve(),
   onConnectionLost: () => undefined,
-  close: async () => undefined,
+  close: () => Promise.resolve(),
 });
 
 const replicatorOf = async (): Promise<SlotReplicator> => {
@@ -183,7 +187,7 @@
     heartbeatIntervalMs: 1000,
     retentionMs: 3600000,
   });
-  const slot = state.slots[0];
+  const slot = state.slots.at(0);
   if (!slot) throw new Error('no slot');
   k.apply(slot);
   while (!k.isOpen) await new Promise((done) => setImmediate(done));
@@ -350,7 +354,7 @@
       sizes: [625, 1250, 2500, 5000],
       small: [8, 16, 24, 32],
       grown: 8400,
-      run: routeCost,
+      run: (routes) => Promise.resolve(routeCost(routes)),
     },
   ],
   [
--- a/packages/fleet/src/capacity-meter.ts
+++ b/packages/fleet/src/capacity-meter.ts
@@ -1,3 +1,4 @@
+/** Measures processor time and memory of this process. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import type { Disk, DiskFile } from '@tillerstair/journal';
@@ -26,6 +27,7 @@
   return repeat(work, leastMs);
 };
 
+/** Processor milliseconds of one run of `work`. */
 export const cpuMsOf = async (work: () => Promise<unknown>): Promise<number> => {
   const t0 = process.cpuUsage();
   await work();
@@ -34,10 +36,10 @@
 
 const collect = (): void => {
   setFlagsFromString('--expose_gc');
-  const gc: unknown = runInNewContext('gc');
-  if (typeof gc === 'function') gc();
+  runInNewContext('gc()');
 };
 
+/** Megabytes of heap in use, after what can be collected was. */
 export const heapMb = (): number => {
   collect();
   collect();
--- a/packages/fleet/src/capacity-plot.ts
+++ b/packages/fleet/src/capacity-plot.ts
@@ -1,3 +1,4 @@
+/** Draws sweeps. */
 import type { Spec } from 'vega';
 import type { Fit, Swept } from './capacity.js';
 
@@ -61,6 +62,7 @@
   };
 };
 
+/** The points of a sweep with their fitted lines, as an SVG with a panel for each measure. */
 export const svgOf = async (s: Swept): Promise<string> => {
   const { parse, View } = await import('vega');
   const spec: Spec = {
--- a/packages/fleet/src/capacity-rig.ts
+++ b/packages/fleet/src/capacity-rig.ts
@@ -1,8 +1,11 @@
+/** The simulated deployment that sweeps measure. */
 import { reduceState, Server } from '@tillerstair/state';
 import { stormConfig, World, type ObservedMessage, type WorldSizes } from '@tillerstair/sim';
 
+/** Which process sent or received a message; `loop` is between the two processes of a front machine. */
 export type Role = 'master' | 'control' | 'store' | 'agent' | 'proxy' | 'loop';
 
+/** How many messages and bytes there were, by role and by role and kind. */
 export interface Tally {
   readonly messages: ReadonlyMap<string, number>;
   readonly bytes: ReadonlyMap<string, number>;
@@ -12,6 +15,7 @@
   m.set(k, (m.get(k) ?? 0) + by);
 };
 
+/** So many servers, seven of eight in the pool of models. */
 export const serversOf = (count: number): readonly Server[] =>
   Array.from({ length: count }, (_, n) =>
     Server.parse({
@@ -23,9 +27,11 @@
     }),
   );
 
+/** A configuration on a version, with so many routes more than the usual ones. */
 export const configOf = (base: number, routes: number): string =>
   stormConfig({ base, turnPools: ['models'], callPool: 'shop', extra: routes });
 
+/** The machines of a sweep, unless it changes their number. */
 export const rigSizes: WorldSizes = { controls: 5, stores: 3, fronts: 6, slots: 64 };
 
 /** A whole hollow fleet on the simulator's clock: real membership, publish, feed and sync code, no traffic of its own. */
@@ -124,4 +130,5 @@
   }
 }
 
+/** The value of a key; 0 where there is none. */
 export const of = (m: ReadonlyMap<string, number>, k: string): number => m.get(k) ?? 0;
--- a/packages/fleet/src/capacity-run.ts
+++ b/packages/fleet/src/capacity-run.ts
@@ -1,3 +1,4 @@
+/** The sweeps that `fleet capacity` runs. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { jsonOf, sweepThrough, tableOfFits, type Sweep } from './capacity.js';
@@ -7,6 +8,7 @@
 import { workSweeps } from './capacity-work.js';
 import { worldSweeps } from './capacity-world.js';
 
+/** All sweeps by name. */
 export const sweeps: ReadonlyMap<string, Sweep> = new Map([
   ...worldSweeps,
   ...workSweeps,
@@ -14,12 +16,14 @@
   ...socketSweeps,
 ]);
 
+/** Which sweep to run, at which sizes (its own if there are none), and the folder that its results go to. */
 export interface CapacityAsk {
   readonly name: string;
   readonly sizes: readonly number[];
   readonly out: string;
 }
 
+/** Runs one sweep and prints its fits; throws if there is no such sweep. */
 export const runSweep = async (
   { name, sizes, out }: CapacityAsk,
   say: (line: string) => void,
@@ -34,5 +38,6 @@
   writeFileSync(join(out, `${name}.svg`), await svgOf(swept));
 };
 
+/** A line for each sweep. */
 export const listSweeps = (): readonly string[] =>
   [...sweeps].map(([name, s]) => `${name.padEnd(16)} ${s.how.padEnd(10)} ${s.about}`);
--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -1,3 +1,4 @@
+/** Sweeps on real sockets: one control in this process, many fronts without traffic in another. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { spawn } from 'node:child_process';
 import { tmpdir } from 'node:os';
@@ -23,6 +24,8 @@
   failureTimeout: 3000,
 });
 const measureMs = 8000;
+/** Time for a change to come to rest before something is measured. */
+const restMs = 4000;
 const Measured = z.object({
   cpuMs: z.number(),
   heapMb: z.number(),
@@ -35,20 +38,20 @@
   static asked = 0;
   static rounds = 0;
 
-  override call(to: string, kind: string, body: unknown, bounds: CallOptions): Promise<unknown> {
+  override call(to: string, kind: string, body: unknown, options: CallOptions): Promise<unknown> {
     Counted.asked++;
     if (kind === 'zen/ping') Counted.rounds++;
-    return super.call(to, kind, body, bounds);
+    return super.call(to, kind, body, options);
   }
 }
 
 const never = { kind: 'never-left', text: 'hollow' } as const;
 
 const idle = (): Backend => ({
-  generate: async () => never,
-  act: async () => never,
-  pass: async () => never,
-  load: async () => ({ busy: 0, draining: false }),
+  generate: () => Promise.resolve(never),
+  act: () => Promise.resolve(never),
+  pass: () => Promise.resolve(never),
+  load: () => Promise.resolve({ busy: 0, draining: false }),
 });
 
 const hollow = async (
@@ -75,10 +78,12 @@
     affinity: true,
   });
   const fed = new TcpTransport(at(feed));
-  await fed.serve(async (rpc) =>
-    rpc.kind === 'front/hello'
-      ? { id: front.p.id, addr: at(data), http: '' }
-      : front.feed(rpc.body),
+  const hello = { id: front.p.id, addr: at(data), http: '' };
+  await fed.serve(
+    (rpc) =>
+      new Promise((resolve) => {
+        resolve(rpc.kind === 'front/hello' ? hello : front.feed(rpc.body));
+      }),
   );
   await front.start();
   const agent = new Agent({
@@ -104,7 +109,8 @@
   for (let n = 0; n < count; n++) await hollow(seed, ports.slice(n * 4, n * 4 + 4), n);
   process.stdout.write('up\n');
   process.stdin.setEncoding('utf8');
-  for await (const _ of process.stdin) {
+  const commands: AsyncIterator<unknown> = process.stdin[Symbol.asyncIterator]();
+  while ((await commands.next()).done !== true) {
     const t0 = process.cpuUsage();
     const { asked, rounds } = Counted;
     await delay(hostClock, measureMs);
@@ -124,79 +130,131 @@
   }
 };
 
+/** A control on real sockets with its disk; `close` ends it and removes what it wrote. */
+interface RunningControl {
+  readonly node: ControlNode;
+  readonly addr: string;
+  close(): Promise<void>;
+}
+
+const startControl = async (): Promise<RunningControl> => {
+  const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
+  const disk = await FolderDisk.take(dir);
+  const watched = closing(disk);
+  const [port = 0] = await freePorts(1);
+  const addr = `127.0.0.1:${port}`;
+  const electionStore = await DiskElectionStore.open(watched.disk, () => 'c-0', 4 << 20);
+  const me = {
+    id: electionStore.persisted.id,
+    kind: 'control' as const,
+    addr,
+    http: '',
+    zone: 'zone-0',
+    data: '',
+    name: 'control-0',
+  };
+  const node = new ControlNode({
+    me,
+    seeds: [addr, addr, addr],
+    clock: hostClock,
+    transport: new TcpTransport(addr),
+    electionStore,
+    bounds,
+    log: silentLogger,
+    slots: 64,
+  });
+  await node.start();
+  const close = async (): Promise<void> => {
+    await node.stop();
+    await watched.close();
+    await disk.free();
+    rmSync(dir, { recursive: true, force: true });
+  };
+  return { node, addr, close };
+};
+
+/** The process of hollow fronts; it prints a line when they are up, and one for each measurement. */
+class HollowProcess {
+  private output = '';
+  private readonly child;
+
+  constructor(count: number, seed: string) {
+    const program = process.argv[1] ?? '';
+    this.child = spawn(process.execPath, [program, 'hollow', String(count), '--seed', seed], {
+      stdio: ['pipe', 'pipe', 'inherit'],
+    });
+    this.child.stdout.setEncoding('utf8').on('data', (text: string) => {
+      this.output += text;
+    });
+  }
+
+  /** Begins a measurement; the result is there once its line came. */
+  measure(): () => Promise<z.infer<typeof Measured>> {
+    this.child.stdin.write('measure\n');
+    const lines = this.lineCount();
+    return async () => {
+      await until("the hollow fronts' figures", () => this.lineCount() > lines);
+      return Measured.parse(JSON.parse(this.output.trimEnd().split('\n').at(-1) ?? ''));
+    };
+  }
+
+  end(): void {
+    this.child.kill();
+  }
+
+  private lineCount(): number {
+    return this.output.split('\n').length;
+  }
+}
+
+/** Brings a control to lead so many hollow fronts, with servers and a configuration. */
+const fill = async (node: ControlNode, servers: number, fronts: number): Promise<void> => {
+  await until('a master', () => node.zen.leading?.committed !== undefined);
+  const put = await node.operate({ method: 'PUT', path: '/v1/config', body: configOf(0, 20) });
+  if (put.status !== 200) throw new Error(JSON.stringify(put));
+  await node.zen.leading?.submit((state) =>
+    serversOf(servers).reduce(
+      (next, server) => reduceState(next, { kind: 'server', server }),
+      state,
+    ),
+  );
+  await until('all fronts', () => node.zen.leading?.committed?.nodes.size === fronts + 1);
+  await delay(hostClock, restMs);
+};
+
+const measureAtRest = async (fronts: HollowProcess, count: number): Promise<Values> => {
+  const figures = fronts.measure();
+  const before = process.cpuUsage();
+  await delay(hostClock, measureMs);
+  const { user, system } = process.cpuUsage(before);
+  const reported = await figures();
+  const percentOfCore = (ms: number): number => (ms / measureMs) * 100;
+  return new Map([
+    ['master at rest, % of a core', percentOfCore((user + system) / 1000)],
+    ['fronts at rest, % of a core, all', percentOfCore(reported.cpuMs)],
+    ['asked by an agent a second', reported.asked / (measureMs / 1000) / count],
+    ['asked in rounds by an agent a second', reported.rounds / (measureMs / 1000) / count],
+    ['fronts, MB resident, all', reported.rssMb],
+    ['fronts, MB of heap, all', reported.heapMb],
+    ['master, MB of heap', heapMb()],
+  ]);
+};
+
 const sockets =
   (servers: number) =>
   async (count: number): Promise<Values> => {
-    const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
-    const disk = await FolderDisk.take(dir);
-    const watched = closing(disk);
-    const [port = 0] = await freePorts(1);
-    const addr = `127.0.0.1:${port}`;
-    const electionStore = await DiskElectionStore.open(watched.disk, () => 'c-0', 4 << 20);
-    const me = {
-      id: electionStore.persisted.id,
-      kind: 'control' as const,
-      addr,
-      http: '',
-      zone: 'zone-0',
-      data: '',
-      name: 'control-0',
-    };
-    const node = new ControlNode({
-      me,
-      seeds: [addr, addr, addr],
-      clock: hostClock,
-      transport: new TcpTransport(addr),
-      electionStore,
-      bounds,
-      log: silentLogger,
-      slots: 64,
-    });
-    await node.start();
-    const child = spawn(
-      process.execPath,
-      [process.argv[1] ?? '', 'hollow', String(count), '--seed', addr],
-      { stdio: ['pipe', 'pipe', 'inherit'] },
-    );
-    let said = '';
-    child.stdout.setEncoding('utf8').on('data', (part) => {
-      said += part;
-    });
+    const control = await startControl();
+    const hollowProcess = new HollowProcess(count, control.addr);
     try {
-      await until('a master', () => node.zen.leading?.committed !== undefined);
-      const put = await node.operate({ method: 'PUT', path: '/v1/config', body: configOf(0, 20) });
-      if (put.status !== 200) throw new Error(JSON.stringify(put));
-      await node.zen.leading?.submit((s) =>
-        serversOf(servers).reduce((t, server) => reduceState(t, { kind: 'server', server }), s),
-      );
-      await until('all fronts', () => node.zen.leading?.committed?.nodes.size === count + 1);
-      await delay(hostClock, 4000);
-      child.stdin.write('measure\n');
-      const lines = said.split('\n').length;
-      const t0 = process.cpuUsage();
-      await delay(hostClock, measureMs);
-      const { user, system } = process.cpuUsage(t0);
-      await until("the hollow fronts' figures", () => said.split('\n').length > lines);
-      const reported = Measured.parse(JSON.parse(said.trimEnd().split('\n').at(-1) ?? ''));
-      const share = (ms: number): number => (ms / measureMs) * 100;
-      return new Map([
-        ['master at rest, % of a core', share((user + system) / 1000)],
-        ['fronts at rest, % of a core, all', share(reported.cpuMs)],
-        ['asked by an agent a second', reported.asked / (measureMs / 1000) / count],
-        ['asked in rounds by an agent a second', reported.rounds / (measureMs / 1000) / count],
-        ['fronts, MB resident, all', reported.rssMb],
-        ['fronts, MB of heap, all', reported.heapMb],
-        ['master, MB of heap', heapMb()],
-      ]);
+      await fill(control.node, servers, count);
+      return await measureAtRest(hollowProcess, count);
     } finally {
-      child.kill();
-      await node.stop();
-      await watched.close();
-      await disk.free();
-      rmSync(dir, { recursive: true, force: true });
+      hollowProcess.end();
+      await control.close();
     }
   };
 
+/** These sweeps by name. */
 export const socketSweeps: ReadonlyMap<string, Sweep> = new Map<string, Sweep>([
   [
     'sockets',
--- a/packages/fleet/src/capacity-state.ts
+++ b/packages/fleet/src/capacity-state.ts
@@ -1,3 +1,4 @@
+/** Cluster states of any size, for the sweeps on processor time. */
 import {
   allocate,
   checkConfig,
@@ -11,6 +12,7 @@
 } from '@tillerstair/state';
 import { configOf, serversOf } from './capacity-rig.js';
 
+/** What the size of a cluster state depends on. */
 export interface StateSizes {
   readonly fronts: number;
   readonly servers: number;
@@ -20,6 +22,7 @@
 
 /** The two-year size, with 20 slots a front held to the most a bootstrap takes, and a route for each tenant and model. */
 export const grownState: StateSizes = { fronts: 410, servers: 3400, slots: 4096, routes: 8400 };
+/** A deployment of today's size. */
 export const plainState: StateSizes = { fronts: 40, servers: 100, slots: 64, routes: 20 };
 
 const peers = (kind: Member['kind'], net: number, count: number): readonly Member[] =>
@@ -33,6 +36,7 @@
     name: '',
   }));
 
+/** The state with a configuration more. */
 export const configured = (s: State, routes: number): State => {
   const text = configOf(s.config?.version ?? 0, routes);
   const { config } = checkConfig(text);
@@ -46,6 +50,7 @@
   return reduceState(s, { kind: 'config', record });
 };
 
+/** A state of a size, as a cluster that has grown to it would have. */
 export const stateOf = (z: StateSizes): State => {
   const controls = peers('control', 1, 5);
   const all = [...controls, ...peers('store', 2, 15), ...peers('front', 3, z.fronts)];
--- a/packages/fleet/src/capacity-work.ts
+++ b/packages/fleet/src/capacity-work.ts
@@ -1,3 +1,4 @@
+/** Sweeps on what programs, turns and calls cost in messages, bytes and items. */
 import type { Sweep, Values } from './capacity.js';
 import type { ReplyRecord } from '@tillerstair/checker';
 import { of, Rig, rigSizes } from './capacity-rig.js';
--- a/packages/fleet/src/capacity-world.ts
+++ b/packages/fleet/src/capacity-world.ts
@@ -1,3 +1,4 @@
+/** Sweeps on what a simulated deployment sends, at rest and at changes. */
 import { encodeState } from '@tillerstair/state';
 import type { Sweep, Values } from './capacity.js';
 import { of, Rig, rigSizes, type Role, type Tally } from './capacity-rig.js';
@@ -127,7 +128,7 @@
 const slots = async (count: number): Promise<Values> => {
   const rig = await Rig.raise({ ...rigSizes, slots: count }, 16);
   const state = stateBytes(rig);
-  const front = rig.w.of('front')[0];
+  const front = rig.w.of('front').at(0);
   const versions = rig.w.committed?.version ?? 0;
   const t0 = rig.w.clock.now();
   let ms = 0;
--- a/packages/fleet/src/capacity.ts
+++ b/packages/fleet/src/capacity.ts
@@ -1,10 +1,13 @@
+/** What was measured, by name; the name gives the unit. */
 export type Values = ReadonlyMap<string, number>;
 
+/** What was measured at one size. */
 export interface Point {
   readonly size: number;
   readonly values: Values;
 }
 
+/** A measurement over several sizes, and what it is fitted for: the size that the deployment may grow to. */
 export interface Sweep {
   readonly about: string;
   readonly by: string;
@@ -15,6 +18,7 @@
   run(size: number): Promise<Values>;
 }
 
+/** A line through the measured points; `grown` is its value at the grown size. */
 export interface Fit {
   readonly measure: string;
   readonly base: number;
@@ -24,6 +28,7 @@
   readonly grown: number;
 }
 
+/** A sweep that was run. */
 export interface Swept {
   readonly sweep: string;
   readonly by: string;
@@ -61,6 +66,7 @@
   };
 };
 
+/** A line for each measure. */
 export const fitsOf = (points: readonly Point[], grown: number): readonly Fit[] => {
   const names = new Set(points.flatMap((p) => [...p.values.keys()]));
   return [...names].map((name) =>
@@ -75,6 +81,7 @@
   );
 };
 
+/** Runs a sweep at each size, one after another. */
 export const sweepThrough = async (
   name: string,
   s: Sweep,
@@ -102,8 +109,10 @@
   };
 };
 
-export const round = (v: number): number => Number(v.toPrecision(5));
+/** Five significant digits. */
+const round = (v: number): number => Number(v.toPrecision(5));
 
+/** The sweep as it is kept in a file. */
 export const jsonOf = (s: Swept): string => {
   const points = s.points.map((p) => ({
     size: p.size,
@@ -123,6 +132,7 @@
   return `{${head},\n"points": [\n${rows(points)}\n],\n"fits": [\n${rows(fits)}\n]}\n`;
 };
 
+/** A line for each measure, for people. */
 export const tableOfFits = (s: Swept): readonly string[] =>
   s.fits.map(
     (f) =>
--- a/packages/fleet/src/configs.ts
+++ b/packages/fleet/src/configs.ts
@@ -1,5 +1,7 @@
+/** The configurations that the operators of a fleet submit. */
 import type { House } from './layout.js';
 
+/** What a configuration of a fleet is made from. */
 export interface ConfigShape {
   readonly base: number;
   readonly turnPools: readonly string[];
@@ -9,6 +11,7 @@
   readonly tuning?: boolean;
 }
 
+/** The text of a configuration for a house. */
 export const configFor = (house: House, shape: ConfigShape): string => {
   const pools = [
     ...[...new Set([house.modelPool, ...shape.turnPools])].map((name) => ({ name, kind: 'model' })),
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -1,3 +1,4 @@
+/** A whole fleet of real processes on this machine. */
 import { mkdirSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { ExecutionLog, ModelServer, ServiceServer } from '@tillerstair/stand-ins';
@@ -6,6 +7,7 @@
 import { Proc } from './proc.js';
 import { Relay } from './relay.js';
 
+/** A machine of the fleet: its addresses and its processes. */
 export interface Machine {
   readonly kind: 'control' | 'store' | 'front';
   readonly n: number;
@@ -15,6 +17,7 @@
   readonly procs: readonly Proc[];
 }
 
+/** How a fleet is set up. */
 export interface FleetSpec {
   readonly dir: string;
   readonly sizes: Sizes;
@@ -26,6 +29,9 @@
   readonly more?: object;
 }
 
+const portsPerMachine = 7;
+
+/** Polls until a condition holds, and returns how long it took in ms; throws after `within` ms. */
 export const until = async (
   what: string,
   within: number,
@@ -39,6 +45,7 @@
   }
 };
 
+/** Processes and stand-in servers on this machine; `close` ends all of them. */
 export class Fleet {
   readonly executions = new ExecutionLog();
   readonly relay = new Relay();
@@ -100,64 +107,82 @@
     this.seeds = machines.map((m) => m.addr);
   }
 
+  /** Adds a machine, which is not started; `port` is the one of its inner address. */
   async add(kind: Machine['kind'], port?: number): Promise<Machine> {
-    const n = this.made.filter((m) => m.kind === kind).length;
-    const [p0 = 0, p1 = 0, p2 = 0, p3 = 0, p4 = 0, p5 = 0, p6 = 0] = await freePorts(7);
-    const at = (p: number): string => `127.0.0.1:${p}`;
-    const addr = at(port ?? p0);
-    const common = { zone: zoneOf(n), log: this.spec.log, ...this.spec.more };
-    const name = `${kind}-${n}`;
-    const dir = join(this.spec.dir, name);
-    const via = this.spec.cuts ? { listen: at(p1) } : {};
-    if (this.spec.cuts) await this.relay.serve(addr, at(p1));
-    const make = (): Machine => {
-      if (kind !== 'front') {
-        const settings = {
-          ...common,
-          ...via,
-          addr,
-          http: at(p2),
-          seeds: this.seeds,
-          data: join(dir, 'data'),
-        };
-        return {
-          kind,
-          n,
-          addr,
-          http: at(p2),
-          extra: [],
-          procs: [new Proc(name, `${kind}-node`, settings, dir)],
-        };
-      }
-      const data = at(p3);
-      const dataVia = this.spec.cuts ? { listen: at(p6) } : {};
-      const proxy = {
-        ...common,
-        ...dataVia,
-        addr: data,
-        feed: at(p4),
-        http: at(p2),
-        affinity: this.spec.affinity,
-      };
-      const agent = { ...common, ...via, addr, proxy: at(p4), http: at(p5), seeds: this.seeds };
-      return {
-        kind,
-        n,
-        addr,
-        http: at(p2),
-        extra: [data],
-        procs: [
-          new Proc(`${name}-proxy`, 'front-proxy', proxy, join(dir, 'proxy')),
-          new Proc(`${name}-agent`, 'front-agent', agent, join(dir, 'agent')),
-        ],
-      };
-    };
-    if (this.spec.cuts && kind === 'front') await this.relay.serve(at(p3), at(p6));
-    const machine = make();
+    const index = this.made.filter((machine) => machine.kind === kind).length;
+    const ports = await freePorts(portsPerMachine);
+    const [inner, ...others] = ports.map((free) => `127.0.0.1:${free}`);
+    const addr = port === undefined ? inner : `127.0.0.1:${port}`;
+    const machine = await (kind === 'front'
+      ? this.makeFront(index, addr, others)
+      : this.makeNode(kind, index, addr, others));
     this.made.push(machine);
     return machine;
   }
 
+  /** What all processes of the n-th machine are started with. */
+  private commonSettings(index: number): object {
+    return { zone: zoneOf(index), log: this.spec.log, ...this.spec.more };
+  }
+
+  /** Where a process listens, if a relay stands between it and its advertised address. */
+  private async relayed(addr: string, listen: string): Promise<object> {
+    if (!this.spec.cuts) return {};
+    await this.relay.serve(addr, listen);
+    return { listen };
+  }
+
+  private async makeNode(
+    kind: 'control' | 'store',
+    index: number,
+    addr: string,
+    [listen, http]: readonly string[],
+  ): Promise<Machine> {
+    const name = `${kind}-${index}`;
+    const dir = join(this.spec.dir, name);
+    const settings = {
+      ...this.commonSettings(index),
+      ...(await this.relayed(addr, listen)),
+      addr,
+      http,
+      seeds: this.seeds,
+      data: join(dir, 'data'),
+    };
+    const procs = [new Proc(name, `${kind}-node`, settings, dir)];
+    return { kind, n: index, addr, http, extra: [], procs };
+  }
+
+  private async makeFront(
+    index: number,
+    addr: string,
+    [listen, http, data, feed, agentHttp, dataListen]: readonly string[],
+  ): Promise<Machine> {
+    const name = `front-${index}`;
+    const dir = join(this.spec.dir, name);
+    const common = this.commonSettings(index);
+    const agent = {
+      ...common,
+      ...(await this.relayed(addr, listen)),
+      addr,
+      proxy: feed,
+      http: agentHttp,
+      seeds: this.seeds,
+    };
+    const proxy = {
+      ...common,
+      ...(await this.relayed(data, dataListen)),
+      addr: data,
+      feed,
+      http,
+      affinity: this.spec.affinity,
+    };
+    const procs = [
+      new Proc(`${name}-proxy`, 'front-proxy', proxy, join(dir, 'proxy')),
+      new Proc(`${name}-agent`, 'front-agent', agent, join(dir, 'agent')),
+    ];
+    return { kind: 'front', n: index, addr, http, extra: [data], procs };
+  }
+
   start(machines: readonly Machine[] = this.made): void {
     for (const m of machines) for (const p of m.procs) p.start();
   }
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,3 +1,4 @@
+/** A whole fleet on one machine, for scenarios and tests. */
 export * from './layout.js';
 export * from './proc.js';
 export * from './fleet.js';
--- a/packages/fleet/src/layout.ts
+++ b/packages/fleet/src/layout.ts
@@ -1,5 +1,7 @@
+/** Houses, sizes, zones, and the ports and random numbers of a fleet. */
 import { createServer } from 'node:net';
 
+/** One of the users' houses: its pools, servers and paths. */
 export interface House {
   readonly name: string;
   readonly modelPool: string;
@@ -10,6 +12,7 @@
   readonly paths: readonly string[];
 }
 
+/** The house in Seoul. */
 export const seoul: House = {
   name: 'seoul',
   modelPool: 'seoul-models',
@@ -20,6 +23,7 @@
   paths: ['/shop/stock/hold', '/shop/delivery/book', '/shop/catalogue/update'],
 };
 
+/** The house in Norway. */
 export const norway: House = {
   name: 'norway',
   modelPool: 'norway-models',
@@ -30,19 +34,24 @@
   paths: ['/notices/shift/approve', '/notices/payroll/remind', '/notices/safety/sign-off'],
 };
 
+/** The pool of the n-th server: every other one is in a second pool. */
 export const poolOf = (pool: string, n: number): string => (n % 2 === 0 ? pool : `${pool}-b`);
 
+/** How many machines of each kind. */
 export interface Sizes {
   readonly controls: number;
   readonly stores: number;
   readonly fronts: number;
 }
 
+/** The sizes of the full fleet. */
 export const fullSizes: Sizes = { controls: 5, stores: 3, fronts: 8 };
+/** The sizes of the small fleet. */
 export const smallSizes: Sizes = { controls: 3, stores: 3, fronts: 2 };
 
-export const zones = ['zone-a', 'zone-b', 'zone-c'] as const;
-export const zoneOf = (n: number): string => zones[n % zones.length] ?? zones[0];
+const zones = ['zone-a', 'zone-b', 'zone-c'] as const;
+/** The zone of the n-th machine of a kind. */
+export const zoneOf = (n: number): string => zones[n % zones.length];
 
 const portFloor = 11000;
 const portSpan = 20000;
@@ -55,6 +64,7 @@
     s.listen(port, '127.0.0.1', () => s.close(() => done(true)));
   });
 
+/** Ports that were free a moment ago; each is given out once by this process. */
 export const freePorts = async (count: number): Promise<readonly number[]> => {
   const out: number[] = [];
   for (let tries = 0; out.length < count && tries < portSpan; tries++) {
@@ -64,6 +74,7 @@
   return out;
 };
 
+/** Numbers from 0 up to 1, the same ones for the same seed. */
 export const seeded = (seed: number): (() => number) => {
   let a = (seed ^ 0x9e3779b9) >>> 0;
   return () => {
--- a/packages/fleet/src/main.ts
+++ b/packages/fleet/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** `fleet`: scenarios on real processes, simulated storms, the model test and capacity sweeps. */
 import { writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -39,18 +40,18 @@
   const house = new Map([
     ['seoul', seoul],
     ['norway', norway],
-  ]).get(String(o.get('house') ?? 'seoul'));
+  ]).get(textOf(o.get('house')) ?? 'seoul');
   const sizes = new Map([
     ['full', fullSizes],
     ['small', smallSizes],
-  ]).get(String(o.get('sizes') ?? 'full'));
+  ]).get(textOf(o.get('sizes')) ?? 'full');
   if (!house) findings.push('--house: must be seoul or norway');
   if (!sizes) findings.push('--sizes: must be full or small');
   const seed = numberOf('seed', o.get('seed'), 1, findings);
   const long = numberOf('seconds', o.get('seconds'), seconds, findings);
   const rate = numberOf('rate', o.get('rate'), 12, findings);
   if (findings.length > 0 || !house || !sizes) throw new BadChoice(findings.join('\n'));
-  const dir = String(o.get('dir') ?? join(tmpdir(), `tillerstair-fleet-${process.pid}`));
+  const dir = textOf(o.get('dir')) ?? join(tmpdir(), `tillerstair-fleet-${process.pid}`);
   return {
     house,
     sizes,
@@ -63,6 +64,10 @@
   };
 };
 
+/** The text of an option; numbers are given as numbers by the parser. */
+const textOf = (value: unknown): string | undefined =>
+  typeof value === 'string' || typeof value === 'number' ? String(value) : undefined;
+
 const middle = (xs: readonly number[], q: number): number => xs[Math.floor(xs.length * q)] ?? 0;
 
 const always = [
@@ -247,18 +252,14 @@
       if (name === 'list') listSweeps().forEach(say);
       const names = name === 'list' ? [] : name === 'all' ? [...sweeps.keys()] : [name];
       const findings: string[] = [];
-      const text = m.get('sizes');
+      const text = textOf(m.get('sizes'));
       const sizes =
-        text === undefined
-          ? []
-          : String(text)
-              .split(',')
-              .map((v) => numberOf('sizes', v, 0, findings));
+        text === undefined ? [] : text.split(',').map((v) => numberOf('sizes', v, 0, findings));
       if (!names.every((n) => sweeps.has(n)))
         findings.push(`no sweep ${name}; see fleet capacity list`);
       if (findings.length > 0) throw new BadChoice(findings.join('\n'));
       for (const n of names)
-        await runSweep({ name: n, sizes, out: String(m.get('out') ?? '') }, say);
+        await runSweep({ name: n, sizes, out: textOf(m.get('out')) ?? '' }, say);
       return true;
     }),
   );
@@ -267,7 +268,7 @@
   .option('--seed <addr>', 'Address of the control they join')
   .action((count: string, o: object) =>
     guarded(async () => {
-      await hollowFronts(Number(count), String(opts(o).get('seed') ?? ''));
+      await hollowFronts(Number(count), textOf(opts(o).get('seed')) ?? '');
       return true;
     }),
   );
--- a/packages/fleet/src/operator.ts
+++ b/packages/fleet/src/operator.ts
@@ -1,6 +1,8 @@
+/** Operators of a fleet, over HTTP. */
 import { Agent, request } from 'undici';
 import { z } from 'zod';
 
+/** A reply; status 0 where none came. */
 export interface Reply {
   readonly status: number;
   readonly body: unknown;
@@ -8,6 +10,7 @@
 
 const agent = new Agent({ connections: 16, connect: { timeout: 1000 } });
 
+/** Sends a request; never throws. */
 export const ask = async (
   method: 'GET' | 'PUT' | 'POST' | 'DELETE',
   url: string,
@@ -29,10 +32,12 @@
   }
 };
 
+/** Closes the connections that `ask` uses. */
 export const closeAsking = (): Promise<void> => agent.destroy();
 
 const ConfigBack = z.object({ version: z.number(), text: z.string(), digest: z.string() });
 
+/** Sends operators' requests to the controls in turn. */
 export class Operator {
   constructor(private readonly https: () => readonly string[]) {}
 
--- a/packages/fleet/src/proc.ts
+++ b/packages/fleet/src/proc.ts
@@ -1,3 +1,4 @@
+/** Processes of a fleet. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, mkdirSync, openSync, rmSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -17,6 +18,7 @@
   ]),
 );
 
+/** One process of a fleet: started, killed, frozen and woken. */
 export class Proc {
   private child: ChildProcess | undefined;
   private frozen = false;
--- a/packages/fleet/src/relay.ts
+++ b/packages/fleet/src/relay.ts
@@ -1,3 +1,4 @@
+/** Cuts between the processes of a fleet. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { parseAddress } from '@tillerstair/wire';
 
@@ -8,6 +9,7 @@
   readonly far: Socket;
 }
 
+/** Carries connections between advertised and real addresses, and cuts pairs on demand. */
 export class Relay {
   private readonly servers: Server[] = [];
   private readonly pairs = new Set<Pair>();
--- a/packages/fleet/src/run.ts
+++ b/packages/fleet/src/run.ts
@@ -1,3 +1,4 @@
+/** Runs a scenario under traffic and checks what came of it. */
 import {
   checkRecords,
   countReported,
@@ -16,6 +17,7 @@
 import { ask } from './operator.js';
 import { Traffic } from './traffic.js';
 
+/** What decides a run of a scenario. */
 export interface RunSpec extends FleetSpec {
   readonly seed: number;
   readonly seconds: number;
@@ -23,6 +25,7 @@
   readonly operator?: boolean;
 }
 
+/** What came of a run: its records, and what the checker says of them. */
 export interface RunResult {
   readonly records: Records;
   readonly results: readonly RuleResult[];
@@ -36,6 +39,7 @@
 const Current = z.object({ current: z.number() });
 const Versioned = z.object({ version: z.number() });
 
+/** One run of a scenario on a fleet of its own. */
 export class Run {
   readonly fleet: Fleet;
   readonly traffic: Traffic;
@@ -111,13 +115,13 @@
   }
 
   private async operate(load: Promise<void>): Promise<void> {
-    let over = false;
+    const state = { loadEnded: false };
     void load.then(() => {
-      over = true;
+      state.loadEnded = true;
     });
-    while (!over) {
+    for (;;) {
       await Promise.race([load, new Promise((done) => setTimeout(done, 3000))]);
-      if (over) return;
+      if (state.loadEnded) return;
       await this.put(1);
       await this.resync();
     }
--- a/packages/fleet/src/storms.ts
+++ b/packages/fleet/src/storms.ts
@@ -1,3 +1,4 @@
+/** Storms of many seeds. */
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import { checkRecords } from '@tillerstair/checker';
@@ -5,6 +6,7 @@
 import split2 from 'split2';
 import { z } from 'zod';
 
+/** Which storms to run: seeds, length in ms, kinds of faults, and whether a failing one is cut down. */
 export interface StormChoice {
   readonly from: number;
   readonly count: number;
@@ -13,7 +15,8 @@
   readonly cut: boolean;
 }
 
-export interface StormResult {
+/** What came of one storm; `breach` is empty if it kept every rule. */
+interface StormResult {
   readonly seed: number;
   readonly breach: string;
   readonly log: readonly string[];
@@ -30,7 +33,8 @@
   checked: z.array(z.tuple([z.string(), z.number()])),
 });
 
-export const stormOnce = async (
+/** Runs one storm; never throws. */
+const stormOnce = async (
   seed: number,
   ms: number,
   plan: readonly PlannedFault[],
@@ -66,7 +70,8 @@
   }
 };
 
-export const cutDown = async (
+/** The faults of a plan without which the storm no longer fails. */
+const cutDown = async (
   seed: number,
   ms: number,
   plan: readonly PlannedFault[],
@@ -89,6 +94,7 @@
   return left;
 };
 
+/** Runs every n-th seed in this process, a line of JSON for each. */
 export const stormSeeds = async (
   c: StormChoice,
   every: number,
@@ -113,6 +119,7 @@
 
 const main = fileURLToPath(new URL('main.js', import.meta.url));
 
+/** Runs all seeds in several processes; true if every rule was kept. */
 export const stormsInParallel = async (
   c: StormChoice,
   jobs: number,
--- a/packages/fleet/src/traffic.ts
+++ b/packages/fleet/src/traffic.ts
@@ -1,6 +1,8 @@
+/** The callers of a fleet. */
 import { Caller, type CallerRecord } from '@tillerstair/stand-ins';
 import { seeded, type House } from './layout.js';
 
+/** What decides the traffic on a fleet. */
 export interface TrafficSpec {
   readonly house: House;
   readonly seed: number;
@@ -11,6 +13,7 @@
 
 const wait = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
 
+/** Chats that come and go at a rate; each request is recorded. */
 export class Traffic {
   readonly reported: CallerRecord[] = [];
   private readonly rng;
