--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -107,7 +107,7 @@
   extensions: ControlExtensions = {},
 ): Promise<Running<ControlSettings>> => {
   const log = stderrLog('control', settings.log);
-  const disk = await FolderDisk.take(settings.data);
+  const disk = await FolderDisk.acquire(settings.data);
   const reloadable = reloadableBounds(settings.bounds);
   const node = await openNode(disk, settings, reloadable.bounds, log, extensions.list);
   await node.start();
@@ -123,7 +123,7 @@
       await node.stop();
       await furtherListener?.close();
       await closeHttp(http);
-      await disk.free();
+      await disk.release();
     },
   };
 };
--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -228,14 +228,14 @@
 
 const replicaStoreCost = async (count: number): Promise<Values> => {
   const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
-  const disk = await FolderDisk.take(dir);
+  const disk = await FolderDisk.acquire(dir);
   const watched = closing(disk);
   try {
     const open = (): Promise<ReplicaStore> =>
       ReplicaStore.open(watched.disk, hostClock, {
-        journalLongAt: 1 << 30,
+        rewriteMinBytes: 1 << 30,
         retentionMs: 3600000,
-        hintsMost: 1000,
+        maxHints: 1000,
       });
     const fill = async (made: ReplicaStore): Promise<void> => {
       for (let n = 0; n < count; n += 500)
@@ -265,7 +265,7 @@
       return made;
     });
     let ms = 0;
-    for (let n = 0; n < 5; n++) ms += await cpuMsOf(() => replicaStore.dropOld());
+    for (let n = 0; n < 5; n++) ms += await cpuMsOf(() => replicaStore.dropExpired());
     const { bytes } = replicaStore.counts();
     return new Map([
       ['held by the store, MB', mb],
@@ -275,7 +275,7 @@
     ]);
   } finally {
     await watched.close();
-    await disk.free();
+    await disk.release();
     rmSync(dir, { recursive: true, force: true });
   }
 };
--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -128,7 +128,7 @@
   (servers: number) =>
   async (count: number): Promise<Values> => {
     const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
-    const disk = await FolderDisk.take(dir);
+    const disk = await FolderDisk.acquire(dir);
     const watched = closing(disk);
     const [port = 0] = await freePorts(1);
     const addr = `127.0.0.1:${port}`;
@@ -192,7 +192,7 @@
       child.kill();
       await node.stop();
       await watched.close();
-      await disk.free();
+      await disk.release();
       rmSync(dir, { recursive: true, force: true });
     }
   };
--- a/packages/journal/src/disk.ts
+++ b/packages/journal/src/disk.ts
@@ -1,5 +1,13 @@
 import { constants } from 'node:fs';
-import { mkdir, open, readFile, rename, writeFile, unlink, type FileHandle } from 'node:fs/promises';
+import {
+  mkdir,
+  open,
+  readFile,
+  rename,
+  writeFile,
+  unlink,
+  type FileHandle,
+} from 'node:fs/promises';
 import { dirname, join, resolve } from 'node:path';
 import { hostClock, delay, type Clock } from '@tillerstair/wire';
 
@@ -8,7 +16,7 @@
   chunks(): AsyncIterable<Buffer>;
   append(bytes: Buffer): Promise<void>;
   sync(): Promise<void>;
-  cut(size: number): Promise<void>;
+  truncate(size: number): Promise<void>;
   /** Writes the file anew; until all chunks are on disk the old one stays. */
   replace(chunks: Iterable<Buffer>): Promise<void>;
   close(): Promise<void>;
@@ -27,7 +35,7 @@
 const errorCode = (e: unknown): string => (e instanceof Error && 'code' in e ? String(e.code) : '');
 
 /** Whether an error says that the disk takes no bytes now, which may pass by itself. */
-export const isDiskTrouble = (e: unknown): boolean => diskTroubles.has(errorCode(e));
+export const isTransientDiskError = (e: unknown): boolean => diskTroubles.has(errorCode(e));
 
 /** Where a file is written anew; what a loss of power leaves there is of no use. */
 const nextOf = (path: string): string => `${path}.next`;
@@ -96,13 +104,13 @@
   ) {}
 
   /** Locks a data folder for this process; a full disk is waited out, since the lock needs a few bytes. */
-  static async take(dir: string, clock: Clock = hostClock): Promise<FolderDisk> {
+  static async acquire(dir: string, clock: Clock = hostClock): Promise<FolderDisk> {
     const path = resolve(dir);
     for (;;) {
       try {
         return await FolderDisk.tryTake(path);
       } catch (e) {
-        if (!isDiskTrouble(e)) throw e;
+        if (!isTransientDiskError(e)) throw e;
         await delay(clock, lockRetryMs);
       }
     }
@@ -117,12 +125,19 @@
         await writeFile(lockPath, mine, { flag: 'wx' });
         return new FolderDisk(dir, lockPath);
       } catch (e) {
-        if (isDiskTrouble(e)) {
+        if (isTransientDiskError(e)) {
           await unlink(lockPath).catch(() => undefined);
           throw e;
         }
-        const [pid = '0', born = ''] = (await readFile(lockPath, 'utf8').catch(() => '')).split(' ');
-        if (Number(pid) > 0 && born !== '' && alive(Number(pid)) && (await started(Number(pid))) === born)
+        const [pid = '0', born = ''] = (await readFile(lockPath, 'utf8').catch(() => '')).split(
+          ' ',
+        );
+        if (
+          Number(pid) > 0 &&
+          born !== '' &&
+          alive(Number(pid)) &&
+          (await started(Number(pid))) === born
+        )
           throw new FolderInUseError(`${dir} is in use by process ${pid}`);
         await unlink(lockPath).catch(() => undefined);
       }
@@ -130,7 +145,7 @@
     throw new FolderInUseError(`${dir} cannot be locked`);
   }
 
-  async free(): Promise<void> {
+  async release(): Promise<void> {
     await unlink(this.lockPath).catch(() => undefined);
   }
 
@@ -145,7 +160,7 @@
         await h.appendFile(bytes);
       },
       sync: () => h.datasync(),
-      cut: async (size) => {
+      truncate: async (size) => {
         await h.truncate(size);
         await h.sync();
       },
--- a/packages/journal/src/frames.ts
+++ b/packages/journal/src/frames.ts
@@ -1,7 +1,7 @@
 /** How records stand in a file: one line a batch, a checksum before it. */
 import { crc32 } from 'node:zlib';
 
-export class JournalCorrupt extends Error {}
+export class JournalDamagedError extends Error {}
 
 const newline = 10;
 const space = 32;
@@ -10,10 +10,11 @@
 /** Bytes that are handed to the disk at once when a whole file is written. */
 const writeBytes = 256 << 10;
 
-const checksumOf = (bytes: Buffer | string): string => crc32(bytes).toString(16).padStart(checksumDigits, '0');
+const checksumOf = (bytes: Buffer | string): string =>
+  crc32(bytes).toString(16).padStart(checksumDigits, '0');
 
 /** One line for a batch of records, which is on disk as a whole or not at all. */
-export const frame = (records: readonly unknown[]): Buffer => {
+export const encodeFrame = (records: readonly unknown[]): Buffer => {
   const json = JSON.stringify(records);
   return Buffer.from(`${checksumOf(json)} ${json}\n`);
 };
@@ -27,11 +28,11 @@
 };
 
 /** Frames records one by one as they are asked for, several frames to a chunk. */
-export function* chunksOf(records: Iterable<unknown>): Generator<Buffer> {
+export function* frameChunks(records: Iterable<unknown>): Generator<Buffer> {
   let frames: Buffer[] = [];
   let bytes = 0;
   for (const record of records) {
-    const framed = frame([record]);
+    const framed = encodeFrame([record]);
     frames.push(framed);
     bytes += framed.length;
     if (bytes < writeBytes) continue;
@@ -70,7 +71,7 @@
 }
 
 /** Reads the records of a file from its chunks, up to a torn tail; a damaged line before good ones is an error. */
-export class Scanner {
+export class LogScanner {
   /** Copies of the parts of a line whose end was not met yet. */
   private parts: Buffer[] = [];
   private lineAt = 0;
@@ -95,12 +96,12 @@
   }
 
   /** The length of all bytes so far. */
-  get size(): number {
+  get totalBytes(): number {
     return this.length;
   }
 
   /** Once all bytes were added: where the good records end. */
-  get good(): number {
+  get validBytes(): number {
     return this.torn ?? this.lineAt;
   }
 
@@ -117,7 +118,10 @@
       this.torn ??= this.lineAt;
       return;
     }
-    if (this.torn !== undefined) throw new JournalCorrupt(`${this.name}: record at byte ${this.torn} is damaged and good ones follow it`);
+    if (this.torn !== undefined)
+      throw new JournalDamagedError(
+        `${this.name}: record at byte ${this.torn} is damaged and good ones follow it`,
+      );
     for (const record of batch) this.onRecord(record);
   }
 }
--- a/packages/journal/src/journal.ts
+++ b/packages/journal/src/journal.ts
@@ -1,8 +1,13 @@
 /** A log of records on disk that are acknowledged once they are synced, and that mends itself after a failed write. */
 import { TaskQueue, delay, toTimerMs, type TimerHandle } from '@tillerstair/wire';
 import type { Disk, DiskFile } from './disk.js';
-import { chunksOf, Digest, frame, Scanner } from './frames.js';
-import { hostPace, JournalUnavailableError, untilDiskTakes, type JournalPace } from './pace.js';
+import { frameChunks, Digest, encodeFrame, LogScanner } from './frames.js';
+import {
+  defaultTimings,
+  JournalUnavailableError,
+  retryTransientDiskErrors,
+  type JournalTimings,
+} from './pace.js';
 
 interface Pending {
   readonly record: unknown;
@@ -31,7 +36,7 @@
 /** An attempt that took long is followed by a longer wait, up to this many times the usual one. */
 const longestWait = 4;
 
-const scanFile = async (file: DiskFile, scanner: Scanner): Promise<void> => {
+const scanFile = async (file: DiskFile, scanner: LogScanner): Promise<void> => {
   for await (const chunk of file.chunks()) scanner.add(chunk);
 };
 
@@ -59,11 +64,15 @@
     private readonly name: string,
     private readonly file: DiskFile,
     private readonly taskQueue: TaskQueue,
-    private readonly pace: JournalPace,
+    private readonly pace: JournalTimings,
   ) {}
 
   /** Opens a journal and returns all its records; an owner with many takes them one by one with `openFor`. */
-  static async open(disk: Disk, name: string, pace: JournalPace = hostPace): Promise<{ journal: Journal; records: readonly unknown[] }> {
+  static async open(
+    disk: Disk,
+    name: string,
+    pace: JournalTimings = defaultTimings,
+  ): Promise<{ journal: Journal; records: readonly unknown[] }> {
     return Journal.openFor(disk, name, pace, (journal) => {
       const records: unknown[] = [];
       return { journal, records, restore: (record: unknown) => void records.push(record) };
@@ -74,8 +83,13 @@
    * Opens a journal and hands each record to its owner as it is read. Each attempt begins with a new owner; one that was
    * handed a part of the records before the disk failed is dropped.
    */
-  static openFor<Owner extends JournalOwner>(disk: Disk, name: string, pace: JournalPace, begin: (journal: Journal) => Owner): Promise<Owner> {
-    return untilDiskTakes(pace, name, async () => {
+  static openFor<Owner extends JournalOwner>(
+    disk: Disk,
+    name: string,
+    pace: JournalTimings,
+    begin: (journal: Journal) => Owner,
+  ): Promise<Owner> {
+    return retryTransientDiskErrors(pace, name, async () => {
       const file = await disk.open(name);
       const journal = new Journal(name, file, new TaskQueue(`journal-${name}`), pace);
       try {
@@ -90,14 +104,14 @@
   }
 
   private async load(owner: JournalOwner): Promise<void> {
-    const scanner = new Scanner(this.name, (record) => owner.restore(record));
+    const scanner = new LogScanner(this.name, (record) => owner.restore(record));
     await scanFile(this.file, scanner);
-    if (scanner.good < scanner.size) await this.file.cut(scanner.good);
-    this.bytes = scanner.good;
-    this.floor = scanner.good;
+    if (scanner.validBytes < scanner.totalBytes) await this.file.truncate(scanner.validBytes);
+    this.bytes = scanner.validBytes;
+    this.floor = scanner.validBytes;
   }
 
-  get size(): number {
+  get sizeBytes(): number {
     return this.bytes;
   }
 
@@ -111,8 +125,9 @@
   }
 
   /** Throws if a record would be refused; to be asked before its owner changes what it holds. */
-  mustBeWritable(): void {
-    if (this.failure !== undefined) throw new JournalUnavailableError(this.name, this.failure, 'no');
+  requireWritable(): void {
+    if (this.failure !== undefined)
+      throw new JournalUnavailableError(this.name, this.failure, 'no');
   }
 
   /** Says from what the whole file can be written anew: all records that were ever handed to `append`, in effect. */
@@ -120,14 +135,14 @@
     this.snapshot = snapshot;
   }
 
-  long(least: number): boolean {
+  needsRewrite(least: number): boolean {
     return this.bytes > least && this.bytes > 2 * this.floor;
   }
 
   /** Resolves when the record is on disk. One that was refused with `ran` unknown may be on disk or not. */
   append(record: unknown): Promise<void> {
     return new Promise((done, fail) => {
-      this.mustBeWritable();
+      this.requireWritable();
       this.pending.push({ record, done, fail });
       if (this.pending.length === 1) void this.taskQueue.run(() => this.flush()).catch(fail);
     });
@@ -137,8 +152,8 @@
     const batch = this.pending;
     this.pending = [];
     if (batch.length === 0) return;
-    await this.write(batch, this.pace.syncWithin, async () => {
-      const bytes = frame(batch.map((p) => p.record));
+    await this.write(batch, this.pace.syncTimeoutMs, async () => {
+      const bytes = encodeFrame(batch.map((p) => p.record));
       await this.file.append(bytes);
       await this.file.sync();
       this.syncs++;
@@ -163,20 +178,26 @@
   }
 
   private rewriteWithin(): number {
-    return this.pace.syncWithin * (1 + this.bytes / bytesPerSync);
+    return this.pace.syncTimeoutMs * (1 + this.bytes / bytesPerSync);
   }
 
   private async replace(records: Iterable<unknown>): Promise<Digest> {
     const written = new Digest();
-    await this.file.replace(written.through(chunksOf(records)));
+    await this.file.replace(written.through(frameChunks(records)));
     this.bytes = written.bytes;
     this.floor = written.bytes;
     return written;
   }
 
   /** Runs one write; who waits for it hears within the bound. The next one starts only when this one has ended. */
-  private async write(batch: readonly Pending[], within: number, work: () => Promise<unknown>): Promise<void> {
-    const limit = this.limit(within, () => this.refuse(batch, `a write lasts over ${Math.round(within)} ms`));
+  private async write(
+    batch: readonly Pending[],
+    within: number,
+    work: () => Promise<unknown>,
+  ): Promise<void> {
+    const limit = this.limit(within, () =>
+      this.refuse(batch, `a write lasts over ${Math.round(within)} ms`),
+    );
     try {
       await work();
       limit.stop();
@@ -216,7 +237,7 @@
   private async recover(): Promise<void> {
     const { snapshot } = this;
     if (!snapshot) return;
-    const { clock, retryEvery } = this.pace;
+    const { clock, retryIntervalMs: retryEvery } = this.pace;
     let records: Iterable<unknown> | undefined;
     while (!this.closing.signal.aborted) {
       const began = clock.now();
--- a/packages/journal/src/pace.ts
+++ b/packages/journal/src/pace.ts
@@ -1,17 +1,28 @@
 /** The time bounds of writes to disk. */
-import { hostClock, UnavailableError, delay, type Clock, type Logger, type ExecutionStatus } from '@tillerstair/wire';
-import { isDiskTrouble } from './disk.js';
+import {
+  hostClock,
+  UnavailableError,
+  delay,
+  type Clock,
+  type Logger,
+  type ExecutionStatus,
+} from '@tillerstair/wire';
+import { isTransientDiskError } from './disk.js';
 
-export interface JournalPace {
+export interface JournalTimings {
   readonly clock: Clock;
   /** How long a write may last before those who wait for it are told that it failed. */
-  readonly syncWithin: number;
+  readonly syncTimeoutMs: number;
   /** How long to wait between two attempts to write a file anew after a failure. */
-  readonly retryEvery: number;
+  readonly retryIntervalMs: number;
   readonly log?: Logger;
 }
 
-export const hostPace: JournalPace = { clock: hostClock, syncWithin: 1500, retryEvery: 250 };
+export const defaultTimings: JournalTimings = {
+  clock: hostClock,
+  syncTimeoutMs: 1500,
+  retryIntervalMs: 250,
+};
 
 /** Told to those whose record is not known to be on disk. */
 export class JournalUnavailableError extends UnavailableError {
@@ -23,14 +34,21 @@
 }
 
 /** Tries again for as long as the disk takes no bytes; any other error is thrown. */
-export const untilDiskTakes = async <T>(pace: JournalPace, what: string, work: () => Promise<T>): Promise<T> => {
+export const retryTransientDiskErrors = async <T>(
+  pace: JournalTimings,
+  what: string,
+  work: () => Promise<T>,
+): Promise<T> => {
   for (let tries = 0; ; tries++) {
     try {
       return await work();
     } catch (e) {
-      if (!isDiskTrouble(e)) throw e;
-      if (tries === 0) pace.log?.warn(`${what} waits for the disk: ${e instanceof Error ? e.message : String(e)}.`);
-      await delay(pace.clock, pace.retryEvery);
+      if (!isTransientDiskError(e)) throw e;
+      if (tries === 0)
+        pace.log?.warn(
+          `${what} waits for the disk: ${e instanceof Error ? e.message : String(e)}.`,
+        );
+      await delay(pace.clock, pace.retryIntervalMs);
     }
   }
 };
--- a/packages/settings/src/daemon.ts
+++ b/packages/settings/src/daemon.ts
@@ -1,7 +1,7 @@
 import cac from 'cac';
 import type { Server } from 'node:http';
 import { z } from 'zod';
-import { FolderInUseError, JournalCorrupt } from '@tillerstair/journal';
+import { FolderInUseError, JournalDamagedError } from '@tillerstair/journal';
 import {
   createLogger,
   sendJson,
@@ -111,7 +111,7 @@
       process.exit(2);
     }
     process.stderr.write(`${name}: cannot start: ${e instanceof Error ? e.message : String(e)}\n`);
-    process.exit(e instanceof FolderInUseError || e instanceof JournalCorrupt ? 3 : 1);
+    process.exit(e instanceof FolderInUseError || e instanceof JournalDamagedError ? 3 : 1);
   }
   reload = () => reloadSettings(name, read, running);
   if (reloadWanted) reload();
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -93,8 +93,8 @@
     const freshId = (): string => `${this.kind.charAt(0)}${w.freshId()}`;
     const pace = {
       clock,
-      syncWithin: w.bounds.syncWithin,
-      retryEvery: w.bounds.diskRetryEvery,
+      syncTimeoutMs: w.bounds.syncWithin,
+      retryIntervalMs: w.bounds.diskRetryEvery,
       log: this.log('disk'),
     };
     const member = { kind: this.kind, addr: this.addr, http: '', zone, data: '', name: this.name };
@@ -116,10 +116,10 @@
     const { electionStore, replicaStore } = await openStoreDisk({
       disk,
       clock,
-      pace: { ...pace, syncWithin: w.bounds.failureTimeout },
+      timings: { ...pace, syncTimeoutMs: w.bounds.failureTimeout },
       freshId,
-      longAt: w.longAt,
-      bounds: { journalLongAt: w.longAt, retentionMs: w.retentionMs, hintsMost: w.hintsMost },
+      rewriteMinBytes: w.longAt,
+      limits: { rewriteMinBytes: w.longAt, retentionMs: w.retentionMs, maxHints: w.hintsMost },
     });
     const me = { id: electionStore.persisted.id, ...member };
     const node = new StoreNode({ ...common, me, electionStore, replicaStore });
--- a/packages/sim/src/sim-disk.ts
+++ b/packages/sim/src/sim-disk.ts
@@ -168,7 +168,7 @@
         chunks: () => slicesOf(content.cached),
         append: (bytes) => write(content, bytes),
         sync: () => sync(content),
-        cut: async (size) => {
+        truncate: async (size) => {
           await work();
           content.cached = Buffer.from(content.cached.subarray(0, size));
           content.synced = content.cached;
--- a/packages/store/src/node.ts
+++ b/packages/store/src/node.ts
@@ -114,17 +114,17 @@
         const { turn, slots } = FindTurnRequest.parse(rpc.body);
         if (slots.some((n) => !this.keeps(n)))
           throw new ReplicaError('moved', 'another store keeps one of these slots now');
-        await replicaStore.synced();
-        return { items: replicaStore.find(turn) };
+        await replicaStore.waitForSync();
+        return { items: replicaStore.findTurns(turn) };
       }
       case 'store/hint': {
         const { to, slot, items } = HintRequest.parse(rpc.body);
-        await replicaStore.hint(to, slot, items);
+        await replicaStore.addHint(to, slot, items);
         return {};
       }
       case 'store/hand': {
         const { slot, items } = HandoffRequest.parse(rpc.body);
-        await replicaStore.hand(slot, items);
+        await replicaStore.acceptHandoff(slot, items);
         return {};
       }
       default:
@@ -141,8 +141,8 @@
       if (!s || !this.p.replicaStore.writable || this.gone.signal.aborted) continue;
       try {
         await this.handOver(s);
-        await this.p.replicaStore.dropOld(turnRetentionLimitMs(compiledConfig(s.config)));
-        await this.p.replicaStore.forgetSlots((n) => {
+        await this.p.replicaStore.dropExpired(turnRetentionLimitMs(compiledConfig(s.config)));
+        await this.p.replicaStore.dropReassignedSlots((n) => {
           const slot = this.newest?.slots[n];
           return slot && slot.replicas.length > 0 && !replicasToWrite(slot).includes(this.p.me.id)
             ? slot.ownershipEpoch
@@ -177,7 +177,7 @@
             break;
           }
         }
-        await replicaStore.handed(h.n);
+        await replicaStore.removeHint(h.n);
         count++;
       }
       if (count > 0) log.info(`Handed ${count} hints to ${member?.addr ?? to}.`);
@@ -241,7 +241,7 @@
             { timeoutMs: bounds.failureTimeout },
           );
         };
-        for await (const page of fetchPages(ask)) await replicaStore.hand(slot, page);
+        for await (const page of fetchPages(ask)) await replicaStore.acceptHandoff(slot, page);
         pulled++;
       } catch (e) {
         log.debug(`Pulling slot ${slot} from ${member.addr} failed: ${toRpcError(e).message}.`);
--- a/packages/store/src/replica-store.ts
+++ b/packages/store/src/replica-store.ts
@@ -1,11 +1,11 @@
 import { z } from 'zod';
 import { recordGroup, Item, isNewerItem, maxPageBytes, type ItemPage } from '@tillerstair/state';
 import {
-  hostPace,
+  defaultTimings,
   Journal,
   type Disk,
   type JournalOwner,
-  type JournalPace,
+  type JournalTimings,
 } from '@tillerstair/journal';
 import { type Clock, ReplicaError } from '@tillerstair/wire';
 
@@ -38,7 +38,7 @@
 
 export const replicaStoreLog = 'store.log';
 
-export interface HintRecord {
+export interface Hint {
   readonly n: number;
   readonly to: string;
   readonly slot: number;
@@ -57,7 +57,7 @@
   readonly items: readonly Item[];
 }
 
-function* recordsOf(slots: readonly SlotSnapshot[], hints: readonly HintRecord[]): Generator<Rec> {
+function* recordsOf(slots: readonly SlotSnapshot[], hints: readonly Hint[]): Generator<Rec> {
   for (const { slot, fenced, items } of slots) {
     if (fenced > 0) yield { t: 'fence', slot, ownershipEpoch: fenced };
     for (const item of items) yield { t: 'put', slot, ownershipEpoch: 0, items: [item] };
@@ -65,22 +65,22 @@
   for (const hint of hints) yield { t: 'hint', ...hint, items: [...hint.items] };
 }
 
-export interface ReplicaStoreBounds {
-  readonly journalLongAt: number;
+export interface ReplicaStoreLimits {
+  readonly rewriteMinBytes: number;
   readonly retentionMs: number;
-  readonly hintsMost: number;
+  readonly maxHints: number;
 }
 
 export class ReplicaStore implements JournalOwner {
   private readonly slots = new Map<number, SlotReplica>();
   private readonly byTurn = new Map<string, { readonly slot: number; readonly key: string }>();
-  private readonly hints = new Map<number, HintRecord>();
+  private readonly hints = new Map<number, Hint>();
   private hintSeq = 0;
 
   private constructor(
     private readonly journal: Journal,
     private readonly clock: Clock,
-    private readonly bounds: ReplicaStoreBounds,
+    private readonly bounds: ReplicaStoreLimits,
   ) {
     journal.recoverFrom(() => this.whole());
   }
@@ -88,8 +88,8 @@
   static async open(
     disk: Disk,
     clock: Clock,
-    bounds: ReplicaStoreBounds,
-    pace: JournalPace = { ...hostPace, clock },
+    bounds: ReplicaStoreLimits,
+    pace: JournalTimings = { ...defaultTimings, clock },
   ): Promise<ReplicaStore> {
     return Journal.openFor(
       disk,
@@ -164,10 +164,10 @@
    * held without being acknowledged, a fence too many refuses no more than one that was acknowledged would.
    */
   private async put(r: Rec): Promise<void> {
-    this.journal.mustBeWritable();
+    this.journal.requireWritable();
     this.take(r);
     await this.journal.append(r);
-    if (this.journal.long(this.bounds.journalLongAt))
+    if (this.journal.needsRewrite(this.bounds.rewriteMinBytes))
       void this.journal.rewrite(() => this.whole()).catch(() => undefined);
   }
 
@@ -201,7 +201,7 @@
     const s = this.slotAtEpoch(slot, ownershipEpoch);
     if (after === '') {
       if (s.fenced < ownershipEpoch) await this.put({ t: 'fence', slot, ownershipEpoch });
-      else await this.synced();
+      else await this.waitForSync();
     }
     return this.page(s, after);
   }
@@ -226,7 +226,7 @@
   }
 
   /** Resolves once everything held now is on disk. */
-  synced(): Promise<void> {
+  waitForSync(): Promise<void> {
     return this.journal.append({ t: 'fence', slot: 0, ownershipEpoch: 0 });
   }
 
@@ -235,7 +235,7 @@
   }
 
   /** The turn so named and, after it, those that it goes on from, as far as they are held here; the newest first. */
-  find(turn: string): readonly Item[] {
+  findTurns(turn: string): readonly Item[] {
     const out: Item[] = [];
     for (let at = this.byTurn.get(turn); at;) {
       const item = this.slots.get(at.slot)?.items.get(at.key);
@@ -259,23 +259,23 @@
     return this.page(s, after);
   }
 
-  async hand(slot: number, items: readonly Item[]): Promise<void> {
+  async acceptHandoff(slot: number, items: readonly Item[]): Promise<void> {
     const s = this.slot(slot);
     const fresh = items.filter((i) => {
       const old = s.items.get(i.key);
       return !old || isNewerItem(i, old);
     });
     if (fresh.length > 0) await this.put({ t: 'put', slot, ownershipEpoch: 0, items: fresh });
-    else await this.synced();
+    else await this.waitForSync();
   }
 
-  async hint(to: string, slot: number, items: readonly Item[]): Promise<void> {
-    if (this.hints.size >= this.bounds.hintsMost)
+  async addHint(to: string, slot: number, items: readonly Item[]): Promise<void> {
+    if (this.hints.size >= this.bounds.maxHints)
       throw new ReplicaError('hints-full', `${this.hints.size} hints are held already`);
     await this.put({ t: 'hint', n: ++this.hintSeq, to, slot, items: [...items] });
   }
 
-  hintsFor(to: string): readonly HintRecord[] {
+  hintsFor(to: string): readonly Hint[] {
     return [...this.hints.values()].filter((h) => h.to === to).sort((a, b) => a.n - b.n);
   }
 
@@ -283,12 +283,12 @@
     return new Set([...this.hints.values()].map((h) => h.to));
   }
 
-  async handed(n: number): Promise<void> {
+  async removeHint(n: number): Promise<void> {
     await this.put({ t: 'transferred', n });
   }
 
   /** Drops what nobody touched for as long as things are kept, and for `leastMs`. */
-  async dropOld(leastMs = 0): Promise<number> {
+  async dropExpired(leastMs = 0): Promise<number> {
     const now = this.clock.now();
     const retentionMs = Math.max(this.bounds.retentionMs, leastMs);
     let dropped = 0;
@@ -301,7 +301,7 @@
     return dropped;
   }
 
-  async forgetSlots(outAt: (slot: number) => number): Promise<void> {
+  async dropReassignedSlots(outAt: (slot: number) => number): Promise<void> {
     for (const [slot, s] of this.slots)
       if (s.items.size > 0 && outAt(slot) >= s.fenced)
         await this.put({
@@ -314,6 +314,6 @@
   counts(): { items: number; hints: number; bytes: number; slots: number } {
     let items = 0;
     for (const s of this.slots.values()) items += s.items.size;
-    return { items, hints: this.hints.size, bytes: this.journal.size, slots: this.slots.size };
+    return { items, hints: this.hints.size, bytes: this.journal.sizeBytes, slots: this.slots.size };
   }
 }
--- a/packages/store/src/start.ts
+++ b/packages/store/src/start.ts
@@ -14,17 +14,21 @@
 
 export const startStore = async (settings: StoreSettings): Promise<Running<StoreSettings>> => {
   const log = stderrLog('store', settings.log);
-  const disk = await FolderDisk.take(settings.data);
+  const disk = await FolderDisk.acquire(settings.data);
   const { bounds, replace } = reloadableBounds(settings.bounds);
   const pace = storePace(hostClock, bounds, log);
   const freshId = (): string => `s-${randomBytes(6).toString('hex')}`;
   const { electionStore, replicaStore } = await openStoreDisk({
     disk,
     clock: hostClock,
-    pace,
-    bounds: settings,
+    timings: pace,
+    limits: {
+      rewriteMinBytes: settings.journalLongAt,
+      retentionMs: settings.retentionMs,
+      maxHints: settings.hintsMost,
+    },
     freshId,
-    longAt: settings.journalLongAt,
+    rewriteMinBytes: settings.journalLongAt,
   });
   const me = {
     id: electionStore.persisted.id,
@@ -68,7 +72,7 @@
     stop: async () => {
       await node.stop();
       await closeHttp(http);
-      await disk.free();
+      await disk.release();
     },
   };
 };
--- a/packages/zen/src/disk-election-store.ts
+++ b/packages/zen/src/disk-election-store.ts
@@ -1,5 +1,5 @@
 /** The election store of controls and stores: a journal on disk, with what it holds in memory. */
-import { hostPace, type Disk, type Journal, type JournalPace } from '@tillerstair/journal';
+import { defaultTimings, type Disk, type Journal, type JournalTimings } from '@tillerstair/journal';
 import { diffStates, encodeState, type Member, type State } from '@tillerstair/state';
 import { delay } from '@tillerstair/wire';
 import {
@@ -32,7 +32,7 @@
     disk: Disk,
     freshId: () => string,
     rewriteAtBytes: number,
-    pace: JournalPace = hostPace,
+    pace: JournalTimings = defaultTimings,
   ): Promise<DiskElectionStore> {
     const { journal, persisted } = await openElectionLog(disk, pace);
     const electionStore = new DiskElectionStore(journal, persisted, rewriteAtBytes);
@@ -40,9 +40,9 @@
     return electionStore;
   }
 
-  private async recordId(id: string, pace: JournalPace): Promise<void> {
+  private async recordId(id: string, pace: JournalTimings): Promise<void> {
     await this.record({ t: 'id', id }).catch(() => undefined);
-    while (!this.writable) await delay(pace.clock, pace.retryEvery);
+    while (!this.writable) await delay(pace.clock, pace.retryIntervalMs);
   }
 
   /** Whether the disk takes records; after a failed write not before the log has been written anew. */
@@ -65,18 +65,18 @@
     record: ElectionRecord,
     next = applyRecord(this.persisted, record),
   ): Promise<void> {
-    this.journal.mustBeWritable();
+    this.journal.requireWritable();
     this.persisted = next;
     this.lastAppend = this.journal.append(record);
     await this.lastAppend;
-    if (this.journal.long(this.rewriteAtBytes))
+    if (this.journal.needsRewrite(this.rewriteAtBytes))
       void this.journal.rewrite(() => recordsOf(this.persisted)).catch(() => undefined);
   }
 
   /** Resolves once all that has been recorded is on disk; rejects while the disk takes no records. */
   async synced(): Promise<void> {
     await this.lastAppend.catch(() => undefined);
-    this.journal.mustBeWritable();
+    this.journal.requireWritable();
   }
 
   /** Records the vote of a term. */
--- a/packages/zen/src/election-log.ts
+++ b/packages/zen/src/election-log.ts
@@ -4,12 +4,12 @@
  * state can have been lost from the middle.
  */
 import {
-  isDiskTrouble,
+  isTransientDiskError,
   Journal,
-  untilDiskTakes,
+  retryTransientDiskErrors,
   type Disk,
   type JournalOwner,
-  type JournalPace,
+  type JournalTimings,
 } from '@tillerstair/journal';
 import {
   StateDiff,
@@ -139,7 +139,7 @@
 /** Name of the log on a node's disk. */
 export const electionLogName = 'zen.log';
 
-const replay = (disk: Disk, pace: JournalPace): Promise<ElectionLogReplay> =>
+const replay = (disk: Disk, pace: JournalTimings): Promise<ElectionLogReplay> =>
   Journal.openFor(disk, electionLogName, pace, (journal) => new ElectionLogReplay(journal));
 
 /**
@@ -148,17 +148,17 @@
  */
 export const openElectionLog = async (
   disk: Disk,
-  pace: JournalPace,
+  pace: JournalTimings,
 ): Promise<ElectionLogReplay> => {
   try {
     return await replay(disk, pace);
   } catch (e) {
-    if (isDiskTrouble(e)) throw e;
+    if (isTransientDiskError(e)) throw e;
     const reason = e instanceof Error ? e.message : String(e);
     pace.log?.warn(
       `${electionLogName} is incomplete (${reason}): set aside as ${electionLogName}.damaged, starting as a new member.`,
     );
-    await untilDiskTakes(pace, electionLogName, () => disk.setAside(electionLogName));
+    await retryTransientDiskErrors(pace, electionLogName, () => disk.setAside(electionLogName));
     return replay(disk, pace);
   }
 };
--- a/packages/zen/src/pace.ts
+++ b/packages/zen/src/pace.ts
@@ -2,30 +2,30 @@
  * How long writes to disk may last on each kind of member (docs/design.md, "Disk"). The values follow bounds that are
  * replaced while the process runs.
  */
-import type { JournalPace } from '@tillerstair/journal';
+import type { JournalTimings } from '@tillerstair/journal';
 import type { Clock, Logger } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 
 /** For controls: a sync that lasts longer than a publish waits is of no use to any majority. */
-export const controlPace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalPace => ({
+export const controlPace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalTimings => ({
   clock,
   log,
-  get syncWithin() {
+  get syncTimeoutMs() {
     return bounds.syncWithin;
   },
-  get retryEvery() {
+  get retryIntervalMs() {
     return bounds.diskRetryEvery;
   },
 });
 
 /** For stores: a slow sync still makes a replica complete, though the slot's writes do not wait for it. */
-export const storePace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalPace => ({
+export const storePace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalTimings => ({
   clock,
   log,
-  get syncWithin() {
+  get syncTimeoutMs() {
     return bounds.failureTimeout;
   },
-  get retryEvery() {
+  get retryIntervalMs() {
     return bounds.diskRetryEvery;
   },
 });
--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -5,13 +5,13 @@
 import * as assert from 'uvu/assert';
 import {
   FolderDisk,
-  frame,
+  encodeFrame,
   Journal,
-  JournalCorrupt,
-  Scanner,
+  JournalDamagedError,
+  LogScanner,
   type Disk,
   type DiskFile,
-  type JournalPace,
+  type JournalTimings,
 } from '@tillerstair/journal';
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
@@ -27,18 +27,18 @@
 /** Scans bytes cut into chunks of one size, through one buffer that is overwritten by each of them as `FolderDisk` does. */
 const scanIn = (chunkBytes: number, bytes: Buffer): Scanned => {
   const records: unknown[] = [];
-  const scanner = new Scanner('a.log', (record) => void records.push(record));
+  const scanner = new LogScanner('a.log', (record) => void records.push(record));
   const buffer = Buffer.alloc(chunkBytes);
   for (let at = 0; at < bytes.length; at += chunkBytes) {
     const length = bytes.copy(buffer, 0, at, at + chunkBytes);
     scanner.add(buffer.subarray(0, length));
   }
-  return { records, good: scanner.good, size: scanner.size };
+  return { records, good: scanner.validBytes, size: scanner.totalBytes };
 };
 
 const first = [{ n: 1, text: 'añ€😀' }, { n: 2 }];
 const second = [{ n: 3, text: '€'.repeat(40) }];
-const frames = [frame(first), frame([{ n: 0 }]), frame(second)];
+const frames = [encodeFrame(first), encodeFrame([{ n: 0 }]), encodeFrame(second)];
 const all = [...first, { n: 0 }, ...second];
 const whole = Buffer.concat(frames);
 const lastAt = whole.length - (frames.at(-1)?.length ?? 0);
@@ -91,7 +91,7 @@
       } catch (e) {
         reported = e;
       }
-      assert.instance(reported, JournalCorrupt, `byte ${at} in chunks of ${size}`);
+      assert.instance(reported, JournalDamagedError, `byte ${at} in chunks of ${size}`);
       assert.match(String(reported), `at byte ${secondAt} `);
     }
   }
@@ -102,30 +102,30 @@
   async () => {
     const dir = await mkdtemp(join(tmpdir(), 'tillerstair-chunks-'));
     try {
-      const disk = await FolderDisk.take(dir);
+      const disk = await FolderDisk.acquire(dir);
       const records = [{ n: 1 }, { text: '€'.repeat(1 << 20) }, { n: 2 }];
-      const framed = records.map((r) => frame([r]));
-      const torn = frame([{ text: 'é'.repeat(1 << 20) }]).subarray(0, -1);
+      const framed = records.map((r) => encodeFrame([r]));
+      const torn = encodeFrame([{ text: 'é'.repeat(1 << 20) }]).subarray(0, -1);
       await writeFile(join(dir, 'a.log'), Buffer.concat([...framed, torn]));
       const { journal, records: held } = await Journal.open(disk, 'a.log');
       assert.equal(held, records);
-      assert.is(journal.size, Buffer.concat(framed).length);
+      assert.is(journal.sizeBytes, Buffer.concat(framed).length);
       await journal.rewrite(() => [...records, { n: 3 }]);
       await journal.append({ n: 4 });
-      const { size } = journal;
+      const { sizeBytes: size } = journal;
       await journal.close();
       const again = await Journal.open(disk, 'a.log');
       assert.equal(again.records, [...records, { n: 3 }, { n: 4 }]);
-      assert.is(again.journal.size, size);
+      assert.is(again.journal.sizeBytes, size);
       await again.journal.close();
-      await disk.free();
+      await disk.release();
     } finally {
       await rm(dir, { recursive: true });
     }
   },
 );
 
-const bounds = { journalLongAt: 1 << 30, retentionMs: 1e9, hintsMost: 10 };
+const bounds = { rewriteMinBytes: 1 << 30, retentionMs: 1e9, maxHints: 10 };
 const longText = 'x'.repeat(100 << 10);
 const longItem = (n: number, seq: number) => ({
   key: `o/t/${n}`,
@@ -178,11 +178,11 @@
       chunks.push(chunk);
       if (chunks.length === 1) onFirst();
     });
-    const small = { ...bounds, journalLongAt: 1 << 20 };
+    const small = { ...bounds, rewriteMinBytes: 1 << 20 };
     const replicaStore = await clock.finish('open', ReplicaStore.open(disk, clock, small), 1000);
-    await clock.finish('hint', replicaStore.hint('b', 1, [longItem(0, 1)]), 1000);
+    await clock.finish('hint', replicaStore.addHint('b', 1, [longItem(0, 1)]), 1000);
     onFirst = () => {
-      later.push(replicaStore.handed(1), replicaStore.hint('c', 1, [longItem(0, 1)]));
+      later.push(replicaStore.removeHint(1), replicaStore.addHint('c', 1, [longItem(0, 1)]));
       for (let n = 0; n < longItems; n++) later.push(replicaStore.write(1, 1, [longItem(n, 9)]));
       later.push(replicaStore.write(1, 1, [longItem(longItems, 9)]));
     };
@@ -267,7 +267,7 @@
 chunked('a recovery whose file reads back otherwise is tried again', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
-  const pace: JournalPace = { clock, syncWithin: 1500, retryEvery: 250 };
+  const pace: JournalTimings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
   const plain = platter.disk(clock, new Life());
   let badReads = 2;
   let replaced = 0;
@@ -311,7 +311,7 @@
   const plain = platter.disk(clock, new Life());
   const { journal } = await clock.finish(
     'open',
-    Journal.open(plain, 'a.log', { clock, syncWithin: 1500, retryEvery: 250 }),
+    Journal.open(plain, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
     1000,
   );
   const records = Array.from({ length: 100 }, (_, n) => ({ n, text: 'x'.repeat(50) }));
@@ -334,7 +334,7 @@
   };
   const again = await clock.finish(
     'again',
-    Journal.open(failing, 'a.log', { clock, syncWithin: 1500, retryEvery: 250 }),
+    Journal.open(failing, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
     5000,
   );
   assert.ok(failures <= 0);
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { FolderDisk, frame, Journal } from '@tillerstair/journal';
+import { FolderDisk, encodeFrame, Journal } from '@tillerstair/journal';
 import { Life } from '@tillerstair/sim';
 import { openStoreDisk } from '@tillerstair/store';
 import { at, longAt, type Rig, rig, finish, item, keysOf } from './journal-rig.js';
@@ -79,10 +79,10 @@
   await diffs(r, 5);
   const lines = await linesOf(r);
   const [id = '', recordVote = '', full = '', ...rest] = lines;
-  const other = frame([{ t: 'promise', term: 3, to: 'b' }])
+  const other = encodeFrame([{ t: 'promise', term: 3, to: 'b' }])
     .toString('utf8')
     .trimEnd();
-  const lower = frame([{ t: 'promise', term: 2, to: 'a' }])
+  const lower = encodeFrame([{ t: 'promise', term: 2, to: 'a' }])
     .toString('utf8')
     .trimEnd();
   const cases: readonly (readonly string[])[] = [
@@ -95,7 +95,7 @@
     [
       id,
       recordVote,
-      frame([{ t: 'what' }])
+      encodeFrame([{ t: 'what' }])
         .toString('utf8')
         .trimEnd(),
       full,
@@ -126,10 +126,10 @@
         openStoreDisk({
           disk: r.platter.disk(r.clock, life),
           clock: r.clock,
-          pace: r.pace,
+          timings: r.pace,
           freshId: () => `s-${++ids}`,
-          longAt,
-          bounds: { journalLongAt: longAt, retentionMs: 1e9, hintsMost: 10 },
+          rewriteMinBytes: longAt,
+          limits: { rewriteMinBytes: longAt, retentionMs: 1e9, maxHints: 10 },
         });
       const first = await r.clock.finish('open', open(new Life()), 1000);
       for (let n = 0; n < 4; n++)
@@ -231,7 +231,7 @@
   () =>
     folder(async (dir) => {
       const data = join(dir, 'made', 'here');
-      const disk = await FolderDisk.take(data);
+      const disk = await FolderDisk.acquire(data);
       const { journal } = await Journal.open(disk, 'a.log');
       for (let n = 0; n < 3; n++) await journal.append({ n });
       await writeFile(
@@ -253,7 +253,7 @@
       await disk.setAside('never.log');
       assert.equal((await readdir(data)).sort(), ['a.log.damaged', 'lock']);
       assert.match(await readFile(join(data, 'a.log.damaged'), 'utf8'), '"n":3');
-      await disk.free();
+      await disk.release();
     }),
 );
 
--- a/tests/src/journal/folder-disk.test.ts
+++ b/tests/src/journal/folder-disk.test.ts
@@ -19,9 +19,9 @@
 };
 
 const isTaken = (folder: string): Promise<boolean> =>
-  FolderDisk.take(folder).then(
+  FolderDisk.acquire(folder).then(
     async (disk) => {
-      await disk.free();
+      await disk.release();
       return false;
     },
     (e: unknown) => {
@@ -65,7 +65,7 @@
 
 folders('a file that cannot be written anew stays as it was, and leaves nothing beside it', () =>
   inFolder(async (folder) => {
-    const disk = await FolderDisk.take(folder);
+    const disk = await FolderDisk.acquire(folder);
     const file = await disk.open('a.log');
     await file.append(Buffer.from('old'));
     const failing = function* (): Generator<Buffer> {
@@ -81,36 +81,36 @@
     assert.is(await readFile(join(folder, 'a.log'), 'utf8'), 'older');
     assert.equal([...(await readdir(folder))].sort(), ['a.log', 'lock']);
     await file.close();
-    await disk.free();
+    await disk.release();
   }),
 );
 
 folders('what a rewrite left behind is removed when the file is opened', () =>
   inFolder(async (folder) => {
     await writeFile(join(folder, 'a.log.next'), 'half');
-    const disk = await FolderDisk.take(folder);
+    const disk = await FolderDisk.acquire(folder);
     await (await disk.open('a.log')).close();
     assert.equal([...(await readdir(folder))].sort(), ['a.log', 'lock']);
-    await disk.free();
+    await disk.release();
   }),
 );
 
 folders('a file that is set aside keeps its bytes; one that is not there is no error', () =>
   inFolder(async (folder) => {
-    const disk = await FolderDisk.take(folder);
+    const disk = await FolderDisk.acquire(folder);
     await disk.setAside('a.log');
     await writeFile(join(folder, 'a.log'), 'bytes');
     await disk.setAside('a.log');
     assert.is(await readFile(join(folder, 'a.log.damaged'), 'utf8'), 'bytes');
     assert.equal([...(await readdir(folder))].sort(), ['a.log.damaged', 'lock']);
-    await disk.free();
+    await disk.release();
     await rm(folder, { recursive: true });
     const outcome = await disk.setAside('a.log').then(
       () => 'set aside',
       (e: unknown) => (e instanceof Error && 'code' in e ? e.code : ''),
     );
     assert.is(outcome, 'ENOENT');
-    await FolderDisk.take(folder);
+    await FolderDisk.acquire(folder);
   }),
 );
 
--- a/tests/src/journal/frames.test.ts
+++ b/tests/src/journal/frames.test.ts
@@ -2,25 +2,25 @@
 import { crc32 } from 'node:zlib';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Digest, frame, JournalCorrupt, Scanner } from '@tillerstair/journal';
+import { Digest, encodeFrame, JournalDamagedError, LogScanner } from '@tillerstair/journal';
 
 const frames = suite('frames of a journal');
 
 const scan = (...lines: readonly Buffer[]): { records: readonly unknown[]; good: number } => {
   const records: unknown[] = [];
-  const scanner = new Scanner('a.log', (record) => void records.push(record));
+  const scanner = new LogScanner('a.log', (record) => void records.push(record));
   for (const line of lines) scanner.add(line);
-  return { records, good: scanner.good };
+  return { records, good: scanner.validBytes };
 };
 
-const first = frame([{ n: 1 }]);
+const first = encodeFrame([{ n: 1 }]);
 const nothingAfterFirst = { records: [{ n: 1 }], good: first.length };
 
 const checksummed = (json: string, separator = ' '): Buffer =>
   Buffer.from(`${crc32(json).toString(16).padStart(8, '0')}${separator}${json}\n`);
 
 frames('a batch is read as it was written', () => {
-  const both = frame([{ n: 2 }, { n: 3 }]);
+  const both = encodeFrame([{ n: 2 }, { n: 3 }]);
   assert.equal(scan(first, both), {
     records: [{ n: 1 }, { n: 2 }, { n: 3 }],
     good: first.length + both.length,
@@ -28,7 +28,7 @@
 });
 
 frames('a last line with another checksum ends the log', () => {
-  const line = frame([{ n: 2 }]);
+  const line = encodeFrame([{ n: 2 }]);
   line[0] = line[0] === 48 ? 49 : 48;
   assert.equal(scan(first, line), nothingAfterFirst);
 });
@@ -44,8 +44,8 @@
 
 frames('a good line after a damaged one is damage, not a torn tail', () => {
   assert.throws(
-    () => scan(first, checksummed('{"n":2}'), frame([{ n: 3 }])),
-    (e: unknown) => e instanceof JournalCorrupt && e.message.includes(`byte ${first.length} `),
+    () => scan(first, checksummed('{"n":2}'), encodeFrame([{ n: 3 }])),
+    (e: unknown) => e instanceof JournalDamagedError && e.message.includes(`byte ${first.length} `),
   );
 });
 
--- a/tests/src/journal/journal-rig.ts
+++ b/tests/src/journal/journal-rig.ts
@@ -1,5 +1,5 @@
 /** A simulated disk with its clock, and the states that are written to it. */
-import { type JournalPace } from '@tillerstair/journal';
+import { type JournalTimings } from '@tillerstair/journal';
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
 import { ReplicaStore } from '@tillerstair/store';
@@ -26,7 +26,7 @@
   readonly clock: SimClock;
   readonly platter: SimPlatter;
   readonly said: string[];
-  readonly pace: JournalPace;
+  readonly pace: JournalTimings;
   electionStore(life?: Life, id?: string, rewriteAt?: number): Promise<DiskElectionStore>;
   replicaStore(life?: Life, rewriteAt?: number): Promise<ReplicaStore>;
 }
@@ -37,8 +37,8 @@
   const said: string[] = [];
   const pace = {
     clock,
-    syncWithin: 1500,
-    retryEvery: 250,
+    syncTimeoutMs: 1500,
+    retryIntervalMs: 250,
     log: { ...silentLogger, warn: (text: string) => void said.push(text) },
   };
   return {
@@ -58,7 +58,7 @@
         ReplicaStore.open(
           platter.disk(clock, life),
           clock,
-          { journalLongAt: rewriteAt, retentionMs: 1e9, hintsMost: 10 },
+          { rewriteMinBytes: rewriteAt, retentionMs: 1e9, maxHints: 10 },
           pace,
         ),
         60000,
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { FolderDisk, FolderInUseError, Journal, JournalCorrupt } from '@tillerstair/journal';
+import { FolderDisk, FolderInUseError, Journal, JournalDamagedError } from '@tillerstair/journal';
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
 
@@ -16,7 +16,7 @@
 
 journal('a torn tail is cut off, what was synced before it stays', () =>
   folder(async (dir) => {
-    const disk = await FolderDisk.take(dir);
+    const disk = await FolderDisk.acquire(dir);
     const { journal: j } = await Journal.open(disk, 'a.log');
     await j.append({ n: 1 });
     await j.append({ n: 2 });
@@ -33,13 +33,13 @@
       assert.equal(last.records, [{ n: 1 }, { n: 3 }]);
       await last.journal.close();
     }
-    await disk.free();
+    await disk.release();
   }),
 );
 
 journal('a damaged middle refuses to open and says where', () =>
   folder(async (dir) => {
-    const disk = await FolderDisk.take(dir);
+    const disk = await FolderDisk.acquire(dir);
     const { journal: j } = await Journal.open(disk, 'a.log');
     for (let n = 0; n < 3; n++) await j.append({ n });
     await j.close();
@@ -51,24 +51,24 @@
       () => undefined,
       (e: unknown) => e,
     );
-    assert.instance(errorCode, JournalCorrupt);
+    assert.instance(errorCode, JournalDamagedError);
     assert.match(String(errorCode), 'byte 0');
-    await disk.free();
+    await disk.release();
   }),
 );
 
 journal("a data folder is taken by one process only, and a dead one's lock does not hold", () =>
   folder(async (dir) => {
-    const disk = await FolderDisk.take(dir);
-    const second = await FolderDisk.take(dir).then(
+    const disk = await FolderDisk.acquire(dir);
+    const second = await FolderDisk.acquire(dir).then(
       () => undefined,
       (e: unknown) => e,
     );
     assert.instance(second, FolderInUseError);
-    await disk.free();
+    await disk.release();
     await writeFile(join(dir, 'lock'), '999999999 1');
-    const third = await FolderDisk.take(dir);
-    await third.free();
+    const third = await FolderDisk.acquire(dir);
+    await third.release();
   }),
 );
 
@@ -94,9 +94,9 @@
     const replicaStore = await clock.finish(
       'open',
       ReplicaStore.open(platter.disk(clock, life), clock, {
-        journalLongAt: 600,
+        rewriteMinBytes: 600,
         retentionMs: 1e9,
-        hintsMost: 10,
+        maxHints: 10,
       }),
       1000,
     );
@@ -120,9 +120,9 @@
     const again = await clock.finish(
       'reopen',
       ReplicaStore.open(platter.disk(clock, new Life()), clock, {
-        journalLongAt: 600,
+        rewriteMinBytes: 600,
         retentionMs: 1e9,
-        hintsMost: 10,
+        maxHints: 10,
       }),
       1000,
     );
@@ -141,7 +141,7 @@
 journal('a store refuses ownership epochs below its fence, after power loss too', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(3));
-  const bounds = { journalLongAt: 1 << 20, retentionMs: 1e9, hintsMost: 10 };
+  const bounds = { rewriteMinBytes: 1 << 20, retentionMs: 1e9, maxHints: 10 };
   const replicaStore = await clock.finish(
     'open',
     ReplicaStore.open(platter.disk(clock, new Life()), clock, bounds),
@@ -167,13 +167,13 @@
   () =>
     folder(async (dir) => {
       await writeFile(join(dir, 'lock'), `${process.pid} `);
-      const disk = await FolderDisk.take(dir);
-      const again = await FolderDisk.take(dir).then(
+      const disk = await FolderDisk.acquire(dir);
+      const again = await FolderDisk.acquire(dir).then(
         () => 'taken',
         (e: unknown) => (e instanceof FolderInUseError ? 'held' : String(e)),
       );
       assert.is(again, 'held');
-      await disk.free();
+      await disk.release();
     }),
 );
 
--- a/tests/src/journal/memory-use-child.ts
+++ b/tests/src/journal/memory-use-child.ts
@@ -13,11 +13,11 @@
 
 const main = async (): Promise<void> => {
   const startMb = process.memoryUsage().rss / mb;
-  const disk = await FolderDisk.take(dir);
+  const disk = await FolderDisk.acquire(dir);
   const replicaStore = await ReplicaStore.open(disk, hostClock, {
-    journalLongAt: longAt,
+    rewriteMinBytes: longAt,
     retentionMs: 1e9,
-    hintsMost: 10,
+    maxHints: 10,
   });
   const openedMb = peakMb();
   const opened = replicaStore.counts();
@@ -38,7 +38,7 @@
       );
     last = replicaStore.counts().bytes;
   }
-  await disk.free();
+  await disk.release();
   process.stdout.write(
     JSON.stringify({
       startMb,
--- a/tests/src/journal/memory-use.test.ts
+++ b/tests/src/journal/memory-use.test.ts
@@ -7,7 +7,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
-import { frame } from '@tillerstair/journal';
+import { encodeFrame } from '@tillerstair/journal';
 
 const memory = suite('memory of a journal');
 
@@ -37,7 +37,7 @@
     const frames: Buffer[] = [];
     for (let n = 0; n < keys; n++)
       frames.push(
-        frame([
+        encodeFrame([
           {
             t: 'put',
             slot: 1,
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -1,7 +1,12 @@
 /** What a journal refuses from a failed or overlong write until its file is known to be complete again. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Journal, JournalUnavailableError, untilDiskTakes, type Disk } from '@tillerstair/journal';
+import {
+  Journal,
+  JournalUnavailableError,
+  retryTransientDiskErrors,
+  type Disk,
+} from '@tillerstair/journal';
 import { Life } from '@tillerstair/sim';
 import { finish, rig, type Rig } from './journal-rig.js';
 
@@ -50,7 +55,7 @@
   assert.is(first, 'unknown');
   const second = await r.clock.finish('second', executedOf(opened.journal.append(2)), 5000);
   assert.is(second, 'no');
-  assert.throws(() => opened.journal.mustBeWritable(), /cannot be written/);
+  assert.throws(() => opened.journal.requireWritable(), /cannot be written/);
 });
 
 refusals('a torn tail is cut off, so that later appends stand on lines of their own', async () => {
@@ -82,40 +87,46 @@
   assert.is(opened.journal.writable, true);
 });
 
-refusals('a record that waited behind an overlong write is written anew before any other', async () => {
-  const r = rig(1);
-  const opened = await open(r);
-  r.platter.stalled = true;
-  const first = append(r, opened, 1);
-  await r.clock.run(10);
-  const waiting = append(r, opened, 2);
-  assert.equal(await Promise.all([first, waiting]), ['unavailable', 'unavailable']);
-  r.platter.stalled = false;
-  await r.clock.run(500);
-  assert.is(opened.journal.writable, true);
-  assert.equal(await recordsOnDisk(r), [1, 2]);
-});
+refusals(
+  'a record that waited behind an overlong write is written anew before any other',
+  async () => {
+    const r = rig(1);
+    const opened = await open(r);
+    r.platter.stalled = true;
+    const first = append(r, opened, 1);
+    await r.clock.run(10);
+    const waiting = append(r, opened, 2);
+    assert.equal(await Promise.all([first, waiting]), ['unavailable', 'unavailable']);
+    r.platter.stalled = false;
+    await r.clock.run(500);
+    assert.is(opened.journal.writable, true);
+    assert.equal(await recordsOnDisk(r), [1, 2]);
+  },
+);
 
-refusals('a rewrite is not begun while another is under way, or while nothing is taken', async () => {
-  const r = rig(1);
-  const opened = await open(r);
-  assert.is(await append(r, opened, 1), 'done');
-  let snapshots = 0;
-  const snapshot = (): readonly unknown[] => {
-    snapshots++;
-    return [...opened.records];
-  };
-  const both = [opened.journal.rewrite(snapshot), opened.journal.rewrite(snapshot)];
-  await r.clock.finish('rewrites', Promise.all(both), 5000);
-  assert.is(snapshots, 1);
-  r.platter.full = true;
-  assert.is(await append(r, opened, 2), 'unavailable');
-  void opened.journal.rewrite(snapshot);
-  r.platter.full = false;
-  await r.clock.run(1000);
-  assert.is(snapshots, 1);
-  assert.equal(await recordsOnDisk(r), [1, 2]);
-});
+refusals(
+  'a rewrite is not begun while another is under way, or while nothing is taken',
+  async () => {
+    const r = rig(1);
+    const opened = await open(r);
+    assert.is(await append(r, opened, 1), 'done');
+    let snapshots = 0;
+    const snapshot = (): readonly unknown[] => {
+      snapshots++;
+      return [...opened.records];
+    };
+    const both = [opened.journal.rewrite(snapshot), opened.journal.rewrite(snapshot)];
+    await r.clock.finish('rewrites', Promise.all(both), 5000);
+    assert.is(snapshots, 1);
+    r.platter.full = true;
+    assert.is(await append(r, opened, 2), 'unavailable');
+    void opened.journal.rewrite(snapshot);
+    r.platter.full = false;
+    await r.clock.run(1000);
+    assert.is(snapshots, 1);
+    assert.equal(await recordsOnDisk(r), [1, 2]);
+  },
+);
 
 refusals('a rewrite that waited for a write that failed is not made', async () => {
   const r = rig(1);
@@ -153,11 +164,15 @@
     return attempts;
   };
   assert.is(
-    await r.clock.finish('full', untilDiskTakes(r.pace, 'a.log', failing('ENOSPC')), 5000),
+    await r.clock.finish(
+      'full',
+      retryTransientDiskErrors(r.pace, 'a.log', failing('ENOSPC')),
+      5000,
+    ),
     3,
   );
   attempts = 0;
-  const denied = untilDiskTakes(r.pace, 'a.log', failing('EACCES'));
+  const denied = retryTransientDiskErrors(r.pace, 'a.log', failing('EACCES'));
   assert.is(await finish(r, denied), 'EACCES');
   assert.is(attempts, 1);
 });
--- a/tests/src/journal/write-faults.test.ts
+++ b/tests/src/journal/write-faults.test.ts
@@ -23,7 +23,7 @@
       await r.clock.run(3000);
       assert.is(replicaStore.writable, false);
       r.platter.full = false;
-      await r.clock.run(2 * r.pace.retryEvery);
+      await r.clock.run(2 * r.pace.retryIntervalMs);
       assert.is(replicaStore.writable, true);
       assert.is(await finish(r, replicaStore.write(1, 1, [item(4)])), 'done');
       const held = keysOf(replicaStore);
@@ -77,7 +77,7 @@
     const t0 = r.clock.now();
     const first = finish(r, replicaStore.write(1, 1, [item(1)]));
     assert.is(await first, 'unavailable');
-    assert.ok(r.clock.now() - t0 <= r.pace.syncWithin + 1, `${r.clock.now() - t0}`);
+    assert.ok(r.clock.now() - t0 <= r.pace.syncTimeoutMs + 1, `${r.clock.now() - t0}`);
     const t1 = r.clock.now();
     assert.is(await finish(r, replicaStore.write(1, 1, [item(2)])), 'unavailable');
     assert.is(r.clock.now(), t1);
@@ -120,7 +120,7 @@
   const events = r.clock.events;
   await r.clock.run(25000);
   assert.ok(
-    r.clock.events - events < 5 * (25000 / r.pace.retryEvery),
+    r.clock.events - events < 5 * (25000 / r.pace.retryIntervalMs),
     `${r.clock.events - events} events`,
   );
 });
--- a/tests/src/repository/stored-data.test.ts
+++ b/tests/src/repository/stored-data.test.ts
@@ -5,7 +5,7 @@
 import * as assert from 'uvu/assert';
 import { request } from 'undici';
 import { ask, closeAsking, until } from '@tillerstair/fleet';
-import { FolderDisk, hostPace } from '@tillerstair/journal';
+import { FolderDisk, defaultTimings } from '@tillerstair/journal';
 import { Caller } from '@tillerstair/stand-ins';
 import { encodeState } from '@tillerstair/state';
 import { openStoreDisk } from '@tillerstair/store';
@@ -17,7 +17,7 @@
 const stored = suite('stored data of earlier versions');
 
 const longAt = 1 << 30;
-const storeBounds = { journalLongAt: longAt, retentionMs: 3600000, hintsMost: 1000 };
+const storeBounds = { rewriteMinBytes: longAt, retentionMs: 3600000, maxHints: 1000 };
 const noFreshId = (): string => {
   throw new Error('stored data must not be taken for a new member');
 };
@@ -51,10 +51,10 @@
       for (const [name, expected] of controls) {
         const log = join(folderOf(name), 'zen.log');
         const before = await readFile(log);
-        const disk = await FolderDisk.take(folderOf(name));
+        const disk = await FolderDisk.acquire(folderOf(name));
         const electionStore = await DiskElectionStore.open(disk, noFreshId, longAt);
         assertElection(electionStore.persisted, expected);
-        await disk.free();
+        await disk.release();
         assert.equal(await readFile(log), before);
       }
     }),
@@ -67,14 +67,14 @@
     for (const [name, expected] of stores) {
       const folder = folderOf(name);
       const before = await readFile(join(folder, 'store.log'));
-      const disk = await FolderDisk.take(folder);
+      const disk = await FolderDisk.acquire(folder);
       const { electionStore, replicaStore } = await openStoreDisk({
         disk,
         clock: hostClock,
-        pace: hostPace,
-        bounds: storeBounds,
+        timings: defaultTimings,
+        limits: storeBounds,
         freshId: noFreshId,
-        longAt,
+        rewriteMinBytes: longAt,
       });
       assertElection(electionStore.persisted, expected);
       const { fences, items, hints } = expected.replicas ?? { fences: [], items: [], hints: [] };
@@ -103,7 +103,7 @@
           .sort(byNumber),
         hints.sort(byNumber),
       );
-      await disk.free();
+      await disk.release();
       assert.equal(await readFile(join(folder, 'store.log')), before);
     }
     assert.ok(stores.some(([, s]) => (s.replicas?.hints.length ?? 0) > 0));
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -299,7 +299,7 @@
         if (slot.replicas.includes(m.store?.id ?? 'none'))
           going.push(
             ...Array.from({ length: 14 }, async (_, i) =>
-              m.replicaStore?.hand(n, [
+              m.replicaStore?.acceptHandoff(n, [
                 { key: `k/${n}-${i}`, ownershipEpoch: slot.ownershipEpoch, seq: i, value },
               ]),
             ),
--- a/tests/src/store/replica-store.test.ts
+++ b/tests/src/store/replica-store.test.ts
@@ -9,7 +9,7 @@
 const replicas = suite('replicas of a store');
 
 const retentionMs = 60000;
-const bounds = { journalLongAt: 1 << 30, retentionMs, hintsMost: 2 };
+const bounds = { rewriteMinBytes: 1 << 30, retentionMs, maxHints: 2 };
 
 const item = (key: string, ownershipEpoch: number, seq: number, value: unknown = seq): Item => ({
   key,
@@ -19,7 +19,7 @@
 });
 
 const open = (clock: SimClock, platter: SimPlatter): Promise<ReplicaStore> => {
-  const pace = { clock, syncWithin: 1500, retryEvery: 250 };
+  const pace = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
   const disk = platter.disk(clock, new Life());
   return clock.finish('open', ReplicaStore.open(disk, clock, bounds, pace), 5000);
 };
@@ -69,7 +69,7 @@
     const { store, outcomeOf, clock, platter } = await setUp();
     assert.is(await outcomeOf(store.write(1, 5, [item('a', 5, 1)])), 'done');
     assert.is(await outcomeOf(store.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
-    assert.is(await outcomeOf(store.hand(1, [item('c', 2, 1)])), 'done');
+    assert.is(await outcomeOf(store.acceptHandoff(1, [item('c', 2, 1)])), 'done');
     assert.is(await outcomeOf(store.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
     platter.powerLoss();
     const again = await open(clock, platter);
@@ -82,13 +82,13 @@
   'an item is replaced by a newer one only: by ownership epoch, then by sequence',
   async () => {
     const { store, outcomeOf } = await setUp();
-    await outcomeOf(store.hand(1, [item('a', 2, 5)]));
+    await outcomeOf(store.acceptHandoff(1, [item('a', 2, 5)]));
     for (const older of [item('a', 1, 9), item('a', 2, 4)]) {
       await outcomeOf(store.write(1, 0, [older]));
-      await outcomeOf(store.hand(1, [older]));
+      await outcomeOf(store.acceptHandoff(1, [older]));
       assert.equal(store.pull(1, 0, '').items, [item('a', 2, 5)]);
     }
-    await outcomeOf(store.hand(1, [item('a', 3, 1)]));
+    await outcomeOf(store.acceptHandoff(1, [item('a', 3, 1)]));
     assert.equal(store.pull(1, 0, '').items, [item('a', 3, 1)]);
   },
 );
@@ -154,33 +154,33 @@
     await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
     platter.failSyncs = true;
     assert.is(await outcomeOf(store.fence(1, 5, '')), 'unavailable');
-    assert.is(await outcomeOf(store.hand(1, [item('a', 5, 1)])), 'unavailable');
-    assert.is(await outcomeOf(store.synced()), 'unavailable');
+    assert.is(await outcomeOf(store.acceptHandoff(1, [item('a', 5, 1)])), 'unavailable');
+    assert.is(await outcomeOf(store.waitForSync()), 'unavailable');
     assert.is(await outcomeOf(store.fence(1, 5, 'a')), 'done');
   },
 );
 
 replicas('hints are refused once there are as many as may be kept', async () => {
   const { store, outcomeOf } = await setUp();
-  assert.is(await outcomeOf(store.hint('x', 1, [item('a', 1, 1)])), 'done');
-  assert.is(await outcomeOf(store.hint('y', 1, [item('a', 1, 2)])), 'done');
-  assert.is(await outcomeOf(store.hint('x', 1, [item('a', 1, 3)])), 'hints-full');
+  assert.is(await outcomeOf(store.addHint('x', 1, [item('a', 1, 1)])), 'done');
+  assert.is(await outcomeOf(store.addHint('y', 1, [item('a', 1, 2)])), 'done');
+  assert.is(await outcomeOf(store.addHint('x', 1, [item('a', 1, 3)])), 'hints-full');
   const [first] = store.hintsFor('x');
   assert.ok(first);
-  assert.is(await outcomeOf(store.handed(first.n)), 'done');
-  assert.is(await outcomeOf(store.hint('x', 1, [item('a', 1, 3)])), 'done');
+  assert.is(await outcomeOf(store.removeHint(first.n)), 'done');
+  assert.is(await outcomeOf(store.addHint('x', 1, [item('a', 1, 3)])), 'done');
   assert.equal([...store.hintTargets()].sort(), ['x', 'y']);
 });
 
 replicas('hints and their numbers outlive a restart', async () => {
   const { store, outcomeOf, clock, platter } = await setUp();
-  await outcomeOf(store.hint('x', 1, [item('a', 1, 1)]));
-  await outcomeOf(store.hint('x', 1, [item('a', 1, 2)]));
+  await outcomeOf(store.addHint('x', 1, [item('a', 1, 1)]));
+  await outcomeOf(store.addHint('x', 1, [item('a', 1, 2)]));
   const numbers = store.hintsFor('x').map((h) => h.n);
-  await outcomeOf(store.handed(numbers[0] ?? 0));
+  await outcomeOf(store.removeHint(numbers[0] ?? 0));
   platter.powerLoss();
   const again = await open(clock, platter);
-  await outcomeOf(again.hint('x', 2, [item('b', 1, 1)]));
+  await outcomeOf(again.addHint('x', 2, [item('b', 1, 1)]));
   const after = again.hintsFor('x').map((h) => h.n);
   assert.is(after.length, 2);
   assert.is(after[0], numbers[1]);
@@ -195,10 +195,10 @@
     await outcomeOf(store.write(2, 5, [item('b', 5, 1)]));
     await clock.run(retentionMs - 1000);
     assert.is(await outcomeOf(store.fence(1, 6, '')), 'done');
-    assert.is(await clock.finish('drop', store.dropOld(), 1000), 0);
+    assert.is(await clock.finish('drop', store.dropExpired(), 1000), 0);
     await clock.run(2000);
-    assert.is(await clock.finish('drop', store.dropOld(10 * retentionMs), 1000), 0);
-    assert.is(await clock.finish('drop', store.dropOld(), 1000), 1);
+    assert.is(await clock.finish('drop', store.dropExpired(10 * retentionMs), 1000), 0);
+    assert.is(await clock.finish('drop', store.dropExpired(), 1000), 1);
     assert.equal([keysOf(store, 1), keysOf(store, 2)], [['a'], []]);
   },
 );
@@ -207,9 +207,9 @@
   const { store, outcomeOf } = await setUp();
   await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
   await outcomeOf(store.write(2, 5, [item('b', 5, 1)]));
-  await outcomeOf(store.forgetSlots((slot) => (slot === 1 ? 4 : -1)));
+  await outcomeOf(store.dropReassignedSlots((slot) => (slot === 1 ? 4 : -1)));
   assert.equal([keysOf(store, 1), keysOf(store, 2)], [['a'], ['b']]);
-  await outcomeOf(store.forgetSlots((slot) => (slot === 1 ? 5 : -1)));
+  await outcomeOf(store.dropReassignedSlots((slot) => (slot === 1 ? 5 : -1)));
   assert.equal([keysOf(store, 1), keysOf(store, 2)], [[], ['b']]);
   assert.is(await outcomeOf(store.write(1, 4, [item('a', 4, 1)])), 'stale-epoch');
 });
@@ -221,17 +221,17 @@
   await outcomeOf(store.write(1, 1, [turn('one', 'two', 1)]));
   await outcomeOf(store.write(2, 1, [turn('two', 'one', 2)]));
   assert.equal(
-    store.find('one').map((i) => i.key),
+    store.findTurns('one').map((i) => i.key),
     ['p/x/t/one', 'p/x/t/two'],
   );
   await outcomeOf(store.write(3, 1, [item('p/y/t/one', 1, 3, { after: '' })]));
-  await outcomeOf(store.forgetSlots((slot) => (slot === 1 ? 1 : -1)));
+  await outcomeOf(store.dropReassignedSlots((slot) => (slot === 1 ? 1 : -1)));
   assert.equal(
-    store.find('one').map((i) => i.seq),
+    store.findTurns('one').map((i) => i.seq),
     [3],
   );
-  await outcomeOf(store.forgetSlots((slot) => (slot === 3 ? 1 : -1)));
-  assert.equal(store.find('one'), []);
+  await outcomeOf(store.dropReassignedSlots((slot) => (slot === 3 ? 1 : -1)));
+  assert.equal(store.findTurns('one'), []);
 });
 
 replicas('a store with a damaged log of replicas gives up its id before the log', async () => {
@@ -244,10 +244,10 @@
       openStoreDisk({
         disk: platter.disk(clock, new Life()),
         clock,
-        pace: { clock, syncWithin: 1500, retryEvery: 250, log: silentLogger },
-        bounds,
+        timings: { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log: silentLogger },
+        limits: bounds,
         freshId: () => freshId,
-        longAt: 1 << 30,
+        rewriteMinBytes: 1 << 30,
       }),
       5000,
     );
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -2,14 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Life, SimClock, SimNet, SimPlatter, seededRng } from '@tillerstair/sim';
-import {
-  bootstrapState,
-  encodeState,
-  type Item,
-  type Member,
-  type Slot,
-  type State,
-} from '@tillerstair/state';
+import { bootstrapState, type Item, type Member, type Slot, type State } from '@tillerstair/state';
 import { openStoreDisk, StoreNode } from '@tillerstair/store';
 import { RpcError, silentLogger } from '@tillerstair/wire';
 import { zenBounds } from '@tillerstair/zen';
@@ -58,40 +51,76 @@
   ask(kind: string, body: unknown): Promise<string>;
 }
 
-/** A running store among scripted peers; the scripted master sends it the state that `slots` make. */
-const setUp = async (
-  slots: readonly Slot[],
-  stores: readonly string[],
-  refuses: (call: string) => boolean = () => false,
-): Promise<Rig> => {
-  const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
-  const net = new SimNet(clock, seededRng(2));
-  const life = new Life();
-  const base = bootstrapState('cluster', [control], slots.length);
-  const state: State = {
-    ...base,
-    term: 1,
-    version: 2,
-    master: control.id,
-    slots,
-    nodes: new Map([control, ...stores.map((id) => member(id, 'store'))].map((m) => [m.id, m])),
-  };
-  const got: string[] = [];
+const acceptedVersion = { term: 1, version: 2 };
+
+const stateWith = (slots: readonly Slot[], stores: readonly string[]): State => ({
+  ...bootstrapState('cluster', [control], slots.length),
+  ...acceptedVersion,
+  master: control.id,
+  slots,
+  nodes: new Map([control, ...stores.map((id) => member(id, 'store'))].map((m) => [m.id, m])),
+});
+
+/** What a scripted peer answers: the control leads, the stores hold one item each. */
+const answerOf = (id: string, kind: string, state: State): unknown => {
+  switch (kind) {
+    case 'store/pull':
+      return { items: [item(`from-${id}`, 1)], next: '' };
+    case 'zen/ping':
+      return {
+        from: control,
+        eligible: true,
+        canWin: true,
+        master: control,
+        term: 1,
+        clusterId: 'cluster',
+        joinedBefore: true,
+        accepted: acceptedVersion,
+        voters: state.voters,
+        known: [],
+      };
+    case 'zen/join':
+      return { term: 1 };
+    case 'zen/master-ping':
+      return { leading: true, listed: true, term: 1, committed: acceptedVersion, age: 0 };
+    default:
+      return {};
+  }
+};
+
+/** Opens the disk of a store that voted for the control and accepted its state. */
+const openDisk = async (clock: SimClock, platter: SimPlatter, life: Life, state: State) => {
   const disk = await clock.finish(
     'disk',
     openStoreDisk({
       disk: platter.disk(clock, life),
       clock,
-      pace: { clock, syncWithin: 1500, retryEvery: 250 },
-      bounds: { journalLongAt: 1 << 30, retentionMs: 1e9, hintsMost: 10 },
+      timings: { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 },
+      limits: { rewriteMinBytes: 1 << 30, retentionMs: 1e9, maxHints: 10 },
       freshId: () => 'store-0',
-      longAt: 1 << 30,
+      rewriteMinBytes: 1 << 30,
     }),
     5000,
   );
-  await clock.finish('state', disk.electionStore.recordVote(1, control.id), 1000);
+  await clock.finish('vote', disk.electionStore.recordVote(1, control.id), 1000);
   await clock.finish('state', disk.electionStore.accept(state), 1000);
+  return disk;
+};
+
+const refusesNothing = (): boolean => false;
+
+/** A running store among scripted peers; the scripted master commits the state that `slots` make. */
+const setUp = async (
+  slots: readonly Slot[],
+  stores: readonly string[],
+  refuses: (call: string) => boolean = refusesNothing,
+): Promise<Rig> => {
+  const clock = new SimClock();
+  const platter = new SimPlatter(seededRng(1));
+  const net = new SimNet(clock, seededRng(2));
+  const life = new Life();
+  const state = stateWith(slots, stores);
+  const disk = await openDisk(clock, platter, life, state);
   const node = new StoreNode({
     me: member('store-0', 'store'),
     seeds: [control.addr],
@@ -101,56 +130,29 @@
     log: silentLogger,
     ...disk,
   });
-  const rig: Rig = {
-    clock,
-    platter,
-    node,
-    got,
-    refuses,
-    ask: (kind, body) =>
-      clock.finish(
-        kind,
-        node.handle({ from: control.addr, kind, body }).then(
-          (response) => JSON.stringify(response),
-          (e: unknown) => (e instanceof RpcError ? e.code : String(e)),
-        ),
-        10000,
+  const ask = (kind: string, body: unknown): Promise<string> =>
+    clock.finish(
+      kind,
+      node.handle({ from: control.addr, kind, body }).then(
+        (response) => JSON.stringify(response),
+        (e: unknown) => (e instanceof RpcError ? e.code : String(e)),
       ),
-  };
-  const accepted = { term: 1, version: 2 };
-  for (const id of [control.id, ...stores.filter((s) => s !== 'store-0')])
-    net.serve(
-      id,
-      async ({ kind }) => {
-        const call = `${id} ${kind}`;
-        if (!kind.startsWith('zen/')) got.push(call);
-        if (rig.refuses(call)) throw new RpcError('refused', call);
-        await Promise.resolve();
-        if (kind === 'store/pull') return { items: [item(`from-${id}`, 1)], next: '' };
-        if (kind === 'zen/ping')
-          return {
-            from: control,
-            eligible: true,
-            canWin: true,
-            master: control,
-            term: 1,
-            clusterId: 'cluster',
-            joinedBefore: true,
-            accepted,
-            voters: state.voters,
-            known: [],
-          };
-        if (kind === 'zen/join') return { term: 1 };
-        if (kind === 'zen/master-ping')
-          return { leading: true, listed: true, term: 1, committed: accepted, age: 0 };
-        return {};
-      },
-      new Life(),
+      10000,
     );
+  const rig: Rig = { clock, platter, node, got: [], refuses, ask };
+  for (const id of [control.id, ...stores.filter((s) => s !== 'store-0')]) {
+    const answer = async (kind: string): Promise<unknown> => {
+      const call = `${id} ${kind}`;
+      if (!kind.startsWith('zen/')) rig.got.push(call);
+      if (rig.refuses(call)) throw new RpcError('refused', call);
+      return Promise.resolve(answerOf(id, kind, state));
+    };
+    net.serve(id, ({ kind }) => answer(kind), new Life());
+  }
   await clock.finish('start', node.start(), 1000);
   await clock.until('a master', () => node.zen.masterSeen !== undefined, 10000);
-  const commit = { from: control, to: 'store-0', stateVersion: accepted };
-  assert.is(await rig.ask('zen/commit', commit), '{}', JSON.stringify([...encodeState(state)]));
+  const commit = { from: control, to: 'store-0', stateVersion: acceptedVersion };
+  assert.is(await ask('zen/commit', commit), '{}');
   return rig;
 };
 
--- a/tests/src/zen/election-store.test.ts
+++ b/tests/src/zen/election-store.test.ts
@@ -1,7 +1,7 @@
 /** Which logs of votes and states prove themselves whole, and what a store of an election does on a failed disk. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { frame } from '@tillerstair/journal';
+import { encodeFrame } from '@tillerstair/journal';
 import { Life, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
 import { diffStates, encodeState, type State } from '@tillerstair/state';
 import { silentLogger } from '@tillerstair/wire';
@@ -17,7 +17,7 @@
   const platter = new SimPlatter(seededRng(1));
   const warnings: string[] = [];
   const log = { ...silentLogger, warn: (text: string) => warnings.push(text) };
-  const pace = { clock, syncWithin: 1500, retryEvery: 250, log };
+  const pace = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log };
   const disk = () => platter.disk(clock, new Life());
   const open = (freshId = 'fresh', rewriteAt = 1 << 20): Promise<DiskElectionStore> =>
     clock.finish(
@@ -27,7 +27,7 @@
     );
   const write = async (records: readonly object[]): Promise<void> => {
     const file = await clock.finish('open', disk().open('zen.log'), waitMs);
-    const batches = records.map((record) => frame([record]));
+    const batches = records.map((record) => encodeFrame([record]));
     await clock.finish('write', file.replace(batches), waitMs);
   };
   return { clock, platter, warnings, open, write };
@@ -133,8 +133,8 @@
   let isOpen = false;
   const opened = DiskElectionStore.open(platter.disk(clock, new Life()), () => 'me', 1 << 20, {
     clock,
-    syncWithin: 1500,
-    retryEvery: 250,
+    syncTimeoutMs: 1500,
+    retryIntervalMs: 250,
   }).then(() => {
     isOpen = true;
   });
--- a/tests/src/zen/read-lease.test.ts
+++ b/tests/src/zen/read-lease.test.ts
@@ -74,18 +74,18 @@
   const paces = [controlPace, storePace].map((pace) => pace(new SimClock(), bounds, silentLogger));
   const values = () => [
     ...Object.values({ ...bounds }),
-    ...paces.flatMap((pace) => [pace.syncWithin, pace.retryEvery]),
+    ...paces.flatMap((pace) => [pace.syncTimeoutMs, pace.retryIntervalMs]),
   ];
   const before = values();
   assert.is(bounds.readLease, 2500);
   assert.equal(
-    paces.map((pace) => pace.syncWithin),
+    paces.map((pace) => pace.syncTimeoutMs),
     [1500, 3000],
   );
   reloadable.replace({ ...outer, drainingWithin: 6000, failureTimeout: 4000 });
   assert.is(bounds.readLease, 5000);
   assert.equal(
-    paces.map((pace) => pace.syncWithin),
+    paces.map((pace) => pace.syncTimeoutMs),
     [2000, 4000],
   );
   reloadable.replace(outer);
