--- /dev/null
+++ b/packages/journal/src/folder-disk.ts
@@ -0,0 +1,148 @@
+/** A data folder of the host, locked by one process at a time. */
+import { constants } from 'node:fs';
+import { mkdir, open, rename, unlink, type FileHandle } from 'node:fs/promises';
+import { dirname, join, resolve } from 'node:path';
+import { delay, hostClock, type Clock } from '@tillerstair/wire';
+import type { Disk, DiskFile } from './disk.js';
+import { isTransientDiskError, systemErrorCode } from './errors.js';
+import { acquireLock, releaseLock } from './folder-lock.js';
+
+const lockRetryMs = 250;
+const readChunkBytes = 1 << 20;
+const appendToEmptied =
+  constants.O_RDWR | constants.O_CREAT | constants.O_TRUNC | constants.O_APPEND;
+
+/** Where the replacement of a file is written; what a loss of power leaves there is of no use. */
+const replacementPath = (path: string): string => `${path}.next`;
+
+const syncFolder = async (folder: string): Promise<void> => {
+  const handle = await open(folder, constants.O_RDONLY);
+  try {
+    await handle.sync();
+  } finally {
+    await handle.close();
+  }
+};
+
+/** Creates a folder and syncs the names of all that had to be created for it. */
+const createFolder = async (folder: string): Promise<void> => {
+  const topmost = await mkdir(folder, { recursive: true });
+  if (topmost === undefined) return;
+  for (let at = folder; at.length >= topmost.length; at = dirname(at))
+    await syncFolder(dirname(at));
+};
+
+const removeIfPresent = (path: string): Promise<void> => unlink(path).catch(() => undefined);
+
+/** Reads a file through one buffer that is used for all its chunks. */
+async function* readChunks(path: string): AsyncGenerator<Buffer> {
+  const file = await open(path, constants.O_RDONLY);
+  try {
+    const buffer = Buffer.allocUnsafe(readChunkBytes);
+    for (;;) {
+      const { bytesRead } = await file.read(buffer, 0, readChunkBytes, null);
+      if (bytesRead === 0) return;
+      yield buffer.subarray(0, bytesRead);
+    }
+  } finally {
+    await file.close();
+  }
+}
+
+/** One file of the folder, open for appending. */
+class FolderFile implements DiskFile {
+  constructor(
+    private readonly folder: string,
+    private readonly path: string,
+    private handle: FileHandle,
+  ) {}
+
+  chunks(): AsyncIterable<Buffer> {
+    return readChunks(this.path);
+  }
+
+  async append(bytes: Buffer): Promise<void> {
+    await this.handle.appendFile(bytes);
+  }
+
+  sync(): Promise<void> {
+    return this.handle.datasync();
+  }
+
+  async truncate(sizeBytes: number): Promise<void> {
+    await this.handle.truncate(sizeBytes);
+    await this.handle.sync();
+  }
+
+  /** Writes a file beside this one, syncs it, and renames it; the folder is synced so that the name stays. */
+  async replace(chunks: Iterable<Buffer>): Promise<void> {
+    const nextPath = replacementPath(this.path);
+    const next = await open(nextPath, appendToEmptied);
+    try {
+      for (const chunk of chunks) await next.appendFile(chunk);
+      await next.sync();
+      await rename(nextPath, this.path);
+      await syncFolder(this.folder);
+    } catch (error) {
+      await next.close().catch(() => undefined);
+      await removeIfPresent(nextPath);
+      throw error;
+    }
+    const replaced = this.handle;
+    this.handle = next;
+    await replaced.close();
+  }
+
+  close(): Promise<void> {
+    return this.handle.close();
+  }
+}
+
+/** A data folder that this process has locked; `release` gives it up. */
+export class FolderDisk implements Disk {
+  private constructor(
+    private readonly folder: string,
+    private readonly lockPath: string,
+  ) {}
+
+  /**
+   * Creates and locks a data folder. Waits for as long as the disk is full, since the lock file needs a few bytes.
+   *
+   * @throws FolderInUseError if another process that runs holds the folder.
+   */
+  static async acquire(path: string, clock: Clock = hostClock): Promise<FolderDisk> {
+    const folder = resolve(path);
+    const lockPath = join(folder, 'lock');
+    for (;;) {
+      try {
+        await createFolder(folder);
+        await acquireLock(lockPath, folder);
+        return new FolderDisk(folder, lockPath);
+      } catch (error) {
+        if (!isTransientDiskError(error)) throw error;
+        await delay(clock, lockRetryMs);
+      }
+    }
+  }
+
+  /** Removes the lock. Files that were opened stay open; closing them is up to whoever opened them. */
+  async release(): Promise<void> {
+    await releaseLock(this.lockPath);
+  }
+
+  async open(name: string): Promise<DiskFile> {
+    const path = join(this.folder, name);
+    const handle = await open(path, 'a+');
+    await removeIfPresent(replacementPath(path));
+    await syncFolder(this.folder);
+    return new FolderFile(this.folder, path, handle);
+  }
+
+  async setAside(name: string): Promise<void> {
+    const path = join(this.folder, name);
+    await rename(path, `${path}.damaged`).catch((error: unknown) => {
+      if (systemErrorCode(error) !== 'ENOENT') throw error;
+    });
+    await syncFolder(this.folder);
+  }
+}
--- a/packages/store/src/replica-store.ts
+++ b/packages/store/src/replica-store.ts
@@ -91,7 +91,7 @@
     bounds: ReplicaStoreLimits,
     pace: JournalTimings = { ...defaultTimings, clock },
   ): Promise<ReplicaStore> {
-    return Journal.openFor(
+    return Journal.open(
       disk,
       replicaStoreLog,
       pace,
--- a/packages/zen/src/election-log.ts
+++ b/packages/zen/src/election-log.ts
@@ -140,7 +140,7 @@
 export const electionLogName = 'zen.log';
 
 const replay = (disk: Disk, pace: JournalTimings): Promise<ElectionLogReplay> =>
-  Journal.openFor(disk, electionLogName, pace, (journal) => new ElectionLogReplay(journal));
+  Journal.open(disk, electionLogName, pace, (journal) => new ElectionLogReplay(journal));
 
 /**
  * Opens the log of a node. A damaged one stays under another name, and the member starts as one that lost its disk, with
--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -6,7 +6,6 @@
 import {
   FolderDisk,
   encodeFrame,
-  Journal,
   JournalDamagedError,
   LogScanner,
   type Disk,
@@ -15,6 +14,7 @@
 } from '@tillerstair/journal';
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
+import { openJournal } from './journal-rig.js';
 
 const chunked = suite('journals in chunks');
 
@@ -107,14 +107,14 @@
       const framed = records.map((r) => encodeFrame([r]));
       const torn = encodeFrame([{ text: 'é'.repeat(1 << 20) }]).subarray(0, -1);
       await writeFile(join(dir, 'a.log'), Buffer.concat([...framed, torn]));
-      const { journal, records: held } = await Journal.open(disk, 'a.log');
+      const { journal, records: held } = await openJournal(disk, 'a.log');
       assert.equal(held, records);
       assert.is(journal.sizeBytes, Buffer.concat(framed).length);
       await journal.rewrite(() => [...records, { n: 3 }]);
       await journal.append({ n: 4 });
       const { sizeBytes: size } = journal;
       await journal.close();
-      const again = await Journal.open(disk, 'a.log');
+      const again = await openJournal(disk, 'a.log');
       assert.equal(again.records, [...records, { n: 3 }, { n: 4 }]);
       assert.is(again.journal.sizeBytes, size);
       await again.journal.close();
@@ -289,7 +289,7 @@
       return { ...file, chunks, replace: counted };
     },
   };
-  const { journal } = await clock.finish('open', Journal.open(misreading, 'a.log', pace), 1000);
+  const { journal } = await clock.finish('open', openJournal(misreading, 'a.log', pace), 1000);
   journal.recoverFrom(() => [{ n: 1 }]);
   platter.failSyncs = true;
   await clock.finish(
@@ -311,7 +311,7 @@
   const plain = platter.disk(clock, new Life());
   const { journal } = await clock.finish(
     'open',
-    Journal.open(plain, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
+    openJournal(plain, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
     1000,
   );
   const records = Array.from({ length: 100 }, (_, n) => ({ n, text: 'x'.repeat(50) }));
@@ -334,7 +334,7 @@
   };
   const again = await clock.finish(
     'again',
-    Journal.open(failing, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
+    openJournal(failing, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
     5000,
   );
   assert.ok(failures <= 0);
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -4,10 +4,10 @@
 import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { FolderDisk, encodeFrame, Journal } from '@tillerstair/journal';
+import { FolderDisk, encodeFrame } from '@tillerstair/journal';
 import { Life } from '@tillerstair/sim';
 import { openStoreDisk } from '@tillerstair/store';
-import { at, longAt, type Rig, rig, finish, item, keysOf } from './journal-rig.js';
+import { at, longAt, openJournal, type Rig, rig, finish, item, keysOf } from './journal-rig.js';
 
 const damage = suite('journals damaged or cut off in a rewrite');
 
@@ -232,20 +232,20 @@
     folder(async (dir) => {
       const data = join(dir, 'made', 'here');
       const disk = await FolderDisk.acquire(data);
-      const { journal } = await Journal.open(disk, 'a.log');
+      const { journal } = await openJournal(disk, 'a.log');
       for (let n = 0; n < 3; n++) await journal.append({ n });
       await writeFile(
         join(data, 'a.log.next'),
         'half a line that is longer than all of the rest of this file will ever be, or so it seems to be',
       );
-      const leftover = await Journal.open(disk, 'a.log');
+      const leftover = await openJournal(disk, 'a.log');
       assert.equal(leftover.records, [{ n: 0 }, { n: 1 }, { n: 2 }]);
       await leftover.journal.close();
       assert.equal((await readdir(data)).sort(), ['a.log', 'lock']);
       await journal.rewrite(() => [{ n: 2 }]);
       await journal.append({ n: 3 });
       await journal.close();
-      const again = await Journal.open(disk, 'a.log');
+      const again = await openJournal(disk, 'a.log');
       assert.equal(again.records, [{ n: 2 }, { n: 3 }]);
       await again.journal.close();
       assert.equal((await readdir(data)).sort(), ['a.log', 'lock']);
--- a/tests/src/journal/journal-rig.ts
+++ b/tests/src/journal/journal-rig.ts
@@ -1,5 +1,5 @@
 /** A simulated disk with its clock, and the states that are written to it. */
-import { type JournalTimings } from '@tillerstair/journal';
+import { defaultTimings, Journal, type Disk, type JournalTimings } from '@tillerstair/journal';
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
 import { ReplicaStore } from '@tillerstair/store';
@@ -82,3 +82,20 @@
     .pull(1, 0, '')
     .items.map((i) => i.key)
     .sort();
+
+/** A journal and all records that it held when it was opened. */
+export interface OpenedJournal {
+  readonly journal: Journal;
+  readonly records: readonly unknown[];
+}
+
+/** Opens a journal as the product does, for an owner that only lists the records. */
+export const openJournal = (
+  disk: Disk,
+  name: string,
+  timings: JournalTimings = defaultTimings,
+): Promise<OpenedJournal> =>
+  Journal.open(disk, name, timings, (journal) => {
+    const records: unknown[] = [];
+    return { journal, records, restore: (record: unknown) => void records.push(record) };
+  });
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -3,9 +3,10 @@
 import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { FolderDisk, FolderInUseError, Journal, JournalDamagedError } from '@tillerstair/journal';
+import { FolderDisk, FolderInUseError, JournalDamagedError } from '@tillerstair/journal';
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
+import { openJournal } from './journal-rig.js';
 
 const journal = suite('journal and disk');
 
@@ -17,7 +18,7 @@
 journal('a torn tail is cut off, what was synced before it stays', () =>
   folder(async (dir) => {
     const disk = await FolderDisk.acquire(dir);
-    const { journal: j } = await Journal.open(disk, 'a.log');
+    const { journal: j } = await openJournal(disk, 'a.log');
     await j.append({ n: 1 });
     await j.append({ n: 2 });
     await j.close();
@@ -25,11 +26,11 @@
     const whole = await readFile(path);
     for (let cut = 1; cut < 20; cut++) {
       await writeFile(path, whole.subarray(0, whole.length - cut));
-      const again = await Journal.open(disk, 'a.log');
+      const again = await openJournal(disk, 'a.log');
       assert.equal(again.records, [{ n: 1 }]);
       await again.journal.append({ n: 3 });
       await again.journal.close();
-      const last = await Journal.open(disk, 'a.log');
+      const last = await openJournal(disk, 'a.log');
       assert.equal(last.records, [{ n: 1 }, { n: 3 }]);
       await last.journal.close();
     }
@@ -40,14 +41,14 @@
 journal('a damaged middle refuses to open and says where', () =>
   folder(async (dir) => {
     const disk = await FolderDisk.acquire(dir);
-    const { journal: j } = await Journal.open(disk, 'a.log');
+    const { journal: j } = await openJournal(disk, 'a.log');
     for (let n = 0; n < 3; n++) await j.append({ n });
     await j.close();
     const path = join(dir, 'a.log');
     const bytes = await readFile(path);
     bytes[12] = (bytes[12] ?? 0) ^ 1;
     await writeFile(path, bytes);
-    const errorCode = await Journal.open(disk, 'a.log').then(
+    const errorCode = await openJournal(disk, 'a.log').then(
       () => undefined,
       (e: unknown) => e,
     );
@@ -75,7 +76,7 @@
 journal('appends at once share syncs', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
-  const opening = Journal.open(platter.disk(clock, new Life()), 'a.log');
+  const opening = openJournal(platter.disk(clock, new Life()), 'a.log');
   const { journal: j } = await clock.finish('open', opening, 1000);
   await clock.finish(
     'appends',
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -21,7 +21,7 @@
 const open = async (r: Rig, disk: Disk = r.platter.disk(r.clock, new Life())): Promise<Opened> => {
   const opened = await r.clock.finish(
     'open',
-    Journal.openFor(disk, 'a.log', r.pace, (journal) => {
+    Journal.open(disk, 'a.log', r.pace, (journal) => {
       const records: unknown[] = [];
       return { journal, records, restore: (record: unknown) => void records.push(record) };
     }),
@@ -132,7 +132,7 @@
   const r = rig(1);
   const journal = await r.clock.finish(
     'open',
-    Journal.openFor(r.platter.disk(r.clock, new Life()), 'a.log', r.pace, (opened) => ({
+    Journal.open(r.platter.disk(r.clock, new Life()), 'a.log', r.pace, (opened) => ({
       opened,
       restore: () => undefined,
     })),
