--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -1,6 +1,6 @@
 /**
  * What a master does about slots, servers and voters as nodes come, go and report: it assigns owners and replicas,
- * marks servers as down, and passes the votes of lost controls on.
+ * says which servers are down, and passes the votes of lost controls on.
  *
  * Its own state is in memory only and serves decisions about time: who was silent since when, who arrived when. The
  * decisions go into the cluster state, whose reducers keep the invariants (design.md, "Slots, owners, ownership epochs").
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -175,7 +175,10 @@
     false,
   );
   assert.is(
-    placing(reduceState(s, { kind: 'server-gone', id: 'n1' })).placement.isAllowed(before, route),
+    placing(reduceState(s, { kind: 'server-removed', id: 'n1' })).placement.isAllowed(
+      before,
+      route,
+    ),
     false,
   );
   assert.is(
