--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,5 @@
-export * from './open.js';
+export * from './open-store-disk.js';
+export * from './replica-records.js';
 export * from './replica-store.js';
-export * from './node.js';
 export * from './start.js';
+export * from './store-node.js';
--- a/packages/store/src/main.ts
+++ b/packages/store/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The program `store-node`. */
 import { runDaemon, StoreSettings } from '@tillerstair/settings';
 import { startStore } from './start.js';
 
--- a/packages/store/src/replica-store.ts
+++ b/packages/store/src/replica-store.ts
@@ -1,5 +1,11 @@
+/**
+ * A store's replicas and hints, in memory and on disk (`store.log`).
+ *
+ * It owns the replica of each slot, the index of turns, the hints and the journal behind them. Invariants: a request
+ * below a slot's fence is refused; whatever was acknowledged is on disk (docs/design.md, "Slots, owners, ownership
+ * epochs" and "Disk").
+ */
 import { z } from 'zod';
-import { recordGroup, Item, isNewerItem, maxPageBytes, type ItemPage } from '@tillerstair/state';
 import {
   defaultTimings,
   Journal,
@@ -7,154 +13,107 @@
   type JournalOwner,
   type JournalTimings,
 } from '@tillerstair/journal';
-import { type Clock, ReplicaError } from '@tillerstair/wire';
+import type { Item, ItemPage } from '@tillerstair/state';
+import { ReplicaError, type Clock } from '@tillerstair/wire';
+import { HintTable } from './hint-table.js';
+import { ReplicaRecord, replicaStoreLog, snapshotRecords, type Hint } from './replica-records.js';
+import { SlotReplica } from './slot-replica.js';
+import { TurnIndex, type ItemLocation } from './turn-index.js';
 
-const Rec = z.discriminatedUnion('t', [
-  z.object({
-    t: z.literal('put'),
-    slot: z.number(),
-    ownershipEpoch: z.number(),
-    items: z.array(Item),
-  }),
-  z.object({ t: z.literal('fence'), slot: z.number(), ownershipEpoch: z.number() }),
-  z.object({ t: z.literal('drop'), slot: z.number(), groups: z.array(z.string()) }),
-  z.object({
-    t: z.literal('hint'),
-    n: z.number(),
-    to: z.string(),
-    slot: z.number(),
-    items: z.array(Item),
-  }),
-  z.object({ t: z.literal('transferred'), n: z.number() }),
-]);
-type Rec = z.infer<typeof Rec>;
-
-const Followed = z.object({ after: z.string() });
-
-const turnOf = (key: string): string => {
-  const [kind, , section, turn = ''] = key.split('/');
-  return kind === 'p' && section === 't' ? turn : '';
-};
-
-export const replicaStoreLog = 'store.log';
-
-export interface Hint {
-  readonly n: number;
-  readonly to: string;
-  readonly slot: number;
-  readonly items: readonly Item[];
-}
-
-interface SlotReplica {
-  fenced: number;
-  readonly items: Map<string, Item>;
-  readonly touched: Map<string, number>;
-}
-
-interface SlotSnapshot {
-  readonly slot: number;
-  readonly fenced: number;
-  readonly items: readonly Item[];
-}
-
-function* recordsOf(slots: readonly SlotSnapshot[], hints: readonly Hint[]): Generator<Rec> {
-  for (const { slot, fenced, items } of slots) {
-    if (fenced > 0) yield { t: 'fence', slot, ownershipEpoch: fenced };
-    for (const item of items) yield { t: 'put', slot, ownershipEpoch: 0, items: [item] };
-  }
-  for (const hint of hints) yield { t: 'hint', ...hint, items: [...hint.items] };
-}
+/** The part of a turn's value that names the turn it continues. */
+const ContinuedTurn = z.object({ after: z.string() });
 
+/** What a store may hold. */
 export interface ReplicaStoreLimits {
+  /** The size in bytes below which the log is not rewritten. */
   readonly rewriteMinBytes: number;
+  /** How long items stay that nobody writes or fences, in ms. */
   readonly retentionMs: number;
   readonly maxHints: number;
 }
 
+/** How much a store holds; served as `/v1/counts`. */
+export interface ReplicaStoreCounts {
+  readonly items: number;
+  readonly hints: number;
+  readonly bytes: number;
+  readonly slots: number;
+}
+
+/** The replicas and hints of one store. Writes reject with `JournalUnavailableError` while the disk takes none. */
 export class ReplicaStore implements JournalOwner {
   private readonly slots = new Map<number, SlotReplica>();
-  private readonly byTurn = new Map<string, { readonly slot: number; readonly key: string }>();
-  private readonly hints = new Map<number, Hint>();
-  private hintSeq = 0;
+  private readonly turns = new TurnIndex();
+  private readonly hints = new HintTable();
 
   private constructor(
     private readonly journal: Journal,
     private readonly clock: Clock,
-    private readonly bounds: ReplicaStoreLimits,
+    private readonly limits: ReplicaStoreLimits,
   ) {
-    journal.recoverFrom(() => this.whole());
+    journal.recoverFrom(() => this.snapshot());
   }
 
+  /** @throws JournalDamagedError, or ZodError for a record of an unknown form. */
   static async open(
     disk: Disk,
     clock: Clock,
-    bounds: ReplicaStoreLimits,
-    pace: JournalTimings = { ...defaultTimings, clock },
+    limits: ReplicaStoreLimits,
+    timings: JournalTimings = { ...defaultTimings, clock },
   ): Promise<ReplicaStore> {
     return Journal.open(
       disk,
       replicaStoreLog,
-      pace,
-      (journal) => new ReplicaStore(journal, clock, bounds),
+      timings,
+      (journal) => new ReplicaStore(journal, clock, limits),
     );
   }
 
-  /** Takes a record that was read from the log. */
+  /** Applies a record that was read from the log. */
   restore(record: unknown): void {
-    this.take(Rec.parse(record));
+    this.apply(ReplicaRecord.parse(record));
   }
 
-  /** Whether the disk takes writes; without it they are refused at once and the other replicas carry them. */
+  /** Whether the disk accepts writes; without it they are refused at once and the other replicas carry them. */
   get writable(): boolean {
     return this.journal.writable;
   }
 
-  private slot(n: number): SlotReplica {
-    const old = this.slots.get(n);
-    if (old) return old;
-    const made: SlotReplica = { fenced: 0, items: new Map(), touched: new Map() };
-    this.slots.set(n, made);
-    return made;
+  private replicaOf(slot: number): SlotReplica {
+    const existing = this.slots.get(slot);
+    if (existing) return existing;
+    const created = new SlotReplica(slot);
+    this.slots.set(slot, created);
+    return created;
   }
 
-  private take(r: Rec): void {
-    switch (r.t) {
+  private apply(record: ReplicaRecord): void {
+    switch (record.t) {
       case 'put': {
-        const s = this.slot(r.slot);
-        s.fenced = Math.max(s.fenced, r.ownershipEpoch);
-        for (const item of r.items) {
-          const old = s.items.get(item.key);
-          if (!old || isNewerItem(item, old)) s.items.set(item.key, item);
-          s.touched.set(recordGroup(item.key), this.clock.now());
-          const turn = turnOf(item.key);
-          if (turn !== '') this.byTurn.set(turn, { slot: r.slot, key: item.key });
+        const replica = this.replicaOf(record.slot);
+        replica.raiseFence(record.ownershipEpoch);
+        for (const item of record.items) {
+          replica.put(item, this.clock.now());
+          this.turns.add(record.slot, item.key);
         }
         return;
       }
       case 'fence': {
-        const s = this.slot(r.slot);
-        s.fenced = Math.max(s.fenced, r.ownershipEpoch);
-        for (const g of s.touched.keys()) s.touched.set(g, this.clock.now());
+        const replica = this.replicaOf(record.slot);
+        replica.raiseFence(record.ownershipEpoch);
+        replica.touchAll(this.clock.now());
         return;
       }
       case 'drop': {
-        const s = this.slot(r.slot);
-        const groups = new Set(r.groups);
-        for (const key of [...s.items.keys()]) {
-          if (!groups.has(recordGroup(key))) continue;
-          s.items.delete(key);
-          const turn = turnOf(key);
-          if (this.byTurn.get(turn)?.key === key) this.byTurn.delete(turn);
-        }
-        for (const g of groups) s.touched.delete(g);
+        const dropped = this.replicaOf(record.slot).drop(new Set(record.groups));
+        for (const key of dropped) this.turns.remove(key);
         return;
       }
       case 'hint':
-        this.hints.set(r.n, r);
-        this.hintSeq = Math.max(this.hintSeq, r.n);
+        this.hints.add(record);
         return;
       case 'transferred':
-        this.hints.delete(r.n);
+        this.hints.remove(record.n);
         return;
     }
   }
@@ -163,157 +122,157 @@
    * Memory changes before the disk does. A record whose append failed may be on disk, so it stays in memory: an item may be
    * held without being acknowledged, a fence too many refuses no more than one that was acknowledged would.
    */
-  private async put(r: Rec): Promise<void> {
+  private async append(record: ReplicaRecord): Promise<void> {
     this.journal.requireWritable();
-    this.take(r);
-    await this.journal.append(r);
-    if (this.journal.needsRewrite(this.bounds.rewriteMinBytes))
-      void this.journal.rewrite(() => this.whole()).catch(() => undefined);
+    this.apply(record);
+    await this.journal.append(record);
+    if (this.journal.needsRewrite(this.limits.rewriteMinBytes))
+      void this.journal.rewrite(() => this.snapshot()).catch(() => undefined);
   }
 
   /** All that is held now: references are taken at once, the records are made as they are written. */
-  private whole(): Iterable<Rec> {
-    const slots = [...this.slots].map(([slot, s]): SlotSnapshot => ({
-      slot,
-      fenced: s.fenced,
-      items: [...s.items.values()],
-    }));
-    const hints = [...this.hints.values()];
-    return { [Symbol.iterator]: () => recordsOf(slots, hints) };
+  private snapshot(): Iterable<ReplicaRecord> {
+    const slots = [...this.slots.values()].map((replica) => replica.snapshot());
+    const hints = this.hints.all();
+    return { [Symbol.iterator]: () => snapshotRecords(slots, hints) };
   }
 
-  private slotAtEpoch(slot: number, ownershipEpoch: number): SlotReplica {
-    const s = this.slot(slot);
-    if (ownershipEpoch < s.fenced)
-      throw new ReplicaError(
-        'stale-epoch',
-        `slot ${slot} is fenced at ownership epoch ${s.fenced}`,
-      );
-    return s;
+  private replicaAtEpoch(slot: number, ownershipEpoch: number): SlotReplica {
+    const replica = this.replicaOf(slot);
+    replica.requireCurrentEpoch(ownershipEpoch);
+    return replica;
   }
 
+  /**
+   * Writes an owner's items; resolves when they are on disk.
+   *
+   * @throws ReplicaError (`stale-epoch`) below the fence.
+   */
   async write(slot: number, ownershipEpoch: number, items: readonly Item[]): Promise<void> {
-    this.slotAtEpoch(slot, ownershipEpoch);
-    await this.put({ t: 'put', slot, ownershipEpoch, items: [...items] });
+    this.replicaAtEpoch(slot, ownershipEpoch);
+    await this.append({ t: 'put', slot, ownershipEpoch, items: [...items] });
   }
 
+  /**
+   * Fences a slot and returns a page of its items: lower ownership epochs are refused from the moment it resolves. All
+   * pages of one fence belong together; only the first request, with `after` empty, writes.
+   *
+   * @throws ReplicaError (`stale-epoch`, `page-gone`).
+   */
   async fence(slot: number, ownershipEpoch: number, after: string): Promise<ItemPage> {
-    const s = this.slotAtEpoch(slot, ownershipEpoch);
+    const replica = this.replicaAtEpoch(slot, ownershipEpoch);
     if (after === '') {
-      if (s.fenced < ownershipEpoch) await this.put({ t: 'fence', slot, ownershipEpoch });
+      if (replica.fenceEpoch < ownershipEpoch)
+        await this.append({ t: 'fence', slot, ownershipEpoch });
       else await this.waitForSync();
     }
-    return this.page(s, after);
-  }
-
-  private page(s: SlotReplica, after: string): ItemPage {
-    if (after !== '' && !s.items.has(after))
-      throw new ReplicaError('page-gone', 'the page asked for has aged away; begin anew');
-    const items: Item[] = [];
-    let bytes = 0;
-    let found = after === '';
-    for (const item of s.items.values()) {
-      if (!found) {
-        found = item.key === after;
-        continue;
-      }
-      if (items.length > 0 && bytes > maxPageBytes / 2)
-        return { items, next: items.at(-1)?.key ?? '' };
-      items.push(item);
-      bytes += JSON.stringify(item).length;
-    }
-    return { items, next: '' };
+    return replica.page(after);
   }
 
-  /** Resolves once everything held now is on disk. */
+  /** Resolves once everything that is held now is on disk: a fence of epoch 0 changes nothing, but is synced. */
   waitForSync(): Promise<void> {
     return this.journal.append({ t: 'fence', slot: 0, ownershipEpoch: 0 });
   }
 
-  async read(slot: number, ownershipEpoch: number, key: string): Promise<Item | null> {
-    return this.slotAtEpoch(slot, ownershipEpoch).items.get(key) ?? null;
+  /** @throws ReplicaError (`stale-epoch`) below the fence. */
+  read(slot: number, ownershipEpoch: number, key: string): Item | null {
+    return this.replicaAtEpoch(slot, ownershipEpoch).get(key) ?? null;
   }
 
-  /** The turn so named and, after it, those that it goes on from, as far as they are held here; the newest first. */
+  /** The turn of that name and, behind it, those that it continues, as far as they are held here; the newest first. */
   findTurns(turn: string): readonly Item[] {
-    const out: Item[] = [];
-    for (let at = this.byTurn.get(turn); at;) {
-      const item = this.slots.get(at.slot)?.items.get(at.key);
-      const after = item && Followed.safeParse(item.value);
-      if (!item || out.includes(item)) break;
-      out.push(item);
-      at = after?.success
-        ? this.byTurn.get(encodeURIComponent(after.data.after).replaceAll('~', '%7E'))
-        : undefined;
+    const found: Item[] = [];
+    let location = this.turns.find(turn);
+    while (location) {
+      const item = this.itemAt(location);
+      if (!item || found.includes(item)) break;
+      found.push(item);
+      const continued = ContinuedTurn.safeParse(item.value);
+      location = continued.success ? this.turns.findByName(continued.data.after) : undefined;
     }
-    return out;
+    return found;
+  }
+
+  private itemAt({ slot, key }: ItemLocation): Item | undefined {
+    return this.slots.get(slot)?.get(key);
   }
 
+  /**
+   * A page of a slot's items for a replica that is being filled. The slot has to be fenced first, or a write of an
+   * earlier owner could count after it was pulled.
+   *
+   * @throws ReplicaError (`not-fenced`, `page-gone`).
+   */
   pull(slot: number, ownershipEpoch: number, after: string): ItemPage {
-    const s = this.slot(slot);
-    if (s.fenced < ownershipEpoch)
-      throw new ReplicaError(
-        'not-fenced',
-        `slot ${slot} is not fenced at ownership epoch ${ownershipEpoch} yet`,
-      );
-    return this.page(s, after);
+    const replica = this.replicaOf(slot);
+    replica.requireFencedAt(ownershipEpoch);
+    return replica.page(after);
   }
 
+  /** Stores items that counted earlier, from a hint or another replica; resolves when they, or newer ones, are on disk. */
   async acceptHandoff(slot: number, items: readonly Item[]): Promise<void> {
-    const s = this.slot(slot);
-    const fresh = items.filter((i) => {
-      const old = s.items.get(i.key);
-      return !old || isNewerItem(i, old);
-    });
-    if (fresh.length > 0) await this.put({ t: 'put', slot, ownershipEpoch: 0, items: fresh });
+    const replica = this.replicaOf(slot);
+    const newItems = items.filter((item) => replica.isNew(item));
+    if (newItems.length > 0)
+      await this.append({ t: 'put', slot, ownershipEpoch: 0, items: newItems });
     else await this.waitForSync();
   }
 
-  async addHint(to: string, slot: number, items: readonly Item[]): Promise<void> {
-    if (this.hints.size >= this.bounds.maxHints)
-      throw new ReplicaError('hints-full', `${this.hints.size} hints are held already`);
-    await this.put({ t: 'hint', n: ++this.hintSeq, to, slot, items: [...items] });
+  /** Keeps items for a store that cannot be reached. Throws `ReplicaError` (`hints-full`) if there are too many. */
+  async addHint(storeId: string, slot: number, items: readonly Item[]): Promise<void> {
+    if (this.hints.size >= this.limits.maxHints)
+      throw new ReplicaError('hints-full', `${this.hints.size} hints are stored already`);
+    const n = this.hints.nextNumber();
+    await this.append({ t: 'hint', n, to: storeId, slot, items: [...items] });
   }
 
-  hintsFor(to: string): readonly Hint[] {
-    return [...this.hints.values()].filter((h) => h.to === to).sort((a, b) => a.n - b.n);
+  /** The hints for one store, oldest first. */
+  hintsFor(storeId: string): readonly Hint[] {
+    return this.hints.forStore(storeId);
   }
 
+  /** The ids of the stores that there are hints for. */
   hintTargets(): ReadonlySet<string> {
-    return new Set([...this.hints.values()].map((h) => h.to));
+    return this.hints.targets();
   }
 
+  /** Drops a hint that was handed off, or that nobody needs any more. */
   async removeHint(n: number): Promise<void> {
-    await this.put({ t: 'transferred', n });
+    await this.append({ t: 'transferred', n });
   }
 
-  /** Drops what nobody touched for as long as things are kept, and for `leastMs`. */
-  async dropExpired(leastMs = 0): Promise<number> {
+  /** Drops the groups of items that nobody touched for the retention, or for `minRetentionMs` if that is longer. */
+  async dropExpired(minRetentionMs = 0): Promise<number> {
     const now = this.clock.now();
-    const retentionMs = Math.max(this.bounds.retentionMs, leastMs);
+    const retentionMs = Math.max(this.limits.retentionMs, minRetentionMs);
     let dropped = 0;
-    for (const [slot, s] of this.slots) {
-      const groups = [...s.touched].filter(([, at]) => now - at > retentionMs).map(([g]) => g);
+    for (const [slot, replica] of this.slots) {
+      const groups = replica.expiredGroups(now, retentionMs);
       if (groups.length === 0) continue;
       dropped += groups.length;
-      await this.put({ t: 'drop', slot, groups });
+      await this.append({ t: 'drop', slot, groups: [...groups] });
     }
     return dropped;
   }
 
-  async dropReassignedSlots(outAt: (slot: number) => number): Promise<void> {
-    for (const [slot, s] of this.slots)
-      if (s.items.size > 0 && outAt(slot) >= s.fenced)
-        await this.put({
-          t: 'drop',
-          slot,
-          groups: [...new Set([...s.items.keys()].map(recordGroup))],
-        });
+  /**
+   * Drops slots that the state assigns to other stores. `reassignedAt` gives the ownership epoch of that state, or -1; a
+   * slot that was fenced later is needed by a newer state than this one.
+   */
+  async dropReassignedSlots(reassignedAt: (slot: number) => number): Promise<void> {
+    for (const [slot, replica] of this.slots)
+      if (replica.itemCount > 0 && reassignedAt(slot) >= replica.fenceEpoch)
+        await this.append({ t: 'drop', slot, groups: [...replica.allGroups()] });
   }
 
-  counts(): { items: number; hints: number; bytes: number; slots: number } {
+  counts(): ReplicaStoreCounts {
     let items = 0;
-    for (const s of this.slots.values()) items += s.items.size;
-    return { items, hints: this.hints.size, bytes: this.journal.sizeBytes, slots: this.slots.size };
+    for (const replica of this.slots.values()) items += replica.itemCount;
+    return {
+      items,
+      hints: this.hints.size,
+      bytes: this.journal.sizeBytes,
+      slots: this.slots.size,
+    };
   }
 }
--- a/packages/store/src/start.ts
+++ b/packages/store/src/start.ts
@@ -1,27 +1,66 @@
+/** Starts a store on a real disk and real connections, with its pages for operators. */
 import { randomBytes } from 'node:crypto';
+import { FolderDisk } from '@tillerstair/journal';
 import {
   closeHttp,
   servePages,
   stderrLog,
+  type Readiness,
   type Running,
   type StoreSettings,
 } from '@tillerstair/settings';
-import { FolderDisk } from '@tillerstair/journal';
-import { hostClock, sendJson, TcpTransport } from '@tillerstair/wire';
+import type { Member } from '@tillerstair/state';
+import { hostClock, sendJson, TcpTransport, type HttpHandler } from '@tillerstair/wire';
 import { reloadableBounds, storePace } from '@tillerstair/zen';
-import { StoreNode } from './node.js';
-import { openStoreDisk } from './open.js';
+import { openStoreDisk } from './open-store-disk.js';
+import type { ReplicaStore } from './replica-store.js';
+import { StoreNode } from './store-node.js';
+
+const storeIdBytes = 6;
+
+const freshId = (): string => `s-${randomBytes(storeIdBytes).toString('hex')}`;
+
+const memberOf = (id: string, settings: StoreSettings): Member => ({
+  id,
+  kind: 'store',
+  addr: settings.addr,
+  http: settings.http,
+  zone: settings.zone,
+  data: '',
+  name: settings.name,
+});
+
+const readinessOf = (node: StoreNode): Readiness => {
+  const master = node.zen.masterSeen;
+  return {
+    ready: master !== undefined && node.zen.applied !== undefined,
+    why: master ? `master ${master.addr}` : 'no master is known',
+  };
+};
+
+const storePages =
+  (node: StoreNode, replicaStore: ReplicaStore): HttpHandler =>
+  (_request, response, url) => {
+    if (url.pathname === '/v1/view') sendJson(response, 200, node.nodeView());
+    else if (url.pathname === '/v1/counts') sendJson(response, 200, replicaStore.counts());
+    else sendJson(response, 404, { executed: 'no', errorCode: 'no-such-page' });
+    return Promise.resolve();
+  };
 
+/**
+ * Starts a store. A reload takes over bounds and seeds; everything else needs a restart.
+ *
+ * @throws FolderInUseError if another process has the data folder.
+ */
 export const startStore = async (settings: StoreSettings): Promise<Running<StoreSettings>> => {
   const log = stderrLog('store', settings.log);
   const disk = await FolderDisk.acquire(settings.data);
-  const { bounds, replace } = reloadableBounds(settings.bounds);
-  const pace = storePace(hostClock, bounds, log);
-  const freshId = (): string => `s-${randomBytes(6).toString('hex')}`;
+  const reloadable = reloadableBounds(settings.bounds);
+  const { bounds } = reloadable;
   const { electionStore, replicaStore } = await openStoreDisk({
     disk,
     clock: hostClock,
-    timings: pace,
+    timings: storePace(hostClock, bounds, log),
     limits: {
       rewriteMinBytes: settings.journalLongAt,
       retentionMs: settings.retentionMs,
@@ -30,43 +69,27 @@
     freshId,
     rewriteMinBytes: settings.journalLongAt,
   });
-  const me = {
-    id: electionStore.persisted.id,
-    kind: 'store' as const,
-    addr: settings.addr,
-    http: settings.http,
-    zone: settings.zone,
-    data: '',
-    name: settings.name,
-  };
-  const transport = new TcpTransport(settings.addr, settings.listen);
+  const { id } = electionStore.persisted;
   const node = new StoreNode({
-    me,
+    me: memberOf(id, settings),
     seeds: settings.seeds,
     clock: hostClock,
-    transport,
+    transport: new TcpTransport(settings.addr, settings.listen),
     electionStore,
     replicaStore,
     bounds,
     log,
   });
   await node.start();
-  const readiness = () => {
-    const master = node.zen.masterSeen;
-    return {
-      ready: master !== undefined && node.zen.applied !== undefined,
-      why: master ? `master ${master.addr}` : 'no master is known',
-    };
-  };
-  const http = await servePages(settings.http, readiness, async (_req, res, url) => {
-    if (url.pathname === '/v1/view') return sendJson(res, 200, node.nodeView());
-    if (url.pathname === '/v1/counts') return sendJson(res, 200, replicaStore.counts());
-    sendJson(res, 404, { executed: 'no', errorCode: 'no-such-page' });
-  });
-  log.info(`Serving ${me.id} at ${settings.addr}.`);
+  const http = await servePages(
+    settings.http,
+    () => readinessOf(node),
+    storePages(node, replicaStore),
+  );
+  log.info(`Serving ${id} at ${settings.addr}.`);
   return {
     reload: (next) => {
-      replace(next.bounds);
+      reloadable.replace(next.bounds);
       node.zen.replaceSeeds(next.seeds);
     },
     stop: async () => {
--- /dev/null
+++ b/packages/store/src/store-node.ts
@@ -0,0 +1,103 @@
+/**
+ * A store: a member of the cluster that keeps replicas of slots. It joins controls to a cluster's membership (Zen), the
+ * requests of owners to its replicas, and two tasks of its own: maintenance and filling slots.
+ */
+import { nodeViewOf, replicasToWrite, type NodeView, type State } from '@tillerstair/state';
+import { createAbortController, type RpcRequest, type Transport } from '@tillerstair/wire';
+import { ZenNode, type ZenNodeOptions } from '@tillerstair/zen';
+import { Maintenance } from './maintenance.js';
+import { ReplicaRefill } from './replica-refill.js';
+import type { ReplicaStore } from './replica-store.js';
+import { handleStoreRequest, type StoreRequestOptions } from './store-requests.js';
+
+/** What a store needs: its membership's options and its opened replicas. */
+export interface StoreNodeOptions extends Omit<
+  ZenNodeOptions,
+  'slots' | 'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead'
+> {
+  readonly replicaStore: ReplicaStore;
+}
+
+/** One store. `start` serves its transport, `stop` closes it; the disk is closed by whoever opened it. */
+export class StoreNode {
+  readonly zen: ZenNode;
+  private readonly storeId: string;
+  private readonly transport: Transport;
+  private readonly replicaStore: ReplicaStore;
+  private readonly maintenance: Maintenance;
+  private readonly refill: ReplicaRefill;
+  private readonly requestOptions: StoreRequestOptions;
+  private readonly stopping = createAbortController();
+  private latestState: State | undefined;
+
+  constructor(options: StoreNodeOptions) {
+    const { me, transport, replicaStore, clock, bounds, log } = options;
+    this.storeId = me.id;
+    this.transport = transport;
+    this.replicaStore = replicaStore;
+    this.requestOptions = { replicaStore, isReplicaOf: (slot) => this.isReplicaOf(slot) };
+    this.zen = new ZenNode({
+      ...options,
+      slots: 0,
+      onApplied: (state) => {
+        this.latestState = state;
+        this.refill.wake();
+        return Promise.resolve();
+      },
+    });
+    const shared = {
+      storeId: me.id,
+      replicaStore,
+      transport,
+      clock,
+      bounds,
+      log,
+      latestState: () => this.latestState,
+    };
+    this.maintenance = new Maintenance({ ...shared, appliedState: () => this.zen.applied });
+    this.refill = new ReplicaRefill({ ...shared, currentMaster: () => this.zen.masterSeen });
+  }
+
+  get id(): string {
+    return this.storeId;
+  }
+
+  async start(): Promise<void> {
+    await this.transport.serve((request) => this.handle(request));
+    this.zen.start();
+    void this.maintenance.run(this.stopping.signal);
+    void this.refill.run(this.stopping.signal);
+  }
+
+  async stop(): Promise<void> {
+    this.stopping.abort();
+    this.refill.wake();
+    await this.zen.stop();
+    await this.transport.close();
+  }
+
+  /** What this store knows of the cluster, for operators. */
+  nodeView(): NodeView {
+    const view = nodeViewOf(
+      this.storeId,
+      'store',
+      this.zen.term,
+      this.zen.masterSeen?.id ?? '',
+      this.zen.applied,
+    );
+    const { hints } = this.replicaStore.counts();
+    return { ...view, facts: [...view.facts, ['own hints', String(hints)]] };
+  }
+
+  /** Answers a request of another node: `zen/…` by its membership, all others by its replicas. */
+  handle(request: RpcRequest): Promise<unknown> {
+    return request.kind.startsWith('zen/')
+      ? this.zen.handle(request)
+      : handleStoreRequest(request, this.requestOptions);
+  }
+
+  private isReplicaOf(slotNumber: number): boolean {
+    const slot = this.latestState?.slots[slotNumber];
+    return slot === undefined || replicasToWrite(slot).includes(this.storeId);
+  }
+}
