--- a/packages/journal/src/journal.ts
+++ b/packages/journal/src/journal.ts
@@ -263,7 +263,10 @@
         records ??= snapshot();
         const written = await this.replaceFile(records);
         const readBack = await digestOfFile(this.file);
-        if (readBack.equals(written)) return this.resume();
+        if (readBack.equals(written)) {
+          this.resume();
+          return;
+        }
       } catch (error) {
         this.failure = errorText(error);
       }
--- a/packages/settings/src/daemon.ts
+++ b/packages/settings/src/daemon.ts
@@ -1,52 +1,42 @@
+/** The command line of a daemon: flags, `--settings`, `--help` and `--version`. */
 import cac from 'cac';
-import type { Server } from 'node:http';
 import { z } from 'zod';
-import { FolderInUseError, JournalDamagedError } from '@tillerstair/journal';
-import {
-  createLogger,
-  sendJson,
-  serveHttp,
-  type Logger,
-  type HttpHandler,
-} from '@tillerstair/wire';
-import { InvalidSettingsError, readSettings } from './settings.js';
+import { live, type Running } from './program.js';
+import { readSettings } from './settings.js';
 
+/** The version that programs show. */
 export const version = '0.1.0';
 
-/** A started program. `T` is the type of its settings. */
-export interface Running<T = never> {
-  stop(): Promise<void>;
-  /** Takes over settings that were read again, as far as they may change while the program runs. */
-  reload?(settings: T): void;
-}
-
-export const stderrLog = (part: string, level: 'debug' | 'info' | 'warn' | 'error'): Logger =>
-  createLogger(part, level, (line) => {
-    process.stderr.write(`${line}\n`);
-  });
+const FlagTable = z.record(z.string(), z.unknown());
 
-const Raw = z.record(z.string(), z.unknown());
+/** Flags of the command line itself, which are no settings. */
+const commandFlags: ReadonlySet<string> = new Set(['--', 'help', 'version', 'h', 'v', 'settings']);
 
-const collect = (options: unknown, prefix = ''): ReadonlyMap<string, unknown> => {
-  const out = new Map<string, unknown>();
-  for (const [k, v] of Object.entries(Raw.parse(options))) {
-    if (k === '--' || k === 'help' || k === 'version' || k === 'h' || k === 'v' || k === 'settings')
+/** The given flags by the path of their setting, as in `bounds.serveWithin`. */
+const collectFlags = (options: unknown, prefix = ''): ReadonlyMap<string, unknown> => {
+  const flags = new Map<string, unknown>();
+  for (const [name, value] of Object.entries(FlagTable.parse(options))) {
+    if (commandFlags.has(name)) continue;
+    if (value === null || typeof value !== 'object' || Array.isArray(value)) {
+      flags.set(prefix + name, value);
       continue;
-    if (v !== null && typeof v === 'object' && !Array.isArray(v))
-      for (const [p, x] of collect(v, `${prefix}${k}.`)) out.set(p, x);
-    else out.set(prefix + k, v);
+    }
+    for (const [path, inner] of collectFlags(value, `${prefix}${name}.`)) flags.set(path, inner);
   }
-  return out;
+  return flags;
 };
 
+/** One daemon: how it is called, its settings, and how it is started. */
 export interface DaemonSpec<T> {
   readonly name: string;
   readonly about: string;
   readonly schema: z.ZodType<T>;
+  /** Names and descriptions of its flags; each sets the setting of its name. */
   readonly flags: readonly (readonly [string, string])[];
   start(daemonSettings: T): Promise<Running<T>>;
 }
 
+/** Runs a daemon as the command line of this process says, until it is told to stop. */
 export const runDaemon = async <T>(spec: DaemonSpec<T>): Promise<void> => {
   const cli = cac(spec.name);
   cli.option('--settings <file>', 'A YAML or JSON file of settings');
@@ -59,97 +49,6 @@
   if (options['help'] || options['version']) return;
   const file: unknown = options['settings'];
   const read = (): T =>
-    readSettings(spec.schema, typeof file === 'string' ? file : undefined, collect(options));
+    readSettings(spec.schema, typeof file === 'string' ? file : undefined, collectFlags(options));
   await live(spec.name, read, (settings) => spec.start(settings));
 };
-
-const findingsText = (e: unknown): string => {
-  if (e instanceof InvalidSettingsError)
-    return e.findings.map((f) => `${f.place}: ${f.text}`).join('; ');
-  return e instanceof Error ? e.message : String(e);
-};
-
-/** Reads the settings again and hands them over; bad ones are told in one line and the old ones stay in force. */
-const reloadSettings = <T>(name: string, read: () => T, running: Running<T>): void => {
-  try {
-    running.reload?.(read());
-    process.stderr.write(`${name}: Settings were read again.\n`);
-  } catch (e) {
-    process.stderr.write(`${name}: The settings in force stay: ${findingsText(e)}\n`);
-  }
-};
-
-/** A failure that nobody waited for is a fault of the program; it is told, and does not end what others rely on. */
-const tellUnhandled = (name: string, e: unknown): void => {
-  const text = e instanceof Error ? (e.stack ?? e.message) : String(e);
-  process.stderr.write(`${name}: A failure was not handled: ${text}\n`);
-};
-
-/**
- * Starts a program and keeps it until SIGTERM or SIGINT. SIGHUP reads its settings again; one that comes
- * during the start is met once the program runs. Ends with 2 for bad settings, 3 for a data folder that
- * cannot be used, 1 otherwise.
- */
-export const live = async <T>(
-  name: string,
-  read: () => T,
-  start: (settings: T) => Promise<Running<T>>,
-): Promise<void> => {
-  process.on('unhandledRejection', (e) => tellUnhandled(name, e));
-  let reload: (() => void) | undefined;
-  let reloadWanted = false;
-  process.on('SIGHUP', () => {
-    if (reload) reload();
-    else reloadWanted = true;
-  });
-  let running: Running<T>;
-  try {
-    running = await start(read());
-  } catch (e) {
-    if (e instanceof InvalidSettingsError) {
-      for (const f of e.findings) process.stderr.write(`${name}: ${f.place}: ${f.text}\n`);
-      process.exit(2);
-    }
-    process.stderr.write(`${name}: cannot start: ${e instanceof Error ? e.message : String(e)}\n`);
-    process.exit(e instanceof FolderInUseError || e instanceof JournalDamagedError ? 3 : 1);
-  }
-  reload = () => reloadSettings(name, read, running);
-  if (reloadWanted) reload();
-  let stopping = false;
-  const stop = (): void => {
-    if (stopping) return;
-    stopping = true;
-    running.stop().then(
-      () => process.exit(0),
-      () => process.exit(1),
-    );
-  };
-  process.on('SIGTERM', stop);
-  process.on('SIGINT', stop);
-};
-
-export interface Readiness {
-  readonly ready: boolean;
-  readonly why: string;
-}
-
-export const servePages = (
-  addr: string,
-  readiness: () => Readiness,
-  more?: HttpHandler,
-): Promise<Server> =>
-  serveHttp(addr, async (req, res, url) => {
-    if (url.pathname === '/live') return sendJson(res, 200, { live: true });
-    if (url.pathname === '/ready') {
-      const r = readiness();
-      return sendJson(res, r.ready ? 200 : 503, r);
-    }
-    if (more) return more(req, res, url);
-    sendJson(res, 404, { executed: 'no', errorCode: 'no-such-page' });
-  });
-
-export const closeHttp = (server: Server): Promise<void> =>
-  new Promise((done) => {
-    server.close(() => done());
-    server.closeIdleConnections();
-  });
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,2 +1,6 @@
-export * from './settings.js';
 export * from './daemon.js';
+export * from './errors.js';
+export * from './operator-pages.js';
+export * from './program.js';
+export * from './schemas.js';
+export * from './settings.js';
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -1,168 +1,83 @@
+/** Reads settings from a file and from flags, which go before the file. */
 import { readFileSync } from 'node:fs';
-import { isIP } from 'node:net';
 import { parseDocument } from 'yaml';
-import { z } from 'zod';
+import type { z } from 'zod';
+import { InvalidSettingsError, type Finding } from './errors.js';
 
-export interface Finding {
-  readonly place: string;
-  readonly text: string;
-}
+/** The one flag that names a list, separated by commas. */
+const listFlag = 'seeds';
 
-export class InvalidSettingsError extends Error {
-  constructor(readonly findings: readonly Finding[]) {
-    super(findings.map((f) => `${f.place}: ${f.text}`).join('\n'));
-  }
-}
-
-const addr = z.string().refine(
-  (s) => {
-    const at = s.lastIndexOf(':');
-    const port = Number(s.slice(at + 1));
-    return (
-      at > 0 &&
-      isIP(s.slice(0, at).replace(/^\[|\]$/g, '')) !== 0 &&
-      Number.isInteger(port) &&
-      port > 0 &&
-      port < 65536
-    );
-  },
-  { message: 'must be an IP number and a port, as in 10.0.0.1:7400' },
-);
-const ms = (least: number, most: number, def: number) =>
-  z.number().int().min(least).max(most).default(def);
-
-const Bounds = z
-  .strictObject({
-    serveWithin: ms(1000, 120000, 12000),
-    inForceWithin: ms(100, 60000, 2000),
-    drainingWithin: ms(300, 60000, 3000),
-    heartbeatInterval: ms(20, 60000, 1000),
-    failureTimeout: ms(60, 180000, 3000),
-  })
-  .prefault({});
-
-const Common = {
-  zone: z.string().regex(/^[a-z0-9-]{1,64}$/, { message: 'must be a short lower-case name' }),
-  http: addr,
-  log: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
-  bounds: Bounds,
-};
-const Linked = {
-  addr,
-  listen: addr.optional(),
-  name: z.string().max(200).default(''),
-  seeds: z.array(addr).length(3, { message: 'must be three addresses' }),
+const parseFlag = (path: string, value: unknown): unknown => {
+  if (path === listFlag) return String(value).split(',');
+  if (value === 'true' || value === 'false') return value === 'true';
+  if (typeof value === 'string' && /^-?\d+$/.test(value)) return Number(value);
+  return value;
 };
 
-export const ControlSettings = z.strictObject({
-  ...Common,
-  ...Linked,
-  data: z.string().min(1),
-  slots: z.number().int().min(8).max(4096).default(64),
-  losses: z.number().int().min(1).max(7).default(1),
-  mayBootstrap: z.boolean().default(true),
-  journalLongAt: z
-    .number()
-    .int()
-    .min(65536)
-    .default(4 << 20),
-});
-export type ControlSettings = z.infer<typeof ControlSettings>;
-
-export const StoreSettings = z.strictObject({
-  ...Common,
-  ...Linked,
-  data: z.string().min(1),
-  journalLongAt: z
-    .number()
-    .int()
-    .min(65536)
-    .default(32 << 20),
-  retentionMs: z.number().int().min(60000).default(3600000),
-  hintsMost: z.number().int().min(100).default(100000),
-});
-export type StoreSettings = z.infer<typeof StoreSettings>;
+const isTable = (value: unknown): value is object =>
+  value !== null && typeof value === 'object' && !Array.isArray(value);
 
-export const AgentSettings = z.strictObject({
-  ...Common,
-  ...Linked,
-  proxy: addr,
-  stopWithin: ms(100, 600000, 5000),
-});
-export type AgentSettings = z.infer<typeof AgentSettings>;
-
-export const ProxySettings = z.strictObject({
-  ...Common,
-  addr,
-  listen: addr.optional(),
-  feed: addr,
-  bodyMost: z
-    .number()
-    .int()
-    .min(1024)
-    .default(1 << 20),
-  affinity: z.boolean().default(true),
-  asksServers: z.boolean().default(true),
-  retentionMs: z.number().int().min(60000).default(3600000),
-  stopWithin: ms(100, 600000, 5000),
-});
-export type ProxySettings = z.infer<typeof ProxySettings>;
-
-const flagValue = (path: string, v: unknown): unknown => {
-  if (path === 'seeds') return String(v).split(',');
-  if (v === 'true' || v === 'false') return v === 'true';
-  if (typeof v === 'string' && /^-?\d+$/.test(v)) return Number(v);
-  return v;
-};
-
-const withFlag = (into: Map<string, unknown>, path: string, v: unknown): void => {
+/** Sets the value of a flag such as `bounds.serveWithin`, beside the other values of its table. */
+const setFlag = (settings: Map<string, unknown>, path: string, value: unknown): void => {
   const [head = '', ...rest] = path.split('.');
   if (rest.length === 0) {
-    into.set(head, flagValue(path, v));
+    settings.set(head, parseFlag(path, value));
     return;
   }
-  const old = into.get(head);
+  const table = settings.get(head);
   const inner = new Map<string, unknown>(
-    old !== null && typeof old === 'object' ? Object.entries(old) : [],
+    table !== null && typeof table === 'object' ? Object.entries(table) : [],
   );
-  withFlag(inner, rest.join('.'), v);
-  into.set(head, Object.fromEntries(inner));
+  setFlag(inner, rest.join('.'), value);
+  settings.set(head, Object.fromEntries(inner));
 };
 
+/** Reads the table of a settings file; what is wrong with the file is added to `findings`. */
+const readTable = (file: string, findings: Finding[]): ReadonlyMap<string, unknown> => {
+  try {
+    const document = parseDocument(readFileSync(file, 'utf8'));
+    for (const { linePos, message } of document.errors) {
+      const place = `${file}:${linePos?.[0].line ?? 0}`;
+      findings.push({ place, text: message.split('\n')[0] ?? '' });
+    }
+    const content: unknown = document.toJS();
+    if (isTable(content)) return new Map(Object.entries(content));
+    findings.push({ place: file, text: 'must hold a table of settings' });
+  } catch (error) {
+    findings.push({ place: file, text: error instanceof Error ? error.message : String(error) });
+  }
+  return new Map();
+};
+
+/** Where a setting comes from: its flag, or the file and its path in it. */
+const placeOf = (
+  path: string,
+  file: string | undefined,
+  flags: ReadonlyMap<string, unknown>,
+): string => {
+  if (flags.has(path)) return `--${path}`;
+  const source = file ?? 'flags';
+  return path === '' ? source : `${source} ${path}`;
+};
+
+/**
+ * Reads and checks all settings of a program.
+ *
+ * @param file the path of a YAML or JSON file, if there is one
+ * @param flags values by the path of their setting
+ * @throws InvalidSettingsError with all faults that were found.
+ */
 export const readSettings = <T>(
   schema: z.ZodType<T>,
   file: string | undefined,
   flags: ReadonlyMap<string, unknown>,
 ): T => {
-  const all = new Map<string, unknown>();
   const findings: Finding[] = [];
-  if (file !== undefined) {
-    try {
-      const doc = parseDocument(readFileSync(file, 'utf8'));
-      for (const e of doc.errors)
-        findings.push({
-          place: `${file}:${e.linePos?.[0].line ?? 0}`,
-          text: e.message.split('\n')[0] ?? '',
-        });
-      const v: unknown = doc.toJS();
-      if (v !== null && typeof v === 'object' && !Array.isArray(v))
-        for (const [k, x] of Object.entries(v)) all.set(k, x);
-      else findings.push({ place: file, text: 'must hold a table of settings' });
-    } catch (e) {
-      findings.push({ place: file, text: e instanceof Error ? e.message : String(e) });
-    }
-  }
-  for (const [k, v] of flags) withFlag(all, k, v);
-  const got = schema.safeParse(Object.fromEntries(all));
-  if (!got.success)
-    for (const i of got.error.issues) {
-      const path = i.path.map(String).join('.');
-      const from = flags.has(path) ? `--${path}` : (file ?? 'flags');
-      findings.push({
-        place: `${from}${path && !flags.has(path) ? ` ${path}` : ''}`,
-        text: i.message,
-      });
-    }
-  if (findings.length > 0 || !got.success) throw new InvalidSettingsError(findings);
-  return got.data;
+  const settings = new Map(file === undefined ? [] : readTable(file, findings));
+  for (const [path, value] of flags) setFlag(settings, path, value);
+  const checked = schema.safeParse(Object.fromEntries(settings));
+  for (const { path, message } of checked.error?.issues ?? [])
+    findings.push({ place: placeOf(path.map(String).join('.'), file, flags), text: message });
+  if (findings.length > 0 || !checked.success) throw new InvalidSettingsError(findings);
+  return checked.data;
 };
