--- a/packages/zen/src/master-types.ts
+++ b/packages/zen/src/master-types.ts
@@ -1,14 +1,15 @@
 /** What a master is made of, and what the rest of a control may ask of it. */
-import type { Member, State, StateVersion } from '@tillerstair/state';
+import type { Member, State } from '@tillerstair/state';
 import type { Clock, Logger, Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
+import type { MasterPingResponse } from './messages.js';
 
 /** A change of the cluster state; returns the state itself if there is nothing to alter, throws to refuse. */
 export type Change = (state: State) => State;
 
 /** A committed state. */
-export interface Committed {
+export interface CommittedState {
   readonly state: State;
   /** Clock time, in ms, of the commit. */
   readonly at: number;
@@ -30,16 +31,8 @@
   readonly onReport: (memberId: string, report: unknown) => void;
 }
 
-/** What a master answers to the ping of a follower. */
-export interface MasterStatus {
-  readonly leading: boolean;
-  /** Whether the follower is on the list of nodes. */
-  readonly listed: boolean;
-  readonly term: number;
-  readonly committed: StateVersion;
-  /** How long ago, in ms, a majority of the voters was last heard of; read leases are dated back by it. */
-  readonly age: number;
-}
+/** What a master answers to the ping of a follower; its node adds what it reports of the list of servers. */
+export type MasterStatus = Omit<MasterPingResponse, 'reported'>;
 
 /** A master as the rest of its control sees it. */
 export interface MasterView {
@@ -56,14 +49,14 @@
    * @throws whatever the change throws to refuse; NotMasterError if nothing was done; UnknownOutcomeError if the change
    * may have been made.
    */
-  submit(change: Change): Promise<Committed>;
+  submit(change: Change): Promise<CommittedState>;
   /**
    * As `submit`, but a refusal, and a change that alters nothing, end only once a majority has confirmed this master
    * since the call (docs/design.md, "Versions of the configuration").
    *
    * @throws also QuorumUnavailableError if no majority does.
    */
-  decide(change: Change): Promise<Committed>;
+  decide(change: Change): Promise<CommittedState>;
   /**
    * A quorum read: the committed state, once a majority has confirmed this master since the call.
    *
@@ -76,13 +69,13 @@
    *
    * @throws UnknownOutcomeError when this control steps down meanwhile.
    */
-  inForce(committed: Committed): Promise<void>;
+  waitUntilInForce(committed: CommittedState): Promise<void>;
   /** For how long, in ms, the member has not answered; at most the time since the election. */
   unresponsiveFor(memberId: string): number;
   /** Whether the node replied within the last two heartbeats. */
-  heard(memberId: string): boolean;
+  isResponsive(memberId: string): boolean;
   /** Pings the nodes now; resolves with the ids of those that replied in this term within one heartbeat. */
-  reach(peers: readonly Member[]): Promise<ReadonlySet<string>>;
+  pingPeers(peers: readonly Member[]): Promise<ReadonlySet<string>>;
   /** Whether the node has acknowledged that the newest committed state is on its disk. */
-  synced(memberId: string): boolean;
+  holdsCommitted(memberId: string): boolean;
 }
