--- a/tests/src/journal/journal-rig.ts
+++ b/tests/src/journal/journal-rig.ts
@@ -1,5 +1,5 @@
 /** A simulated disk with its clock, and the states that are written to it. */
-import { type JournalPace } from '@tillerstair/journal';
+import { defaultTimings, Journal, type Disk, type JournalTimings } from '@tillerstair/journal';
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
 import { ReplicaStore } from '@tillerstair/store';
@@ -26,7 +26,7 @@
   readonly clock: SimClock;
   readonly platter: SimPlatter;
   readonly said: string[];
-  readonly pace: JournalPace;
+  readonly pace: JournalTimings;
   electionStore(life?: Life, id?: string, rewriteAt?: number): Promise<DiskElectionStore>;
   replicaStore(life?: Life, rewriteAt?: number): Promise<ReplicaStore>;
 }
@@ -37,8 +37,8 @@
   const said: string[] = [];
   const pace = {
     clock,
-    syncWithin: 1500,
-    retryEvery: 250,
+    syncTimeoutMs: 1500,
+    retryIntervalMs: 250,
     log: { ...silentLogger, warn: (text: string) => void said.push(text) },
   };
   return {
@@ -58,7 +58,7 @@
         ReplicaStore.open(
           platter.disk(clock, life),
           clock,
-          { journalLongAt: rewriteAt, retentionMs: 1e9, hintsMost: 10 },
+          { rewriteMinBytes: rewriteAt, retentionMs: 1e9, maxHints: 10 },
           pace,
         ),
         60000,
@@ -82,3 +82,20 @@
     .pull(1, 0, '')
     .items.map((i) => i.key)
     .sort();
+
+/** A journal and all records that it held when it was opened. */
+export interface OpenedJournal {
+  readonly journal: Journal;
+  readonly records: readonly unknown[];
+}
+
+/** Opens a journal as the product does, for an owner that only lists the records. */
+export const openJournal = (
+  disk: Disk,
+  name: string,
+  timings: JournalTimings = defaultTimings,
+): Promise<OpenedJournal> =>
+  Journal.open(disk, name, timings, (journal) => {
+    const records: unknown[] = [];
+    return { journal, records, restore: (record: unknown) => void records.push(record) };
+  });
