--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -95,10 +95,10 @@
     const linger = this.owner.leaseValid ? bounds.stopWithin * lingers : 0;
     const busy = (): boolean =>
       this.active > 0 ||
-      (this.owner.leaseValid && this.owner.holdsSlots) ||
+      (this.owner.leaseValid && this.owner.ownsSlots) ||
       clock.now() - from < linger;
     while (busy() && clock.now() - from < bounds.stopWithin) {
-      if (clock.now() - from >= linger) this.owner.stopTaking();
+      if (clock.now() - from >= linger) this.owner.stopAccepting();
       await delay(clock, bounds.heartbeatInterval / 20);
     }
     this.owner.stop();
@@ -124,11 +124,11 @@
       reported && f.config !== undefined ? { ...reported, config: held?.config } : reported;
     if (next && held && held.clusterId !== next.clusterId)
       throw new ElectionError('other-cluster', `this front is of cluster ${held.clusterId}`);
-    if (next && (!held || isNewerVersion(versionOf(next), versionOf(held)))) this.owner.take(next);
+    if (next && (!held || isNewerVersion(versionOf(next), versionOf(held)))) this.owner.applyState(next);
     if (f.term >= this.agentTerm) {
       this.agentTerm = f.term;
       this.master = f.master;
-      if (f.barred) this.owner.bar(new Set(f.barred));
+      if (f.barred) this.owner.barServers(new Set(f.barred));
       if (f.leaseRenewedAt <= now) this.owner.renewLease(f.leaseRenewedAt);
     }
     return {
--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -13,6 +13,9 @@
 import type { CallOutcome } from './messages.js';
 import type { Part } from './placement.js';
 
+/** How often an end is written before it is given up. */
+export const endWriteAttempts = 20;
+
 /** What a request asks for when it waits for a server. */
 export interface PlacementRequest {
   readonly kind: RouteKind;
--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -109,7 +109,7 @@
       key: opKeyOf(request.tenant, request.key),
       digest: digestOf(request.path, request.body),
       deadline: this.owner.clock.now() + callMs * attemptShare,
-      tries: Infinity,
+      maxAttempts: Infinity,
       idempotent: false,
       send: (server, stop, mayStillRun) =>
         this.owner.backend.act(server, this.actRequest(request), stop, callMs, mayStillRun),
@@ -134,7 +134,7 @@
       key: opKeyOf(request.tenant, request.key),
       digest: digestOf(request.method, request.host, request.path, request.body),
       deadline,
-      tries: rules.tries,
+      maxAttempts: rules.tries,
       idempotent,
       send: (server, stop, mayStillRun) =>
         this.forward(server, request, deadline, stop, mayStillRun),
--- a/packages/session-owner/src/index.ts
+++ b/packages/session-owner/src/index.ts
@@ -13,5 +13,4 @@
 export * from './slot-replicator.js';
 export * from './stored-values.js';
 export * from './stream-records.js';
-export * from './turn-attempts.js';
 export * from './turn-records.js';
--- a/packages/session-owner/src/messages.ts
+++ b/packages/session-owner/src/messages.ts
@@ -59,6 +59,9 @@
 /** A call of the product's own interface. */
 export type CallRequest = z.infer<typeof CallRequest>;
 
+/** Receives the chunks of an answer as they arrive, numbered from 0. */
+export type EmitChunk = (n: number, text: string) => void;
+
 const HeaderList = z.array(z.tuple([z.string(), z.string()]));
 
 /** A request on a pass route, as it goes to its owner. */
--- a/packages/session-owner/src/operation-attempts.ts
+++ b/packages/session-owner/src/operation-attempts.ts
@@ -2,11 +2,12 @@
  * A request that is answered as a whole on its way through the `AttemptMachine`: a keyed operation, or one without key.
  *
  * A keyed operation's intent is on a quorum of replicas before it is sent. Once sent and lost it goes to another server
- * only where that is harmless: the route says that it is idempotent, or every server involved records keys itself.
+ * only where that is harmless: the route says that it is idempotent, or every server involved records keys itself. See
+ * `docs/design.md`, "A tool call".
  */
 import type { RouteKind, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
-import type { Attempts } from './attempt-machine.js';
+import { endWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { Ended } from './backend.js';
 import type { CallOutcome } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
@@ -14,7 +15,6 @@
 import type { OwnerServices } from './owner-services.js';
 import { retryAfterSeconds, status } from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
-import { endWriteAttempts } from './turn-attempts.js';
 
 const firstServerError = 500;
 const intentWriteAttempts = 1;
@@ -30,7 +30,7 @@
   /** On the owner's clock, in ms. */
   readonly deadline: number;
   /** How many servers may get it. */
-  readonly tries: number;
+  readonly maxAttempts: number;
   /** Whether the route says that running it twice is the same as running it once. */
   readonly idempotent: boolean;
   /** Sends it to one server. */
@@ -90,7 +90,7 @@
 
   refuseBeforePlacing(remainingMs: number): Promise<CallOutcome> | undefined {
     if (remainingMs <= 0) return this.giveUp('no server came free in time');
-    if (this.sent >= this.operation.tries)
+    if (this.sent >= this.operation.maxAttempts)
       return this.giveUp('the servers tried did not run it', retryAfterSeconds.otherAttempt);
     return undefined;
   }
@@ -156,7 +156,7 @@
       history.replicator !== undefined &&
       this.allServersRecord &&
       routeRecordsKeys(this.owner, operation);
-    return (operation.idempotent || keysRecorded) && this.sent < operation.tries;
+    return (operation.idempotent || keysRecorded) && this.sent < operation.maxAttempts;
   }
 
   private async store(
--- a/packages/session-owner/src/owned-slots.ts
+++ b/packages/session-owner/src/owned-slots.ts
@@ -1,5 +1,5 @@
 /**
- * The slots that this front owns, each with the replicator that holds its values.
+ * The slots that this front owns, each with the replicator that has its values.
  *
  * Owns the replicators. One belongs to one unbroken ownership (`ownedSinceEpoch`): a slot that was another front's
  * meanwhile begins again with what its replicas have.
@@ -61,7 +61,7 @@
    * Takes no further requests; those in progress go on. A slot that always has a request in progress would otherwise
    * never be released, and its last ones would end with the process.
    */
-  stopTaking(): void {
+  stopAccepting(): void {
     this.closing = true;
   }
 
--- a/packages/session-owner/src/refusals.ts
+++ b/packages/session-owner/src/refusals.ts
@@ -2,7 +2,7 @@
 import type { CallOutcome } from './messages.js';
 import { refused } from './outcomes.js';
 
-/** HTTP statuses of outcomes; `docs/errors.md` lists them. */
+/** HTTP statuses of refusals. */
 export const status = {
   badRequest: 400,
   budgetSpent: 402,
@@ -29,7 +29,7 @@
   refused(status.budgetSpent, 'budget-spent', 'the budget is spent');
 
 /** The caller was gone before anything was sent. */
-export const callerGone = (text: string): CallOutcome =>
+export const callerDisconnected = (text: string): CallOutcome =>
   refused(status.unavailable, 'gone', text, retryAfterSeconds.recovery);
 
 /** The read lease ran out before anything was sent. */
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -3,7 +3,7 @@
  *
  * Owns the newest committed state, the read lease, and who watches which front; its parts own the slots, the queues and
  * the running requests. It serves only while the lease is valid, so that a front that is cut off stops before another
- * one takes its slots over (`docs/design.md`).
+ * one takes its slots over (`docs/design.md`, "Freshness and the read lease").
  */
 import {
   slotForKey,
@@ -160,7 +160,7 @@
   }
 
   /** Whether any slot is owned. */
-  get holdsSlots(): boolean {
+  get ownsSlots(): boolean {
     return this.slots.count > 0;
   }
 
@@ -170,7 +170,7 @@
   }
 
   /** Follows a newer committed state. */
-  take(state: State): void {
+  applyState(state: State): void {
     this.table = compileState(state, this.table);
     void this.placement.poll(true).then(() => this.dispatch.admit());
     for (const watch of [...this.watches]) if (!state.nodes.has(watch.front)) watch.lost.abort();
@@ -184,7 +184,7 @@
   }
 
   /** Replaces the servers that get nothing until they are listed anew. */
-  bar(ids: ReadonlySet<string>): void {
+  barServers(ids: ReadonlySet<string>): void {
     this.placement.barred = ids;
   }
 
@@ -212,8 +212,8 @@
   }
 
   /** Takes no further requests into its slots; those in progress go on. */
-  stopTaking(): void {
-    this.slots.stopTaking();
+  stopAccepting(): void {
+    this.slots.stopAccepting();
   }
 
   replicator(key: string): SlotReplicator {
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -6,19 +6,24 @@
  */
 import type { Config, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
-import type { Attempts } from './attempt-machine.js';
+import { endWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { Ended } from './backend.js';
-import { passRoutePath, type CallOutcome, type PassRequest } from './messages.js';
+import { passRoutePath, type CallOutcome, type EmitChunk, type PassRequest } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
 import type { PassTurn } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
 import { partsOf, type Part } from './placement.js';
-import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
+import {
+  budgetSpent,
+  callerDisconnected,
+  leaseExpired,
+  retryAfterSeconds,
+  status,
+} from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import { streamProgram } from './stream-records.js';
 import { isSuccess, StreamRelay } from './stream-relay.js';
-import { endWriteAttempts, type EmitChunk } from './turn-attempts.js';
 
 /** How a pass route has its streamed requests served. */
 export interface StreamRules {
@@ -130,7 +135,7 @@
   }
 
   async notAllowed(): Promise<CallOutcome | undefined> {
-    if (this.cancelled) return this.giveUp(callerGone('the caller is gone'));
+    if (this.cancelled) return this.giveUp(callerDisconnected('the caller is gone'));
     return this.owner.leaseValid
       ? undefined
       : this.giveUp(leaseExpired('the control link is down'));
@@ -140,8 +145,8 @@
     const { request, body, signal } = this.job;
     const { events } = this.relay;
     const response = this.relay.openResponse(server);
-    const onCallerGone = (): void => response.cancel();
-    signal.addEventListener('abort', onCallerGone, { once: true });
+    const onCallerAbort = (): void => response.cancel();
+    signal.addEventListener('abort', onCallerAbort, { once: true });
     const resume = events.lastId === '' ? request.resume : events.lastId;
     const ended = await this.owner.backend
       .pass(
@@ -152,7 +157,7 @@
         this.deadline - this.owner.clock.now(),
         mayStillRun,
       )
-      .finally(() => signal.removeEventListener('abort', onCallerGone));
+      .finally(() => signal.removeEventListener('abort', onCallerAbort));
     return response.finish(ended);
   }
 
--- a/packages/session-owner/src/stream-relay.ts
+++ b/packages/session-owner/src/stream-relay.ts
@@ -7,7 +7,7 @@
 import type { Server } from '@tillerstair/state';
 import type { Ended, Head, ServerLoad, Sink } from './backend.js';
 import { EventSplitter } from './event-splitter.js';
-import type { EmitChunk } from './turn-attempts.js';
+import type { EmitChunk } from './messages.js';
 
 const ok = 200;
 
--- a/packages/session-owner/src/streams.ts
+++ b/packages/session-owner/src/streams.ts
@@ -7,7 +7,13 @@
 import type { Config, Route } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
 import { AttemptMachine } from './attempt-machine.js';
-import { passRoutePath, decodeBody, type CallOutcome, type PassRequest } from './messages.js';
+import {
+  passRoutePath,
+  decodeBody,
+  type CallOutcome,
+  type EmitChunk,
+  type PassRequest,
+} from './messages.js';
 import { outcomeOfError, refused, routeUnknown, unknown } from './outcomes.js';
 import { PassTurn } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
@@ -22,7 +28,6 @@
   streamSlotKey,
   streamTurnKey,
 } from './stream-records.js';
-import type { EmitChunk } from './turn-attempts.js';
 
 /** A turn that a request goes on from. */
 interface Ancestor {
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -2,31 +2,33 @@
  * A turn of the product's own interface on its way through the `AttemptMachine`.
  *
  * Each attempt at a server has a reservation of its own, which is made void when that server did not run the turn. A
- * turn that was sent is never sent again: it is done then, or failed with what had arrived.
+ * turn that was sent is never sent again: it is done then, or failed with what had arrived. See `docs/design.md`, "A turn".
  */
 import { rootProgramId, type Config, type Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
-import type { Attempts } from './attempt-machine.js';
+import { endWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { Ended, Message } from './backend.js';
-import type { CallOutcome, TurnRequest } from './messages.js';
+import type { CallOutcome, EmitChunk, TurnRequest } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
-import { ProgramValue, type TurnValue } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
 import { prefixesOf, type Part } from './placement.js';
-import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
+import {
+  budgetSpent,
+  callerDisconnected,
+  leaseExpired,
+  retryAfterSeconds,
+  status,
+} from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
+import { ProgramValue, type TurnValue } from './stored-values.js';
 import { programKey, turnKey, turnSummary } from './turn-records.js';
 
-/** Receives the chunks of an answer as they arrive, numbered from 0. */
-export type EmitChunk = (n: number, text: string) => void;
-
-/** How often an end is written before it is given up. */
-export const endWriteAttempts = 20;
-
 /** The share of a turn's time limit that it may wait for a server. */
 const placementShare = 1 / 4;
+/** Below this, in seconds, a run is too short to tell a server's rate from. */
 const shortestRunSeconds = 0.001;
+const millisecondsPerSecond = 1000;
 
 /** A turn whose program and history have been looked up. */
 export interface TurnJob {
@@ -128,7 +130,7 @@
 
   async notAllowed(): Promise<CallOutcome | undefined> {
     await this.storeVoid();
-    if (this.cancelled) return callerGone('nothing was run');
+    if (this.cancelled) return callerDisconnected('nothing was run');
     return this.owner.leaseValid ? undefined : leaseExpired('nothing was run');
   }
 
@@ -137,8 +139,8 @@
     const maxTokens = this.reservation.cost;
     const chunks: string[] = [];
     const stop = new AbortController();
-    const onCallerGone = (): void => stop.abort();
-    signal.addEventListener('abort', onCallerGone, { once: true });
+    const onCallerAbort = (): void => stop.abort();
+    signal.addEventListener('abort', onCallerAbort, { once: true });
     const onChunk = (n: number, text: string): void => {
       if (n !== chunks.length || chunks.length >= maxTokens) {
         stop.abort();
@@ -156,7 +158,7 @@
         config.bounds.turnMs,
         mayStillRun,
       )
-      .finally(() => signal.removeEventListener('abort', onCallerGone));
+      .finally(() => signal.removeEventListener('abort', onCallerAbort));
     return { ended, chunks, stopped: stop.signal.aborted };
   }
 
@@ -179,7 +181,7 @@
 
   release(server: Server): void {
     const { ended, tokens } = this;
-    const seconds = (this.owner.clock.now() - this.startedAt) / 1000;
+    const seconds = (this.owner.clock.now() - this.startedAt) / millisecondsPerSecond;
     const healthy =
       !ended || ended.kind === 'done' || ended.kind === 'declined' || this.signal.aborted;
     this.owner.releaseServer(
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -8,14 +8,20 @@
 import { toRpcError } from '@tillerstair/wire';
 import { AttemptMachine } from './attempt-machine.js';
 import type { Message } from './backend.js';
-import type { CallOutcome, HistoryRequest, ProgramRequest, TurnRequest } from './messages.js';
+import type {
+  CallOutcome,
+  EmitChunk,
+  HistoryRequest,
+  ProgramRequest,
+  TurnRequest,
+} from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
 import { ProgramValue, TurnValue } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import { PendingReservations } from './pending-reservations.js';
 import { retryAfterSeconds, status, unreadable } from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
-import { TurnAttempts, type EmitChunk } from './turn-attempts.js';
+import { TurnAttempts } from './turn-attempts.js';
 import {
   programKey,
   programSlotKey,
--- a/tests/src/proxy/client-listeners.test.ts
+++ b/tests/src/proxy/client-listeners.test.ts
@@ -212,7 +212,7 @@
     });
     const { config, findings } = checkConfig(text);
     assert.equal(findings, []);
-    front.owner.take({
+    front.owner.applyState({
       ...bootstrapState('c', [], 8),
       version,
       config: {
--- a/tests/src/proxy/refusals.test.ts
+++ b/tests/src/proxy/refusals.test.ts
@@ -151,7 +151,7 @@
 ): Promise<void> => {
   const ups = await Promise.all(plays.map(serverUp));
   const { front, backend } = frontOf('f');
-  front.owner.take(stateOf(ups));
+  front.owner.applyState(stateOf(ups));
   const { port, close } = await serving(front);
   try {
     await work(port, ups);
@@ -304,11 +304,11 @@
     });
     const nodes = new Map([['g', member]]);
     const slots = stateOf([]).slots.map((slot) => ({ ...slot, owner: 'g' }));
-    taker.front.owner.take({ ...stateOf([up]), nodes, slots });
+    taker.front.owner.applyState({ ...stateOf([up]), nodes, slots });
     const behind = passRoutes(['models'], 'shop').filter(
       (l) => !JSON.stringify(l).includes('pass-keyed') && !JSON.stringify(l).includes('pass-turn'),
     );
-    owner.front.owner.take({ ...stateOf([up], behind), nodes, slots });
+    owner.front.owner.applyState({ ...stateOf([up], behind), nodes, slots });
     const { port, close } = await serving(taker.front);
     for (const [path, more] of [
       ['/keyed/x', ['Operation-Key', 'k']],
@@ -325,14 +325,14 @@
     close();
     up.close();
     await Promise.all([ours.close(), theirs.close(), taker.backend.close(), owner.backend.close()]);
-    owner.front.owner.take(stateOf([]));
+    owner.front.owner.applyState(stateOf([]));
     owner.front.owner.stop();
   },
 );
 
 refusals('an error before a request is handed on is told as not run', async () => {
   const { front, backend } = frontOf('f');
-  front.owner.take(stateOf([]));
+  front.owner.applyState(stateOf([]));
   const carry = carrier(front, dialect, () => {
     throw new RangeError('a mistake of ours');
   });
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -10,6 +10,7 @@
   lostReply,
   SessionOwnerRig,
   statusOf,
+  wholeReply,
 } from '../support/session-owner-rig.js';
 import { configuration, host } from '../support/session-owner-state.js';
 
@@ -364,4 +365,16 @@
   assert.is(rig.sent.length, 1);
 });
 
+operations('a server is free for the next request, whatever became of the one before', async () => {
+  const rig = await SessionOwnerRig.opened();
+  rig.removeServers('s2');
+  rig.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
+  const replies = [declinedReply, lostReply, wholeReply];
+  rig.reply = (n) => replies[n] ?? wholeReply;
+  const outcomes = [];
+  for (const name of ['first', 'second', 'third', 'fourth'])
+    outcomes.push((await rig.finish(call(rig, { key: name }))).outcome);
+  assert.equal(outcomes, ['refused', 'unknown', 'done', 'done']);
+});
+
 operations.run();
--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -57,7 +57,7 @@
   assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
   rig.down.clear();
   await rig.slotOpen();
-  rig.owner.stopTaking();
+  rig.owner.stopAccepting();
   assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
   const other = await SessionOwnerRig.opened();
   other.changeSlot({ owner: 'f2', ownershipEpoch: 2, ownedSinceEpoch: 2 });
--- a/tests/src/support/http-server.ts
+++ b/tests/src/support/http-server.ts
@@ -127,7 +127,7 @@
       stopWithin: 1000,
     },
   });
-  front.owner.take(
+  front.owner.applyState(
     stateOf(
       ups.flatMap((u, i) => [
         serverAt(`m${i}`, 'models', u.port),
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-rig.ts
@@ -195,7 +195,7 @@
 
   change(change: Partial<State>): void {
     this.state = { ...this.state, ...change, version: this.state.version + 1 };
-    this.owner.take(this.state);
+    this.owner.applyState(this.state);
   }
 
   changeSlot(change: Partial<Slot>): void {
