--- a/packages/session-owner/src/refusals.ts
+++ b/packages/session-owner/src/refusals.ts
@@ -44,3 +44,7 @@
     `${what} cannot be read just now`,
     retryAfterSeconds.recovery,
   );
+
+/** No server was free before the time for it was over; `retryAfter` is in seconds. */
+export const noServerInTime = (retryAfter: number): CallOutcome =>
+  refused(status.unavailable, 'queue-timeout', 'no server came free in time', retryAfter);
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -6,11 +6,11 @@
  */
 import type { Config, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
+import { withAbortListener } from './abort-listener.js';
 import { endWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { Ended } from './backend.js';
 import { passRoutePath, type CallOutcome, type EmitChunk, type PassRequest } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
-import type { PassTurn } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
 import { partsOf, type Part } from './placement.js';
@@ -18,10 +18,12 @@
   budgetSpent,
   callerDisconnected,
   leaseExpired,
+  noServerInTime,
   retryAfterSeconds,
   status,
 } from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
+import type { PassTurn } from './stored-values.js';
 import { streamProgram } from './stream-records.js';
 import { isSuccess, StreamRelay } from './stream-relay.js';
 
@@ -96,15 +98,7 @@
   }
 
   refuseBeforePlacing(remainingMs: number): CallOutcome | Promise<CallOutcome> | undefined {
-    if (remainingMs <= 0)
-      return this.giveUp(
-        refused(
-          status.unavailable,
-          'queue-timeout',
-          'no server came free in time',
-          retryAfterSeconds.capacity,
-        ),
-      );
+    if (remainingMs <= 0) return this.giveUp(noServerInTime(retryAfterSeconds.capacity));
     if (this.offered >= this.job.rules.tries)
       return this.giveUp(
         refused(
@@ -145,19 +139,18 @@
     const { request, body, signal } = this.job;
     const { events } = this.relay;
     const response = this.relay.openResponse(server);
-    const onCallerAbort = (): void => response.cancel();
-    signal.addEventListener('abort', onCallerAbort, { once: true });
     const resume = events.lastId === '' ? request.resume : events.lastId;
-    const ended = await this.owner.backend
-      .pass(
+    const stopServer = (): void => response.cancel();
+    const ended = await withAbortListener(signal, stopServer, () =>
+      this.owner.backend.pass(
         server,
         { ...request, body, resume },
         response,
         response.stopped,
         this.deadline - this.owner.clock.now(),
         mayStillRun,
-      )
-      .finally(() => signal.removeEventListener('abort', onCallerAbort));
+      ),
+    );
     return response.finish(ended);
   }
 
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -6,10 +6,11 @@
  */
 import { rootProgramId, type Config, type Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
+import { withAbortListener } from './abort-listener.js';
 import { endWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { Ended, Message } from './backend.js';
 import type { CallOutcome, EmitChunk, TurnRequest } from './messages.js';
-import { done, outcomeOfError, refused, unknown } from './outcomes.js';
+import { done, outcomeOfError, unknown } from './outcomes.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
 import { prefixesOf, type Part } from './placement.js';
@@ -17,8 +18,8 @@
   budgetSpent,
   callerDisconnected,
   leaseExpired,
+  noServerInTime,
   retryAfterSeconds,
-  status,
 } from './refusals.js';
 import type { SlotReplicator } from './slot-replicator.js';
 import { ProgramValue, type TurnValue } from './stored-values.js';
@@ -100,13 +101,7 @@
   }
 
   refuseBeforePlacing(remainingMs: number): CallOutcome | undefined {
-    if (remainingMs <= 0)
-      return refused(
-        status.unavailable,
-        'queue-timeout',
-        'no server came free in time',
-        retryAfterSeconds.turnCapacity,
-      );
+    if (remainingMs <= 0) return noServerInTime(retryAfterSeconds.turnCapacity);
     return this.remainingTokens <= 0 ? budgetSpent() : undefined;
   }
 
@@ -139,8 +134,6 @@
     const maxTokens = this.reservation.cost;
     const chunks: string[] = [];
     const stop = new AbortController();
-    const onCallerAbort = (): void => stop.abort();
-    signal.addEventListener('abort', onCallerAbort, { once: true });
     const onChunk = (n: number, text: string): void => {
       if (n !== chunks.length || chunks.length >= maxTokens) {
         stop.abort();
@@ -149,16 +142,18 @@
       chunks.push(text);
       emit(n, text);
     };
-    const ended = await this.owner.backend
-      .generate(
+    const id = `${request.pid}/${turn}`;
+    const stopServer = (): void => stop.abort();
+    const ended = await withAbortListener(signal, stopServer, () =>
+      this.owner.backend.generate(
         server,
-        { id: `${request.pid}/${turn}`, messages, maxTokens, requestId: request.requestId },
+        { id, messages, maxTokens, requestId: request.requestId },
         onChunk,
         stop.signal,
         config.bounds.turnMs,
         mayStillRun,
-      )
-      .finally(() => signal.removeEventListener('abort', onCallerAbort));
+      ),
+    );
     return { ended, chunks, stopped: stop.signal.aborted };
   }
 
--- a/tests/src/session-owner/streamed-turns.test.ts
+++ b/tests/src/session-owner/streamed-turns.test.ts
@@ -313,4 +313,15 @@
   assert.equal(rig.owner.releases(), [[0, 1]]);
 });
 
+streams('a caller that goes stops the server, and the turn has broken off', async () => {
+  const rig = await SessionOwnerRig.opened();
+  const caller = new AbortController();
+  rig.reply = (_, sent) => {
+    caller.abort();
+    assert.is(sent.stop.aborted, true);
+    return wholeReply;
+  };
+  assert.is(brief(await rig.finish(run(rig, {}, caller.signal))), 'unknown 504 broken-off');
+});
+
 streams.run();
