--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -11,7 +11,7 @@
 import type { RouteKind, Server } from '@tillerstair/state';
 import { RpcError, toRpcError, type Clock } from '@tillerstair/wire';
 import type { CallOutcome } from './messages.js';
-import type { Part } from './placement.js';
+import type { PrefixBlock } from './prompt-prefix.js';
 
 /** How often an end is written before it is given up. */
 export const endWriteAttempts = 20;
@@ -21,7 +21,7 @@
   readonly kind: RouteKind;
   readonly path: string;
   /** The prompt in parts that a server may have in its prefix cache; empty where it is not known. */
-  readonly promptParts: readonly Part[];
+  readonly promptParts: readonly PrefixBlock[];
   /** The pool that served the request's predecessor; empty without one. */
   readonly stickyPool: string;
   /** Ids of servers that are not asked again. */
@@ -45,7 +45,7 @@
 export interface Attempts<Result> {
   readonly kind: RouteKind;
   readonly path: string;
-  readonly promptParts: readonly Part[];
+  readonly promptParts: readonly PrefixBlock[];
   readonly stickyPool: string;
   /** On the owner's clock, in ms. */
   readonly deadline: number;
--- a/packages/session-owner/src/owned-slots.ts
+++ b/packages/session-owner/src/owned-slots.ts
@@ -39,10 +39,10 @@
       const old = this.replicators.get(n);
       if (slot.owner === this.id) {
         const same = old?.ownedSinceEpoch === slot.ownedSinceEpoch ? old : undefined;
-        if (old && !same) old.release();
-        (same ?? this.create(n, slot.ownedSinceEpoch)).take(slot);
+        if (old && !same) old.close();
+        (same ?? this.create(n, slot.ownedSinceEpoch)).apply(slot);
       } else if (old) {
-        old.release();
+        old.close();
         this.replicators.delete(n);
       }
     });
@@ -52,7 +52,7 @@
   replicator(n: number): SlotReplicator {
     const replicator = this.replicators.get(n);
     if (!replicator) throw new OwnershipError('not-owner', `slot ${n} has another owner`);
-    if (this.closing || !replicator.taking)
+    if (this.closing || !replicator.isAccepting)
       throw new OwnershipError('taking-over', `slot ${n} is being taken over`);
     return replicator;
   }
--- a/packages/session-owner/src/server-dispatch.ts
+++ b/packages/session-owner/src/server-dispatch.ts
@@ -54,19 +54,20 @@
   async place(request: PlacementRequest): Promise<Server> {
     const { promptParts, stickyPool, excluded, timeoutMs, signal } = request;
     const route = this.usableRoute(request);
-    return this.queueOf(route).enter(route.urgent, timeoutMs, signal, () => {
+    const pick = (): Server | undefined => {
       if (!this.leaseValid()) return undefined;
       const now = this.usableRoute(request);
       const server = this.placement.pick(now, promptParts, stickyPool, excluded);
       if (server) this.placement.begin(server, promptParts);
       return server;
-    });
+    };
+    return this.queueOf(route).enter({ isUrgent: route.urgent, timeoutMs, signal, pick });
   }
 
   /** Whether lease, route and state allow a request to be sent to this server now. */
   mayRun(server: Server, kind: RouteKind, path: string): boolean {
     const route = this.findRoute(kind, path);
-    return this.leaseValid() && route !== undefined && this.placement.allowed(server, route);
+    return this.leaseValid() && route !== undefined && this.placement.isAllowed(server, route);
   }
 
   /** Ends a request's stay at a server, whose place goes to the next one waiting. */
@@ -92,7 +93,7 @@
   private usableRoute({ kind, path, excluded }: PlacementRequest): Route {
     const route = this.findRoute(kind, path);
     if (!route) throw new AdmissionError('no-route', `no route takes ${kind}s at ${path}`);
-    if (!this.placement.usable(route, excluded))
+    if (!this.placement.hasUsableServer(route, excluded))
       throw new AdmissionError('no-server', `no server of route ${route.name} is usable`);
     return route;
   }
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -8,12 +8,12 @@
 import { toRpcError, type RpcError } from '@tillerstair/wire';
 import { withAbortListener } from './abort-listener.js';
 import { endWriteAttempts, type Attempts } from './attempt-machine.js';
-import type { Ended } from './backend.js';
+import type { BackendOutcome } from './backend.js';
 import { passRoutePath, type CallOutcome, type EmitChunk, type PassRequest } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-import { partsOf, type Part } from './placement.js';
+import { prefixBlocksOfParts, type PrefixBlock } from './prompt-prefix.js';
 import {
   budgetSpent,
   callerDisconnected,
@@ -52,10 +52,10 @@
 }
 
 /** Takes one streamed request through its attempts. */
-export class StreamAttempts implements Attempts<Ended> {
+export class StreamAttempts implements Attempts<BackendOutcome> {
   readonly kind = 'pass';
   readonly path: string;
-  readonly promptParts: readonly Part[];
+  readonly promptParts: readonly PrefixBlock[];
   readonly stickyPool = '';
   readonly deadline: number;
   readonly signal: AbortSignal;
@@ -78,7 +78,7 @@
   ) {
     const { request, rules } = job;
     this.path = passRoutePath(request);
-    this.promptParts = partsOf(request.parts);
+    this.promptParts = prefixBlocksOfParts(request.parts);
     this.deadline = owner.clock.now() + Math.min(request.left, rules.deadlineMs);
     this.signal = job.signal;
     this.program = streamProgram(request);
@@ -135,7 +135,7 @@
       : this.giveUp(leaseExpired('the control link is down'));
   }
 
-  async send(server: Server, mayStillRun: () => boolean): Promise<Ended> {
+  async send(server: Server, mayStillRun: () => boolean): Promise<BackendOutcome> {
     const { request, body, signal } = this.job;
     const { events } = this.relay;
     const response = this.relay.openResponse(server);
@@ -154,7 +154,7 @@
     return response.finish(ended);
   }
 
-  async complete(server: Server, ended: Ended): Promise<CallOutcome | undefined> {
+  async complete(server: Server, ended: BackendOutcome): Promise<CallOutcome | undefined> {
     this.serverHealthy = ended.kind === 'done' || ended.kind === 'declined' || this.signal.aborted;
     if (ended.kind !== 'never-left') this.offered++;
     switch (ended.kind) {
@@ -179,7 +179,7 @@
   private get exceedsBudget(): boolean {
     const { replicator, request } = this.job;
     if (this.reserved || !replicator || request.budget === null) return false;
-    const reserved = replicator.spent(this.program) + this.pending.of(this.program);
+    const reserved = replicator.costOf(this.program) + this.pending.of(this.program);
     return reserved + request.most > request.budget;
   }
 
@@ -194,7 +194,7 @@
 
   private store(turn: PassTurn): Promise<void> {
     const { replicator, key } = this.job;
-    return replicator ? replicator.putSoon(key, turn, endWriteAttempts) : Promise.resolve();
+    return replicator ? replicator.putWithRetry(key, turn, endWriteAttempts) : Promise.resolve();
   }
 
   /** Ends without a result: a reservation that never ran becomes void, a stream that was lost stays unknown. */
--- a/packages/session-owner/src/stream-relay.ts
+++ b/packages/session-owner/src/stream-relay.ts
@@ -5,7 +5,7 @@
  * only whole events, so that another server can go on behind the last one.
  */
 import type { Server } from '@tillerstair/state';
-import type { Ended, Head, ServerLoad, Sink } from './backend.js';
+import type { BackendOutcome, ResponseHead, ReportedLoad, ResponseSink } from './backend.js';
 import { EventSplitter } from './event-splitter.js';
 import type { EmitChunk } from './messages.js';
 
@@ -14,7 +14,7 @@
 /** Whether a status says that the request succeeded. */
 export const isSuccess = (status: number): boolean => status >= 200 && status < 300;
 
-const isEventStream = (head: Head): boolean =>
+const isEventStream = (head: ResponseHead): boolean =>
   head.headers.some(
     ([name, value]) => name.toLowerCase() === 'content-type' && value.includes('event-stream'),
   );
@@ -28,7 +28,7 @@
 
   constructor(
     private readonly emit: EmitChunk,
-    private readonly onLoad: (server: Server, load: ServerLoad) => void,
+    private readonly onLoad: (server: Server, load: ReportedLoad) => void,
   ) {}
 
   /** How many chunks the caller has got, the head included. */
@@ -51,7 +51,7 @@
     return new StreamedResponse(this, (load) => this.onLoad(server, load));
   }
 
-  emitHead(head: Head): void {
+  emitHead(head: ResponseHead): void {
     this.headEmitted = true;
     this.emitText(JSON.stringify(head));
   }
@@ -71,16 +71,16 @@
  * One server's answer. The first answer's head goes to the caller, that of a failure only with the whole answer; a later
  * answer must continue the stream of events.
  */
-export class StreamedResponse implements Sink {
+export class StreamedResponse implements ResponseSink {
   private readonly isFirst: boolean;
   private readonly stop = new AbortController();
   private status = ok;
   private hasEvents = true;
-  private failure: { readonly head: Head; readonly body: string } | undefined;
+  private failure: { readonly head: ResponseHead; readonly body: string } | undefined;
 
   constructor(
     private readonly relay: StreamRelay,
-    private readonly onLoad: (load: ServerLoad) => void,
+    private readonly onLoad: (load: ReportedLoad) => void,
   ) {
     this.isFirst = !relay.hasHead;
   }
@@ -94,7 +94,7 @@
     this.stop.abort();
   }
 
-  head(head: Head): void {
+  head(head: ResponseHead): void {
     this.status = head.status;
     this.hasEvents = isEventStream(head);
     if (!this.isFirst) {
@@ -109,12 +109,12 @@
     else this.relay.emitBytes(text, this.hasEvents);
   }
 
-  load(load: ServerLoad): void {
+  load(load: ReportedLoad): void {
     this.onLoad(load);
   }
 
   /** What the end of the answer means for the caller, with what is still to be passed on. */
-  finish(ended: Ended): Ended {
+  finish(ended: BackendOutcome): BackendOutcome {
     if (ended.kind !== 'done') return ended;
     if (this.stop.signal.aborted)
       return { kind: 'lost', text: 'the caller is gone or the stream could not go on' };
@@ -128,7 +128,7 @@
     return { ...ended, code: this.status };
   }
 
-  private emitFailure(head: Head, body: string): void {
+  private emitFailure(head: ResponseHead, body: string): void {
     this.relay.emitHead(head);
     if (body !== '') this.relay.emitText(body);
   }
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -8,12 +8,12 @@
 import { toRpcError, type RpcError } from '@tillerstair/wire';
 import { withAbortListener } from './abort-listener.js';
 import { endWriteAttempts, type Attempts } from './attempt-machine.js';
-import type { Ended, Message } from './backend.js';
+import type { BackendOutcome, ConversationMessage } from './backend.js';
 import type { CallOutcome, EmitChunk, TurnRequest } from './messages.js';
 import { done, outcomeOfError, unknown } from './outcomes.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-import { prefixesOf, type Part } from './placement.js';
+import { prefixBlocksOfMessages, type PrefixBlock } from './prompt-prefix.js';
 import {
   budgetSpent,
   callerDisconnected,
@@ -40,7 +40,7 @@
   readonly config: Config;
   readonly replicator: SlotReplicator;
   /** The whole conversation, oldest first. */
-  readonly messages: readonly Message[];
+  readonly messages: readonly ConversationMessage[];
   /** The pool of the turn before; empty without one. */
   readonly stickyPool: string;
   readonly emit: EmitChunk;
@@ -48,7 +48,7 @@
 }
 
 interface GeneratedTurn {
-  readonly ended: Ended;
+  readonly ended: BackendOutcome;
   readonly chunks: string[];
   /** The answer was stopped: its chunks were out of order or too many, or the caller had gone. */
   readonly stopped: boolean;
@@ -58,7 +58,7 @@
 export class TurnAttempts implements Attempts<GeneratedTurn> {
   readonly kind = 'turn';
   readonly path: string;
-  readonly promptParts: readonly Part[];
+  readonly promptParts: readonly PrefixBlock[];
   readonly stickyPool: string;
   readonly deadline: number;
   readonly signal: AbortSignal;
@@ -67,7 +67,7 @@
   private reservation: TurnValue;
   private startedAt = 0;
   /** How the server ended, once that has been stored. */
-  private ended: Ended | undefined;
+  private ended: BackendOutcome | undefined;
   private tokens: number | undefined;
 
   constructor(
@@ -77,7 +77,7 @@
   ) {
     const { request, turn, config } = job;
     this.path = request.path;
-    this.promptParts = prefixesOf(job.messages);
+    this.promptParts = prefixBlocksOfMessages(job.messages);
     this.stickyPool = job.stickyPool;
     this.deadline = owner.clock.now() + config.bounds.turnMs * placementShare;
     this.signal = job.signal;
@@ -191,11 +191,11 @@
     const { replicator } = this.job;
     const root = this.rootProgram;
     const program = ProgramValue.parse(replicator.get(programKey(root)));
-    return program.budget - replicator.spent(root) - this.pending.of(root);
+    return program.budget - replicator.costOf(root) - this.pending.of(root);
   }
 
   private store(value: TurnValue): Promise<void> {
-    return this.job.replicator.putSoon(this.key, value, endWriteAttempts);
+    return this.job.replicator.putWithRetry(this.key, value, endWriteAttempts);
   }
 
   private storeVoid(): Promise<void> {
@@ -210,7 +210,7 @@
   }
 
   /** A turn is done only once a quorum of replicas has its text. */
-  private async storeDone(ended: Ended, chunks: string[]): Promise<CallOutcome> {
+  private async storeDone(ended: BackendOutcome, chunks: string[]): Promise<CallOutcome> {
     const value: TurnValue = {
       ...this.reservation,
       status: 'done',
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -7,7 +7,7 @@
 import { rootProgramId, type Config } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
 import { AttemptMachine } from './attempt-machine.js';
-import type { Message } from './backend.js';
+import type { ConversationMessage } from './backend.js';
 import type {
   CallOutcome,
   EmitChunk,
@@ -40,7 +40,7 @@
 /** What a turn is asked on top of. */
 interface Conversation {
   /** Oldest first, the new words included. */
-  readonly messages: readonly Message[];
+  readonly messages: readonly ConversationMessage[];
   /** The pool of the turn before; empty without one. */
   readonly stickyPool: string;
 }
@@ -138,7 +138,7 @@
     pid: string,
     program: ProgramValue,
   ): CallOutcome {
-    const turns = replicator.turnsOf(pid).flatMap((key) => {
+    const turns = replicator.turnKeysOf(pid).flatMap((key) => {
       const value = TurnValue.safeParse(replicator.get(key));
       return value.success && value.data.status === 'done'
         ? [{ turn: key.split('/')[3], after: value.data.after, tokens: value.data.cost }]
@@ -148,7 +148,7 @@
       program: pid,
       parent: program.parent,
       budget: program.budget,
-      spent: replicator.spent(rootProgramId(pid)),
+      spent: replicator.costOf(rootProgramId(pid)),
       turns,
     });
   }
@@ -219,7 +219,7 @@
     replicator: SlotReplicator,
     { pid, after, words }: TurnRequest,
   ): Promise<Conversation | { readonly refusal: CallOutcome }> {
-    const newestFirst: Message[] = [{ role: 'user', text: words }];
+    const newestFirst: ConversationMessage[] = [{ role: 'user', text: words }];
     let stickyPool = '';
     for (let at = after; at !== null;) {
       const value = TurnValue.safeParse(replicator.get(turnKey(pid, at)));
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -203,6 +203,24 @@
   }
 });
 
+operations(
+  'lost at a server without record it is not repeated, whatever the route names since',
+  async () => {
+    const rig = await SessionOwnerRig.opened();
+    rig.reply = () => {
+      rig.configure({
+        ...configuration,
+        routes: configuration.routes.map((route) =>
+          route.name === 'pass-keyed' ? { ...route, shares: [{ pool: 'memo', share: 1 }] } : route,
+        ),
+      });
+      return lostReply;
+    };
+    assert.is(brief(await rig.finish(pass(rig))), 'unknown 504 unknown');
+    assert.is(rig.sent.length, 1);
+  },
+);
+
 operations('no more attempts are made than the route allows', async () => {
   for (const [path, reply, expected] of [
     ['/again/', lostReply, 'unknown 504 unknown'],
--- /dev/null
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -0,0 +1,108 @@
+/** Whom a node asks in a ping round, and when a round ends. */
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { SimClock } from '@tillerstair/sim';
+import { ConnectionRefusedError, delay } from '@tillerstair/wire';
+import { KnownMembers, PingRound, type PingResponse } from '@tillerstair/zen';
+import {
+  a,
+  b,
+  bounds,
+  c,
+  member,
+  pingResponse,
+  ScriptedTransport,
+  type SentRequest,
+} from '../support/zen-rig.js';
+
+const rounds = suite('a ping round');
+
+const roundsOf = (
+  answer: (request: SentRequest, clock: SimClock) => Promise<unknown>,
+  seeds: readonly string[] = [a.addr, b.addr],
+) => {
+  const clock = new SimClock();
+  const transport = new ScriptedTransport((request) => answer(request, clock));
+  const knownMembers = new KnownMembers(a.addr);
+  const stopping = new AbortController();
+  const round = () => {
+    const pings = new PingRound({
+      clock,
+      transport,
+      pingWait: bounds.pingWait,
+      knownMembers,
+      localAddress: a.addr,
+      seeds: () => seeds,
+      ping: () => ({ from: a, known: knownMembers.controls(), clusterId: '' }),
+      stopping: stopping.signal,
+    });
+    return clock.finish('round', pings.run(), bounds.pingWait * 2);
+  };
+  return { clock, transport, knownMembers, round };
+};
+const idsOf = (responses: readonly PingResponse[]): readonly string[] =>
+  responses.map((response) => response.from.id);
+
+rounds('asks the seeds and whoever they name, each once, and never itself', async () => {
+  const { round, transport } = roundsOf(({ to }) =>
+    to === b.addr
+      ? Promise.resolve(pingResponse(b, { known: [a, c, member('s', 'store')] }))
+      : Promise.resolve(pingResponse(c, { known: [b] })),
+  );
+  assert.equal(idsOf((await round()).pingResponses), ['b', 'c']);
+  assert.equal(
+    transport.sent.map((request) => request.to),
+    [b.addr, c.addr],
+  );
+});
+
+rounds('ends once each has replied or refused, else after the ping wait', async () => {
+  const refuses = roundsOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
+  const before = refuses.clock.now();
+  assert.equal((await refuses.round()).pingResponses, []);
+  assert.is(refuses.clock.now(), before);
+  const hangs = roundsOf(({ to }, clock) =>
+    delay(clock, bounds.pingWait * 9).then(() => pingResponse(member(to))),
+  );
+  const start = hangs.clock.now();
+  assert.equal((await hangs.round()).pingResponses, []);
+  assert.is(hangs.clock.now() - start, bounds.pingWait);
+});
+
+rounds('asks nobody any more whose addresses have failed often enough', async () => {
+  const { knownMembers, round } = roundsOf(({ to }) =>
+    Promise.reject(new ConnectionRefusedError(to)),
+  );
+  knownMembers.learn([c]);
+  for (let n = 0; n < 20; n++) await round();
+  assert.equal(knownMembers.all(), [c]);
+  await round();
+  assert.equal(knownMembers.all(), []);
+});
+
+rounds('a reply clears the failures before it', async () => {
+  let isUp = false;
+  const { knownMembers, round } = roundsOf(
+    ({ to }) =>
+      isUp ? Promise.resolve(pingResponse(c)) : Promise.reject(new ConnectionRefusedError(to)),
+    [],
+  );
+  knownMembers.learn([c]);
+  for (let n = 0; n < 20; n++) await round();
+  isUp = true;
+  await round();
+  isUp = false;
+  for (let n = 0; n < 20; n++) await round();
+  assert.equal(knownMembers.all(), [c]);
+});
+
+rounds('a node remembers the last 256 it heard of, and not itself', () => {
+  const knownMembers = new KnownMembers(a.addr);
+  knownMembers.learn([a]);
+  assert.equal(knownMembers.all(), []);
+  knownMembers.learn(Array.from({ length: 300 }, (_, n) => member(`m${n}`)));
+  assert.is(knownMembers.all().length, 256);
+  assert.is(knownMembers.all()[0]?.id, 'm44');
+});
+
+rounds.run();
