--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -4,13 +4,12 @@
  * Owns the keyed operations that are running here; their intents and results are in the slot's replicas. A key runs at
  * most once, stands for one body, and answers from its record once it is done.
  */
-import { createHash } from 'node:crypto';
 import type { Server } from '@tillerstair/state';
 import { toRpcError, UnavailableError, withTimeout } from '@tillerstair/wire';
 import { AttemptMachine } from './attempt-machine.js';
-import type { BackendOutcome, ResponseHead, ReportedLoad, ResponseSink } from './backend.js';
+import type { BackendOutcome } from './backend.js';
+import { CollectedResponse } from './collected-response.js';
 import {
-  encodeBody,
   passRoutePath,
   decodeBody,
   type CallRequest,
@@ -18,7 +17,6 @@
   type PassRequest,
 } from './messages.js';
 import { done, outcomeOfError, refused, routeUnknown, unknown } from './outcomes.js';
-import { OpValue } from './stored-values.js';
 import {
   OperationAttempts,
   routeRecordsKeys,
@@ -27,6 +25,8 @@
 } from './operation-attempts.js';
 import type { OwnerServices } from './owner-services.js';
 import { retryAfterSeconds, status } from './refusals.js';
+import { shortDigest } from './short-digest.js';
+import { OpValue } from './stored-values.js';
 
 /** An operation's name at servers that record keys. */
 export const operationOf = (tenant: string, key: string): string =>
@@ -35,10 +35,7 @@
 /** The key under which replicas store an operation. */
 export const opKeyOf = (tenant: string, key: string): string => `o/${operationOf(tenant, key)}`;
 
-const digestLength = 16;
-
-const digestOf = (...parts: readonly string[]): string =>
-  createHash('sha256').update(parts.join('\n')).digest('hex').slice(0, digestLength);
+const digestOf = (...parts: readonly string[]): string => shortDigest(parts.join('\n'));
 
 /** The share of a call's time limit in which it is sent to servers; the rest is for the answer. */
 const attemptShare = 1 / 2;
@@ -50,38 +47,6 @@
 
 const inProgress = 'an operation with this key is in progress';
 
-/** A server's whole answer, collected from its parts. */
-class CollectedResponse implements ResponseSink {
-  private received: ResponseHead = { status: 0, headers: [] };
-  private readonly parts: Buffer[] = [];
-
-  constructor(private readonly onLoad: (load: ReportedLoad) => void) {}
-
-  head(head: ResponseHead): void {
-    this.received = head;
-  }
-
-  bytes(text: string): void {
-    this.parts.push(Buffer.from(text, 'latin1'));
-  }
-
-  load(load: ReportedLoad): void {
-    this.onLoad(load);
-  }
-
-  /** The end with the answer in it, if there is one. */
-  finish(ended: BackendOutcome): BackendOutcome {
-    if (ended.kind !== 'done') return ended;
-    const { status: code, headers } = this.received;
-    const body = {
-      status: code,
-      headers: [...headers],
-      body: encodeBody(Buffer.concat(this.parts)),
-    };
-    return { kind: 'done', code, body };
-  }
-}
-
 interface RunningOperation {
   readonly digest: string;
   readonly outcome: Promise<CallOutcome>;
--- a/packages/session-owner/src/owner-services.ts
+++ b/packages/session-owner/src/owner-services.ts
@@ -2,11 +2,11 @@
 import type { Config, Route, RouteKind, Server } from '@tillerstair/state';
 import type { ServerDispatcher } from './attempt-machine.js';
 import type { Backend, ReportedLoad } from './backend.js';
-import type { PassTurn } from './stored-values.js';
-import type { SlotReplicator } from './slot-replicator.js';
 import type { CompiledState } from './compiled-state.js';
+import type { SlotReplicator } from './slot-replicator.js';
+import type { PassTurn } from './stored-values.js';
 
-/** A table that requests can be served from. */
+/** A state that requests can be served from. */
 export interface ConfiguredState extends CompiledState {
   readonly config: Config;
 }
@@ -24,7 +24,7 @@
   readonly leaseValid: boolean;
   /** The newest state and configuration; undefined before the first publish. */
   readonly current: CompiledState | undefined;
-  /** The current table. Throws an `UnavailableError` (`not-ready`) without lease, state or configuration. */
+  /** The newest state. Throws an `UnavailableError` (`not-ready`) without lease, state or configuration. */
   requireLease(): ConfiguredState;
   /** The replicator of a key's slot. Throws an `OwnershipError` unless the slot is owned, open and taking requests. */
   replicator(key: string): SlotReplicator;
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -25,7 +25,8 @@
 import type { SlotReplicator } from './slot-replicator.js';
 import type { PassTurn } from './stored-values.js';
 import { streamProgram } from './stream-records.js';
-import { isSuccess, StreamRelay } from './stream-relay.js';
+import { StreamRelay } from './stream-relay.js';
+import { isSuccess, StreamedResponse } from './streamed-response.js';
 
 /** How a pass route has its streamed requests served. */
 export interface StreamRules {
@@ -82,7 +83,7 @@
     this.deadline = owner.clock.now() + Math.min(request.left, rules.deadlineMs);
     this.signal = job.signal;
     this.program = streamProgram(request);
-    this.relay = new StreamRelay(job.emit, (server, load) => owner.reportLoad(server, load));
+    this.relay = new StreamRelay(job.emit);
     this.reservation = {
       t: 'pass',
       status: 'reserved',
@@ -138,7 +139,9 @@
   async send(server: Server, mayStillRun: () => boolean): Promise<BackendOutcome> {
     const { request, body, signal } = this.job;
     const { events } = this.relay;
-    const response = this.relay.openResponse(server);
+    const response = new StreamedResponse(this.relay, (load) => {
+      this.owner.reportLoad(server, load);
+    });
     const resume = events.lastId === '' ? request.resume : events.lastId;
     const stopServer = (): void => response.cancel();
     const ended = await withAbortListener(signal, stopServer, () =>
--- a/packages/session-owner/src/turn-records.ts
+++ b/packages/session-owner/src/turn-records.ts
@@ -1,14 +1,8 @@
 /** Keys, ids and digests of programs and turns, as they are stored by replicas (`docs/design.md`). */
-import { createHash } from 'node:crypto';
 import { rootProgramId } from '@tillerstair/state';
+import { shortDigest } from './short-digest.js';
 import type { TurnValue } from './stored-values.js';
 
-const digestLength = 16;
-
-/** The first hex digits of a SHA-256. */
-export const shortDigest = (text: string): string =>
-  createHash('sha256').update(text).digest('hex').slice(0, digestLength);
-
 /** The id of a turn: the same for every request with the same program and key. */
 export const turnIdOf = (pid: string, key: string): string => `t-${shortDigest(`${pid}\n${key}`)}`;
 
@@ -24,6 +18,9 @@
 /** The key under which replicas store a turn. */
 export const turnKey = (pid: string, turn: string): string => `p/${pid}/t/${turn}`;
 
+/** The turn or attempt that a turn's key names. */
+export const turnOfKey = (key: string): string | undefined => key.split('/')[3];
+
 /** What a caller gets as the end of a turn. */
 export interface TurnSummary {
   readonly turn: string;
--- a/packages/session-owner/src/turn-search.ts
+++ b/packages/session-owner/src/turn-search.ts
@@ -5,8 +5,9 @@
  */
 import { FindTurnResponse, isNewerItem, type Item, type State } from '@tillerstair/state';
 import { ReplicaError, UnavailableError, type Transport } from '@tillerstair/wire';
-import { PassTurn } from './stored-values.js';
 import type { FoundTurn } from './owner-services.js';
+import { PassTurn } from './stored-values.js';
+import { turnOfKey } from './turn-records.js';
 
 interface StoredTurn extends FoundTurn {
   readonly item: Item;
@@ -37,7 +38,7 @@
 const storedTurns = (items: readonly Item[]): readonly StoredTurn[] =>
   items.flatMap((item) => {
     const turn = PassTurn.safeParse(item.value);
-    const attempt = item.key.split('/')[3] ?? '';
+    const attempt = turnOfKey(item.key) ?? '';
     return turn.success ? [{ item, turn: turn.data, attempt }] : [];
   });
 
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -16,18 +16,19 @@
   TurnRequest,
 } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
-import { ProgramValue, TurnValue } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import { PendingReservations } from './pending-reservations.js';
 import { retryAfterSeconds, status, unreadable } from './refusals.js';
+import { shortDigest } from './short-digest.js';
 import type { SlotReplicator } from './slot-replicator.js';
+import { ProgramValue, TurnValue } from './stored-values.js';
 import { TurnAttempts } from './turn-attempts.js';
 import {
   programKey,
   programSlotKey,
-  shortDigest,
   turnIdOf,
   turnKey,
+  turnOfKey,
   turnSummary,
 } from './turn-records.js';
 
@@ -141,7 +142,7 @@
     const turns = replicator.turnKeysOf(pid).flatMap((key) => {
       const value = TurnValue.safeParse(replicator.get(key));
       return value.success && value.data.status === 'done'
-        ? [{ turn: key.split('/')[3], after: value.data.after, tokens: value.data.cost }]
+        ? [{ turn: turnOfKey(key), after: value.data.after, tokens: value.data.cost }]
         : [];
     });
     return done({
