--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -2,7 +2,7 @@
  * The state machine that every request to a server goes through, whatever its interface.
  *
  * `placing` waits for a server, `placed` records what is about to run, `recorded` looks once more and sends, `answered`
- * stores what came back. A server that did not run the request leads back to `placing`, everything else to `ended`.
+ * stores what came back. A server that did not run the request leads back to `placing`; everything else ends it.
  *
  * The machine owns the state of one request and the set of servers it has tried. It keeps these invariants: nothing is
  * sent before `record` has completed; the server, the route and the read lease are looked at again in the same turn of
@@ -69,19 +69,11 @@
   release(server: Server): void;
 }
 
-type State<Result> =
-  | { readonly phase: 'placing' }
-  | { readonly phase: 'placed'; readonly server: Server }
-  | { readonly phase: 'recorded'; readonly server: Server }
-  | { readonly phase: 'answered'; readonly server: Server; readonly result: Result }
-  | { readonly phase: 'ended'; readonly outcome: CallOutcome };
-
-type StateAtServer<Result> = Extract<State<Result>, { readonly server: Server }>;
-
-const placing = { phase: 'placing' } as const;
-
-const endedOrPlacing = (outcome: CallOutcome | undefined): State<never> =>
-  outcome ? { phase: 'ended', outcome } : placing;
+/** Where a request stands at one server. */
+type StateAtServer<Result> =
+  | { readonly phase: 'placed' }
+  | { readonly phase: 'recorded' }
+  | { readonly phase: 'answered'; readonly result: Result };
 
 /** Runs one request through its states until it has an outcome. */
 export class AttemptMachine<Result> {
@@ -94,56 +86,52 @@
 
   /** Resolves with the outcome; rejects only where a hook of the interface rejects. */
   async run(): Promise<CallOutcome> {
-    let state: State<Result> = placing;
-    while (state.phase !== 'ended')
-      state = state.phase === 'placing' ? await this.place() : await this.leaveServer(state);
-    return state.outcome;
-  }
-
-  private async place(): Promise<State<Result>> {
     const { attempts, dispatcher, tried } = this;
-    const timeoutMs = attempts.deadline - dispatcher.clock.now();
-    const refusal = attempts.refuseBeforePlacing(timeoutMs);
-    if (refusal) return { phase: 'ended', outcome: await refusal };
-    const { kind, path, promptParts, stickyPool, signal } = attempts;
-    const request = { kind, path, promptParts, stickyPool, excluded: tried, timeoutMs, signal };
-    const server = await dispatcher.place(request).catch(toRpcError);
-    if (server instanceof RpcError)
-      return endedOrPlacing(await attempts.placementFailed(server, tried));
-    return { phase: 'placed', server };
-  }
-
-  /** Goes through all states at one server and releases it on the way out. */
-  private async leaveServer(placed: StateAtServer<Result>): Promise<State<Result>> {
-    try {
-      let state: State<Result> = placed;
-      while (state.phase !== 'ended' && state.phase !== 'placing') state = await this.next(state);
-      return state;
-    } finally {
-      this.attempts.release(placed.server);
+    for (;;) {
+      const timeoutMs = attempts.deadline - dispatcher.clock.now();
+      const refusal = attempts.refuseBeforePlacing(timeoutMs);
+      if (refusal) return refusal;
+      const server = await this.place(timeoutMs);
+      const outcome =
+        server instanceof RpcError
+          ? await attempts.placementFailed(server, tried)
+          : await this.runAt(server);
+      if (outcome) return outcome;
     }
   }
 
-  private async next(state: StateAtServer<Result>): Promise<State<Result>> {
-    const { attempts } = this;
-    const { server } = state;
-    switch (state.phase) {
-      case 'placed': {
-        const refusal = await attempts.record(server);
-        return refusal ? { phase: 'ended', outcome: refusal } : { phase: 'recorded', server };
-      }
-      case 'recorded':
-        return this.send(server);
-      case 'answered':
-        return endedOrPlacing(await attempts.complete(server, state.result));
-    }
+  private place(timeoutMs: number): Promise<Server | RpcError> {
+    const { kind, path, promptParts, stickyPool, signal } = this.attempts;
+    const excluded = this.tried;
+    return this.dispatcher
+      .place({ kind, path, promptParts, stickyPool, excluded, timeoutMs, signal })
+      .catch(toRpcError);
   }
 
-  private async send(server: Server): Promise<State<Result>> {
+  /** Goes through the states at one server and releases it at the end; `undefined` leads back to `placing`. */
+  private async runAt(server: Server): Promise<CallOutcome | undefined> {
     const { attempts, dispatcher } = this;
     const mayRun = (): boolean => dispatcher.mayRun(server, attempts.kind, attempts.path);
-    this.tried.add(server.id);
-    if (attempts.cancelled || !mayRun()) return endedOrPlacing(await attempts.notAllowed());
-    return { phase: 'answered', server, result: await attempts.send(server, mayRun) };
+    let state: StateAtServer<Result> = { phase: 'placed' };
+    try {
+      for (;;)
+        switch (state.phase) {
+          case 'placed': {
+            const refusal = await attempts.record(server);
+            if (refusal) return refusal;
+            state = { phase: 'recorded' };
+            break;
+          }
+          case 'recorded':
+            this.tried.add(server.id);
+            if (attempts.cancelled || !mayRun()) return await attempts.notAllowed();
+            state = { phase: 'answered', result: await attempts.send(server, mayRun) };
+            break;
+          case 'answered':
+            return await attempts.complete(server, state.result);
+        }
+    } finally {
+      attempts.release(server);
+    }
   }
 }
