--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -11,7 +11,7 @@
 import type { RouteKind, Server } from '@tillerstair/state';
 import { RpcError, toRpcError, type Clock } from '@tillerstair/wire';
 import type { CallOutcome } from './messages.js';
-import type { PrefixBlock } from './prompt-prefix.js';
+import type { PrefixBlock } from './prefix-blocks.js';
 
 /** How often an end is written before it is given up. */
 export const endWriteAttempts = 20;
