--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -6,19 +6,32 @@
  */
 import type { Config, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
-import type { Attempts } from './attempt-machine.js';
+import { withAbortListener } from './abort-listener.js';
+import { endWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { BackendOutcome } from './backend.js';
-import { passRoutePath, type CallOutcome, type PassRequest } from './messages.js';
+import { passRoutePath, type CallOutcome, type EmitChunk, type PassRequest } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
-import type { PassTurn } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
+<<<<<<< HEAD
+import { prefixBlocksOfParts, type PrefixBlock } from './prompt-prefix.js';
+import {
+  budgetSpent,
+  callerDisconnected,
+  leaseExpired,
+  noServerInTime,
+  retryAfterSeconds,
+  status,
+} from './refusals.js';
+=======
 import { prefixBlocksOfParts, type PrefixBlock } from './prefix-blocks.js';
 import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
+>>>>>>> main
 import type { SlotReplicator } from './slot-replicator.js';
+import type { PassTurn } from './stored-values.js';
 import { streamProgram } from './stream-records.js';
-import { isSuccess, StreamRelay } from './stream-relay.js';
-import { endWriteAttempts, type EmitChunk } from './turn-attempts.js';
+import { StreamRelay } from './stream-relay.js';
+import { isSuccess, StreamedResponse } from './streamed-response.js';
 
 /** How a pass route has its streamed requests served. */
 export interface StreamRules {
@@ -75,7 +88,7 @@
     this.deadline = owner.clock.now() + Math.min(request.left, rules.deadlineMs);
     this.signal = job.signal;
     this.program = streamProgram(request);
-    this.relay = new StreamRelay(job.emit, (server, load) => owner.reportLoad(server, load));
+    this.relay = new StreamRelay(job.emit);
     this.reservation = {
       t: 'pass',
       status: 'reserved',
@@ -91,15 +104,7 @@
   }
 
   refuseBeforePlacing(remainingMs: number): CallOutcome | Promise<CallOutcome> | undefined {
-    if (remainingMs <= 0)
-      return this.giveUp(
-        refused(
-          status.unavailable,
-          'queue-timeout',
-          'no server came free in time',
-          retryAfterSeconds.capacity,
-        ),
-      );
+    if (remainingMs <= 0) return this.giveUp(noServerInTime(retryAfterSeconds.capacity));
     if (this.offered >= this.job.rules.tries)
       return this.giveUp(
         refused(
@@ -130,7 +135,7 @@
   }
 
   async notAllowed(): Promise<CallOutcome | undefined> {
-    if (this.cancelled) return this.giveUp(callerGone('the caller is gone'));
+    if (this.cancelled) return this.giveUp(callerDisconnected('the caller is gone'));
     return this.owner.leaseValid
       ? undefined
       : this.giveUp(leaseExpired('the control link is down'));
@@ -139,20 +144,21 @@
   async send(server: Server, mayStillRun: () => boolean): Promise<BackendOutcome> {
     const { request, body, signal } = this.job;
     const { events } = this.relay;
-    const response = this.relay.openResponse(server);
-    const onCallerGone = (): void => response.cancel();
-    signal.addEventListener('abort', onCallerGone, { once: true });
+    const response = new StreamedResponse(this.relay, (load) => {
+      this.owner.reportLoad(server, load);
+    });
     const resume = events.lastId === '' ? request.resume : events.lastId;
-    const ended = await this.owner.backend
-      .pass(
+    const stopServer = (): void => response.cancel();
+    const ended = await withAbortListener(signal, stopServer, () =>
+      this.owner.backend.pass(
         server,
         { ...request, body, resume },
         response,
         response.stopped,
         this.deadline - this.owner.clock.now(),
         mayStillRun,
-      )
-      .finally(() => signal.removeEventListener('abort', onCallerGone));
+      ),
+    );
     return response.finish(ended);
   }
 
