--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -9,7 +9,7 @@
 import type { Candidate, PlacementContext, PlacementPolicy } from './policies.js';
 import { PoolCredit, sharesOf } from './pool-credit.js';
 import { PrefixIndex } from './prefix-index.js';
-import { tokensOf, type PrefixBlock } from './prompt-prefix.js';
+import { tokensOf, type PrefixBlock } from './prefix-blocks.js';
 import {
   ServerObservations,
   type ObservationBounds,
@@ -57,12 +57,12 @@
     this.poller = new ServerPoller({ clock, backend, bounds, table, observations });
   }
 
-  /** Servers that the server list names as draining get nothing new. */
+  /** Sets the servers that get nothing new, since the front's own copy of the server list does not offer them. */
   setBarred(ids: ReadonlySet<string>): void {
     this.observations.barred = ids;
   }
 
-  /** The server told its load with a response. */
+  /** The server reported its load with a response. */
   recordReportedLoad(server: Server, load: ReportedLoad): void {
     this.observations.recordReportedLoad(server, load);
   }
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -13,7 +13,7 @@
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-import { prefixBlocksOfParts, type PrefixBlock } from './prompt-prefix.js';
+import { prefixBlocksOfParts, type PrefixBlock } from './prefix-blocks.js';
 import {
   budgetSpent,
   callerDisconnected,
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -13,7 +13,7 @@
 import { done, outcomeOfError, unknown } from './outcomes.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-import { prefixBlocksOfMessages, type PrefixBlock } from './prompt-prefix.js';
+import { prefixBlocksOfMessages, type PrefixBlock } from './prefix-blocks.js';
 import {
   budgetSpent,
   callerDisconnected,
