--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -13,8 +13,7 @@
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-<<<<<<< HEAD
-import { prefixBlocksOfParts, type PrefixBlock } from './prompt-prefix.js';
+import { prefixBlocksOfParts, type PrefixBlock } from './prefix-blocks.js';
 import {
   budgetSpent,
   callerDisconnected,
@@ -23,10 +22,6 @@
   retryAfterSeconds,
   status,
 } from './refusals.js';
-=======
-import { prefixBlocksOfParts, type PrefixBlock } from './prefix-blocks.js';
-import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
->>>>>>> main
 import type { SlotReplicator } from './slot-replicator.js';
 import type { PassTurn } from './stored-values.js';
 import { streamProgram } from './stream-records.js';
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -13,8 +13,7 @@
 import { done, outcomeOfError, unknown } from './outcomes.js';
 import type { OwnerServices } from './owner-services.js';
 import type { PendingReservations } from './pending-reservations.js';
-<<<<<<< HEAD
-import { prefixBlocksOfMessages, type PrefixBlock } from './prompt-prefix.js';
+import { prefixBlocksOfMessages, type PrefixBlock } from './prefix-blocks.js';
 import {
   budgetSpent,
   callerDisconnected,
@@ -22,10 +21,6 @@
   noServerInTime,
   retryAfterSeconds,
 } from './refusals.js';
-=======
-import { prefixBlocksOfMessages, type PrefixBlock } from './prefix-blocks.js';
-import { budgetSpent, callerGone, leaseExpired, retryAfterSeconds, status } from './refusals.js';
->>>>>>> main
 import type { SlotReplicator } from './slot-replicator.js';
 import { ProgramValue, type TurnValue } from './stored-values.js';
 import { programKey, turnKey, turnSummary } from './turn-records.js';
