--- a/tests/src/proxy/http-forwarding.test.ts
+++ b/tests/src/proxy/http-forwarding.test.ts
@@ -4,7 +4,15 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { passHost } from '@tillerstair/sim';
-import { type Asked, type Play, serverUp, reply, frontUp, ask, named } from '../support/http-server.js';
+import {
+  type Asked,
+  type Play,
+  serverUp,
+  reply,
+  frontUp,
+  ask,
+  named,
+} from '../support/http-server.js';
 
 const carry = suite('requests carried over HTTP');
 
