--- a/packages/proxy/src/passing.ts
+++ b/packages/proxy/src/passing.ts
@@ -1,18 +1,18 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
   opKeyOf,
-  packed,
-  Passed,
-  passPath,
+  encodeBody,
+  ForwardedResponse,
+  passRoutePath,
   refused,
   streamSlotKey,
-  unpacked,
+  decodeBody,
   type EmitChunk,
-  type Head,
-  type PassAsk,
+  type ResponseHead,
+  type PassRequest,
   type CallOutcome,
 } from '@tillerstair/session-owner';
-import { BodyTooLarge, toRpcError } from '@tillerstair/wire';
+import { BodyTooLargeError, toRpcError } from '@tillerstair/wire';
 import { z } from 'zod';
 import { endToEnd, pairsOf } from './backend.js';
 import type { Dialect } from './dialect.js';
@@ -29,10 +29,10 @@
   for await (const part of req) {
     const b = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
     size += b.length;
-    if (size > most) throw new BodyTooLarge(`body is over ${most} bytes`);
+    if (size > most) throw new BodyTooLargeError(`body is over ${most} bytes`);
     parts.push(b);
   }
-  return packed(Buffer.concat(parts));
+  return encodeBody(Buffer.concat(parts));
 };
 
 const partsIn = (text: string): [string, number][] =>
@@ -76,9 +76,9 @@
   res.end(body);
 };
 
-const sendPassed = (res: ServerResponse, p: Passed): void => {
+const sendPassed = (res: ServerResponse, p: ForwardedResponse): void => {
   if (res.destroyed || res.headersSent) return;
-  const body = unpacked(p.body);
+  const body = decodeBody(p.body);
   const bodiless = p.status === 204 || p.status === 304;
   res.writeHead(
     p.status,
@@ -90,12 +90,12 @@
 /** Carries a request by the rules of its route: to its owner if it has one, or straight to a server. */
 export const passOn = async (
   front: Front,
-  ask: PassAsk,
+  ask: PassRequest,
   emit: EmitChunk,
   gone: AbortSignal,
 ): Promise<CallOutcome> => {
   front.owner.requireLease();
-  const route = front.owner.findRoute('pass', passPath(ask));
+  const route = front.owner.findRoute('pass', passRoutePath(ask));
   if (!route?.pass) return refused(404, 'no-route', 'no route takes this host and path');
   const body = { ...ask, left: Math.min(ask.left, route.pass.deadlineMs) };
   if (route.pass.manner === 'stream') {
@@ -118,7 +118,7 @@
 export const carrier = (front: Front, d: Dialect, bodyMost: () => number): Carry => {
   const { clock } = front.p;
 
-  const askOf = async (req: IncomingMessage, arrived: number): Promise<PassAsk> => {
+  const askOf = async (req: IncomingMessage, arrived: number): Promise<PassRequest> => {
     const word = (name: string): string => {
       const v = name === '' ? undefined : req.headers[name];
       return typeof v === 'string' ? v : '';
@@ -150,7 +150,7 @@
   };
 
   const answer = (res: ServerResponse, v: CallOutcome): void => {
-    const whole = Passed.safeParse(v.body);
+    const whole = ForwardedResponse.safeParse(v.body);
     if (v.outcome === 'done' && whole.success) return sendPassed(res, whole.data);
     if (res.headersSent) {
       if (v.outcome === 'done') res.end();
@@ -169,7 +169,7 @@
   const headed = (
     res: ServerResponse,
   ): { readonly emit: EmitChunk; end(v: CallOutcome): CallOutcome } => {
-    let head: Head | undefined;
+    let head: ResponseHead | undefined;
     const open = (): void => {
       if (head && !res.headersSent) res.writeHead(head.status, [...head.headers].flat());
     };
@@ -205,7 +205,7 @@
       passedOn = true;
       answer(res, end(await passOn(front, ask, emit, stop.signal)));
     } catch (e) {
-      if (e instanceof BodyTooLarge) return refuse(res, 413, 'body-too-large', e.message);
+      if (e instanceof BodyTooLargeError) return refuse(res, 413, 'body-too-large', e.message);
       if (e instanceof Error && 'code' in e && e.code === 'not-ready')
         return refuse(
           res,
--- a/packages/sim/src/sim-backend.ts
+++ b/packages/sim/src/sim-backend.ts
@@ -1,14 +1,14 @@
 import type { Server } from '@tillerstair/state';
 import type {
-  Act,
+  ToolCallRequest,
   Backend,
-  Ended,
-  Generate,
-  LoadReport,
-  Passing,
+  BackendOutcome,
+  GenerateRequest,
+  ServerStatus,
+  ForwardedRequest,
 } from '@tillerstair/session-owner';
 import type { ExecutionRecord } from '@tillerstair/checker';
-import { pause, type Clock } from '@tillerstair/wire';
+import { delay, type Clock } from '@tillerstair/wire';
 import type { Life } from './sim-clock.js';
 import { passRun, type Passed } from './sim-pass.js';
 
@@ -96,11 +96,11 @@
     const refuses = (s: Server): boolean =>
       this.of(s.id).refuses || this.cutFronts.has(`${front}>${s.id}`);
     const gate = async <T>(v: T): Promise<T> => {
-      await pause(frontClock, 0.3);
+      await delay(frontClock, 0.3);
       return v;
     };
-    const silence = async (gone: AbortSignal, within: number): Promise<Ended> => {
-      await pause(frontClock, within, gone);
+    const silence = async (gone: AbortSignal, within: number): Promise<BackendOutcome> => {
+      await delay(frontClock, within, gone);
       return { kind: 'lost', text: 'the server is silent' };
     };
     const leave = async (
@@ -108,9 +108,9 @@
       still: () => boolean,
       gone: AbortSignal,
       within: number,
-    ): Promise<Ended | undefined> => {
+    ): Promise<BackendOutcome | undefined> => {
       this.asked++;
-      await pause(frontClock, 0.5);
+      await delay(frontClock, 0.5);
       if (!still()) return { kind: 'declined', text: 'taken back' };
       if (refuses(s)) return { kind: 'never-left', text: 'refused' };
       const f = this.of(s.id);
@@ -119,7 +119,14 @@
       return f.resets ? gate({ kind: 'lost', text: 'the connection was reset' }) : undefined;
     };
     return {
-      generate: async (s: Server, g: Generate, onChunk, gone, within, still): Promise<Ended> => {
+      generate: async (
+        s: Server,
+        g: GenerateRequest,
+        onChunk,
+        gone,
+        within,
+        still,
+      ): Promise<BackendOutcome> => {
         const f = this.of(s.id);
         const back = await leave(s, still, gone, within);
         if (back) return back;
@@ -138,7 +145,7 @@
         let reply = '';
         this.enter(s, 1);
         for (let n = 0; n < total; n++) {
-          await pause(clock, 5 * f.slow);
+          await delay(clock, 5 * f.slow);
           if (gone.aborted || life.dead || n === cutAt) {
             this.enter(s, -1);
             this.note(s, { ...executed, reply, complete: false, tokens: n });
@@ -155,14 +162,14 @@
           return gate({ kind: 'lost', text: 'the end was lost' });
         return gate({ kind: 'done', code: 200, body: total });
       },
-      act: async (s: Server, a: Act, gone, within, still): Promise<Ended> => {
+      act: async (s: Server, a: ToolCallRequest, gone, within, still): Promise<BackendOutcome> => {
         const f = this.of(s.id);
         const back = await leave(s, still, gone, within);
         if (back) return back;
         const nth = ++this.served;
         const began = clock.now();
         this.enter(s, 1);
-        await pause(clock, (10 + this.rng() * 30) * f.slow);
+        await delay(clock, (10 + this.rng() * 30) * f.slow);
         this.enter(s, -1);
         this.note(s, {
           kind: 'act',
@@ -179,7 +186,14 @@
           return gate({ kind: 'lost', text: 'the outcome was lost' });
         return gate({ kind: 'done', code: 200, body: { did: a.path, key: a.key, by: s.id } });
       },
-      pass: async (s: Server, p: Passing, sink, gone, left, still): Promise<Ended> => {
+      pass: async (
+        s: Server,
+        p: ForwardedRequest,
+        sink,
+        gone,
+        left,
+        still,
+      ): Promise<BackendOutcome> => {
         const f = this.of(s.id);
         const back = await leave(s, still, gone, left);
         if (back) return back;
@@ -205,11 +219,11 @@
           return gate({ kind: 'lost', text: 'the answer was lost' });
         return gate({ kind: 'done', code: 200, body: null });
       },
-      load: async (s: Server, within: number): Promise<LoadReport> => {
+      load: async (s: Server, within: number): Promise<ServerStatus> => {
         const f = this.of(s.id);
         this.polls++;
-        await pause(frontClock, 0.5);
-        if (f.dark) await pause(frontClock, within);
+        await delay(frontClock, 0.5);
+        if (f.dark) await delay(frontClock, within);
         if (refuses(s) || f.dark) throw new Error('refused');
         return { busy: this.busy.get(s.id) ?? 0, draining: f.draining };
       },
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -1,24 +1,24 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { tuned } from '@tillerstair/control';
+import { tunedWeights } from '@tillerstair/control';
 import { checkRecords } from '@tillerstair/checker';
 import { Life, seededRng, SimClock, SimServers, stormConfig } from '@tillerstair/sim';
 import {
   checkConfig,
-  digestOf,
+  configDigest,
   bootstrapState,
-  reduce,
+  reduceState,
   weightKey,
   type State,
 } from '@tillerstair/state';
 import {
-  chainOf,
+  placementPolicies,
   AdmissionQueue,
   Placement,
-  prefixesOf,
-  tableOf,
+  prefixBlocksOfMessages,
+  compileState,
 } from '@tillerstair/session-owner';
-import { lasting, RpcError } from '@tillerstair/wire';
+import { createAbortController, RpcError } from '@tillerstair/wire';
 import { five, recordsOf, worldUp } from '../support/world-helpers.js';
 
 const place = suite('placement, lines and weights');
@@ -46,7 +46,7 @@
 const stateWith = (ids: readonly (readonly [string, string])[]): State =>
   ids.reduce<State>(
     (s, [id, pool]) =>
-      reduce(s, {
+      reduceState(s, {
         kind: 'server',
         server: {
           id,
@@ -63,7 +63,7 @@
       config: {
         version: 1,
         text,
-        digest: digestOf(text),
+        digest: configDigest(text),
         compiled: JSON.stringify(checkConfig(text).config),
         changeId: '',
       },
@@ -81,31 +81,32 @@
 
 const placing = (s: State, affinity = true) => {
   const clock = new SimClock();
-  const table = tableOf(s, undefined);
+  const table = compileState(s, undefined);
   const servers = new SimServers(clock, seededRng(1));
   const bounds = {
-    poll: 250,
-    pollWithin: 250,
-    retryBad: 1000,
-    sightWithin: Infinity,
-    reportValidFor: 500,
+    pollIntervalMs: 250,
+    pollTimeoutMs: 250,
+    retryUnhealthyAfterMs: 1000,
+    pollValidForMs: Infinity,
+    reportedLoadValidForMs: 500,
   };
   return {
     clock,
-    placement: new Placement(
+    placement: new Placement({
       clock,
-      servers.backend(new Life()),
-      chainOf(affinity),
+      backend: servers.backend(new Life()),
+      policies: placementPolicies(affinity),
       bounds,
-      () => table,
-      () => 16,
-    ),
+      table: () => table,
+      maxInFlightPerServer: () => 16,
+      frontId: '',
+    }),
   };
 };
 
 place('shares are kept to within rounding, whatever the weights say', () => {
   const weights = new Map(six.map(([id, pool]) => [weightKey(pool, id), id === 'n1' ? 0.1 : 1]));
-  const { placement } = placing(reduce(stateWith(six), { kind: 'weights', weights }));
+  const { placement } = placing(reduceState(stateWith(six), { kind: 'weights', weights }));
   const count = new Map<string, number>();
   for (let i = 0; i < 1000; i++) {
     const s = placement.pick(route, [], '', new Set());
@@ -138,7 +139,10 @@
     ['n2', 'new'],
     ['n3', 'new'],
   ]);
-  const slow = reduce(s, { kind: 'weights', weights: new Map([[weightKey('new', 'n1'), 0.25]]) });
+  const slow = reduceState(s, {
+    kind: 'weights',
+    weights: new Map([[weightKey('new', 'n1'), 0.25]]),
+  });
   const { placement } = placing(slow);
   const count = new Map<string, number>();
   for (let i = 0; i < 30; i++) {
@@ -149,7 +153,7 @@
   }
   assert.ok((count.get('n1') ?? 0) < (count.get('n2') ?? 0) / 2, JSON.stringify([...count]));
   const warm = placing(s).placement;
-  const prefix = prefixesOf([{ role: 'user', text: 'x'.repeat(2000) }]);
+  const prefix = prefixBlocksOfMessages([{ role: 'user', text: 'x'.repeat(2000) }]);
   const first = warm.pick(route, prefix, '', new Set());
   if (!first) throw new Error('nothing picked');
   warm.begin(first, prefix);
@@ -162,23 +166,22 @@
   const s = stateWith(six);
   const before = s.servers.get('n1');
   if (!before) throw new Error('no server');
-  assert.is(placing(s).placement.allowed(before, route), true);
+  assert.is(placing(s).placement.isAllowed(before, route), true);
   assert.is(
-    placing(reduce(s, { kind: 'server-mark', id: 'n1', draining: true })).placement.allowed(
+    placing(reduceState(s, { kind: 'server-mark', id: 'n1', draining: true })).placement.isAllowed(
       before,
       route,
     ),
     false,
   );
   assert.is(
-    placing(reduce(s, { kind: 'server-gone', id: 'n1' })).placement.allowed(before, route),
+    placing(reduceState(s, { kind: 'server-gone', id: 'n1' })).placement.isAllowed(before, route),
     false,
   );
   assert.is(
-    placing(reduce(s, { kind: 'server', server: { ...before, pool: 'other' } })).placement.allowed(
-      before,
-      route,
-    ),
+    placing(
+      reduceState(s, { kind: 'server', server: { ...before, pool: 'other' } }),
+    ).placement.isAllowed(before, route),
     false,
   );
 });
@@ -188,16 +191,16 @@
   const paces = new Map(six.map(([id]) => [id, id === 'n1' ? 50 : 200]));
   let steps = 0;
   for (; steps < 60; steps++) {
-    const next = tuned(s, paces);
+    const next = tunedWeights(s, paces);
     const old = s.weights.get(weightKey('new', 'n1')) ?? 1;
     assert.ok(Math.abs((next.get(weightKey('new', 'n1')) ?? 1) - old) <= 0.3);
     if ([...next].every(([k, w]) => s.weights.get(k) === w)) break;
-    s = reduce(s, { kind: 'weights', weights: next });
+    s = reduceState(s, { kind: 'weights', weights: next });
   }
   assert.ok(steps < 60, 'never settles');
   assert.ok(Math.abs((s.weights.get(weightKey('new', 'n1')) ?? 1) - 0.25) <= 0.06);
   assert.is(s.weights.get(weightKey('new', 'n2')), 1);
-  assert.equal(tuned(s, new Map()), s.weights);
+  assert.equal(tunedWeights(s, new Map()), s.weights);
 });
 
 place(
@@ -208,9 +211,9 @@
     let free = 0;
     const pick = (): string | undefined => (free > 0 ? (free--, 'server') : undefined);
     const order: string[] = [];
-    const never = lasting().signal;
-    const enter = (name: string, urgent: boolean, within = 1000, gone = never) =>
-      admissionQueue.enter(urgent, within, gone, pick).then(
+    const never = createAbortController().signal;
+    const enter = (name: string, isUrgent: boolean, timeoutMs = 1000, signal = never) =>
+      admissionQueue.enter({ isUrgent, timeoutMs, signal, pick }).then(
         () => order.push(name),
         (e: unknown) => order.push(`${name} ${e instanceof RpcError ? e.code : 'other'}`),
       );
