--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -77,7 +77,7 @@
   const fed = new TcpTransport(at(feed));
   await fed.serve(async (rpc) =>
     rpc.kind === 'front/hello'
-      ? { id: front.p.id, addr: at(data), http: '' }
+      ? { id: front.id, addr: at(data), http: '' }
       : front.feed(rpc.body),
   );
   await front.start();
--- a/packages/proxy/src/dialect.ts
+++ b/packages/proxy/src/dialect.ts
@@ -1,11 +1,16 @@
-/** Names of the headers that pass routes are spoken with, in lower case; '' where there is none. */
+/** The names of the headers of pass routes: the product's own, and a place for those of a platform. */
+
+/** Names of headers of pass routes, in lower case; '' where there is none. */
 export interface Dialect {
-  /** Names a caller's try; servers echo it. */
+  /** The id of a caller's attempt; servers echo it. */
   readonly attempt: string;
-  /** What time the caller has left, in ms. */
-  readonly timeLeft: string;
+  /** How long the caller will wait, in ms. */
+  readonly remainingTime: string;
+  /** The key of an operation: all attempts with it are one. */
   readonly key: string;
+  /** The tenant whose programs and keys are meant. */
   readonly tenant: string;
+  /** The program that a turn belongs to. */
   readonly program: string;
   /** Tokens that a program may be given in all. */
   readonly budget: string;
@@ -13,13 +18,13 @@
   readonly tokens: string;
   /** Parts of the prompt in order, NAME:TOKENS, separated by commas. */
   readonly parts: string;
-  /** The try of the turn that a turn goes on from. */
+  /** The attempt of the turn that a turn follows. */
   readonly after: string;
   /** The last event that the caller has of a stream. */
   readonly resume: string;
-  /** Tells a server who it is meant to be; another answers 421. */
+  /** The server that is meant; another answers 421. */
   readonly expect: string;
-  /** A server's word that it did not run a request. */
+  /** A server's promise that it did not run a request. */
   readonly declined: string;
   /** A server's running, waiting and places, separated by commas. */
   readonly load: string;
@@ -27,9 +32,10 @@
   readonly madeByServer: string;
 }
 
-export const ownDialect: Dialect = {
+/** The names of the product's own interface (`docs/callers.md`). */
+export const productDialect: Dialect = {
   attempt: 'x-request-id',
-  timeLeft: 'x-time-left-ms',
+  remainingTime: 'x-time-left-ms',
   key: 'operation-key',
   tenant: 'x-tenant',
   program: 'x-program',
--- /dev/null
+++ b/packages/proxy/src/forwarder.ts
@@ -0,0 +1,160 @@
+/**
+ * Forwards requests to the owner of their slot, and follows the slot to its next owner (`docs/design.md`, "A turn").
+ * It keeps no state beyond one request. What an owner that left the cluster may have run is never told as refused, and
+ * a stream that has begun is never asked for again.
+ */
+import {
+  CallOutcome,
+  outcomeOfError,
+  unknown,
+  type EmitChunk,
+  type SessionOwner,
+} from '@tillerstair/session-owner';
+import {
+  ConnectionRefusedError,
+  delay,
+  OwnershipError,
+  toRpcError,
+  type Clock,
+  type RpcError,
+  type Transport,
+} from '@tillerstair/wire';
+import { ChunkCounter } from './chunk-counter.js';
+import { StreamChunk, type ForwardedKind } from './messages.js';
+
+/** How long an owner is looked for, in heartbeats and as a share of the time that the request has. */
+const retryHeartbeats = 1.5;
+const retryShare = 1 / 4;
+/** Pauses between attempts, as a share of a heartbeat. */
+const retryPauseShare = 1 / 20;
+
+/** A request for the owner of a slot. */
+export interface SlotRequest {
+  readonly kind: ForwardedKind;
+  /** The key whose slot's owner runs the request. */
+  readonly slotKey: string;
+  /** The message of this kind, as on the wire. */
+  readonly body: unknown;
+  readonly timeoutMs: number;
+}
+
+/** What a forwarder works with. */
+export interface ForwarderParts {
+  /** The id of the front that forwards. */
+  readonly frontId: string;
+  readonly clock: Clock;
+  readonly transport: Transport;
+  readonly owner: SessionOwner;
+  /** In ms; read anew for each request. */
+  readonly heartbeatInterval: () => number;
+  /** Runs a request whose slot this front owns itself. */
+  readonly runLocally: (
+    kind: ForwardedKind,
+    body: unknown,
+    emit: EmitChunk,
+    signal: AbortSignal,
+  ) => Promise<CallOutcome>;
+}
+
+const streamKinds: ReadonlySet<ForwardedKind> = new Set(['front/turn', 'front/stream']);
+
+/** Errors that may be over as soon as the next state has reached everybody; nothing was run. */
+const isTransient = (error: RpcError): boolean =>
+  error instanceof OwnershipError || error instanceof ConnectionRefusedError;
+
+/** One request on its way to its owner. */
+class ForwardedCall {
+  private readonly chunks: ChunkCounter;
+  private readonly retryForMs: number;
+  private retryUntil: number;
+  private mayHaveRun = false;
+
+  constructor(
+    private readonly parts: ForwarderParts,
+    private readonly request: SlotRequest,
+    private readonly signal: AbortSignal,
+    emit: EmitChunk,
+  ) {
+    this.chunks = new ChunkCounter(emit);
+    this.retryForMs = Math.min(
+      parts.heartbeatInterval() * retryHeartbeats,
+      request.timeoutMs * retryShare,
+    );
+    this.retryUntil = parts.clock.now() + this.retryForMs;
+  }
+
+  async run(): Promise<CallOutcome> {
+    const { clock, heartbeatInterval } = this.parts;
+    for (;;) {
+      let error: RpcError;
+      try {
+        return await this.attempt();
+      } catch (e) {
+        error = toRpcError(e);
+      }
+      const mayRetry =
+        this.chunks.emitted === 0 &&
+        isTransient(error) &&
+        !this.signal.aborted &&
+        clock.now() < this.retryUntil;
+      if (!mayRetry) return this.outcomeOfFailure(error);
+      await delay(clock, heartbeatInterval() * retryPauseShare);
+    }
+  }
+
+  private async attempt(): Promise<CallOutcome> {
+    const { frontId, owner, runLocally } = this.parts;
+    const { kind, slotKey, body } = this.request;
+    owner.requireLease();
+    const ownerId = owner.ownerOf(owner.slotFor(slotKey));
+    if (ownerId === frontId)
+      return this.check(await runLocally(kind, body, this.chunks.take, this.signal));
+    const member = owner.current?.state.nodes.get(ownerId);
+    if (!member) throw new OwnershipError('no-owner', 'no owner is known for this');
+    return this.check(await this.callOwner(ownerId, member.data));
+  }
+
+  private async callOwner(ownerId: string, addr: string): Promise<CallOutcome> {
+    const { clock, owner, transport } = this.parts;
+    const { kind, body, timeoutMs } = this.request;
+    const watch = owner.watch(ownerId);
+    const response = transport.call(addr, kind, body, {
+      timeoutMs,
+      signal: AbortSignal.any([this.signal, watch.lost]),
+      onChunk: (chunk) => {
+        const { n, text } = StreamChunk.parse(chunk);
+        this.chunks.take(n, text);
+      },
+    });
+    try {
+      return CallOutcome.parse(await response);
+    } catch (error) {
+      if (!watch.lost.aborted || this.signal.aborted || this.chunks.emitted > 0) throw error;
+      this.retryUntil = clock.now() + this.retryForMs;
+      this.mayHaveRun = true;
+      throw new OwnershipError('not-owner', 'the owner left the cluster');
+    } finally {
+      watch.end();
+    }
+  }
+
+  private check(outcome: CallOutcome): CallOutcome {
+    return streamKinds.has(this.request.kind) ? this.chunks.check(outcome) : outcome;
+  }
+
+  private outcomeOfFailure(error: RpcError): CallOutcome {
+    return this.mayHaveRun
+      ? unknown(`the owner that ran it left the cluster: ${error.message}`)
+      : outcomeOfError(error);
+  }
+}
+
+/** Forwards requests to the owners of their slots. */
+export class Forwarder {
+  constructor(private readonly parts: ForwarderParts) {}
+
+  /** Resolves with what became of the request; chunks of a stream are passed on as they arrive. Never rejects. */
+  forward(request: SlotRequest, emit: EmitChunk, signal: AbortSignal): Promise<CallOutcome> {
+    return new ForwardedCall(this.parts, request, signal, emit).run();
+  }
+}
--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -1,10 +1,13 @@
-import { z } from 'zod';
+/**
+ * A front: serves requests for the slots that it owns, forwards the others, and takes the cluster state from the agent
+ * beside it. Owns the session owner, the term of its newest feed and the count of requests under way. A state, lease or
+ * bar of an earlier term never replaces one of a later term.
+ */
 import {
+  decodeState,
+  isNewerVersion,
   nodeViewOf,
-  TableEntries,
   versionOf,
-  isNewerVersion,
-  decodeState,
   type NodeView,
   type State,
 } from '@tillerstair/state';
@@ -17,122 +20,121 @@
   refused,
   SessionOwner,
   TurnRequest,
-  unknown,
-  CallOutcome,
+  type CallOutcome,
   type EmitChunk,
+  type SessionOwnerBounds,
   type SessionOwnerParts,
 } from '@tillerstair/session-owner';
 import {
-  ConnectionRefusedError,
   createAbortController,
   delay,
   ElectionError,
   FeedError,
-  OwnershipError,
-  RpcError,
-  type RpcRequest,
   toRpcError,
+  type Clock,
+  type Transport,
 } from '@tillerstair/wire';
+import { Forwarder, type SlotRequest } from './forwarder.js';
+import { Feed, type FeedResponse } from './messages.js';
+import { notFound } from './status-codes.js';
 
+/** What a front is made from. */
 export type FrontParts = SessionOwnerParts;
 
-export const Feed = z.object({
-  state: TableEntries.optional(),
-  config: z.string().optional(),
-  leaseRenewedAt: z.number(),
-  barred: z.array(z.string()).optional(),
-  master: z.string(),
-  term: z.number(),
-});
-export type Feed = z.infer<typeof Feed>;
-export const Fed = z.object({
-  id: z.string(),
-  applied: z.object({ term: z.number(), version: z.number() }),
-  seen: z.unknown(),
-  released: z.unknown(),
-  stopping: z.boolean(),
-});
-
-const TurnEnd = z.object({ end: z.object({ chunks: z.number() }) });
-const ChunkLine = z.object({ n: z.number(), text: z.string() });
-
-const lingers = 0.4;
-
-interface ForwardedRequest {
-  readonly kind:
-    | 'front/program'
-    | 'front/turn'
-    | 'front/history'
-    | 'front/call'
-    | 'front/keyed'
-    | 'front/stream';
-  readonly slotKey: string;
-  readonly body: unknown;
-  readonly within: number;
-}
+/** The share of the stop time for which a stopping front goes on serving, so that callers see that it is not ready. */
+const lingerShare = 0.4;
+/** How often a stopping front looks whether it may end, as a share of a heartbeat. */
+const stopCheckShare = 1 / 20;
 
+/** A front of the cluster. */
 export class Front {
+  /** The front's id in the cluster state. */
+  readonly id: string;
+  readonly clock: Clock;
+  /** Time limits, in ms; they follow the settings file. */
+  readonly bounds: SessionOwnerBounds;
   readonly owner: SessionOwner;
+  private readonly transport: Transport;
+  private readonly forwarder: Forwarder;
+  private readonly stopSignal = createAbortController();
   private agentTerm = 0;
   private master = '';
-  private readonly gone = createAbortController();
   private active = 0;
 
-  constructor(readonly p: FrontParts) {
-    this.owner = new SessionOwner(p);
+  constructor(parts: FrontParts) {
+    const { id, clock, transport, bounds } = parts;
+    this.id = id;
+    this.clock = clock;
+    this.transport = transport;
+    this.bounds = bounds;
+    this.owner = new SessionOwner(parts);
+    this.forwarder = new Forwarder({
+      frontId: id,
+      clock,
+      transport,
+      owner: this.owner,
+      heartbeatInterval: () => bounds.heartbeatInterval,
+      runLocally: (kind, body, emit, signal) => this.runLocally(kind, body, emit, signal),
+    });
   }
 
+  /** Begins to serve other fronts. */
   async start(): Promise<void> {
-    await this.p.transport.serve((rpc, emit, gone) => this.handle(rpc, emit, gone));
+    await this.transport.serve((rpc, emit, signal) =>
+      this.runLocally(rpc.kind, rpc.body, (n, text) => emit({ n, text }), signal),
+    );
     this.owner.start();
   }
 
-  /** Goes on serving until its slots are handed over, callers have had time to see it is not ready, and nothing is under way. */
+  /**
+   * Goes on serving until its slots are handed over, callers have had time to see that it is not ready, and nothing is
+   * under way; `stopWithin` ms at most.
+   */
   async stop(): Promise<void> {
-    this.gone.abort();
-    const { clock, bounds } = this.p;
-    const from = clock.now();
-    const linger = this.owner.leaseValid ? bounds.stopWithin * lingers : 0;
-    const busy = (): boolean =>
-      this.active > 0 ||
-      (this.owner.leaseValid && this.owner.holdsSlots) ||
-      clock.now() - from < linger;
-    while (busy() && clock.now() - from < bounds.stopWithin) {
-      if (clock.now() - from >= linger) this.owner.stopTaking();
-      await delay(clock, bounds.heartbeatInterval / 20);
+    this.stopSignal.abort();
+    const { bounds, clock, owner } = this;
+    const since = clock.now();
+    const lingerMs = owner.leaseValid ? bounds.stopWithin * lingerShare : 0;
+    const lingers = (): boolean => clock.now() - since < lingerMs;
+    const isBusy = (): boolean =>
+      this.active > 0 || (owner.leaseValid && owner.holdsSlots) || lingers();
+    while (isBusy() && clock.now() - since < bounds.stopWithin) {
+      if (!lingers()) owner.stopTaking();
+      await delay(clock, bounds.heartbeatInterval * stopCheckShare);
     }
-    this.owner.stop();
-    await this.p.transport.close();
+    owner.stop();
+    await this.transport.close();
   }
 
+  /** True from the call of `stop` on. */
   get stopping(): boolean {
-    return this.gone.signal.aborted;
+    return this.stopSignal.signal.aborted;
   }
 
+  /** This front's own view of the cluster, for `compare`. */
   nodeView(): NodeView {
-    return nodeViewOf(this.p.id, 'front', this.agentTerm, this.master, this.owner.current?.state);
+    return nodeViewOf(this.id, 'front', this.agentTerm, this.master, this.owner.current?.state);
   }
 
-  feed(body: unknown): z.infer<typeof Fed> {
-    const f = Feed.parse(body);
-    const now = this.p.clock.now();
-    const held = this.owner.current?.state;
-    const reported: State | undefined = f.state ? decodeState(new Map(f.state)) : undefined;
-    if (f.config !== undefined && f.config !== held?.config?.digest)
-      throw new FeedError('need-config', 'this front does not hold that configuration');
-    const next =
-      reported && f.config !== undefined ? { ...reported, config: held?.config } : reported;
-    if (next && held && held.clusterId !== next.clusterId)
-      throw new ElectionError('other-cluster', `this front is of cluster ${held.clusterId}`);
-    if (next && (!held || isNewerVersion(versionOf(next), versionOf(held)))) this.owner.take(next);
-    if (f.term >= this.agentTerm) {
-      this.agentTerm = f.term;
-      this.master = f.master;
-      if (f.barred) this.owner.bar(new Set(f.barred));
-      if (f.leaseRenewedAt <= now) this.owner.renewLease(f.leaseRenewedAt);
+  /**
+   * Applies what the agent feeds. Throws `need-config` if the state comes without a configuration that this front has,
+   * and `other-cluster` if it is of another cluster.
+   */
+  feed(body: unknown): FeedResponse {
+    const feed = Feed.parse(body);
+    const now = this.clock.now();
+    const next = this.fedState(feed);
+    const current = this.owner.current?.state;
+    if (next && (!current || isNewerVersion(versionOf(next), versionOf(current))))
+      this.owner.take(next);
+    if (feed.term >= this.agentTerm) {
+      this.agentTerm = feed.term;
+      this.master = feed.master;
+      if (feed.barred) this.owner.bar(new Set(feed.barred));
+      if (feed.leaseRenewedAt <= now) this.owner.renewLease(feed.leaseRenewedAt);
     }
     return {
-      id: this.p.id,
+      id: this.id,
       applied: versionOf(this.owner.current?.state),
       seen: this.owner.placement.report(),
       released: this.owner.releases(),
@@ -140,19 +142,22 @@
     };
   }
 
-  private async handle(
-    rpc: RpcRequest,
-    emit: (chunk: unknown) => void,
-    gone: AbortSignal,
-  ): Promise<unknown> {
-    return this.local(rpc.kind, rpc.body, (n, text) => emit({ n, text }), gone);
+  private fedState(feed: Feed): State | undefined {
+    const current = this.owner.current?.state;
+    const fed = feed.state ? decodeState(new Map(feed.state)) : undefined;
+    if (feed.config !== undefined && feed.config !== current?.config?.digest)
+      throw new FeedError('need-config', 'this front does not have that configuration');
+    const next = fed && feed.config !== undefined ? { ...fed, config: current?.config } : fed;
+    if (next && current && current.clusterId !== next.clusterId)
+      throw new ElectionError('other-cluster', `this front is of cluster ${current.clusterId}`);
+    return next;
   }
 
-  private async local(
+  private async runLocally(
     kind: string,
     body: unknown,
     emit: EmitChunk,
-    gone: AbortSignal,
+    signal: AbortSignal,
   ): Promise<CallOutcome> {
     this.active++;
     try {
@@ -160,104 +165,42 @@
         case 'front/program':
           return await this.owner.turns.createProgram(ProgramRequest.parse(body));
         case 'front/turn':
-          return await this.owner.turns.runTurn(TurnRequest.parse(body), emit, gone);
+          return await this.owner.turns.runTurn(TurnRequest.parse(body), emit, signal);
         case 'front/history':
           return await this.owner.turns.readHistory(HistoryRequest.parse(body));
         case 'front/call':
-          return await this.owner.calls.runCall(CallRequest.parse(body), gone);
+          return await this.owner.calls.runCall(CallRequest.parse(body), signal);
         case 'front/keyed':
-          return await this.owner.calls.runPass(PassRequest.parse(body), gone);
+          return await this.owner.calls.runPass(PassRequest.parse(body), signal);
         case 'front/stream':
-          return await this.owner.streams.runStream(PassRequest.parse(body), emit, gone);
+          return await this.owner.streams.runStream(PassRequest.parse(body), emit, signal);
         default:
-          return refused(404, 'unknown-kind', kind);
+          return refused(notFound, 'unknown-kind', kind);
       }
     } finally {
       this.active--;
     }
   }
 
-  /** Carries a request that needs no owner straight to a server. */
-  async carry(
-    ask: PassRequest,
-    streamed: boolean,
+  /** Runs a request on a pass route that belongs to no slot; never rejects. */
+  serveLocally(
+    request: PassRequest,
+    isStream: boolean,
     emit: EmitChunk,
-    gone: AbortSignal,
+    signal: AbortSignal,
   ): Promise<CallOutcome> {
-    return this.local(streamed ? 'front/stream' : 'front/keyed', ask, emit, gone).catch(
-      (e: unknown) => outcomeOfError(toRpcError(e)),
+    return this.runLocally(isStream ? 'front/stream' : 'front/keyed', request, emit, signal).catch(
+      (error: unknown) => outcomeOfError(toRpcError(error)),
     );
   }
 
-  async forward(d: ForwardedRequest, emit: EmitChunk, gone: AbortSignal): Promise<CallOutcome> {
+  /** Forwards a request to the owner of its slot, which may be this front; never rejects. */
+  async forward(request: SlotRequest, emit: EmitChunk, signal: AbortSignal): Promise<CallOutcome> {
     this.active++;
-    return this.tryForward(d, emit, gone).finally(() => {
+    try {
+      return await this.forwarder.forward(request, emit, signal);
+    } finally {
       this.active--;
-    });
-  }
-
-  private async tryForward(
-    d: ForwardedRequest,
-    emit: EmitChunk,
-    gone: AbortSignal,
-  ): Promise<CallOutcome> {
-    const { clock, bounds, id, transport } = this.p;
-    const wait = Math.min(bounds.heartbeatInterval * 1.5, d.within / 4);
-    let end = clock.now() + wait;
-    let emitted = 0;
-    let whole = true;
-    let mayHaveRun = false;
-    const counting: EmitChunk = (n, text) => {
-      whole &&= n === emitted;
-      if (!whole) return;
-      emitted++;
-      emit(n, text);
-    };
-    const checked = (v: CallOutcome): CallOutcome => {
-      if ((d.kind !== 'front/turn' && d.kind !== 'front/stream') || v.outcome !== 'done') return v;
-      const end = TurnEnd.safeParse(v.body);
-      return whole && end.success && end.data.end.chunks === emitted
-        ? v
-        : unknown('the stream did not arrive whole', 'broken-off');
-    };
-    for (;;) {
-      let errorCode: RpcError;
-      try {
-        this.owner.requireLease();
-        const owner = this.owner.ownerOf(this.owner.slotFor(d.slotKey));
-        if (owner === id) return checked(await this.local(d.kind, d.body, counting, gone));
-        const member = this.owner.current?.state.nodes.get(owner);
-        if (!member) throw new OwnershipError('no-owner', 'no owner is known for this');
-        const watch = this.owner.watch(owner);
-        const asked = transport.call(member.data, d.kind, d.body, {
-          timeoutMs: d.within,
-          signal: AbortSignal.any([gone, watch.lost]),
-          onChunk: (chunk) => {
-            const { n, text } = ChunkLine.parse(chunk);
-            counting(n, text);
-          },
-        });
-        try {
-          return checked(CallOutcome.parse(await asked));
-        } catch (e) {
-          if (!watch.lost.aborted || gone.aborted || emitted > 0) throw e;
-          end = clock.now() + wait;
-          mayHaveRun = true;
-          throw new OwnershipError('not-owner', 'the owner left the cluster');
-        } finally {
-          watch.end();
-        }
-      } catch (e) {
-        errorCode = toRpcError(e);
-      }
-      const passing =
-        errorCode instanceof OwnershipError || errorCode instanceof ConnectionRefusedError;
-      const over = emitted > 0 || !passing || gone.aborted || clock.now() >= end;
-      if (over)
-        return mayHaveRun
-          ? unknown(`the owner that had it left the cluster: ${errorCode.message}`)
-          : outcomeOfError(errorCode);
-      await delay(clock, bounds.heartbeatInterval / 20);
     }
   }
 }
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,8 +1,11 @@
-export * from './backend.js';
-export * from './connections.js';
-export * from './departure.js';
-export * from './front.js';
-export * from './pages.js';
+/** The front-proxy: serves callers, forwards requests to the owners of their slots, and sends them to servers. */
+export * from './caller-api.js';
 export * from './dialect.js';
-export * from './passing.js';
+export * from './front.js';
+export * from './headers.js';
+export * from './http-backend.js';
+export * from './messages.js';
+export * from './pass-handler.js';
+export * from './send-guard.js';
+export * from './server-agent.js';
 export * from './start.js';
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The program `front-proxy`. */
 import { ProxySettings, runDaemon } from '@tillerstair/settings';
 import { startProxy } from './start.js';
 
--- a/packages/proxy/src/connections.ts
+++ b/packages/proxy/src/server-agent.ts
@@ -1,21 +1,24 @@
+/** Connections to servers: how many, how long they rest, and which of their endings make an answer incomplete. */
 import type { Socket } from 'node:net';
 import { Agent, buildConnector, Pool } from 'undici';
 
-export interface BackendBounds {
-  readonly connectWithin: number;
-  /** Connections this front may open to one server. */
-  readonly connections: (url: string) => number;
+/** Limits of the connections to servers. */
+export interface ConnectionLimits {
+  /** How long a connection may take to open, in ms. */
+  readonly connectTimeoutMs: number;
+  /** How many connections this front may open to one server. */
+  readonly maxConnections: (url: string) => number;
 }
 
 /**
  * Idle connections end this much before the time that a server's `Keep-Alive` gives, in whole seconds: the time is
  * rounded down by less than a second and runs from the server's last byte, which was here half a round trip later.
  */
-const idleMargin = 500;
+const idleMarginMs = 500;
 /** A server may forget an idle connection sooner than it says; none rests for longer than this. */
-const idleMost = 4000;
+const maxIdleMs = 4000;
 /** Without `Keep-Alive` a server gives less than a second. */
-const idleUnsaid = 500;
+const defaultIdleMs = 500;
 
 /**
  * A reset after the head of an answer without length must not pass for its end, as the HTTP client would have it; told
@@ -25,22 +28,26 @@
   socket.on('error', (error) => Object.assign(error, { code: 'UND_ERR_SOCKET' }));
 };
 
-/** Connections to servers: one request at a time on each, none kept beyond its server's word. */
-export const connectionsTo = (bounds: BackendBounds): Agent => {
-  const open = buildConnector({ timeout: bounds.connectWithin });
-  const connect: buildConnector.connector = (options, callback) =>
+/** Makes the HTTP client for servers: one request at a time on each connection, none kept for longer than its server says. */
+export const createServerAgent = (limits: ConnectionLimits): Agent => {
+  const open = buildConnector({ timeout: limits.connectTimeoutMs });
+  const connect: buildConnector.connector = (options, callback) => {
     open(options, (...[error, socket]) => {
-      if (error !== null) return callback(error, null);
+      if (error !== null) {
+        callback(error, null);
+        return;
+      }
       failOnReset(socket);
       callback(null, socket);
     });
+  };
   return new Agent({
     connect,
     pipelining: 1,
-    keepAliveTimeout: idleUnsaid,
-    keepAliveTimeoutThreshold: idleMargin,
-    keepAliveMaxTimeout: idleMost,
-    factory: (origin, options) =>
-      new Pool(origin, { ...options, connections: bounds.connections(String(origin)) }),
+    keepAliveTimeout: defaultIdleMs,
+    keepAliveTimeoutThreshold: idleMarginMs,
+    keepAliveMaxTimeout: maxIdleMs,
+    factory: (origin, options: Pool.Options) =>
+      new Pool(origin, { ...options, connections: limits.maxConnections(String(origin)) }),
   });
 };
--- a/packages/proxy/src/start.ts
+++ b/packages/proxy/src/start.ts
@@ -1,95 +1,103 @@
+/** Starts a front-proxy: a front, its pages and listeners, and the loopback address where its agent feeds it. */
 import { randomBytes } from 'node:crypto';
 import {
   closeHttp,
   servePages,
   stderrLog,
   type ProxySettings,
+  type Readiness,
   type Running,
 } from '@tillerstair/settings';
-import { hostClock, TcpTransport, toTimerMs } from '@tillerstair/wire';
-import { HttpBackend } from './backend.js';
-import { ownDialect, type Dialect } from './dialect.js';
+import { hostClock, TcpTransport, type Logger, type RpcRequest } from '@tillerstair/wire';
+import { createCallerApi } from './caller-api.js';
+import { connectionLimit } from './connection-limit.js';
+import { productDialect, type Dialect } from './dialect.js';
+import { connectTimeoutOf, createFrontBounds } from './front-bounds.js';
 import { Front } from './front.js';
-import { callerPages } from './pages.js';
-import { carrier, type Carry } from './passing.js';
+import { HttpBackend } from './http-backend.js';
+import { createPassHandler, type PassHandler } from './pass-handler.js';
 
-export interface Door {
+/** Further listeners for callers. */
+export interface ListenerHandle {
+  /** Closes them once nothing is under way. */
   close(): Promise<void>;
 }
 
-/** Further doors for callers, beside the product's own pages; closed once nothing is under way. */
-export type Doors = (front: Front, carry: Carry) => Promise<Door>;
+/** Opens further listeners for callers, beside the product's own pages. */
+export type OpenListeners = (front: Front, passHandler: PassHandler) => Promise<ListenerHandle>;
 
-const noDoors: Doors = async () => ({ close: async () => undefined });
-const usualConnections = 64;
-const leastConnections = 2;
-const spareFronts = 1.5;
+const noListeners: OpenListeners = () => Promise.resolve({ close: () => Promise.resolve() });
+const frontIdBytes = 6;
 
-export const startProxy = async (
-  settings: ProxySettings,
-  dialect: Dialect = ownDialect,
-  doors: Doors = noDoors,
-): Promise<Running<ProxySettings>> => {
-  const log = stderrLog('proxy', settings.log);
-  let { bounds: outer } = settings;
-  const table = () => front.owner.current;
-  const connectionLimitOf = (url: string): number => {
-    const { state, config } = table() ?? {};
-    const pool = [...(state?.servers.values() ?? [])].find((s) => s.url === url)?.pool;
-    const most = config?.pools.find((p) => p.name === pool)?.connections ?? 0;
-    const fronts = [...(state?.nodes.values() ?? [])].filter((m) => m.kind === 'front').length;
-    return most === 0
-      ? usualConnections
-      : Math.max(leastConnections, Math.floor(most / (spareFronts * Math.max(1, fronts))));
-  };
-  const backend = new HttpBackend(
-    { connectWithin: toTimerMs(outer.heartbeatInterval / 2), connections: connectionLimitOf },
-    dialect,
+/** Serves the agent beside the front at a loopback address: who the front is, and its feed. */
+const serveFeed = async (front: Front, settings: ProxySettings): Promise<TcpTransport> => {
+  const transport = new TcpTransport(settings.feed);
+  const hello = { id: front.id, addr: settings.addr, http: settings.http };
+  const respond = ({ kind, body }: RpcRequest): unknown =>
+    kind === 'front/hello' ? hello : front.feed(body);
+  await transport.serve(
+    (request) =>
+      new Promise((resolve) => {
+        resolve(respond(request));
+      }),
   );
-  const bounds = {
-    get heartbeatInterval() {
-      return outer.heartbeatInterval;
-    },
-    get putWithin() {
-      return toTimerMs(outer.failureTimeout / 2);
-    },
-    get readLease() {
-      return toTimerMs((outer.drainingWithin * 5) / 6);
-    },
-    poll: settings.asksServers ? toTimerMs(settings.bounds.heartbeatInterval / 4) : 0,
-    retentionMs: settings.retentionMs,
-    stopWithin: settings.stopWithin,
-  };
-  const front: Front = new Front({
-    id: `f-${randomBytes(6).toString('hex')}`,
+  return transport;
+};
+
+const readinessOf = (front: Front): Readiness =>
+  front.stopping ? { ready: false, why: 'stopping' } : front.owner.readiness();
+
+const createFront = (
+  settings: ProxySettings,
+  bounds: () => ProxySettings['bounds'],
+  backend: HttpBackend,
+  log: Logger,
+): Front =>
+  new Front({
+    id: `f-${randomBytes(frontIdBytes).toString('hex')}`,
     clock: hostClock,
     transport: new TcpTransport(settings.addr, settings.listen),
     backend,
-    bounds,
+    bounds: createFrontBounds(settings, bounds),
     log,
     affinity: settings.affinity,
   });
-  const feed = new TcpTransport(settings.feed);
-  await feed.serve(async (rpc) =>
-    rpc.kind === 'front/hello'
-      ? { id: front.p.id, addr: settings.addr, http: settings.http }
-      : front.feed(rpc.body),
+
+/**
+ * Starts a front-proxy. `dialect` names the headers of pass routes; `openListeners` opens further listeners for callers.
+ * What it returns stops in order: the front first, then listeners, pages, feed and connections to servers.
+ */
+export const startProxy = async (
+  settings: ProxySettings,
+  dialect: Dialect = productDialect,
+  openListeners: OpenListeners = noListeners,
+): Promise<Running<ProxySettings>> => {
+  const log = stderrLog('proxy', settings.log);
+  let { bounds } = settings;
+  const backend: HttpBackend = new HttpBackend(
+    {
+      connectTimeoutMs: connectTimeoutOf(bounds),
+      maxConnections: (url) => connectionLimit(front.owner.current, url),
+    },
+    dialect,
   );
+  const front = createFront(settings, () => bounds, backend, log);
+  const feed = await serveFeed(front, settings);
   await front.start();
-  const bodyMost = () => front.owner.current?.config?.limits.bodyBytes ?? settings.bodyMost;
-  const carry = carrier(front, dialect, bodyMost);
-  const ready = () =>
-    front.stopping ? { ready: false, why: 'stopping' } : front.owner.readiness();
-  const http = await servePages(settings.http, ready, callerPages(front, settings.bodyMost, carry));
-  const door = await doors(front, carry);
+  const maxBodyBytes = (): number =>
+    front.owner.current?.config?.limits.bodyBytes ?? settings.bodyMost;
+  const passHandler = createPassHandler(front, dialect, maxBodyBytes);
+  const pages = createCallerApi(front, settings.bodyMost, passHandler);
+  const http = await servePages(settings.http, () => readinessOf(front), pages);
+  const listeners = await openListeners(front, passHandler);
   log.info(`Serving callers at ${settings.http}.`);
   return {
     reload: (next) => {
-      outer = next.bounds;
+      ({ bounds } = next);
     },
     stop: async () => {
       await front.stop();
-      await door.close();
+      await listeners.close();
       await closeHttp(http);
       await feed.close();
       await backend.close();
--- a/packages/sim/src/faults-machine.ts
+++ b/packages/sim/src/faults-machine.ts
@@ -120,7 +120,7 @@
       const key = t.kind === 'call' ? opKeyOf(t.tenant, t.key) : `p/${rootProgramId(t.program)}`;
       const slot = s?.slots[slotForKey(key, s.slots.length)];
       const keepsIt = (m: Machine): boolean =>
-        m.front?.p.id === slot?.owner || m.store?.id === slot?.replicas[Math.floor(c.rng() * 3)];
+        m.front?.id === slot?.owner || m.store?.id === slot?.replicas[Math.floor(c.rng() * 3)];
       const hit = w.machines.filter((m) => m.up && (whole ? m.kind !== 'front' : keepsIt(m)));
       for (const m of hit) m.kill('power');
       tools.after(500 + c.rng() * 3000, () => hit.forEach((m) => tools.restart(m)));
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -171,7 +171,7 @@
     const feed = w.net.transport(`${this.addr}/feed`, life);
     await feed.serve(async (rpc) =>
       rpc.kind === 'front/hello'
-        ? { id: front.p.id, addr: `${this.addr}/data`, http: '' }
+        ? { id: front.id, addr: `${this.addr}/data`, http: '' }
         : front.feed(rpc.body),
     );
     await front.start();
--- a/packages/sim/src/pass.ts
+++ b/packages/sim/src/pass.ts
@@ -1,5 +1,5 @@
 import type { PassRecord } from '@tillerstair/checker';
-import { passOn } from '@tillerstair/proxy';
+import { routePassRequest } from '@tillerstair/proxy';
 import {
   encodeBody,
   decodeBody,
@@ -98,7 +98,7 @@
   const v = await w.sendAsCaller(
     at,
     (front, emit, gone) =>
-      passOn(front, ask, emit, spec.leaves ? AbortSignal.any([gone, spec.leaves]) : gone).catch(
+      routePassRequest(front, ask, emit, spec.leaves ? AbortSignal.any([gone, spec.leaves]) : gone).catch(
         (e: unknown): CallOutcome => {
           const m = toRpcError(e);
           return {
--- a/packages/sim/src/world.ts
+++ b/packages/sim/src/world.ts
@@ -222,7 +222,7 @@
   ): Promise<CallOutcome> {
     return this.sendAsCaller(
       at,
-      (front, emit, gone) => front.forward({ kind, slotKey, body, within: 120000 }, emit, gone),
+      (front, emit, gone) => front.forward({ kind, slotKey, body, timeoutMs: 120000 }, emit, gone),
       onChunk,
     );
   }
--- a/packages/wire/src/http.ts
+++ b/packages/wire/src/http.ts
@@ -19,18 +19,23 @@
 
 export class BodyTooLargeError extends Error {}
 
-export const readBody = async (req: IncomingMessage, most: number): Promise<string> => {
+/** The bytes of a request's body; throws `BodyTooLargeError` for more than `most` of them. */
+export const readBytes = async (req: IncomingMessage, most: number): Promise<Buffer> => {
   const parts: Buffer[] = [];
   let size = 0;
   for await (const part of req) {
-    const b = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
-    size += b.length;
+    const bytes = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
+    size += bytes.length;
     if (size > most) throw new BodyTooLargeError(`body is over ${most} bytes`);
-    parts.push(b);
+    parts.push(bytes);
   }
-  return Buffer.concat(parts).toString('utf8');
+  return Buffer.concat(parts);
 };
 
+/** A request's body as UTF-8 text, within the same limit. */
+export const readBody = async (req: IncomingMessage, most: number): Promise<string> =>
+  (await readBytes(req, most)).toString('utf8');
+
 const urlOf = (path: string): URL | undefined => {
   try {
     const url = new URL(`http://x${path.startsWith('/') ? '' : '/'}${path}`);
--- a/tests/src/proxy/backend-client.test.ts
+++ b/tests/src/proxy/backend-client.test.ts
@@ -35,7 +35,7 @@
 };
 
 backend('a server that closes early or loses its end is "lost", at once', async () => {
-  const client = new HttpBackend({ connectWithin: 500, connections: () => 8 });
+  const client = new HttpBackend({ connectTimeoutMs: 500, maxConnections: () => 8 });
   for (const faults of [{ cutAfter: 1 }, { loseEnd: 1 }]) {
     const [port = 0] = await freePorts(1);
     const model = new ModelServer(
@@ -106,7 +106,7 @@
 backend(
   'foreign ids, gaps, repeats, false counts and missing ends are never a success',
   async () => {
-    const client = new HttpBackend({ connectWithin: 500, connections: () => 8 });
+    const client = new HttpBackend({ connectTimeoutMs: 500, maxConnections: () => 8 });
     const chunk = (n: number, id = 'i') => JSON.stringify({ id, n, text: 'x' });
     const end = (chunks: number, id = 'i') => JSON.stringify({ id, end: true, chunks });
     const wrong = [
@@ -159,7 +159,7 @@
 backend(
   'work that had to wait for its connection is looked at once more before a byte leaves',
   async () => {
-    const client = new HttpBackend({ connectWithin: 500, connections: () => 8 });
+    const client = new HttpBackend({ connectTimeoutMs: 500, maxConnections: () => 8 });
     const [port = 0] = await freePorts(1);
     const ledger = new Ledger();
     const service = new ServiceServer(
--- a/tests/src/proxy/client-listeners.test.ts
+++ b/tests/src/proxy/client-listeners.test.ts
@@ -5,13 +5,13 @@
 import * as assert from 'uvu/assert';
 import { freePorts } from '@tillerstair/fleet';
 import { Front, HttpBackend } from '@tillerstair/proxy';
-import { limitsOf, openDoor, type Limits } from '@tillerstair/platform';
+import { limitsOf, openHttpListener, type ClientLimits } from '@tillerstair/platform';
 import { passRoutes } from '@tillerstair/sim';
 import { checkConfig, bootstrapState } from '@tillerstair/state';
 import { hostClock, silentLogger, TcpTransport } from '@tillerstair/wire';
 
 const doors = suite('doors for clients');
-const usual: Limits = { headerBytes: 16384, headerWaitMs: 3000, idleMs: 15000 };
+const usual: ClientLimits = { headerBytes: 16384, headerWaitMs: 3000, idleMs: 15000 };
 const fine: RequestListener = (_req, res) =>
   void res.writeHead(200, { 'Content-Length': '2' }).end('ok');
 
@@ -20,7 +20,7 @@
 }
 
 const withDoor = async (
-  limits: () => Limits,
+  limits: () => ClientLimits,
   work: (
     open: () => Promise<{ socket: Socket; heard: Heard; closed: Promise<number> }>,
     server: Server,
@@ -28,7 +28,7 @@
   serve = fine,
 ): Promise<void> => {
   const [port = 0] = await freePorts(1);
-  const server = await openDoor(`127.0.0.1:${port}`, limits, serve);
+  const server = await openHttpListener(`127.0.0.1:${port}`, limits, serve);
   const open = async () => {
     const socket = connect(port, '127.0.0.1');
     const heard: Heard = { text: '' };
@@ -180,7 +180,7 @@
     id: 'f',
     clock: hostClock,
     transport: new TcpTransport('127.0.0.1:1'),
-    backend: new HttpBackend({ connectWithin: 2000, connections: () => 1 }),
+    backend: new HttpBackend({ connectTimeoutMs: 2000, maxConnections: () => 1 }),
     log: silentLogger,
     affinity: false,
     bounds: {
--- a/tests/src/proxy/front-forward.test.ts
+++ b/tests/src/proxy/front-forward.test.ts
@@ -2,7 +2,13 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { CallOutcome } from '@tillerstair/session-owner';
-import { ConnectionLostError, ConnectionRefusedError, RpcError } from '@tillerstair/wire';
+import {
+  AdmissionError,
+  ConnectionLostError,
+  ConnectionRefusedError,
+  OwnershipError,
+  UnavailableError,
+} from '@tillerstair/wire';
 import { frontRig, heartbeatInterval, readLease, stateFor } from '../support/front-rig.js';
 
 const forwarding = suite('a request that another front owns');
@@ -13,7 +19,7 @@
   kind,
   slotKey: 'p/x',
   body,
-  within: 4000,
+  timeoutMs: 4000,
 });
 
 const doneAfter = (chunks: number): unknown => ({
@@ -80,9 +86,9 @@
 
 forwarding('errors that pass are tried again for a moment', async () => {
   for (const error of [
-    new RpcError('not-owner', 'x'),
-    new RpcError('taking-over', 'x'),
-    new RpcError('route-unknown', 'x'),
+    new OwnershipError('not-owner', 'x'),
+    new OwnershipError('taking-over', 'x'),
+    new OwnershipError('route-unknown', 'x'),
     new ConnectionRefusedError('g'),
   ]) {
     const { ended, calls, took } = await failing([error]);
@@ -94,8 +100,8 @@
 
 forwarding('an error that does not pass is told at once', async () => {
   for (const [error, outcome] of [
-    [new RpcError('unavailable', 'x'), 'refused'],
-    [new RpcError('queue-full', 'x'), 'refused'],
+    [new UnavailableError('unavailable', 'x'), 'refused'],
+    [new AdmissionError('queue-full', 'x'), 'refused'],
     [new ConnectionLostError('g'), 'unknown'],
   ] as const) {
     const { ended, calls } = await failing([error]);
@@ -104,7 +110,7 @@
 });
 
 forwarding('a request whose caller is gone is not tried again', async () => {
-  const { calls } = await failing([new RpcError('not-owner', 'x')], AbortSignal.abort());
+  const { calls } = await failing([new OwnershipError('not-owner', 'x')], AbortSignal.abort());
   assert.is(calls, 1);
 });
 
@@ -129,7 +135,7 @@
     if (to !== 'g:2') return next();
     for (let n = 0; n < chunks; n++) bounds.onChunk?.({ n, text: 'x' });
     return new Promise((_, fail) => {
-      bounds.gone?.addEventListener('abort', () => fail(new ConnectionLostError(to)));
+      bounds.signal?.addEventListener('abort', () => fail(new ConnectionLostError(to)));
     });
   };
   const forwarded = rig.front.forward(request(), () => undefined, never);
@@ -150,7 +156,9 @@
 );
 
 forwarding('what an owner that left may have run is never told as refused', async () => {
-  const { ended } = await ownerLeaves(0, () => Promise.reject(new RpcError('unavailable', 'x')));
+  const { ended } = await ownerLeaves(0, () =>
+    Promise.reject(new UnavailableError('unavailable', 'x')),
+  );
   assert.equal([ended.outcome, ended.status], ['unknown', 504]);
 });
 
--- a/tests/src/proxy/http-forwarding-connections.test.ts
+++ b/tests/src/proxy/http-forwarding-connections.test.ts
@@ -44,7 +44,8 @@
   return { ended, head: heads[0], body };
 };
 
-const client = (): HttpBackend => new HttpBackend({ connectWithin: 2000, connections: () => 1 });
+const client = (): HttpBackend =>
+  new HttpBackend({ connectTimeoutMs: 2000, maxConnections: () => 1 });
 
 sharing('requests in a row share one connection', async () => {
   const server = await serverUp((a, res) => reply(a, res, a.try));
--- a/tests/src/proxy/pass-front.test.ts
+++ b/tests/src/proxy/pass-front.test.ts
@@ -3,23 +3,29 @@
 import { createServer } from 'node:http';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { carrier, Front, HttpBackend, ownDialect, passOn } from '@tillerstair/proxy';
-import { packed, type PassAsk } from '@tillerstair/session-owner';
+import {
+  createPassHandler,
+  Front,
+  HttpBackend,
+  productDialect,
+  routePassRequest,
+} from '@tillerstair/proxy';
+import { encodeBody, type PassRequest } from '@tillerstair/session-owner';
 import { passHost } from '@tillerstair/sim';
-import { hostClock, RpcError } from '@tillerstair/wire';
+import { hostClock, ReplicaError, RpcError } from '@tillerstair/wire';
 import { ask, Bound, frontUp, named, reply, serverUp } from '../support/http-server.js';
 import { frontRig, readLease, stateFor } from '../support/front-rig.js';
 import { headerOf } from '../support/interface-calls.js';
 
 const client = suite('what a front tells clients of pass routes');
 
-const passAsk = (path: string, more: Partial<PassAsk> = {}): PassAsk => ({
+const passAsk = (path: string, more: Partial<PassRequest> = {}): PassRequest => ({
   tenant: 't',
   host: passHost,
   method: 'POST',
   path,
   headers: [['x-request-id', 'a']],
-  body: packed(Buffer.from('')),
+  body: encodeBody(Buffer.from('')),
   attempt: 'a',
   key: '',
   left: 5000,
@@ -103,7 +109,7 @@
     try {
       await rig.clock.finish(
         path,
-        passOn(rig.front, passAsk(path), () => undefined, new AbortController().signal),
+        routePassRequest(rig.front, passAsk(path), () => undefined, new AbortController().signal),
         10000,
       );
       assert.unreachable();
@@ -117,26 +123,36 @@
   const rig = frontRig();
   const state = stateFor('g');
   rig.take(state);
-  void passOn(
+  void routePassRequest(
     rig.front,
     passAsk('/keyed/x', { key: 'k', left: 60000 }),
     () => undefined,
     new AbortController().signal,
   );
   await rig.clock.settle();
-  assert.is(rig.transport.calls[0]?.bounds.within, 800);
+  assert.is(rig.transport.calls[0]?.bounds.timeoutMs, 800);
 });
 
 client('a keyed operation goes on though its caller leaves, a stream does not', async () => {
   const rig = frontRig();
   rig.take(stateFor('g'));
   const caller = new AbortController();
-  void passOn(rig.front, passAsk('/keyed/x', { key: 'k' }), () => undefined, caller.signal);
-  void passOn(rig.front, passAsk('/turn/x', { program: 'p' }), () => undefined, caller.signal);
+  void routePassRequest(
+    rig.front,
+    passAsk('/keyed/x', { key: 'k' }),
+    () => undefined,
+    caller.signal,
+  );
+  void routePassRequest(
+    rig.front,
+    passAsk('/turn/x', { program: 'p' }),
+    () => undefined,
+    caller.signal,
+  );
   await rig.clock.settle();
   caller.abort();
   assert.equal(
-    rig.transport.calls.map((call) => [call.kind, call.bounds.gone?.aborted]),
+    rig.transport.calls.map((call) => [call.kind, call.bounds.signal?.aborted]),
     [
       ['front/keyed', false],
       ['front/stream', true],
@@ -147,16 +163,16 @@
 /** Sends one request to a front whose part after the reading of a request fails as `fail` says. */
 const failingFront = async (fail: () => never): Promise<number> => {
   const rig = frontRig();
-  const backend = new HttpBackend({ connectWithin: 1000, connections: () => 1 });
+  const backend = new HttpBackend({ connectTimeoutMs: 1000, maxConnections: () => 1 });
   class FailingFront extends Front {
-    override carry(): Promise<never> {
+    override serveLocally(): Promise<never> {
       return Promise.resolve().then(fail);
     }
   }
-  const front = new FailingFront({ ...rig.front.p, clock: hostClock, backend });
+  const front = new FailingFront({ ...rig.parts, clock: hostClock, backend });
   front.owner.take(stateFor('f'));
   front.owner.renewLease(hostClock.now());
-  const carry = carrier(front, ownDialect, () => 1000);
+  const carry = createPassHandler(front, productDialect, () => 1000);
   const http = createServer((req, res) => void carry(req, res));
   http.listen(0, '127.0.0.1');
   await once(http, 'listening');
@@ -177,7 +193,7 @@
   );
   assert.is(
     await failingFront(() => {
-      throw new RpcError('away', 'nothing was run');
+      throw new ReplicaError('away', 'nothing was run');
     }),
     503,
   );
--- a/tests/src/proxy/pass-route-attempts.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -206,7 +206,7 @@
       const w = await passUp(seed, five);
       const [a] = w.of('front');
       if (!a) throw new Error('no front');
-      const id = a.front?.p.id ?? '';
+      const id = a.front?.id ?? '';
       const mine = Array.from({ length: 60 }, (_, i) => `k${i}`).filter(
         (k) => ownerOf(w, opKeyOf('t', k)) === a,
       );
--- a/tests/src/proxy/refusals.test.ts
+++ b/tests/src/proxy/refusals.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
 import { freePorts } from '@tillerstair/fleet';
-import { carrier, Front, HttpBackend, ownDialect } from '@tillerstair/proxy';
+import { createPassHandler, Front, HttpBackend, productDialect } from '@tillerstair/proxy';
 import { passHost, passRoutes } from '@tillerstair/sim';
 import { checkConfig, bootstrapState, Member, Server, type State } from '@tillerstair/state';
 import { hostClock, silentLogger, TcpTransport } from '@tillerstair/wire';
@@ -13,7 +13,7 @@
   "what a front tells of requests that reached no server, and of answers that are no server's",
 );
 const Bound = z.object({ port: z.number() });
-const dialect = { ...ownDialect, madeByServer: 'x-seal' };
+const dialect = { ...productDialect, madeByServer: 'x-seal' };
 
 type Play = (attempt: string, res: ServerResponse) => void;
 
@@ -77,7 +77,7 @@
 });
 
 const frontOf = (id: string, transport = new TcpTransport('127.0.0.1:1')) => {
-  const backend = new HttpBackend({ connectWithin: 2000, connections: () => 1 }, dialect);
+  const backend = new HttpBackend({ connectTimeoutMs: 2000, maxConnections: () => 1 }, dialect);
   const front = new Front({
     id,
     clock: hostClock,
@@ -99,7 +99,7 @@
 };
 
 const serving = async (front: Front) => {
-  const carry = carrier(front, dialect, () => 1 << 20);
+  const carry = createPassHandler(front, dialect, () => 1 << 20);
   const http = createServer((req, res) => void carry(req, res));
   http.listen(0, '127.0.0.1');
   await once(http, 'listening');
@@ -333,7 +333,7 @@
 refusals('an error before a request is handed on is told as not run', async () => {
   const { front, backend } = frontOf('f');
   front.owner.take(stateOf([]));
-  const carry = carrier(front, dialect, () => {
+  const carry = createPassHandler(front, dialect, () => {
     throw new RangeError('a mistake of ours');
   });
   const http = createServer((req, res) => void carry(req, res));
--- a/tests/src/proxy/departure.test.ts
+++ b/tests/src/proxy/send-guard.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Dispatcher } from 'undici';
-import { Departure, Withdrawn } from '@tillerstair/proxy';
+import { SendGuard, RequestWithdrawnError } from '@tillerstair/proxy';
 
 const departure = suite('whether a request may have left for its server');
 
@@ -10,8 +10,8 @@
 const noHandler: Dispatcher.DispatchHandler = {};
 
 /** Lets `guard` see the moment before the first byte as the HTTP client does. */
-const writeOnce = (guarded: Departure): void => {
-  guarded.guard((_options, handler) => {
+const writeOnce = (guarded: SendGuard): void => {
+  guarded.interceptor((_options, handler) => {
     // eslint-disable-next-line @typescript-eslint/no-deprecated -- the calls that undici makes to an interceptor
     handler.onConnect?.(() => undefined);
     return true;
@@ -19,61 +19,61 @@
 };
 
 departure('a request has not left before its first byte, and may have from then on', () => {
-  const one = new Departure(() => true, new AbortController().signal);
-  assert.is(one.mayHaveLeft, false);
+  const one = new SendGuard(() => true, new AbortController().signal);
+  assert.is(one.mayHaveBeenSent, false);
   writeOnce(one);
-  assert.is(one.mayHaveLeft, true);
+  assert.is(one.mayHaveBeenSent, true);
 });
 
 departure('a request is written to a connection once at most', () => {
-  const one = new Departure(() => true, new AbortController().signal);
+  const one = new SendGuard(() => true, new AbortController().signal);
   writeOnce(one);
   assert.throws(
     () => writeOnce(one),
-    (e: unknown) => e instanceof Error && !(e instanceof Withdrawn),
+    (e: unknown) => e instanceof Error && !(e instanceof RequestWithdrawnError),
   );
 });
 
 departure('a request that was given up never leaves', () => {
   const stop = new AbortController();
-  const one = new Departure(() => true, stop.signal);
+  const one = new SendGuard(() => true, stop.signal);
   stop.abort();
   assert.throws(
     () => writeOnce(one),
-    (e: unknown) => e instanceof Withdrawn,
+    (e: unknown) => e instanceof RequestWithdrawnError,
   );
-  assert.is(one.mayHaveLeft, false);
+  assert.is(one.mayHaveBeenSent, false);
 });
 
 departure('a request whose server may no longer be used never leaves', () => {
   let allowed = true;
-  const one = new Departure(() => allowed, new AbortController().signal);
+  const one = new SendGuard(() => allowed, new AbortController().signal);
   allowed = false;
   assert.throws(
     () => writeOnce(one),
-    (e: unknown) => e instanceof Withdrawn,
+    (e: unknown) => e instanceof RequestWithdrawnError,
   );
-  assert.is(one.mayHaveLeft, false);
+  assert.is(one.mayHaveBeenSent, false);
 });
 
 departure('who waits for a queued request hears at once that it was given up', async () => {
   const stop = new AbortController();
-  const one = new Departure(() => true, stop.signal);
-  const waiting = one.unlessQueued(new Promise(() => undefined)).catch((e: unknown) => e);
+  const one = new SendGuard(() => true, stop.signal);
+  const waiting = one.rejectWhileQueued(new Promise(() => undefined)).catch((e: unknown) => e);
   stop.abort();
-  assert.instance(await waiting, Withdrawn);
-  const late = new Departure(() => true, stop.signal);
-  const never = late.unlessQueued(new Promise(() => undefined)).catch((e: unknown) => e);
-  assert.instance(await never, Withdrawn);
+  assert.instance(await waiting, RequestWithdrawnError);
+  const late = new SendGuard(() => true, stop.signal);
+  const never = late.rejectWhileQueued(new Promise(() => undefined)).catch((e: unknown) => e);
+  assert.instance(await never, RequestWithdrawnError);
 });
 
 departure(
   'a request that may have left ends as its answer does, though it was given up',
   async () => {
     const stop = new AbortController();
-    const one = new Departure(() => true, stop.signal);
+    const one = new SendGuard(() => true, stop.signal);
     let answer: (text: string) => void = () => undefined;
-    const waiting = one.unlessQueued(
+    const waiting = one.rejectWhileQueued(
       new Promise<string>((done) => {
         answer = done;
       }),
--- a/tests/src/proxy/server-answers.test.ts
+++ b/tests/src/proxy/server-answers.test.ts
@@ -3,7 +3,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { HttpBackend } from '@tillerstair/proxy';
-import type { Ended, ServerLoad } from '@tillerstair/session-owner';
+import type { BackendOutcome, ReportedLoad } from '@tillerstair/session-owner';
 import { serverAt, serverUp, type Asked } from '../support/http-server.js';
 
 const answers = suite('answers of servers, and what they promise');
@@ -18,7 +18,7 @@
   work: Work,
 ): Promise<void> => {
   const server = await serverUp(play);
-  const backend = new HttpBackend({ connectWithin: 1000, connections: () => 4 });
+  const backend = new HttpBackend({ connectTimeoutMs: 1000, maxConnections: () => 4 });
   try {
     await work(backend, server.port, () => server.seen.length);
   } finally {
@@ -31,8 +31,8 @@
   backend: HttpBackend,
   port: number,
   left = within,
-  load: (reported: ServerLoad) => void = () => undefined,
-): Promise<Ended> =>
+  load: (reported: ReportedLoad) => void = () => undefined,
+): Promise<BackendOutcome> =>
   backend.pass(
     serverAt('s', 'p', port),
     {
@@ -49,7 +49,7 @@
     () => true,
   );
 
-const generateAt = (backend: HttpBackend, port: number): Promise<Ended> =>
+const generateAt = (backend: HttpBackend, port: number): Promise<BackendOutcome> =>
   backend.generate(
     serverAt('s', 'p', port),
     { id: 'i', messages: [{ role: 'user', text: 'x' }], maxTokens: 4, requestId: 'a' },
@@ -59,7 +59,7 @@
     () => true,
   );
 
-const actAt = (backend: HttpBackend, port: number): Promise<Ended> =>
+const actAt = (backend: HttpBackend, port: number): Promise<BackendOutcome> =>
   backend.act(
     serverAt('s', 'p', port),
     { id: 'i', key: 'k', path: '/x', body: '{}', requestId: 'a' },
@@ -120,7 +120,7 @@
     await withServer(
       (_asked, res) => res.writeHead(200, ['X-Request-Id', 'a', 'X-Load', text]).end('x'),
       async (backend, port) => {
-        const loads: ServerLoad[] = [];
+        const loads: ReportedLoad[] = [];
         await passTo(backend, port, within, (load) => loads.push(load));
         assert.equal(loads, expected, text);
       },
--- a/tests/src/session-owner/unbroken-ownership.test.ts
+++ b/tests/src/session-owner/unbroken-ownership.test.ts
@@ -55,7 +55,7 @@
       a.proxyLife.frozen = true;
       await w.clock.until(
         'taken over',
-        () => ownerAs(b, opKeyOf('t', key)) === b.front?.p.id,
+        () => ownerAs(b, opKeyOf('t', key)) === b.front?.id,
         20000,
       );
       w.servers.set('s1', { slow: 1 });
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -122,7 +122,7 @@
     }
     await w.clock.finish('all', Promise.all(going), 60000);
     assert.is.not(w.committed?.slots.map((s) => s.owner).join(), before);
-    const drainedId = w.at('front-1').front?.p.id;
+    const drainedId = w.at('front-1').front?.id;
     assert.ok(w.committed?.slots.every((s) => s.owner !== drainedId));
     const bad = w.reported
       .filter((t) => t.reported !== 'done' && t.errorCode !== 'budget-spent')
--- a/tests/src/support/front-rig.ts
+++ b/tests/src/support/front-rig.ts
@@ -1,45 +1,50 @@
 /** A front on a simulated clock, with a transport and servers that do as a test says. */
-import { Front } from '@tillerstair/proxy';
-import type { Ended, Passing, Sink } from '@tillerstair/session-owner';
+import { Front, type FrontParts } from '@tillerstair/proxy';
+import type { BackendOutcome, ForwardedRequest, ResponseSink } from '@tillerstair/session-owner';
 import { passRoutes, SimClock } from '@tillerstair/sim';
 import {
   bootstrapState,
   checkConfig,
-  flatten,
+  encodeState,
   Member,
   Server,
   type ConfigRecord,
   type State,
 } from '@tillerstair/state';
-import { noLog, type CallBounds, type Handler, type Transport } from '@tillerstair/wire';
+import {
+  silentLogger,
+  type CallOptions,
+  type RequestHandler,
+  type Transport,
+} from '@tillerstair/wire';
 
 /** A call that the front made over its transport. */
 export interface MadeCall {
   readonly to: string;
   readonly kind: string;
   readonly body: unknown;
-  readonly bounds: CallBounds;
+  readonly bounds: CallOptions;
 }
 
 /** A transport that records calls and answers as `answer` says. */
 export class ScriptedTransport implements Transport {
   readonly self = '10.0.0.1:1';
   readonly calls: MadeCall[] = [];
-  handler: Handler | undefined;
+  handler: RequestHandler | undefined;
   answer: (call: MadeCall) => Promise<unknown> = () => new Promise(() => undefined);
 
-  call(to: string, kind: string, body: unknown, bounds: CallBounds): Promise<unknown> {
+  call(to: string, kind: string, body: unknown, bounds: CallOptions): Promise<unknown> {
     const made = { to, kind, body, bounds };
     this.calls.push(made);
     return this.answer(made);
   }
 
-  serve(handler: Handler): Promise<void> {
+  serve(handler: RequestHandler): Promise<void> {
     this.handler = handler;
     return Promise.resolve();
   }
 
-  onLost(): void {
+  onConnectionLost(): void {
     // Nobody asks.
   }
 
@@ -49,7 +54,11 @@
 }
 
 /** What one of the servers does with a request on a pass route. */
-export type PassPlay = (passing: Passing, sink: Sink, gone: AbortSignal) => Promise<Ended>;
+export type PassPlay = (
+  passing: ForwardedRequest,
+  sink: ResponseSink,
+  gone: AbortSignal,
+) => Promise<BackendOutcome>;
 
 const configRecord = (note: string): ConfigRecord => {
   const text = JSON.stringify({
@@ -87,7 +96,7 @@
 
 /** The entries of a state, as an agent feeds them. */
 export const entriesOf = (state: State): readonly (readonly [string, string])[] => [
-  ...flatten(state),
+  ...encodeState(state),
 ];
 
 export const heartbeatInterval = 200;
@@ -97,8 +106,8 @@
 export const frontRig = (play: PassPlay = () => new Promise(() => undefined)) => {
   const clock = new SimClock();
   const transport = new ScriptedTransport();
-  const sent: Passing[] = [];
-  const front = new Front({
+  const sent: ForwardedRequest[] = [];
+  const parts: FrontParts = {
     id: 'f',
     clock,
     transport,
@@ -111,7 +120,7 @@
       generate: () => Promise.resolve({ kind: 'lost', text: 'lost' }),
       load: () => Promise.resolve({ busy: 0, draining: false }),
     },
-    log: noLog,
+    log: silentLogger,
     affinity: false,
     bounds: {
       heartbeatInterval,
@@ -121,11 +130,12 @@
       retentionMs: 1e6,
       stopWithin: 1000,
     },
-  });
+  };
+  const front = new Front(parts);
   /** Takes a state and a lease, as from an agent in touch with a master. */
   const take = (state: State): void => {
     front.owner.take(state);
     front.owner.renewLease(clock.now());
   };
-  return { clock, transport, front, sent, take };
+  return { clock, transport, parts, front, sent, take };
 };
--- a/tests/src/support/http-server.ts
+++ b/tests/src/support/http-server.ts
@@ -3,7 +3,7 @@
 import { once } from 'node:events';
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
-import { carrier, Front, HttpBackend, ownDialect } from '@tillerstair/proxy';
+import { createPassHandler, Front, HttpBackend, productDialect } from '@tillerstair/proxy';
 import { passHost, passRoutes } from '@tillerstair/sim';
 import { checkConfig, bootstrapState, Server, type State } from '@tillerstair/state';
 import { hostClock, silentLogger, TcpTransport } from '@tillerstair/wire';
@@ -110,7 +110,7 @@
 
 /** A front before `ups`, each of which stands in both pools. */
 export const frontUp = async (...ups: readonly Up[]) => {
-  const backend = new HttpBackend({ connectWithin: 2000, connections: () => 1 });
+  const backend = new HttpBackend({ connectTimeoutMs: 2000, maxConnections: () => 1 });
   const front = new Front({
     id: 'f',
     clock: hostClock,
@@ -136,7 +136,7 @@
     ),
   );
   front.owner.renewLease(hostClock.now());
-  const carried = carrier(front, ownDialect, () => 1 << 20);
+  const carried = createPassHandler(front, productDialect, () => 1 << 20);
   const http = createServer((req, res) => void carried(req, res));
   http.listen(0, '127.0.0.1');
   await once(http, 'listening');
--- a/tests/src/support/raw-server.ts
+++ b/tests/src/support/raw-server.ts
@@ -2,13 +2,13 @@
 import { once } from 'node:events';
 import { createServer, type Socket } from 'node:net';
 import { z } from 'zod';
-import { HttpBackend, ownDialect } from '@tillerstair/proxy';
+import { HttpBackend, productDialect } from '@tillerstair/proxy';
 import { Server } from '@tillerstair/state';
 import type { BackendOutcome, ForwardedRequest } from '@tillerstair/session-owner';
 
 export const Bound = z.object({ port: z.number() });
 
-export const dialect = { ...ownDialect, madeByServer: 'x-seal' };
+export const dialect = { ...productDialect, madeByServer: 'x-seal' };
 
 export const never: AbortSignal = new AbortController().signal;
 
@@ -83,7 +83,7 @@
   `HTTP/1.1 ${status}\r\nX-Request-Id: ${attempt}\r\n${more}Content-Length: ${body.length}\r\n\r\n${body}`;
 
 export const client = (connections = 1): HttpBackend =>
-  new HttpBackend({ connectWithin: 2000, connections: () => connections }, dialect);
+  new HttpBackend({ connectTimeoutMs: 2000, maxConnections: () => connections }, dialect);
 
 export interface Got {
   readonly ended: BackendOutcome;
--- a/tests/src/support/world-helpers.ts
+++ b/tests/src/support/world-helpers.ts
@@ -166,7 +166,7 @@
 export const ownerOf = (w: World, key: string) => {
   const s = w.committed;
   const slot = s?.slots[slotForKey(key, s.slots.length)];
-  return w.of('front').find((m) => m.front?.p.id === slot?.owner);
+  return w.of('front').find((m) => m.front?.id === slot?.owner);
 };
 
 export const acts = (w: World, key: string): number =>
