--- a/packages/zen/src/publication.ts
+++ b/packages/zen/src/publication.ts
@@ -10,9 +10,10 @@
   type State,
   type StateVersion,
 } from '@tillerstair/state';
-import type { Payload } from './messages.js';
+import type { PublishPayload } from './messages.js';
 
-const pack = (payload: Payload): string => deflateSync(JSON.stringify(payload)).toString('base64');
+const pack = (payload: PublishPayload): string =>
+  deflateSync(JSON.stringify(payload)).toString('base64');
 
 /** One state to be sent; each form is made once, whatever the number of members. */
 export class Publication {
