--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,169 +1,218 @@
-import { z } from 'zod';
+/**
+ * The agent beside a proxy: keeps the control link of the front, so that a proxy which is busy or stopped for a moment
+ * does not lose it. Owns the node of the cluster that stands for the adopted proxy, and the feed of that proxy. A proxy
+ * that started anew has a new id and is a new node; one that is silent for the failure timeout leaves the cluster.
+ */
+import type { Member, State } from '@tillerstair/state';
 import {
-  encodeState,
-  versionOf,
-  isNewerVersion,
-  type StateVersion,
-  type Member,
-  type State,
-} from '@tillerstair/state';
-import {
-  type Clock,
   createAbortController,
   delay,
   FeedError,
-  type Logger,
   toRpcError,
+  type Clock,
+  type Logger,
   type Transport,
 } from '@tillerstair/wire';
 import { MemoryElectionStore, ZenNode, type ZenBounds } from '@tillerstair/zen';
-import { ListWatch } from './list-watch.js';
+import { ProxyHello } from './messages.js';
+import { emptyReport, ProxyFeed, type ProxyReport } from './proxy-feed.js';
+import { ServerListMonitor } from './server-list-monitor.js';
 
+/** What an agent is made from. */
 export interface AgentParts {
+  /** The agent's address for other nodes. */
   readonly addr: string;
+  /** The address of the agent's own pages. */
   readonly http: string;
   readonly zone: string;
+  /** The name that operators may use for this node. */
   readonly name: string;
+  /** The loopback address of the proxy. */
   readonly proxy: string;
   readonly seeds: readonly string[];
   readonly clock: Clock;
+  /** The transport to other nodes. */
   readonly transport: Transport;
-  readonly loop: Transport;
+  /** The transport to the proxy. */
+  readonly loopback: Transport;
   readonly bounds: ZenBounds;
   /** How long an agent that is told to stop may wait for a proxy that stops too, in ms. */
   readonly stopWithin: number;
   readonly log: Logger;
 }
 
-const Hello = z.object({ id: z.string(), addr: z.string(), http: z.string() });
-const Fed = z.object({
-  id: z.string(),
-  applied: z.object({ term: z.number(), version: z.number() }),
-  seen: z.unknown(),
-  released: z.array(z.unknown()),
-  stopping: z.boolean().default(false),
-});
+/** Whether the agent is ready, and why not. */
+export interface AgentReadiness {
+  readonly ready: boolean;
+  readonly why: string;
+}
+
+/** The proxy that this agent stands for in the cluster. */
+interface AdoptedProxy {
+  readonly id: string;
+  readonly zen: ZenNode;
+  readonly serverList: ServerListMonitor;
+  readonly feed: ProxyFeed;
+}
+
+const proxyMissing = 'the proxy beside this agent is not there';
 
+/** Feeds a proxy so many times a heartbeat. */
+const feedsPerHeartbeat = 4;
+/** A proxy that took no feed for so many heartbeats is not ready. */
+const readyHeartbeats = 2;
+/** A stopping agent learns within this share of a heartbeat whether its proxy stops too, and asks so often. */
+const learnShare = 1 / 2;
+const learnCheckShare = 1 / 20;
+/** How often a stopping agent asks the master to drain its proxy, as a share of a heartbeat. */
+const departShare = 1 / 8;
+
+/** An agent and the proxy that it adopted. */
 export class Agent {
-  private zen: ZenNode | undefined;
-  private list: ListWatch | undefined;
-  private readonly gone = createAbortController();
-  private seen: unknown = [];
-  private released: readonly unknown[] = [];
-  private proxyId = '';
-  private proxyStops = false;
-  private strange = true;
-  private fedVersion: StateVersion = versionOf(undefined);
-  private fedConfig = '';
-  private lastFed = -Infinity;
+  private readonly clock: Clock;
+  private readonly transport: Transport;
+  private readonly loopback: Transport;
+  private readonly bounds: ZenBounds;
+  private readonly log: Logger;
+  private readonly stopping = createAbortController();
+  private adopted: AdoptedProxy | undefined;
+  /** The last report of any proxy; a newly adopted one has it until it reports itself. */
+  private lastReport: ProxyReport = emptyReport;
+  /** Whether the last feed failed, so that the proxy is asked who it is before the next one. */
+  private mustIdentify = true;
   private seeds: readonly string[];
 
-  constructor(private readonly p: AgentParts) {
-    this.seeds = p.seeds;
+  constructor(private readonly parts: AgentParts) {
+    this.clock = parts.clock;
+    this.transport = parts.transport;
+    this.loopback = parts.loopback;
+    this.bounds = parts.bounds;
+    this.log = parts.log;
+    this.seeds = parts.seeds;
   }
 
   /** Uses other seed addresses from the next ping round on. */
   replaceSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
-    this.zen?.replaceSeeds(seeds);
+    this.adopted?.zen.replaceSeeds(seeds);
   }
 
+  /** Begins to serve other nodes and to look for the proxy. */
   async start(): Promise<void> {
-    await this.p.transport.serve(async (rpc) => {
-      const zen = this.zen;
-      if (!zen) throw new FeedError('no-proxy', 'the proxy beside this agent is not there');
-      return zen.handle(rpc);
-    });
+    await this.transport.serve(async (request) => this.currentProxy().zen.handle(request));
     void this.run();
   }
 
   /** If the proxy is stopping too, its slots are handed over and it is fed until it has ended; else leaves at once. */
   async stop(): Promise<void> {
-    const { clock, bounds, transport, stopWithin } = this.p;
-    const end = clock.now() + stopWithin;
-    const learnBy = clock.now() + bounds.heartbeatInterval / 2;
-    while (this.zen && !this.proxyStops && clock.now() < learnBy)
-      await delay(clock, bounds.heartbeatInterval / 20);
-    while (
-      this.zen &&
-      this.proxyStops &&
-      clock.now() < end &&
-      clock.now() - this.lastFed < bounds.heartbeatInterval
-    ) {
-      const master = this.zen.masterSeen;
-      if (master && !this.zen.applied?.retiring.has(this.proxyId))
-        await transport
-          .call(
-            master.addr,
-            'control/depart',
-            { id: this.proxyId },
-            { timeoutMs: bounds.heartbeatInterval },
-          )
-          .catch(() => undefined);
-      await delay(clock, bounds.heartbeatInterval / 8);
+    const end = this.clock.now() + this.parts.stopWithin;
+    await this.learnWhetherProxyStops();
+    await this.drainStoppingProxy(end);
+    this.stopping.abort();
+    this.adopted?.serverList.stop();
+    await this.adopted?.zen.stop();
+    await this.transport.close();
+    await this.loopback.close();
+  }
+
+  private async learnWhetherProxyStops(): Promise<void> {
+    const { heartbeatInterval } = this.bounds;
+    const end = this.clock.now() + heartbeatInterval * learnShare;
+    while (this.adopted && !this.adopted.feed.proxyStops && this.clock.now() < end)
+      await delay(this.clock, heartbeatInterval * learnCheckShare);
+  }
+
+  private async drainStoppingProxy(end: number): Promise<void> {
+    const { heartbeatInterval } = this.bounds;
+    const isFed = ({ feed }: AdoptedProxy): boolean =>
+      feed.proxyStops && feed.idleMs < heartbeatInterval;
+    while (this.adopted && this.clock.now() < end && isFed(this.adopted)) {
+      await this.announceDeparture(this.adopted);
+      await delay(this.clock, heartbeatInterval * departShare);
     }
-    this.gone.abort();
-    this.list?.stop();
-    await this.zen?.stop();
-    await this.p.transport.close();
-    await this.p.loop.close();
   }
 
-  get node(): ZenNode | undefined {
-    return this.zen;
+  /** Asks the master to hand the slots of the proxy over, unless it does so already. */
+  private async announceDeparture({ id, zen }: AdoptedProxy): Promise<void> {
+    const master = zen.masterSeen;
+    if (!master || zen.applied?.retiring.has(id)) return;
+    const timeoutMs = this.bounds.heartbeatInterval;
+    await this.transport
+      .call(master.addr, 'control/depart', { id }, { timeoutMs })
+      .catch(() => undefined);
+  }
+
+  /** The node of the cluster that stands for the proxy; undefined while there is none. */
+  get zenNode(): ZenNode | undefined {
+    return this.adopted?.zen;
   }
 
-  readiness(): { ready: boolean; why: string } {
-    if (!this.zen) return { ready: false, why: 'the proxy beside this agent is not there' };
-    if (!this.zen.masterSeen) return { ready: false, why: 'no master is known' };
-    if (this.p.clock.now() - this.lastFed > this.p.bounds.heartbeatInterval * 2)
+  /** Whether the proxy is fed by an agent that knows a master, and why not. */
+  readiness(): AgentReadiness {
+    if (!this.adopted) return { ready: false, why: proxyMissing };
+    const { zen, feed } = this.adopted;
+    if (!zen.masterSeen) return { ready: false, why: 'no master is known' };
+    if (feed.idleMs > this.bounds.heartbeatInterval * readyHeartbeats)
       return { ready: false, why: 'the proxy takes no feed' };
-    return { ready: true, why: `master ${this.zen.masterSeen.addr}` };
+    return { ready: true, why: `master ${zen.masterSeen.addr}` };
+  }
+
+  private currentProxy(): AdoptedProxy {
+    if (!this.adopted) throw new FeedError('no-proxy', proxyMissing);
+    return this.adopted;
   }
 
   private async run(): Promise<void> {
-    const { clock, bounds, log } = this.p;
-    while (!this.gone.signal.aborted) {
+    const { bounds, clock, log, stopping } = this;
+    while (!stopping.signal.aborted) {
       try {
-        if (!this.zen || this.strange) {
-          const hello = Hello.parse(
-            await this.p.loop.call(
-              this.p.proxy,
-              'front/hello',
-              {},
-              { timeoutMs: bounds.heartbeatInterval },
-            ),
-          );
-          if (hello.id !== this.proxyId) await this.adopt(hello);
-          this.strange = false;
-        }
-        const zen: ZenNode | undefined = this.zen;
-        if (zen) await this.feed(zen.applied);
-      } catch (e) {
-        this.strange = true;
-        log.debug(`The proxy does not reply: ${toRpcError(e).message}.`);
-        if (this.zen && clock.now() - this.lastFed > bounds.failureTimeout) await this.dismiss();
+        if (!this.adopted || this.mustIdentify) await this.identifyProxy();
+        if (this.adopted) await this.feed(this.adopted.zen.applied);
+      } catch (error) {
+        this.mustIdentify = true;
+        log.debug(`The proxy does not reply: ${toRpcError(error).message}.`);
+        if (this.adopted && this.adopted.feed.idleMs > bounds.failureTimeout) await this.dismiss();
       }
-      await delay(clock, bounds.heartbeatInterval / 4, this.gone.signal);
+      await delay(clock, bounds.heartbeatInterval / feedsPerHeartbeat, stopping.signal);
     }
   }
 
+  private async identifyProxy(): Promise<void> {
+    const { bounds, loopback, parts } = this;
+    const hello = ProxyHello.parse(
+      await loopback.call(parts.proxy, 'front/hello', {}, { timeoutMs: bounds.heartbeatInterval }),
+    );
+    if (hello.id !== this.adopted?.id) await this.adopt(hello);
+    this.mustIdentify = false;
+  }
+
+  private async leaveCluster(): Promise<void> {
+    const old = this.adopted;
+    this.adopted = undefined;
+    old?.serverList.stop();
+    await old?.zen.stop();
+  }
+
   private async dismiss(): Promise<void> {
-    const old = this.zen;
-    this.zen = undefined;
-    this.proxyId = '';
-    this.list?.stop();
-    await old?.stop();
-    this.p.log.warn('The proxy is gone, left the cluster.');
-  }
-
-  private async adopt(hello: z.infer<typeof Hello>): Promise<void> {
-    const { addr, zone, name, clock, transport, bounds, log } = this.p;
-    const { seeds } = this;
-    const old = this.zen;
-    this.zen = undefined;
-    this.list?.stop();
-    await old?.stop();
+    await this.leaveCluster();
+    this.log.warn('The proxy is gone, left the cluster.');
+  }
+
+  private async adopt(hello: ProxyHello): Promise<void> {
+    await this.leaveCluster();
+    const { bounds, clock, log, loopback, transport } = this;
+    const serverList = new ServerListMonitor(clock, transport, bounds, log, hello.id);
+    const feedParts = { clock, loopback, addr: this.parts.proxy, bounds };
+    const feed = new ProxyFeed(feedParts, hello.id, this.lastReport);
+    const zen = this.createNode(hello, serverList);
+    this.adopted = { id: hello.id, zen, serverList, feed };
+    zen.start();
+    void serverList.run(zen);
+    log.info(`Adopted proxy ${hello.id}.`);
+  }
+
+  private createNode(hello: ProxyHello, serverList: ServerListMonitor): ZenNode {
+    const { addr, zone, name } = this.parts;
     const me: Member = {
       id: hello.id,
       kind: 'front',
@@ -173,63 +222,33 @@
       data: hello.addr,
       name,
     };
-    this.proxyId = hello.id;
-    this.proxyStops = false;
-    this.fedVersion = versionOf(undefined);
-    this.fedConfig = '';
-    this.lastFed = clock.now();
-    const list = new ListWatch(clock, transport, bounds, log, hello.id);
-    const zen: ZenNode = new ZenNode({
+    return new ZenNode({
       me,
-      seeds,
-      clock,
-      transport,
-      bounds,
-      log,
+      seeds: this.seeds,
+      clock: this.clock,
+      transport: this.transport,
+      bounds: this.bounds,
+      log: this.log,
       electionStore: new MemoryElectionStore(hello.id),
       slots: 0,
-      onApplied: (s) => this.feed(s),
-      report: () => ({ seen: this.seen, released: this.released }),
-      onListReport: (reported, askedAt) => list.onListReport(reported, askedAt),
+      onApplied: (state) => this.feed(state),
+      report: () => this.lastReport,
+      onListReport: (reported, askedAt) => {
+        serverList.applyReport(reported, askedAt);
+      },
     });
-    this.zen = zen;
-    this.list = list;
-    zen.start();
-    void list.run(zen);
-    log.info(`Adopted proxy ${hello.id}.`);
   }
 
-  private async feed(s: State | undefined): Promise<void> {
-    const zen = this.zen;
-    if (!zen) throw new FeedError('no-proxy', 'the proxy beside this agent is not there');
-    const send = s && isNewerVersion(versionOf(s), this.fedVersion);
-    const digest = s?.config?.digest ?? '';
-    const known = digest !== '' && digest === this.fedConfig;
-    const leaseRenewedAt = Math.min(zen.leaseRenewedAt, this.list?.leaseRenewedAt ?? -Infinity);
-    const barred = this.list?.barred(s);
-    const body = {
-      ...(send ? { state: [...encodeState(s)].filter(([k]) => !known || k !== 'config') } : {}),
-      ...(send && known ? { config: digest } : {}),
-      leaseRenewedAt: Number.isFinite(leaseRenewedAt) ? leaseRenewedAt : -1,
-      ...(barred ? { barred } : {}),
+  /** Feeds the proxy; a front is no fresher than the newest reading of the list of servers. */
+  private async feed(state: State | undefined): Promise<void> {
+    const { zen, serverList, feed } = this.currentProxy();
+    const releasesMore = await feed.feed(state, {
+      leaseRenewedAt: Math.min(zen.leaseRenewedAt, serverList.leaseRenewedAt),
+      barred: serverList.barredServers(state),
       master: zen.masterSeen?.id ?? '',
       term: zen.term,
-    };
-    if (send) this.fedConfig = '';
-    const fed = Fed.parse(
-      await this.p.loop.call(this.p.proxy, 'front/feed', body, {
-        timeoutMs: this.p.bounds.heartbeatInterval,
-      }),
-    );
-    if (send) this.fedConfig = digest;
-    if (fed.id !== this.proxyId) throw new FeedError('other-proxy', 'another proxy replied');
-    this.fedVersion = fed.applied;
-    this.proxyStops = fed.stopping;
-    this.seen = fed.seen;
-    const fresh =
-      fed.released.length > 0 && JSON.stringify(fed.released) !== JSON.stringify(this.released);
-    this.released = fed.released;
-    if (fresh) zen.reportNow();
-    this.lastFed = this.p.clock.now();
+    });
+    this.lastReport = feed.report;
+    if (releasesMore) zen.reportNow();
   }
 }
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The program `front-agent`. */
 import { AgentSettings, runDaemon } from '@tillerstair/settings';
 import { startAgent } from './start.js';
 
--- a/packages/agent/src/start.ts
+++ b/packages/agent/src/start.ts
@@ -1,3 +1,5 @@
+/** Starts a front-agent: the agent, and its pages. */
+import type { ServerResponse } from 'node:http';
 import {
   closeHttp,
   servePages,
@@ -5,45 +7,50 @@
   type AgentSettings,
   type Running,
 } from '@tillerstair/settings';
-import { nodeViewOf } from '@tillerstair/state';
+import { nodeViewOf, type NodeView } from '@tillerstair/state';
 import { hostClock, sendJson, TcpTransport } from '@tillerstair/wire';
 import { reloadableBounds } from '@tillerstair/zen';
 import { Agent } from './agent.js';
 
+const ok = 200;
+const notFound = 404;
+
+const viewOf = (agent: Agent, addr: string): NodeView => {
+  const node = agent.zenNode;
+  const id = node ? addr : '';
+  return nodeViewOf(id, 'agent', node?.term ?? 0, node?.masterSeen?.id ?? '', node?.applied);
+};
+
+const answerPage = (agent: Agent, addr: string, res: ServerResponse, path: string): void => {
+  if (path === '/v1/view') sendJson(res, ok, viewOf(agent, addr));
+  else sendJson(res, notFound, { executed: 'no', errorCode: 'no-such-page' });
+};
+
+/** Starts a front-agent; `reload` takes other seeds and bounds over. */
 export const startAgent = async (settings: AgentSettings): Promise<Running<AgentSettings>> => {
   const log = stderrLog('agent', settings.log);
-  const { bounds, replace } = reloadableBounds(settings.bounds);
+  const reloadable = reloadableBounds(settings.bounds);
   const agent = new Agent({
     ...settings,
     clock: hostClock,
     transport: new TcpTransport(settings.addr, settings.listen),
-    loop: new TcpTransport(settings.addr),
-    bounds,
+    loopback: new TcpTransport(settings.addr),
+    bounds: reloadable.bounds,
     log,
   });
   await agent.start();
   const http = await servePages(
     settings.http,
     () => agent.readiness(),
-    async (_req, res, url) => {
-      const zen = agent.node;
-      if (url.pathname === '/v1/view') {
-        const b = nodeViewOf(
-          zen ? settings.addr : '',
-          'agent',
-          zen?.term ?? 0,
-          zen?.masterSeen?.id ?? '',
-          zen?.applied,
-        );
-        return sendJson(res, 200, b);
-      }
-      sendJson(res, 404, { executed: 'no', errorCode: 'no-such-page' });
+    (_req, res, url) => {
+      answerPage(agent, settings.addr, res, url.pathname);
+      return Promise.resolve();
     },
   );
   log.info(`Serving at ${settings.addr}, feeding ${settings.proxy}.`);
   return {
     reload: (next) => {
-      replace(next.bounds);
+      reloadable.replace(next.bounds);
       agent.replaceSeeds(next.seeds);
     },
     stop: async () => {
--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -93,7 +93,7 @@
     name: `hollow-${n}`,
     stopWithin: failureTimeout,
     proxy: at(feed),
-    loop: new TcpTransport(at(loop)),
+    loopback: new TcpTransport(at(loop)),
   });
   await agent.start();
 };
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -142,7 +142,7 @@
       name: this.name,
       proxy: `${this.addr}/feed`,
       stopWithin: 5 * this.settings.bounds.heartbeatInterval,
-      loop: w.net.transport(`${this.addr}/loop`, life),
+      loopback: w.net.transport(`${this.addr}/loop`, life),
     });
     await agent.start();
     this.agent = agent;
--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -5,7 +5,7 @@
 import { ListPoll, ListReader } from '@tillerstair/control';
 import { Life, SimClock, SimList, World } from '@tillerstair/sim';
 import { silentLogger, type Transport } from '@tillerstair/wire';
-import { ListWatch } from '@tillerstair/agent';
+import { ServerListMonitor } from '@tillerstair/agent';
 import { listUp, press, everyFront } from '../support/listed-servers.js';
 
 const reading = suite('how the list of servers is read');
@@ -144,8 +144,8 @@
       onConnectionLost: () => undefined,
       close: async () => undefined,
     };
-    const watch = (): ListWatch =>
-      new ListWatch(
+    const watch = (): ServerListMonitor =>
+      new ServerListMonitor(
         clock,
         transport,
         new World(1, { controls: 0, stores: 0, fronts: 0 }).bounds,
@@ -154,14 +154,14 @@
       );
     const one = watch();
     assert.is(one.leaseRenewedAt, -Infinity);
-    one.onListReport({ age: null, readAge: null }, 1000);
+    one.applyReport({ age: null, readAge: null }, 1000);
     assert.is(one.leaseRenewedAt, -Infinity);
-    one.onListReport({ age: 300, readAge: null }, 1000);
+    one.applyReport({ age: 300, readAge: null }, 1000);
     assert.is(one.leaseRenewedAt, 700);
-    one.onListReport({ age: 900, readAge: 900 }, 1200);
+    one.applyReport({ age: 900, readAge: 900 }, 1200);
     assert.is(one.leaseRenewedAt, 700);
     const two = watch();
-    two.onListReport(undefined, 1000);
+    two.applyReport(undefined, 1000);
     assert.is(two.leaseRenewedAt, Infinity);
   },
 );
--- a/tests/src/session-owner/unbroken-ownership.test.ts
+++ b/tests/src/session-owner/unbroken-ownership.test.ts
@@ -63,9 +63,9 @@
       assert.is(elsewhere.reported, 'done', elsewhere.errorCode);
       assert.is(acts(w, key), 1);
       b.kill();
-      await w.clock.until('dismissed', () => a.agent?.node === undefined, 10000);
+      await w.clock.until('dismissed', () => a.agent?.zenNode === undefined, 10000);
       a.proxyLife.wake();
-      await w.clock.until('adopted again', () => a.agent?.node !== undefined, 10000);
+      await w.clock.until('adopted again', () => a.agent?.zenNode !== undefined, 10000);
       w.net.cut(`${a.addr}/loop`, `${a.addr}/feed`);
       await w.clock.until('owner again', () => ownerOf(w, opKeyOf('t', key)) === a, 20000);
       assert.ok((slotAt(w, opKeyOf('t', key))?.ownershipEpoch ?? 0) >= ownershipEpoch + 2);
--- a/tests/src/support/placement-fixture.ts
+++ b/tests/src/support/placement-fixture.ts
@@ -122,7 +122,7 @@
   }
 
   remove(id: string): void {
-    this.state = reduceState(this.state, { kind: 'server-gone', id });
+    this.state = reduceState(this.state, { kind: 'server-removed', id });
   }
 
   pick(skip: readonly string[] = []): string | undefined {
