--- a/packages/proxy/src/forwarder.ts
+++ b/packages/proxy/src/forwarder.ts
@@ -1,6 +1,6 @@
 /**
  * Forwards requests to the owner of their slot, and follows the slot to its next owner (`docs/design.md`, "A turn").
- * It keeps no state beyond one request. What an owner that left the cluster may have run is never told as refused, and
+ * It keeps no state beyond one request. What an owner that left the cluster may have run never counts for refused, and
  * a stream that has begun is never asked for again.
  */
 import {
--- a/packages/proxy/src/http-answers.ts
+++ b/packages/proxy/src/http-answers.ts
@@ -1,4 +1,4 @@
-/** Helpers of the `/v1` pages: headers of requests, bodies checked against a schema, and outcomes as JSON. */
+/** Helpers of the `/v1` pages: headers of requests, bodies checked against a schema, and outcomes in JSON. */
 import { randomBytes } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { z } from 'zod';
--- a/packages/proxy/src/messages.ts
+++ b/packages/proxy/src/messages.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import { TableEntries } from '@tillerstair/state';
 
-/** What the agent feeds: a newer state if there is one, the read lease, and who it knows as master. */
+/** What the agent feeds: a newer state if there is one, the read lease, and which master it knows. */
 export const Feed = z.object({
   state: TableEntries.optional(),
   /** The digest of the configuration that belongs to `state`, where that is left out of it. */
--- a/tests/src/control/operator-answers.test.ts
+++ b/tests/src/control/operator-answers.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import type { OperatorResponse } from '@tillerstair/control';
 import { freePorts } from '@tillerstair/fleet';
-import { OperatorDesk, operatorPage } from '@tillerstair/platform';
+import { OperatorAdapter, createOperatorApi } from '@tillerstair/platform';
 import { serveHttp } from '@tillerstair/wire';
 import { configText } from '../support/world-helpers.js';
 import { way, whole, text, up, deskOf } from '../support/operator-world.js';
@@ -92,13 +92,13 @@
   await w.clock.run(8000);
   const node = alone?.control;
   if (!node) throw new Error('no control');
-  const desk = new OperatorDesk((o) => node.operate(o));
+  const desk = new OperatorAdapter((o) => node.operate(o));
   const put = await w.clock.finish('PUT', desk.change('PUT', '1', text(whole(2))), 30000);
   assert.is(put.status, 503);
   assert.ok((put.retryAfter ?? 0) > 0);
   const read = await w.clock.finish('GET', desk.read(), 30000);
   assert.is(typeof read === 'string' ? 200 : read.status, 503);
-  const late = new OperatorDesk(async () => ({ status: 504, body: { executed: 'unknown' } }));
+  const late = new OperatorAdapter(async () => ({ status: 504, body: { executed: 'unknown' } }));
   assert.is((await late.change('PUT', '1', text(whole(2)))).status, 504);
 });
 
@@ -154,7 +154,7 @@
   const [port = 0] = await freePorts(1);
   const server = await serveHttp(
     `127.0.0.1:${port}`,
-    operatorPage(async (o) => {
+    createOperatorApi(async (o) => {
       asked.push(`${o.method} ${o.path}`);
       return outcomes.get(`${o.method} ${o.path}`) ?? { status: 404, body: {} };
     }),
--- a/tests/src/control/operator.test.ts
+++ b/tests/src/control/operator.test.ts
@@ -1,7 +1,7 @@
 /** Operators change the configuration: versions, repeats, races, patches, translation. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { OperatorDesk } from '@tillerstair/platform';
+import { OperatorAdapter } from '@tillerstair/platform';
 import { compiledConfig, findRoute, buildRouteTable } from '@tillerstair/state';
 import { way, engine, depot, whole, text, up, deskOf } from '../support/operator-world.js';
 
@@ -59,7 +59,7 @@
     assert.is((await deskOf(w).change('PUT', 0, whole(1))).status, 200);
     const nodes = w.of('control').flatMap((m) => m.control ?? []);
     const race = nodes.map((node, i) => {
-      const desk = new OperatorDesk((o) => node.operate(o));
+      const desk = new OperatorAdapter((o) => node.operate(o));
       return i === 0
         ? desk.change('PATCH', '1', text({ edition: 4, upsert: { ways: [way('r9')] } }))
         : desk.change('PUT', '1', text(whole(4 + i)));
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { configHistory, type ConfigAnswer } from '@tillerstair/checker';
 import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
-import { OperatorDesk } from '@tillerstair/platform';
+import { OperatorAdapter } from '@tillerstair/platform';
 import { ConfigCalls, seededRng, World, type Machine } from '@tillerstair/sim';
 import {
   diffStates,
@@ -77,7 +77,7 @@
       version: o.version,
       content: undefined,
     };
-    const desk = new OperatorDesk(
+    const desk = new OperatorAdapter(
       async (x: OperatorRequest) => (await node?.operate(x)) ?? { status: 504, body: null },
     );
     return this.calls.record(what, () => desk.change(o.method, String(o.base), o.body), answerOf);
@@ -213,7 +213,7 @@
     if (!node) throw new Error('no master');
     const patched = patching(1, 3, 'r2');
     const midway = (between: () => Promise<OperatorResponse | undefined>) =>
-      new OperatorDesk(async (o) => {
+      new OperatorAdapter(async (o) => {
         if (o.method === 'PUT') await between();
         return node.operate(o);
       });
--- a/tests/src/platform/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -12,7 +12,7 @@
   proxySettings,
   readSettings,
   storeSettings,
-  type Settings,
+  type PlatformSettings,
 } from '@tillerstair/platform';
 import { seededRng, World } from '@tillerstair/sim';
 import { zenBounds, type ZenBounds } from '@tillerstair/zen';
@@ -87,7 +87,7 @@
   });
 };
 
-const readDrawn = (seed: number): Promise<Settings> =>
+const readDrawn = (seed: number): Promise<PlatformSettings> =>
   withFolder(async (dir) => {
     const path = join(dir, 'settings.yaml');
     await writeFile(path, drawn(seed));
--- a/tests/src/platform/translation.test.ts
+++ b/tests/src/platform/translation.test.ts
@@ -7,7 +7,7 @@
 import * as assert from 'uvu/assert';
 import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
 import { freePorts } from '@tillerstair/fleet';
-import { operatorPage, platformDialect, readSettings } from '@tillerstair/platform';
+import { createOperatorApi, platformDialect, readSettings } from '@tillerstair/platform';
 import { serveHttp } from '@tillerstair/wire';
 import { call, headerOf, jsonOf } from '../support/interface-calls.js';
 import { repositoryRoot } from '../support/repository.js';
@@ -137,7 +137,7 @@
   const [port = 0] = await freePorts(1);
   const server = await serveHttp(
     `127.0.0.1:${port}`,
-    operatorPage((operation) => {
+    createOperatorApi((operation) => {
       asked.push(operation);
       return Promise.resolve(answer(operation));
     }),
@@ -301,6 +301,8 @@
     assert.is(operation.method, 'PUT');
     assert.is(operation.path, '/v1/config');
     assert.equal(JSON.parse(operation.body), productFile);
+    // Its digest is told and compared, so the order of the keys stays too.
+    assert.is(operation.body, JSON.stringify(productFile));
   } finally {
     page.close();
   }
--- a/tests/src/proxy/client-listeners.test.ts
+++ b/tests/src/proxy/client-listeners.test.ts
@@ -5,7 +5,7 @@
 import * as assert from 'uvu/assert';
 import { freePorts } from '@tillerstair/fleet';
 import { Front, HttpBackend } from '@tillerstair/proxy';
-import { limitsOf, openHttpListener, type ClientLimits } from '@tillerstair/platform';
+import { clientLimitsOf, openHttpListener, type ClientLimits } from '@tillerstair/platform';
 import { passRoutes } from '@tillerstair/sim';
 import { checkConfig, bootstrapState } from '@tillerstair/state';
 import { hostClock, silentLogger, TcpTransport } from '@tillerstair/wire';
@@ -192,7 +192,7 @@
       stopWithin: 1000,
     },
   });
-  const before = limitsOf(front);
+  const before = clientLimitsOf(front);
   assert.ok(before.idleMs >= 10000 && before.headerBytes >= 16384);
   for (const [version, idleMs] of [
     [1, 21000],
@@ -223,7 +223,7 @@
         changeId: '',
       },
     });
-    assert.equal(limitsOf(front), limits);
+    assert.equal(clientLimitsOf(front), limits);
   }
 });
 
--- a/tests/src/support/operator-world.ts
+++ b/tests/src/support/operator-world.ts
@@ -1,6 +1,6 @@
 /** Configurations in the platform's words, and the desk that takes them. */
 import type { OperatorResponse } from '@tillerstair/control';
-import { OperatorDesk } from '@tillerstair/platform';
+import { OperatorAdapter } from '@tillerstair/platform';
 import { World } from '@tillerstair/sim';
 import { small } from './world-helpers.js';
 
@@ -80,7 +80,7 @@
 export const deskOf = (w: World, n?: number) => {
   const node = n === undefined ? w.master?.control : w.of('control')[n]?.control;
   if (!node) throw new Error('no control');
-  const desk = new OperatorDesk((o) => node.operate(o));
+  const desk = new OperatorAdapter((o) => node.operate(o));
   return {
     change: (
       method: 'PUT' | 'PATCH',
