--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -3,6 +3,7 @@
  * does not lose it. Owns the node of the cluster that stands for the adopted proxy, and the feed of that proxy. A proxy
  * that started anew has a new id and is a new node; one that is silent for the failure timeout leaves the cluster.
  */
+import type { Readiness } from '@tillerstair/settings';
 import type { Member, State } from '@tillerstair/state';
 import {
   createAbortController,
@@ -41,12 +42,6 @@
   readonly log: Logger;
 }
 
-/** Whether the agent is ready, and why not. */
-export interface AgentReadiness {
-  readonly ready: boolean;
-  readonly why: string;
-}
-
 /** The proxy that this agent stands for in the cluster. */
 interface AdoptedProxy {
   readonly id: string;
@@ -148,7 +143,7 @@
   }
 
   /** Whether the proxy is fed by an agent that knows a master, and why not. */
-  readiness(): AgentReadiness {
+  readiness(): Readiness {
     if (!this.adopted) return { ready: false, why: proxyMissing };
     const { zen, feed } = this.adopted;
     if (!zen.masterSeen) return { ready: false, why: 'no master is known' };
@@ -195,7 +190,7 @@
 
   private async dismiss(): Promise<void> {
     await this.leaveCluster();
-    this.log.warn('The proxy is gone, left the cluster.');
+    this.log.warn('The proxy does not reply, left the cluster.');
   }
 
   private async adopt(hello: ProxyHello): Promise<void> {
