--- a/packages/agent/src/server-list-monitor.ts
+++ b/packages/agent/src/server-list-monitor.ts
@@ -103,25 +103,25 @@
 
   /** Asks controls whenever the newest reading is late, at most once in an interval of the list, until `stop`. */
   async run(zen: ZenNode): Promise<void> {
-    const { listEvery } = this.bounds;
+    const { listReadInterval } = this.bounds;
     while (!this.stopping.signal.aborted) {
       const now = this.clock.now();
       const isLate = this.isLate(zen, now);
-      if (isLate) await this.readList(zen, now + listEvery);
+      if (isLate) await this.readList(zen, now + listReadInterval);
       const pauseMs = isLate
-        ? Math.max(listEvery * checkShare, now + listEvery - this.clock.now())
-        : listEvery * checkShare;
+        ? Math.max(listReadInterval * checkShare, now + listReadInterval - this.clock.now())
+        : listReadInterval * checkShare;
       await delay(this.clock, pauseMs, this.stopping.signal);
     }
   }
 
   private isLate(zen: ZenNode, now: number): boolean {
-    const { listEvery, heartbeatInterval } = this.bounds;
+    const { listReadInterval, heartbeatInterval } = this.bounds;
     if (this.hasList === 'unknown')
       return zen.masterSeen === undefined && zen.leaseRenewedAt > -Infinity;
     const maxAge = zen.masterSeen
-      ? heartbeatInterval + listEvery * lateWithMaster
-      : listEvery * lateWithoutMaster;
+      ? heartbeatInterval + listReadInterval * lateWithMaster
+      : listReadInterval * lateWithoutMaster;
     const readAt = Math.max(this.masterReadAt, this.directReadAt);
     return this.hasList === 'yes' && now - readAt > maxAge;
   }
@@ -137,7 +137,7 @@
       const remainingMs = end - this.clock.now();
       const control = controls[this.nextControl % controls.length];
       if (remainingMs <= 0) return;
-      const timeoutMs = Math.min(remainingMs, this.bounds.listEvery * replyShare);
+      const timeoutMs = Math.min(remainingMs, this.bounds.listReadInterval * replyShare);
       const reading = await this.readFrom(control, timeoutMs);
       if (reading !== 'new') this.nextControl++;
       if (reading !== 'none') return;
