--- a/packages/zen/src/gather-votes.ts
+++ b/packages/zen/src/gather-votes.ts
@@ -75,7 +75,7 @@
       to: voter.id,
     };
     const response = ValidateResponse.parse(
-      await transport.call(voter.addr, 'zen/validate', body, { timeoutMs: bounds.joinWait }),
+      await transport.call(voter.addr, 'zen/validate', body, { timeoutMs: bounds.joinTimeout }),
     );
     const state = response.state ? decodeState(new Map(response.state)) : undefined;
     if (state && isNewerVersion(versionOf(state), versionOf(this.newest))) this.newest = state;
@@ -85,7 +85,7 @@
 
 /**
  * Asks the joiners to vote for this node in the term, which it has voted for itself. Ends shortly after a majority of
- * the voters of `accepted` has voted, when all have answered, or after the join wait; the caller counts again.
+ * the voters of `accepted` has voted, when all have answered, or after the join time-out; the caller counts again.
  */
 export const gatherVotes = async (
   options: RequestOptions,
@@ -96,7 +96,7 @@
   const { clock, bounds } = options;
   const round = new VoteRound(options, accepted, term);
   void round.requestVotes(joiners);
-  const end = clock.now() + bounds.joinWait;
+  const end = clock.now() + bounds.joinTimeout;
   while (round.isOpen && clock.now() < end && !round.hasVoterQuorum)
     await delay(clock, bounds.heartbeatInterval / checksPerHeartbeat);
   if (round.isOpen) await delay(clock, bounds.heartbeatInterval / lateVotesPerHeartbeat);
--- a/packages/zen/src/ping-round.ts
+++ b/packages/zen/src/ping-round.ts
@@ -21,7 +21,7 @@
   readonly clock: Clock;
   readonly transport: Transport;
   /** How long the round may last, in milliseconds. */
-  readonly pingWait: number;
+  readonly timeoutMs: number;
   readonly knownMembers: KnownMembers;
   /** The node's address, which it does not ask. */
   readonly localAddress: string;
@@ -37,7 +37,7 @@
 export class PingRound {
   private readonly clock: Clock;
   private readonly transport: Transport;
-  private readonly pingWait: number;
+  private readonly timeoutMs: number;
   private readonly knownMembers: KnownMembers;
   private readonly seeds: () => readonly string[];
   private readonly ping: () => Ping;
@@ -51,7 +51,7 @@
   constructor(options: PingRoundOptions) {
     this.clock = options.clock;
     this.transport = options.transport;
-    this.pingWait = options.pingWait;
+    this.timeoutMs = options.timeoutMs;
     this.knownMembers = options.knownMembers;
     this.seeds = options.seeds;
     this.ping = options.ping;
@@ -60,12 +60,12 @@
     this.asked = new Set([options.localAddress]);
   }
 
-  /** Ends when each address has replied or refused, at the latest after the ping wait. */
+  /** Ends when each address has replied or refused, at the latest after the ping round's time-out. */
   async run(): Promise<PingRoundResult> {
     this.askNewAddresses();
     if (this.openRequests > 0) {
       const ended = AbortSignal.any([this.stopping, this.allAnswered.signal]);
-      await delay(this.clock, this.pingWait, ended);
+      await delay(this.clock, this.timeoutMs, ended);
     }
     return { startedAt: this.startedAt, pingResponses: [...this.pingResponses.values()] };
   }
@@ -84,7 +84,7 @@
   }
 
   private async ask(addr: string): Promise<void> {
-    const remaining = this.startedAt + this.pingWait - this.clock.now();
+    const remaining = this.startedAt + this.timeoutMs - this.clock.now();
     if (remaining <= 0 || this.stopping.aborted) return;
     try {
       const call = this.transport.call(addr, 'zen/ping', this.ping(), { timeoutMs: remaining });
--- a/tests/src/zen/ping-rounds.test.ts
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -29,14 +29,14 @@
     const pings = new PingRound({
       clock,
       transport,
-      pingWait: bounds.pingWait,
+      timeoutMs: bounds.pingRoundTimeout,
       knownMembers,
       localAddress: a.addr,
       seeds: () => seeds,
       ping: () => ({ from: a, known: knownMembers.controls(), clusterId: '' }),
       stopping: stopping.signal,
     });
-    return clock.finish('round', pings.run(), bounds.pingWait * 2);
+    return clock.finish('round', pings.run(), bounds.pingRoundTimeout * 2);
   };
   return { clock, transport, knownMembers, round };
 };
@@ -56,17 +56,17 @@
   );
 });
 
-rounds('ends once each has replied or refused, else after the ping wait', async () => {
+rounds('ends once each has replied or refused, else after the ping round's time-out', async () => {
   const refuses = roundsOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
   const before = refuses.clock.now();
   assert.equal((await refuses.round()).pingResponses, []);
   assert.is(refuses.clock.now(), before);
   const hangs = roundsOf(({ to }, clock) =>
-    delay(clock, bounds.pingWait * 9).then(() => pingResponse(member(to))),
+    delay(clock, bounds.pingRoundTimeout * 9).then(() => pingResponse(member(to))),
   );
   const start = hangs.clock.now();
   assert.equal((await hangs.round()).pingResponses, []);
-  assert.is(hangs.clock.now() - start, bounds.pingWait);
+  assert.is(hangs.clock.now() - start, bounds.pingRoundTimeout);
 });
 
 rounds('asks nobody any more whose addresses have failed often enough', async () => {
