--- a/tests/src/zen/ping-rounds.test.ts
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -56,7 +56,7 @@
   );
 });
 
-rounds('ends once each has replied or refused, else after the ping round's time-out', async () => {
+rounds('ends once each has replied or refused, else after the time-out of the round', async () => {
   const refuses = roundsOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
   const before = refuses.clock.now();
   assert.equal((await refuses.round()).pingResponses, []);
