--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -100,14 +100,14 @@
 
 /**
  * Starts a control and resolves once it serves. Rejects where the data folder is in use or damaged beyond repair, or an
- * address is taken.
+ * address cannot be bound; the process is then to end, which releases what was opened until there.
  */
 export const startControl = async (
   settings: ControlSettings,
   extensions: ControlExtensions = {},
 ): Promise<Running<ControlSettings>> => {
   const log = stderrLog('control', settings.log);
-  const disk = await FolderDisk.take(settings.data);
+  const disk = await FolderDisk.acquire(settings.data);
   const reloadable = reloadableBounds(settings.bounds);
   const node = await openNode(disk, settings, reloadable.bounds, log, extensions.list);
   await node.start();
@@ -123,7 +123,7 @@
       await node.stop();
       await furtherListener?.close();
       await closeHttp(http);
-      await disk.free();
+      await disk.release();
     },
   };
 };
--- a/packages/session-owner/src/refusals.ts
+++ b/packages/session-owner/src/refusals.ts
@@ -2,7 +2,7 @@
 import type { CallOutcome } from './messages.js';
 import { refused } from './outcomes.js';
 
-/** HTTP statuses of outcomes; `docs/errors.md` lists them. */
+/** HTTP statuses of refusals. */
 export const status = {
   badRequest: 400,
   budgetSpent: 402,
@@ -29,7 +29,7 @@
   refused(status.budgetSpent, 'budget-spent', 'the budget is spent');
 
 /** The caller was gone before anything was sent. */
-export const callerGone = (text: string): CallOutcome =>
+export const callerDisconnected = (text: string): CallOutcome =>
   refused(status.unavailable, 'gone', text, retryAfterSeconds.recovery);
 
 /** The read lease ran out before anything was sent. */
@@ -44,3 +44,7 @@
     `${what} cannot be read just now`,
     retryAfterSeconds.recovery,
   );
+
+/** No server was free before the time for it was over; `retryAfter` is in seconds. */
+export const noServerInTime = (retryAfter: number): CallOutcome =>
+  refused(status.unavailable, 'queue-timeout', 'no server came free in time', retryAfter);
--- a/packages/zen/src/election-log.ts
+++ b/packages/zen/src/election-log.ts
@@ -4,12 +4,12 @@
  * state can have been lost from the middle.
  */
 import {
-  isDiskTrouble,
+  isTransientDiskError,
   Journal,
-  untilDiskTakes,
+  retryTransientDiskErrors,
   type Disk,
   type JournalOwner,
-  type JournalPace,
+  type JournalTimings,
 } from '@tillerstair/journal';
 import {
   StateDiff,
@@ -139,8 +139,8 @@
 /** Name of the log on a node's disk. */
 export const electionLogName = 'zen.log';
 
-const replay = (disk: Disk, pace: JournalPace): Promise<ElectionLogReplay> =>
-  Journal.openFor(disk, electionLogName, pace, (journal) => new ElectionLogReplay(journal));
+const replay = (disk: Disk, pace: JournalTimings): Promise<ElectionLogReplay> =>
+  Journal.open(disk, electionLogName, pace, (journal) => new ElectionLogReplay(journal));
 
 /**
  * Opens the log of a node. A damaged one stays under another name, and the member starts as one that lost its disk, with
@@ -148,19 +148,19 @@
  */
 export const openElectionLog = async (
   disk: Disk,
-  pace: JournalPace,
+  pace: JournalTimings,
 ): Promise<ElectionLogReplay> => {
   try {
     return await replay(disk, pace);
   } catch (e) {
     // The journal itself waits for a disk that fails, so that no such error arrives here; were one to, a sound log must
     // not be set aside for it.
-    if (isDiskTrouble(e)) throw e;
+    if (isTransientDiskError(e)) throw e;
     const reason = e instanceof Error ? e.message : String(e);
     pace.log?.warn(
       `${electionLogName} is incomplete (${reason}): set aside as ${electionLogName}.damaged, starting as a new member.`,
     );
-    await untilDiskTakes(pace, electionLogName, () => disk.setAside(electionLogName));
+    await retryTransientDiskErrors(pace, electionLogName, () => disk.setAside(electionLogName));
     return replay(disk, pace);
   }
 };
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -10,6 +10,7 @@
   lostReply,
   SessionOwnerRig,
   statusOf,
+  wholeReply,
 } from '../support/session-owner-rig.js';
 import { configuration, host } from '../support/session-owner-state.js';
 
@@ -202,6 +203,24 @@
   }
 });
 
+operations(
+  'lost at a server without record it is not repeated, whatever the route names since',
+  async () => {
+    const rig = await SessionOwnerRig.opened();
+    rig.reply = () => {
+      rig.configure({
+        ...configuration,
+        routes: configuration.routes.map((route) =>
+          route.name === 'pass-keyed' ? { ...route, shares: [{ pool: 'memo', share: 1 }] } : route,
+        ),
+      });
+      return lostReply;
+    };
+    assert.is(brief(await rig.finish(pass(rig))), 'unknown 504 unknown');
+    assert.is(rig.sent.length, 1);
+  },
+);
+
 operations('no more attempts are made than the route allows', async () => {
   for (const [path, reply, expected] of [
     ['/again/', lostReply, 'unknown 504 unknown'],
@@ -364,4 +383,16 @@
   assert.is(rig.sent.length, 1);
 });
 
+operations('a server is free for the next request, whatever became of the one before', async () => {
+  const rig = await SessionOwnerRig.opened();
+  rig.removeServers('s2');
+  rig.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
+  const replies = [declinedReply, lostReply, wholeReply];
+  rig.reply = (n) => replies[n] ?? wholeReply;
+  const outcomes = [];
+  for (const name of ['first', 'second', 'third', 'fourth'])
+    outcomes.push((await rig.finish(call(rig, { key: name }))).outcome);
+  assert.equal(outcomes, ['refused', 'unknown', 'done', 'done']);
+});
+
 operations.run();
