--- a/tests/src/control/allocation-controller.test.ts
+++ b/tests/src/control/allocation-controller.test.ts
@@ -185,7 +185,7 @@
 });
 
 controller('no vote passes to a spare that is silent or lacks the newest state', () => {
-  for (const script of [{ heardNodes: ['c1'] }, { syncedNodes: ['c1'] }]) {
+  for (const script of [{ responsiveNodes: ['c1'] }, { syncedNodes: ['c1'] }]) {
     const { allocation, master } = led(lostVoter, script);
     assert.equal(nextVoters(allocation.settle(master.state)), ['c1', 'c2', 'c3']);
   }
--- a/tests/src/control/operations.test.ts
+++ b/tests/src/control/operations.test.ts
@@ -52,7 +52,7 @@
   const master = masterOf();
   const outcome = await ask(master, 'PUT', '/v1/config', fileText({ changeId: 'a' }));
   assert.is(outcome.status, 200);
-  assert.equal(master.calls, ['decide', 'inForce']);
+  assert.equal(master.calls, ['decide', 'waitUntilInForce']);
   assert.is(master.state.config?.version, 1);
   assert.equal(outcome.body, { version: 1, digest: master.state.config?.digest });
 });
@@ -87,7 +87,7 @@
   assert.is(outcome.status, 200);
   assert.match(JSON.stringify(outcome.body), '"newest":9');
   assert.is(master.state.config, later);
-  assert.equal(master.calls, ['decide', 'inForce']);
+  assert.equal(master.calls, ['decide', 'waitUntilInForce']);
 });
 
 operations('a change older than the record is answered as unclear', async () => {
@@ -138,7 +138,7 @@
     status: 200,
     body: { taken: true, version: 4 },
   });
-  assert.equal(again.calls, ['confirm', 'inForce']);
+  assert.equal(again.calls, ['confirm', 'waitUntilInForce']);
 });
 
 operations('prepare is refused without a configuration, base, majority or sound body', async () => {
@@ -272,7 +272,7 @@
   );
   const outcome = await ask(master, 'GET', '/v1/stores/s4/empty');
   assert.is(outcome.status, 200);
-  assert.equal(master.calls, ['reach', 'confirm']);
+  assert.equal(master.calls, ['pingPeers', 'confirm']);
   return JSON.stringify(outcome.body).includes('"done":true');
 };
 
@@ -342,7 +342,7 @@
   assert.match(JSON.stringify(margin.body), '"leastSlotMargin":0');
   const status = await ask(master, 'GET', '/v1/status');
   assert.match(JSON.stringify(status.body), '"clusterId":"sample"');
-  assert.equal(master.calls, ['reach', 'confirm', 'reach', 'confirm']);
+  assert.equal(master.calls, ['pingPeers', 'confirm', 'pingPeers', 'confirm']);
   const alone = masterOf({}, { confirmError: notRun });
   assert.equal(statusAndCode(await ask(alone, 'GET', '/v1/status')), [503, 'unavailable']);
 });
--- a/tests/src/support/scripted-master.ts
+++ b/tests/src/support/scripted-master.ts
@@ -8,7 +8,7 @@
   /** What a confirmation by a majority fails with. */
   readonly confirmError?: Error;
   readonly syncedNodes?: readonly string[];
-  readonly heardNodes?: readonly string[];
+  readonly responsiveNodes?: readonly string[];
   readonly repliedNodes?: readonly string[];
   readonly unresponsiveFor?: (id: string) => number;
 }
@@ -43,7 +43,7 @@
   }
 
   async waitUntilInForce(): Promise<void> {
-    this.calls.push('inForce');
+    this.calls.push('waitUntilInForce');
     return Promise.resolve();
   }
 
@@ -52,11 +52,11 @@
   }
 
   isResponsive(id: string): boolean {
-    return this.script.heardNodes?.includes(id) ?? true;
+    return this.script.responsiveNodes?.includes(id) ?? true;
   }
 
   async pingPeers(): Promise<ReadonlySet<string>> {
-    this.calls.push('reach');
+    this.calls.push('pingPeers');
     return Promise.resolve(new Set(this.script.repliedNodes ?? this.state.nodes.keys()));
   }
 
