--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -77,7 +77,7 @@
   const fed = new TcpTransport(at(feed));
   await fed.serve(async (rpc) =>
     rpc.kind === 'front/hello'
-      ? { id: front.p.id, addr: at(data), http: '' }
+      ? { id: front.id, addr: at(data), http: '' }
       : front.feed(rpc.body),
   );
   await front.start();
@@ -93,7 +93,7 @@
     name: `hollow-${n}`,
     stopWithin: failureTimeout,
     proxy: at(feed),
-    loop: new TcpTransport(at(loop)),
+    loopback: new TcpTransport(at(loop)),
   });
   await agent.start();
 };
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -142,7 +142,7 @@
       name: this.name,
       proxy: `${this.addr}/feed`,
       stopWithin: 5 * this.settings.bounds.heartbeatInterval,
-      loop: w.net.transport(`${this.addr}/loop`, life),
+      loopback: w.net.transport(`${this.addr}/loop`, life),
     });
     await agent.start();
     this.agent = agent;
@@ -171,7 +171,7 @@
     const feed = w.net.transport(`${this.addr}/feed`, life);
     await feed.serve(async (rpc) =>
       rpc.kind === 'front/hello'
-        ? { id: front.p.id, addr: `${this.addr}/data`, http: '' }
+        ? { id: front.id, addr: `${this.addr}/data`, http: '' }
         : front.feed(rpc.body),
     );
     await front.start();
