--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -10,8 +10,8 @@
 import type { LocalNode } from './local-node.js';
 import type { PendingJoin, PendingJoins } from './pending-joins.js';
 
-/** How often a candidate looks at the joins at least, without one that wakes it: parts of the join wait. */
-const checksPerJoinWait = 4;
+/** How often a candidate looks at the joins at least, without one that wakes it: parts of the join time-out. */
+const checksPerJoinTimeout = 4;
 
 /** An election that was won. */
 export interface WonElection {
@@ -65,12 +65,12 @@
     return won;
   }
 
-  /** Resolves with false if no majority of the voters has joined within the join wait. */
+  /** Resolves with false if no majority of the voters has joined within the join time-out. */
   private async waitForMajority(accepted: State): Promise<boolean> {
     const end = this.clock.now() + this.bounds.joinTimeout;
     while (!hasQuorum(accepted.voters, this.withLocal(this.pendingJoins.nodeIds()))) {
       if (this.clock.now() >= end || this.stopping.aborted) return false;
-      const wait = Math.min(this.bounds.joinTimeout / checksPerJoinWait, end - this.clock.now());
+      const wait = Math.min(this.bounds.joinTimeout / checksPerJoinTimeout, end - this.clock.now());
       await this.sleep.sleep(wait);
     }
     return true;
--- a/packages/zen/src/gather-votes.ts
+++ b/packages/zen/src/gather-votes.ts
@@ -85,7 +85,7 @@
 
 /**
  * Asks the joiners to vote for this node in the term, which it has voted for itself. Ends shortly after a majority of
- * the voters of `accepted` has voted, when all have answered, or after the join wait; the caller counts again.
+ * the voters of `accepted` has voted, when all have answered, or after the join time-out; the caller counts again.
  */
 export const gatherVotes = async (
   options: RequestOptions,
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -249,7 +249,7 @@
     return new PingRound({
       clock: this.clock,
       transport,
-      pingWait: this.bounds.pingRoundTimeout,
+      timeoutMs: this.bounds.pingRoundTimeout,
       knownMembers: this.knownMembers,
       localAddress: me.addr,
       seeds: () => this.seeds,
--- a/tests/src/control/operator-answers.test.ts
+++ b/tests/src/control/operator-answers.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import type { OperatorResponse } from '@tillerstair/control';
 import { freePorts } from '@tillerstair/fleet';
-import { OperatorDesk, operatorPage } from '@tillerstair/platform';
+import { OperatorAdapter, createOperatorApi } from '@tillerstair/platform';
 import { serveHttp } from '@tillerstair/wire';
 import { configText } from '../support/world-helpers.js';
 import {
@@ -106,7 +106,7 @@
     await w.clock.run(8000);
     const node = alone?.control;
     if (!node) throw new Error('no control');
-    const desk = new OperatorDesk((o) => node.operate(o));
+    const desk = new OperatorAdapter((o) => node.operate(o));
     const put = await w.clock.finish(
       'PUT',
       desk.change('PUT', '1', jsonText(platformConfiguration(2))),
@@ -116,7 +116,7 @@
     assert.ok((put.retryAfter ?? 0) > 0);
     const read = await w.clock.finish('GET', desk.read(), 30000);
     assert.is(typeof read === 'string' ? 200 : read.status, 503);
-    const late = new OperatorDesk(async () => ({ status: 504, body: { executed: 'unknown' } }));
+    const late = new OperatorAdapter(async () => ({ status: 504, body: { executed: 'unknown' } }));
     assert.is((await late.change('PUT', '1', jsonText(platformConfiguration(2)))).status, 504);
   },
 );
@@ -176,7 +176,7 @@
   const [port = 0] = await freePorts(1);
   const server = await serveHttp(
     `127.0.0.1:${port}`,
-    operatorPage(async (o) => {
+    createOperatorApi(async (o) => {
       asked.push(`${o.method} ${o.path}`);
       return outcomes.get(`${o.method} ${o.path}`) ?? { status: 404, body: {} };
     }),
--- a/tests/src/control/operator.test.ts
+++ b/tests/src/control/operator.test.ts
@@ -1,7 +1,7 @@
 /** Operators change the configuration: versions, repeats, races, patches, translation. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { OperatorDesk } from '@tillerstair/platform';
+import { OperatorAdapter } from '@tillerstair/platform';
 import { compiledConfig, findRoute, buildRouteTable } from '@tillerstair/state';
 import {
   platformRoute,
@@ -71,7 +71,7 @@
     assert.is((await operatorAt(w).change('PUT', 0, platformConfiguration(1))).status, 200);
     const nodes = w.of('control').flatMap((m) => m.control ?? []);
     const race = nodes.map((node, i) => {
-      const desk = new OperatorDesk((o) => node.operate(o));
+      const desk = new OperatorAdapter((o) => node.operate(o));
       return i === 0
         ? desk.change(
             'PATCH',
