--- a/tests/src/repository/recorded-conversation.test.ts
+++ b/tests/src/repository/recorded-conversation.test.ts
@@ -11,7 +11,7 @@
 } from '@tillerstair/control';
 import { closeAsking } from '@tillerstair/fleet';
 import { defaultTimings, FolderDisk } from '@tillerstair/journal';
-import { Fed, Feed } from '@tillerstair/proxy';
+import { Feed, FeedResponse } from '@tillerstair/proxy';
 import {
   CallOutcome,
   CallRequest,
@@ -99,7 +99,7 @@
   ['control/list', { request: Nothing, response: ServerListReply }],
   ['control/depart', { request: DepartureNotice, response: Nothing }],
   ['control/filled', { request: FilledNotice, response: Nothing }],
-  ['front/feed', { request: Feed, response: Fed }],
+  ['front/feed', { request: Feed, response: FeedResponse }],
   ['front/hello', { request: Nothing, response: z.object({ id: z.string() }).loose() }],
   ['front/program', { request: ProgramRequest, response: CallOutcome }],
   ['front/turn', { request: TurnRequest, response: CallOutcome }],
