--- a/tests/src/proxy/pass-front.test.ts
+++ b/tests/src/proxy/pass-front.test.ts
@@ -170,7 +170,7 @@
     }
   }
   const front = new FailingFront({ ...rig.parts, clock: hostClock, backend });
-  front.owner.take(stateFor('f'));
+  front.owner.take(stateFor('g'));
   front.owner.renewLease(hostClock.now());
   const carry = createPassHandler(front, productDialect, () => 1000);
   const http = createServer((req, res) => void carry(req, res));
