--- a/tests/src/platform/interface.test.ts
+++ b/tests/src/platform/interface.test.ts
@@ -333,8 +333,9 @@
     assert.ok(front && agent);
     const over = Promise.all([front, agent].map((one) => once(one.child, 'exit')));
     front.child.kill('SIGTERM');
-    agent.child.kill('SIGTERM');
+    // The agent is in touch still, so only the front itself knows that it stops.
     await until('not ready', 4000, async () => (await readiness()) === 503);
+    agent.child.kill('SIGTERM');
     const heard = await send('/again/x', 'last');
     assert.is(heard.status, 200);
     assert.is(headerOf(heard.headers, 'connection'), 'close');
