--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -97,9 +97,9 @@
     const lingerMs = owner.leaseValid ? bounds.stopWithin * lingerShare : 0;
     const lingers = (): boolean => clock.now() - since < lingerMs;
     const isBusy = (): boolean =>
-      this.active > 0 || (owner.leaseValid && owner.holdsSlots) || lingers();
+      this.active > 0 || (owner.leaseValid && owner.ownsSlots) || lingers();
     while (isBusy() && clock.now() - since < bounds.stopWithin) {
-      if (!lingers()) owner.stopTaking();
+      if (!lingers()) owner.stopAccepting();
       await delay(clock, bounds.heartbeatInterval * stopCheckShare);
     }
     owner.stop();
@@ -126,11 +126,11 @@
     const next = this.fedState(feed);
     const current = this.owner.current?.state;
     if (next && (!current || isNewerVersion(versionOf(next), versionOf(current))))
-      this.owner.take(next);
+      this.owner.applyState(next);
     if (feed.term >= this.agentTerm) {
       this.agentTerm = feed.term;
       this.master = feed.master;
-      if (feed.barred) this.owner.bar(new Set(feed.barred));
+      if (feed.barred) this.owner.barServers(new Set(feed.barred));
       if (feed.leaseRenewedAt <= now) this.owner.renewLease(feed.leaseRenewedAt);
     }
     return {
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -8,20 +8,27 @@
 import { toRpcError } from '@tillerstair/wire';
 import { AttemptMachine } from './attempt-machine.js';
 import type { ConversationMessage } from './backend.js';
-import type { CallOutcome, HistoryRequest, ProgramRequest, TurnRequest } from './messages.js';
+import type {
+  CallOutcome,
+  EmitChunk,
+  HistoryRequest,
+  ProgramRequest,
+  TurnRequest,
+} from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
-import { ProgramValue, TurnValue } from './stored-values.js';
 import type { OwnerServices } from './owner-services.js';
 import { PendingReservations } from './pending-reservations.js';
 import { retryAfterSeconds, status, unreadable } from './refusals.js';
+import { shortDigest } from './short-digest.js';
 import type { SlotReplicator } from './slot-replicator.js';
-import { TurnAttempts, type EmitChunk } from './turn-attempts.js';
+import { ProgramValue, TurnValue } from './stored-values.js';
+import { TurnAttempts } from './turn-attempts.js';
 import {
   programKey,
   programSlotKey,
-  shortDigest,
   turnIdOf,
   turnKey,
+  turnOfKey,
   turnSummary,
 } from './turn-records.js';
 
@@ -135,7 +142,7 @@
     const turns = replicator.turnKeysOf(pid).flatMap((key) => {
       const value = TurnValue.safeParse(replicator.get(key));
       return value.success && value.data.status === 'done'
-        ? [{ turn: key.split('/')[3], after: value.data.after, tokens: value.data.cost }]
+        ? [{ turn: turnOfKey(key), after: value.data.after, tokens: value.data.cost }]
         : [];
     });
     return done({
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -4,10 +4,10 @@
 import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { FolderDisk, frame, Journal } from '@tillerstair/journal';
+import { FolderDisk, encodeFrame } from '@tillerstair/journal';
 import { Life } from '@tillerstair/sim';
 import { openStoreDisk } from '@tillerstair/store';
-import { at, longAt, type Rig, rig, finish, item, keysOf } from './journal-rig.js';
+import { at, longAt, openJournal, type Rig, rig, finish, item, keysOf } from './journal-rig.js';
 
 const damage = suite('journals damaged or cut off in a rewrite');
 
@@ -79,10 +79,10 @@
   await diffs(r, 5);
   const lines = await linesOf(r);
   const [id = '', recordVote = '', full = '', ...rest] = lines;
-  const other = frame([{ t: 'promise', term: 3, to: 'b' }])
+  const other = encodeFrame([{ t: 'vote', term: 3, to: 'b' }])
     .toString('utf8')
     .trimEnd();
-  const lower = frame([{ t: 'promise', term: 2, to: 'a' }])
+  const lower = encodeFrame([{ t: 'vote', term: 2, to: 'a' }])
     .toString('utf8')
     .trimEnd();
   const cases: readonly (readonly string[])[] = [
@@ -95,7 +95,7 @@
     [
       id,
       recordVote,
-      frame([{ t: 'what' }])
+      encodeFrame([{ t: 'what' }])
         .toString('utf8')
         .trimEnd(),
       full,
@@ -126,10 +126,10 @@
         openStoreDisk({
           disk: r.platter.disk(r.clock, life),
           clock: r.clock,
-          pace: r.pace,
+          timings: r.pace,
           freshId: () => `s-${++ids}`,
-          longAt,
-          bounds: { journalLongAt: longAt, retentionMs: 1e9, hintsMost: 10 },
+          rewriteMinBytes: longAt,
+          limits: { rewriteMinBytes: longAt, retentionMs: 1e9, maxHints: 10 },
         });
       const first = await r.clock.finish('open', open(new Life()), 1000);
       for (let n = 0; n < 4; n++)
@@ -231,21 +231,21 @@
   () =>
     folder(async (dir) => {
       const data = join(dir, 'made', 'here');
-      const disk = await FolderDisk.take(data);
-      const { journal } = await Journal.open(disk, 'a.log');
+      const disk = await FolderDisk.acquire(data);
+      const { journal } = await openJournal(disk, 'a.log');
       for (let n = 0; n < 3; n++) await journal.append({ n });
       await writeFile(
         join(data, 'a.log.next'),
         'half a line that is longer than all of the rest of this file will ever be, or so it seems to be',
       );
-      const leftover = await Journal.open(disk, 'a.log');
+      const leftover = await openJournal(disk, 'a.log');
       assert.equal(leftover.records, [{ n: 0 }, { n: 1 }, { n: 2 }]);
       await leftover.journal.close();
       assert.equal((await readdir(data)).sort(), ['a.log', 'lock']);
       await journal.rewrite(() => [{ n: 2 }]);
       await journal.append({ n: 3 });
       await journal.close();
-      const again = await Journal.open(disk, 'a.log');
+      const again = await openJournal(disk, 'a.log');
       assert.equal(again.records, [{ n: 2 }, { n: 3 }]);
       await again.journal.close();
       assert.equal((await readdir(data)).sort(), ['a.log', 'lock']);
@@ -253,7 +253,7 @@
       await disk.setAside('never.log');
       assert.equal((await readdir(data)).sort(), ['a.log.damaged', 'lock']);
       assert.match(await readFile(join(data, 'a.log.damaged'), 'utf8'), '"n":3');
-      await disk.free();
+      await disk.release();
     }),
 );
 
--- a/tests/src/support/front-rig.ts
+++ b/tests/src/support/front-rig.ts
@@ -134,7 +134,7 @@
   const front = new Front(parts);
   /** Takes a state and a lease, as from an agent in touch with a master. */
   const take = (state: State): void => {
-    front.owner.take(state);
+    front.owner.applyState(state);
     front.owner.renewLease(clock.now());
   };
   return { clock, transport, parts, front, sent, take };
