--- a/packages/journal/src/journal.ts
+++ b/packages/journal/src/journal.ts
@@ -1,7 +1,7 @@
 /**
  * A log of records that are acknowledged once they are synced, and that is rewritten after a failed write.
  *
- * State: the pending appends and what is known of the file. The records themselves are held by the journal's owner.
+ * State: the pending appends and what is known of the file. The records themselves are with the journal's owner.
  * Invariants: one write is under way at a time; an append resolves only when its record is on disk; after a failed or
  * overlong write nothing is accepted until the file has been rewritten from the owner's records and read back
  * (docs/design.md, "Disk").
@@ -32,7 +32,10 @@
   restore(record: unknown): void;
 }
 
-/** The last share of a write's time limit, left to a write that was stopped by the machine and not by the disk. */
+/**
+ * The last share of a write's time limit runs on a timer of its own. When the whole process was paused the first timer is
+ * overdue at once, but a write that the disk did not delay still gets this share to end in.
+ */
 const finalTimeoutShare = 0.2;
 
 /** Bytes of a complete file that may be written in the time limit of one sync. */
@@ -207,7 +210,7 @@
     return written;
   }
 
-  /** Runs one write; whoever waits for it is told within the limit. The next one starts only when this one has ended. */
+  /** Runs one write; whoever waits for it is answered within the limit. The next one starts only when this one has ended. */
   private async write(
     batch: readonly PendingAppend[],
     timeoutMs: number,
--- a/packages/journal/src/timings.ts
+++ b/packages/journal/src/timings.ts
@@ -5,7 +5,7 @@
 /** Time limits of one journal, in ms. */
 export interface JournalTimings {
   readonly clock: Clock;
-  /** How long a write may last before those who wait for it are told that it failed. */
+  /** How long a write may last before those who wait for it are answered that it failed. */
   readonly syncTimeoutMs: number;
   /** The pause between two attempts to rewrite a file after a failure. */
   readonly retryIntervalMs: number;
--- a/packages/store/src/replica-refill.ts
+++ b/packages/store/src/replica-refill.ts
@@ -1,8 +1,8 @@
 /**
  * Fills the slots that this store joins as a replica (docs/design.md, "Changing a replica").
  *
- * A slot is pulled from a quorum of its replicas, each fenced at the ownership epoch that names this store as joining.
- * Only once all that is synced the master is told, which makes the change under the next ownership epoch.
+ * A slot is pulled from a quorum of its replicas, each fenced at the ownership epoch of the state in which this store
+ * joins. Only once all that is synced the master is notified, which makes the change under the next ownership epoch.
  */
 import pLimit from 'p-limit';
 import { fetchPages, type Member, type State } from '@tillerstair/state';
--- a/packages/store/src/replica-store.ts
+++ b/packages/store/src/replica-store.ts
@@ -23,7 +23,7 @@
 /** The part of a turn's value that names the turn it continues. */
 const ContinuedTurn = z.object({ after: z.string() });
 
-/** What a store may hold. */
+/** The limits of what a store stores. */
 export interface ReplicaStoreLimits {
   /** The size in bytes below which the log is not rewritten. */
   readonly rewriteMinBytes: number;
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Memory changes before the disk does. A record whose append failed may be on disk, so it stays in memory: an item may be
-   * held without being acknowledged, a fence too many refuses no more than one that was acknowledged would.
+   * Memory changes before the disk does. A record whose append failed may be on disk, so it stays in memory: an item may
+   * be stored without being acknowledged, and a fence too many refuses no more than an acknowledged one would.
    */
   private async append(record: ReplicaRecord): Promise<void> {
     this.journal.requireWritable();
@@ -130,7 +130,7 @@
       void this.journal.rewrite(() => this.snapshot()).catch(() => undefined);
   }
 
-  /** All that is held now: references are taken at once, the records are made as they are written. */
+  /** All that is stored now: references are copied at once, the records are created as they are written. */
   private snapshot(): Iterable<ReplicaRecord> {
     const slots = [...this.slots.values()].map((replica) => replica.snapshot());
     const hints = this.hints.all();
@@ -169,7 +169,7 @@
     return replica.page(after);
   }
 
-  /** Resolves once everything that is held now is on disk: a fence of epoch 0 changes nothing, but is synced. */
+  /** Resolves once all that is in memory now is on disk: a fence of epoch 0 changes nothing, but is synced. */
   waitForSync(): Promise<void> {
     return this.journal.append({ t: 'fence', slot: 0, ownershipEpoch: 0 });
   }
@@ -179,7 +179,7 @@
     return this.replicaAtEpoch(slot, ownershipEpoch).get(key) ?? null;
   }
 
-  /** The turn of that name and, behind it, those that it continues, as far as they are held here; the newest first. */
+  /** The turn of that name and, behind it, those that it continues, as far as they are stored here; the newest first. */
   findTurns(turn: string): readonly Item[] {
     const found: Item[] = [];
     let location = this.turns.find(turn);
--- a/tests/src/journal/folder-disk.test.ts
+++ b/tests/src/journal/folder-disk.test.ts
@@ -38,7 +38,9 @@
 
 folders('a folder is locked for as long as the process that holds it lives', () =>
   inFolder(async (folder) => {
-    const holder = spawn('sleep', ['60'], { stdio: 'ignore' });
+    const holder = spawn(process.execPath, ['-e', 'process.stdin.resume()'], {
+      stdio: ['pipe', 'ignore', 'ignore'],
+    });
     const pid = holder.pid ?? 0;
     await writeFile(join(folder, 'lock'), `${pid} ${await startOf(pid)}`);
     assert.is(await isTaken(folder), true);
--- a/tests/src/journal/frames.test.ts
+++ b/tests/src/journal/frames.test.ts
@@ -1,4 +1,4 @@
-/** Which lines of a log count as written, and which end it. */
+/** Which lines of a log are records that were written, and which end it. */
 import { crc32 } from 'node:zlib';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -47,16 +47,19 @@
   return (await open(r)).records;
 };
 
-refusals('a failed write is refused as unknown, and the next ones as not executed', async () => {
-  const r = rig(1);
-  const opened = await open(r);
-  r.platter.failSyncs = true;
-  const first = await r.clock.finish('first', executedOf(opened.journal.append(1)), 5000);
-  assert.is(first, 'unknown');
-  const second = await r.clock.finish('second', executedOf(opened.journal.append(2)), 5000);
-  assert.is(second, 'no');
-  assert.throws(() => opened.journal.requireWritable(), /cannot be written/);
-});
+refusals(
+  'of a failed write it is unknown whether it was executed, the next ones are not',
+  async () => {
+    const r = rig(1);
+    const opened = await open(r);
+    r.platter.failSyncs = true;
+    const first = await r.clock.finish('first', executedOf(opened.journal.append(1)), 5000);
+    assert.is(first, 'unknown');
+    const second = await r.clock.finish('second', executedOf(opened.journal.append(2)), 5000);
+    assert.is(second, 'no');
+    assert.throws(() => opened.journal.requireWritable(), /cannot be written/);
+  },
+);
 
 refusals('a torn tail is cut off, so that later appends stand on lines of their own', async () => {
   const r = rig(1);
--- a/tests/src/support/raw-connection.ts
+++ b/tests/src/support/raw-connection.ts
@@ -1,6 +1,8 @@
 /** One recorded request over a connection of its own, in the bytes in which it was recorded. */
 import { connect } from 'node:net';
 import split2 from 'split2';
+import { until } from '@tillerstair/fleet';
+import { hostClock } from '@tillerstair/wire';
 import { parseMessage, type Message, type RecordedCall } from './stored-fixture.js';
 
 /** All that came back for a request. */
@@ -21,13 +23,12 @@
 ]);
 
 const ownerTimeoutMs = 20000;
-const ownerRetryMs = 200;
 
 /** Sends the recorded lines and resolves with the answer. Rejects if there is none in time. */
 export const callRaw = async (address: string, call: RecordedCall): Promise<RawAnswer> => {
   const [host = '', port = ''] = address.split(':');
   const socket = connect(Number(port), host);
-  const timer = setTimeout(() => socket.destroy(), answerTimeoutMs);
+  const timer = hostClock.after(answerTimeoutMs, () => socket.destroy());
   const chunks: unknown[] = [];
   const lines = socket.pipe(split2());
   socket.on('error', () => socket.destroy());
@@ -41,7 +42,7 @@
     }
     throw new Error(`no answer to ${call.line}`);
   } finally {
-    clearTimeout(timer);
+    timer.stop();
     socket.destroy();
   }
 };
@@ -51,14 +52,16 @@
   addresses: readonly string[],
   call: RecordedCall,
 ): Promise<RawAnswer> => {
-  const end = Date.now() + ownerTimeoutMs;
-  for (;;) {
+  let answered: RawAnswer | undefined;
+  await until(`an owner for ${call.line}`, ownerTimeoutMs, async () => {
     const answers = await Promise.all(addresses.map((address) => callRaw(address, call)));
-    const answer = answers.find((a) => a.end.error === undefined);
-    if (answer !== undefined) return answer;
-    const codes = answers.map((a) => a.end.error?.code ?? '');
-    if (Date.now() > end || codes.every((code) => !passingCodes.has(code)))
+    answered = answers.find(({ end }) => end.error === undefined);
+    if (answered !== undefined) return true;
+    const codes = answers.map(({ end }) => end.error?.code ?? '');
+    if (codes.every((code) => !passingCodes.has(code)))
       throw new Error(`${codes.join()} to ${call.line}`);
-    await new Promise((resolve) => setTimeout(resolve, ownerRetryMs));
-  }
+    return false;
+  });
+  if (answered === undefined) throw new Error(`no answer to ${call.line}`);
+  return answered;
 };
