--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -78,7 +78,7 @@
     affinity: true,
   });
   const fed = new TcpTransport(at(feed));
-  const hello = { id: front.p.id, addr: at(data), http: '' };
+  const hello = { id: front.id, addr: at(data), http: '' };
   await fed.serve(
     (rpc) =>
       new Promise((resolve) => {
@@ -98,7 +98,7 @@
     name: `hollow-${n}`,
     stopWithin: failureTimeout,
     proxy: at(feed),
-    loop: new TcpTransport(at(loop)),
+    loopback: new TcpTransport(at(loop)),
   });
   await agent.start();
 };
@@ -139,7 +139,7 @@
 
 const startControl = async (): Promise<RunningControl> => {
   const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
-  const disk = await FolderDisk.take(dir);
+  const disk = await FolderDisk.acquire(dir);
   const watched = closing(disk);
   const [port = 0] = await freePorts(1);
   const addr = `127.0.0.1:${port}`;
@@ -167,7 +167,7 @@
   const close = async (): Promise<void> => {
     await node.stop();
     await watched.close();
-    await disk.free();
+    await disk.release();
     rmSync(dir, { recursive: true, force: true });
   };
   return { node, addr, close };
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -98,8 +98,8 @@
     const freshId = (): string => `${this.kind.charAt(0)}${w.freshId()}`;
     const pace = {
       clock,
-      syncWithin: w.bounds.syncTimeout,
-      retryEvery: w.bounds.diskRetryInterval,
+      syncTimeoutMs: w.bounds.syncTimeout,
+      retryIntervalMs: w.bounds.diskRetryInterval,
       log: this.log('disk'),
     };
     const member = { kind: this.kind, addr: this.addr, http: '', zone, data: '', name: this.name };
@@ -121,10 +121,10 @@
     const { electionStore, replicaStore } = await openStoreDisk({
       disk,
       clock,
-      pace: { ...pace, syncWithin: w.bounds.failureTimeout },
+      timings: { ...pace, syncTimeoutMs: w.bounds.failureTimeout },
       freshId,
-      longAt: w.longAt,
-      bounds: { journalLongAt: w.longAt, retentionMs: w.retentionMs, hintsMost: w.hintsMost },
+      rewriteMinBytes: w.longAt,
+      limits: { rewriteMinBytes: w.longAt, retentionMs: w.retentionMs, maxHints: w.hintsMost },
     });
     const me = { id: electionStore.persisted.id, ...member };
     const node = new StoreNode({ ...common, me, electionStore, replicaStore });
@@ -147,7 +147,7 @@
       name: this.name,
       proxy: `${this.addr}/feed`,
       stopWithin: 5 * this.settings.bounds.heartbeatInterval,
-      loop: w.net.transport(`${this.addr}/loop`, life),
+      loopback: w.net.transport(`${this.addr}/loop`, life),
     });
     await agent.start();
     this.agent = agent;
@@ -174,7 +174,7 @@
       affinity: true,
     });
     const feed = w.net.transport(`${this.addr}/feed`, life);
-    const hello = { id: front.p.id, addr: `${this.addr}/data`, http: '' };
+    const hello = { id: front.id, addr: `${this.addr}/data`, http: '' };
     await feed.serve(
       (rpc) =>
         new Promise((resolve) => {
--- a/packages/sim/src/pass.ts
+++ b/packages/sim/src/pass.ts
@@ -1,6 +1,6 @@
 /** Requests on pass routes, as callers send them and as storms and tests configure them. */
 import type { PassRecord } from '@tillerstair/checker';
-import { passOn } from '@tillerstair/proxy';
+import { routePassRequest } from '@tillerstair/proxy';
 import {
   encodeBody,
   decodeBody,
@@ -149,7 +149,7 @@
     at,
     (front, emit, timeout) => {
       const signal = spec.cancelled ? AbortSignal.any([timeout, spec.cancelled]) : timeout;
-      return passOn(front, request, emit, signal).catch(outcomeOfError);
+      return routePassRequest(front, request, emit, signal).catch(outcomeOfError);
     },
     (index, text) => received.add(index, text),
   );
--- a/packages/sim/src/sim-disk.ts
+++ b/packages/sim/src/sim-disk.ts
@@ -86,7 +86,7 @@
       chunks: () => slicesOf(content.cached),
       append: (bytes) => this.write(content, bytes),
       sync: () => this.sync(content),
-      cut: async (size) => {
+      truncate: async (size) => {
         await this.work();
         content.cached = Buffer.from(content.cached.subarray(0, size));
         content.synced = content.cached;
--- a/packages/sim/src/world.ts
+++ b/packages/sim/src/world.ts
@@ -9,7 +9,7 @@
 import { SimCluster } from './sim-cluster.js';
 
 const tenant = 't';
-const forwardWithinMs = 120000;
+const forwardTimeoutMs = 120000;
 /** Servers record the last characters of a prompt; padded, prompts differ in them. */
 const promptLength = 60;
 
@@ -126,7 +126,7 @@
     return this.sendAsCaller(
       at,
       (front, emit, signal) =>
-        front.forward({ kind, slotKey, body, within: forwardWithinMs }, emit, signal),
+        front.forward({ kind, slotKey, body, timeoutMs: forwardTimeoutMs }, emit, signal),
       onChunk,
     );
   }
--- a/tests/src/proxy/backend-client.test.ts
+++ b/tests/src/proxy/backend-client.test.ts
@@ -39,7 +39,8 @@
   return { port, close };
 };
 
-const clientOf = (): HttpBackend => new HttpBackend({ connectWithin: 500, connections: () => 8 });
+const clientOf = (): HttpBackend =>
+  new HttpBackend({ connectTimeoutMs: 500, maxConnections: () => 8 });
 
 const startModel = async (port: number): Promise<ModelServer> => {
   const model = new ModelServer(
--- a/tests/src/proxy/pass-route-attempts.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -211,7 +211,7 @@
     for (const seed of seeds) {
       const w = await passUp(seed, five);
       const a = firstOf(w, 'front');
-      const id = a.front?.p.id ?? '';
+      const id = a.front?.id ?? '';
       const mine = Array.from({ length: 60 }, (_, i) => `k${i}`).filter(
         (k) => ownerOf(w, opKeyOf('t', k)) === a,
       );
