--- a/packages/checker/src/operation-rules.ts
+++ b/packages/checker/src/operation-rules.ts
@@ -3,7 +3,7 @@
 import { groupBy, type RuleResult, type Tolerances } from './rule-result.js';
 
 /** The name of an operation as its server sees it: an operation key belongs to the tenant that sent it. */
-export const operationOf = (tenant: string, key: string): string =>
+const operationOf = (tenant: string, key: string): string =>
   `${encodeURIComponent(tenant)}/${encodeURIComponent(key)}`;
 
 /** The operation that a reply to a call is about. */
--- a/packages/checker/src/pass-rules.ts
+++ b/packages/checker/src/pass-rules.ts
@@ -12,7 +12,7 @@
 const dataPrefix = 'data: ';
 
 /** The complete events of a stream's body, in order; a torn one at the end is left out. */
-export const eventsOf = (body: string): readonly StreamEvent[] =>
+const eventsOf = (body: string): readonly StreamEvent[] =>
   body.split(eventSeparator).flatMap((block) => {
     const id = /^id: (\d+)$/m.exec(block)?.[1];
     const data = block
--- a/packages/ctl/src/compare-views.ts
+++ b/packages/ctl/src/compare-views.ts
@@ -3,7 +3,7 @@
 import type { NodeViewReply } from './messages.js';
 
 /** A fact on which two views differ, with what each has; `nothing` where a view lacks it. */
-export interface Difference {
+interface Difference {
   readonly fact: string;
   readonly a: string;
   readonly b: string;
--- a/packages/sim/src/control-model.ts
+++ b/packages/sim/src/control-model.ts
@@ -8,7 +8,7 @@
 import { ModelRig } from './model-rig.js';
 
 /** A run that broke a rule, cut down as far as it goes. */
-export interface FailedRun {
+interface FailedRun {
   readonly run: ModelRun;
   readonly findings: readonly ModelFinding[];
 }
--- a/packages/sim/src/model-disturbances.ts
+++ b/packages/sim/src/model-disturbances.ts
@@ -15,7 +15,7 @@
 };
 
 /** Shares of all messages, in percent. */
-export interface NetworkFaults {
+interface NetworkFaults {
   readonly lost: number;
   readonly late: number;
   readonly repeated: number;
