--- a/tests/src/proxy/pass-route-attempts.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
-import { passAt } from '@tillerstair/sim';
+import { passAt, type SimFaults } from '@tillerstair/sim';
 import { slotForKey } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
@@ -95,7 +95,11 @@
 });
 
 tries('once: a lost answer is unknown and not asked for elsewhere', async () => {
-  for (const fault of [{ loseEvery: 1 }, { lies: true }, { cutEvery: 1 }]) {
+  for (const fault of [
+    { loseEvery: 1 },
+    { namesOtherAttempt: true },
+    { cutEvery: 1 },
+  ] satisfies Partial<SimFaults>[]) {
     const w = await passUp(12, small);
     for (const id of shops) w.servers.set(id, fault);
     const reported = await passed(w, { path: '/once/x', body: 'a' });
--- a/tests/src/proxy/pass-route-streams.test.ts
+++ b/tests/src/proxy/pass-route-streams.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import type { PassRecord } from '@tillerstair/checker';
 import { outputOf } from '@tillerstair/checker';
-import { eventsIn, passAt, type World } from '@tillerstair/sim';
+import { eventsIn, passAt, type World, type SimFaults } from '@tillerstair/sim';
 import {
   assertNoBreach,
   passed,
@@ -240,7 +240,11 @@
 });
 
 turns('a stream that may be resumed goes on elsewhere after the last whole event', async () => {
-  for (const fault of [{ cutEvery: 2 }, { cutEvery: 2, tears: true }, { loseEvery: 2 }])
+  for (const fault of [
+    { cutEvery: 2 },
+    { cutEvery: 2, cutsInsideEvent: true },
+    { loseEvery: 2 },
+  ] satisfies Partial<SimFaults>[])
     for (const seed of seeds) {
       const w = await passUp(seed, small);
       for (const id of models) w.servers.set(id, fault);
@@ -276,7 +280,10 @@
   'a stream that may not be resumed breaks off at a whole event and is not run again',
   async () => {
     for (const path of ['/flow/x', '/turn/x'])
-      for (const fault of [{ cutEvery: 1 }, { cutEvery: 1, tears: true }]) {
+      for (const fault of [
+        { cutEvery: 1 },
+        { cutEvery: 1, cutsInsideEvent: true },
+      ] satisfies Partial<SimFaults>[]) {
         const w = await passUp(38, small);
         for (const id of models) w.servers.set(id, fault);
         for (let i = 0; i < 4; i++) {
--- a/tests/src/proxy/pass-routes.test.ts
+++ b/tests/src/proxy/pass-routes.test.ts
@@ -1,7 +1,7 @@
 /** Pass routes answered whole: a key runs once, whatever fails. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { passAt, type World } from '@tillerstair/sim';
+import { passAt, type World, type SimFaults } from '@tillerstair/sim';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
   assertNoBreach,
@@ -94,7 +94,11 @@
 pass(
   'a key whose answer was lost is unknown and never run again, over a full stop too',
   async () => {
-    for (const fault of [{ loseEvery: 1 }, { lies: true }, { cutEvery: 1 }]) {
+    for (const fault of [
+      { loseEvery: 1 },
+      { namesOtherAttempt: true },
+      { cutEvery: 1 },
+    ] satisfies Partial<SimFaults>[]) {
       const w = await passUp(11, small);
       for (const id of shops) w.servers.set(id, fault);
       assert.is((await passed(w, { path: '/keyed/x', key: 'k', body: 'a' })).reported, 'unknown');
