--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -13,11 +13,14 @@
   type JournalTimings,
 } from '@tillerstair/journal';
 import { Life, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
-import { ReplicaStore } from '@tillerstair/store';
+import { ReplicaRecord, ReplicaStore } from '@tillerstair/store';
+import { z } from 'zod';
 import { openJournal } from './journal-rig.js';
 
 const chunked = suite('journals in chunks');
 
+const Batch = z.array(ReplicaRecord);
+
 interface Scanned {
   readonly records: readonly unknown[];
   readonly good: number;
@@ -192,11 +195,11 @@
     assert.ok(chunks.length > 2, `${chunks.length} chunks`);
     assert.is(later.length, longItems + 3);
     const lines = Buffer.concat(chunks).toString('utf8').split('\n').slice(0, -1);
-    const written = lines.map((l) => JSON.parse(l.slice(9)));
-    const seqs = written.flat().flatMap((r) => (r.t === 'put' ? [r.items[0].seq] : []));
+    const written = lines.flatMap((line) => Batch.parse(JSON.parse(line.slice(9))));
+    const seqs = written.flatMap((r) => (r.t === 'put' ? [r.items.at(0)?.seq] : []));
     assert.ok(seqs.length > 5 && seqs.every((seq) => seq === 1), seqs.join());
     assert.equal(
-      written.flat().flatMap((r) => (r.t === 'hint' ? [r.to] : [])),
+      written.flatMap((r) => (r.t === 'hint' ? [r.to] : [])),
       ['b'],
     );
     await clock.finish('later', Promise.all(later), 1000);
@@ -278,13 +281,13 @@
       const chunks = async function* (): AsyncGenerator<Buffer> {
         for await (const chunk of file.chunks()) {
           const copy = Buffer.from(chunk);
-          if (replaced > 0 && badReads-- > 0) copy[0] = (copy[0] ?? 0) ^ 1;
+          if (replaced > 0 && badReads-- > 0) copy.writeUInt8(copy.readUInt8(0) ^ 1, 0);
           yield copy;
         }
       };
-      const counted = (all: Iterable<Buffer>): Promise<void> => {
+      const counted = (replacement: Iterable<Buffer>): Promise<void> => {
         replaced++;
-        return file.replace(all);
+        return file.replace(replacement);
       };
       return { ...file, chunks, replace: counted };
     },
--- a/tests/src/journal/full-and-stalled-disks.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -21,7 +21,7 @@
 const version = (m: Machine): number => m.control?.zen.applied?.config?.version ?? 0;
 
 /** One change meets the trouble; its answer does not matter, since the master may step down meanwhile. */
-const meet = async (w: World, old: Machine): Promise<void> => {
+const meet = (w: World, old: Machine): void => {
   const node = old.control;
   if (!node) throw new Error('the control is down');
   void node
@@ -43,7 +43,7 @@
         const id = old.control?.id;
         old.platter[how] = true;
         const since = w.clock.now();
-        await meet(w, old);
+        meet(w, old);
         await w.clock.until(
           'another master',
           () => w.master !== undefined && w.master !== old,
@@ -119,7 +119,7 @@
       const other = w.of('control').find((m) => m !== old);
       if (!other) throw new Error('controls are needed');
       for (const m of [old, other]) m.platter.full = true;
-      await meet(w, old);
+      meet(w, old);
       await w.clock.until(
         'another master',
         () => w.master !== undefined && w.master !== old,
@@ -199,7 +199,7 @@
       const old = masterOf(w);
       const id = old.control?.id;
       old.platter.full = true;
-      await meet(w, old);
+      meet(w, old);
       await w.clock.run(2000);
       old.kill(seed % 2 === 0 ? 'power' : 'process');
       await w.clock.until('another master', () => w.master !== undefined, 9000);
@@ -266,7 +266,7 @@
       for (const seed of seeds) {
         const w = await worldUp(seed, small);
         const pid = (await w.clock.finish('program', w.program(1000), 10000)).program;
-        const store = w.of('store')[seed % 3];
+        const store = w.of('store').at(seed % 3);
         if (!store) throw new Error('a store is needed');
         store.platter[how] = true;
         const slowest: number[] = [];
@@ -310,7 +310,7 @@
 disk('a store restarted with a full disk serves again by itself under its id', async () => {
   for (const seed of seeds) {
     const w = await worldUp(seed, small);
-    const store = w.of('store')[0];
+    const store = w.of('store').at(0);
     if (!store) throw new Error('a store is needed');
     const id = store.store?.id;
     const pid = (await w.clock.finish('program', w.program(1000), 10000)).program;
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -46,7 +46,7 @@
     await j.close();
     const path = join(dir, 'a.log');
     const bytes = await readFile(path);
-    bytes[12] = (bytes[12] ?? 0) ^ 1;
+    bytes.writeUInt8(bytes.readUInt8(12) ^ 1, 12);
     await writeFile(path, bytes);
     const errorCode = await openJournal(disk, 'a.log').then(
       () => undefined,
--- a/tests/src/platform/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -183,7 +183,9 @@
         assert.not.ok(await ready());
         await writeFile(file, '{ "addr": 3 }');
         child.kill('SIGHUP');
-        await until('findings', 5000, async () => log().includes('The settings in force stay'));
+        await until('findings', 5000, () =>
+          Promise.resolve(log().includes('The settings in force stay')),
+        );
         assert.match(log(), 'addr');
         const text = {
           addr: `127.0.0.1:${a}`,
@@ -194,7 +196,9 @@
         };
         await writeFile(file, JSON.stringify(text));
         child.kill('SIGHUP');
-        await until('read again', 5000, async () => log().includes('Settings were read again'));
+        await until('read again', 5000, () =>
+          Promise.resolve(log().includes('Settings were read again')),
+        );
         await until('a cluster of one, found by the new seeds', 20000, ready);
         assert.is(child.exitCode, null);
       } finally {
@@ -223,7 +227,7 @@
   const deploy = await readFile(join(repositoryRoot, 'deploy', 'system.toml'), 'utf8');
   const listed = /^packages = \[([^\]]*)\]$/m.exec(deploy)?.[1];
   assert.type(listed, 'string');
-  const names = [...(listed ?? '').matchAll(/"([a-z0-9.+-]+)"/g)].map((m) => m[1] ?? '');
+  const names = [...(listed ?? '').matchAll(/"([a-z0-9.+-]+)"/g)].map((m) => m[1]);
   assert.ok(names.includes('nodejs'));
   const tried = spawnSync('apt-get', ['install', '-s', ...names], { encoding: 'utf8' });
   if (tried.error) {
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -136,8 +136,7 @@
   for (const seed of seeds) {
     const w = await worldUp(seed, five);
     const p = await w.clock.finish('program', w.program(900), 10000);
-    const slow = w.of('store')[seed % 3];
-    if (slow) slow.platter.delay = 2500;
+    w.of('store')[seed % 3].platter.delay = 2500;
     const t0 = w.clock.now();
     await turns(w, p.program, 0, 6);
     assert.ok(w.clock.now() - t0 < 6000, `${w.clock.now() - t0} ms for six turns`);
@@ -164,7 +163,7 @@
     await turns(w, q.program, 100 + n, 1);
   }
   await w.clock.run(900000);
-  const gone = await w.clock.finish('fetch', w.fetch(p.program, t?.turn ?? ''), 10000);
+  const gone = await w.clock.finish('fetch', w.fetch(p.program, t.turn), 10000);
   assert.is(gone.errorCode, 'missing');
   const kept = w.reported.filter((x) => x.kind === 'turn' && x.program === q.program);
   for (const m of w.of('front')) m.kill();
@@ -286,25 +285,37 @@
   },
 );
 
+/** Stores 14 items of 32 KB in each slot, on each of its replicas. */
+const fillSlots = async (w: World): Promise<void> => {
+  const value = 'v'.repeat(32 << 10);
+  const handoffs: Promise<void>[] = [];
+  for (const { store, replicaStore } of w.of('store')) {
+    if (!store || !replicaStore) throw new Error('every store is needed');
+    for (const [n, slot] of w.committed?.slots.entries() ?? [])
+      if (slot.replicas.includes(store.id))
+        for (let i = 0; i < 14; i++)
+          handoffs.push(
+            replicaStore.acceptHandoff(n, [
+              { key: `k/${n}-${i}`, ownershipEpoch: slot.ownershipEpoch, seq: i, value },
+            ]),
+          );
+  }
+  await Promise.all(handoffs);
+};
+
+/** Whether a store is a replica of no slot, and no slot is being filled. */
+const isNoReplica = (w: World, storeId: string): boolean =>
+  w.committed?.slots.every(
+    (slot) => !slot.replicas.includes(storeId) && slot.joiningReplicas.length === 0,
+  ) ?? false;
+
 repair(
   'twenty megabytes in 64 slots move off a store within 6 s, and the calls meanwhile are served',
   async () => {
     const w = new World(33, { controls: 3, stores: 4, fronts: 2, slots: 64 });
     await w.bringUp((base) => configText(base), servers);
     const p = await w.clock.finish('program', w.program(900), 10000);
-    const value = 'v'.repeat(32 << 10);
-    const going: Promise<void>[] = [];
-    for (const m of w.of('store'))
-      for (const [n, slot] of w.committed?.slots.entries() ?? [])
-        if (slot.replicas.includes(m.store?.id ?? 'none'))
-          going.push(
-            ...Array.from({ length: 14 }, async (_, i) =>
-              m.replicaStore?.acceptHandoff(n, [
-                { key: `k/${n}-${i}`, ownershipEpoch: slot.ownershipEpoch, seq: i, value },
-              ]),
-            ),
-          );
-    await w.clock.finish('filling the shelves', Promise.all(going), 60000);
+    await w.clock.finish('filling the stores', fillSlots(w), 60000);
     assert.ok(
       (w.at('store-1').replicaStore?.counts().bytes ?? 0) > 20e6,
       String(w.at('store-1').replicaStore?.counts().bytes),
@@ -312,9 +323,7 @@
     assert.is((await w.operate('POST', '/v1/stores/store-number-1/empty')).status, 200);
     const from = w.clock.now();
     const id = w.at('store-1').store?.id ?? 'none';
-    const empty = () =>
-      w.committed?.slots.every((s) => !s.replicas.includes(id) && s.joiningReplicas.length === 0) ??
-      false;
+    const empty = (): boolean => isNoReplica(w, id);
     for (let i = 0; !empty() && i < 30; i++) await turns(w, p.program, i, 1);
     await w.clock.until('emptied', empty, 6000);
     assert.ok(w.clock.now() - from < 6000, `${w.clock.now() - from} ms`);
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -39,17 +39,17 @@
       const w = await worldUp(seed, small);
       const p = await w.clock.finish('program', w.program(900), 10000);
       const [a, b, c] = w.of('store');
-      a?.kill('power');
+      a.kill('power');
       await w.clock.run(4000);
       await turns(w, p.program, 0, 5);
-      const hints = [b, c].reduce((n, m) => n + (m?.replicaStore?.counts().hints ?? 0), 0);
+      const hints = [b, c].reduce((n, m) => n + (m.replicaStore?.counts().hints ?? 0), 0);
       assert.ok(hints >= 5, `${hints} hints`);
-      a?.start();
+      a.start();
       await w.clock.until(
         'hand-over',
         () =>
-          [b, c].every((m) => m?.replicaStore?.counts().hints === 0) &&
-          (a?.replicaStore?.counts().items ?? 0) >= 6,
+          [b, c].every((m) => m.replicaStore?.counts().hints === 0) &&
+          (a.replicaStore?.counts().items ?? 0) >= 6,
         20000,
       );
       await loseAndReadAll(w, b, p.program);
@@ -63,10 +63,10 @@
     const p = await w.clock.finish('program', w.program(900), 10000);
     await turns(w, p.program, 0, 4);
     const [a, b] = w.of('store');
-    a?.kill('power');
-    a?.platter.wipe();
-    a?.start();
-    const id = () => a?.store?.id ?? 'none';
+    a.kill('power');
+    a.platter.wipe();
+    a.start();
+    const id = () => a.store?.id ?? 'none';
     await w.clock.until(
       'taken in',
       () => w.committed?.slots.some((s) => s.joiningReplicas.includes(id())) ?? false,
@@ -184,8 +184,8 @@
     }
     w.net.largest.clear();
     const store = w.of('store')[0];
-    store?.kill('power');
-    store?.platter.wipe();
+    store.kill('power');
+    store.platter.wipe();
     for (const m of w.of('front')) m.kill();
     w.start(w.of('front'));
     await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
@@ -195,8 +195,8 @@
       5000,
     );
     assert.is(other.reported, 'done');
-    store?.start();
-    const id = () => store?.store?.id ?? 'none';
+    store.start();
+    const id = () => store.store?.id ?? 'none';
     await w.clock.until(
       'refilled',
       () =>
@@ -224,19 +224,19 @@
       await w.bringUp((base) => configText(base), servers);
       const p = await w.clock.finish('program', w.program(900), 10000);
       const [a, b, c] = w.of('store');
-      a?.kill('power');
+      a.kill('power');
       await w.clock.run(1500);
       await turns(w, p.program, 0, 5);
       assert.equal(
-        [b, c].map((m) => m?.replicaStore?.counts().hints),
+        [b, c].map((m) => m.replicaStore?.counts().hints),
         [0, 0],
       );
-      a?.start();
+      a.start();
       await w.clock.run(2000);
-      b?.kill('power');
-      b?.platter.wipe();
-      b?.start();
-      const id = () => b?.store?.id ?? 'none';
+      b.kill('power');
+      b.platter.wipe();
+      b.start();
+      const id = () => b.store?.id ?? 'none';
       await w.clock.until(
         'refilled',
         () =>
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -65,7 +65,7 @@
       const ids = lost.map(storeIdOf);
       for (const m of lost) wipe(m);
       await ownersAnew(w);
-      for (const m of lost) m?.start();
+      for (const m of lost) m.start();
       const from = w.clock.now();
       await w.clock.until('whole again', () => whole(w, ids), 20000);
       assert.ok(w.clock.now() - from < 4800, `${Math.round(w.clock.now() - from)} ms`);
