--- a/packages/journal/src/index.ts
+++ b/packages/journal/src/index.ts
@@ -1,3 +1,4 @@
+/** Logs on disk: records that are acknowledged once they are synced, in a data folder that one process has locked. */
 export * from './digest.js';
 export * from './disk.js';
 export * from './errors.js';
