--- /dev/null
+++ b/tests/src/repository/architecture.test.ts
@@ -0,0 +1,78 @@
+import { execFile } from 'node:child_process';
+import { readFile } from 'node:fs/promises';
+import { join } from 'node:path';
+import { promisify } from 'node:util';
+import { suite } from 'uvu';
+import * as assert from 'uvu/assert';
+import { z } from 'zod';
+import { declaredNames, findingOf, readPages, referencesIn } from '../support/code-references.js';
+import { repositoryRoot } from '../support/repository.js';
+
+const pages = suite('references from the pages to the code');
+const run = promisify(execFile);
+/** The users' plain words, from their letter on readable code; withdrawn as names, so they stand in a file of data. */
+const PlainWords = z.array(z.string()).min(60);
+
+const architecture = join('docs', 'ARCHITECTURE.md');
+const glossary = join('docs', 'glossary.md');
+
+pages('every file that a page names exists and declares the name beside it', async () => {
+  const references = [...(await readPages())].flatMap(([page, text]) => referencesIn(page, text));
+  const findings = await Promise.all(references.map(findingOf));
+  assert.equal(
+    findings.filter((finding) => finding !== undefined),
+    [],
+  );
+});
+
+pages('the architecture page and the glossary rest on many references', async () => {
+  const texts = await readPages();
+  const countIn = (page: string): number =>
+    referencesIn(page, texts.get(page) ?? '').filter(({ name }) => name !== '').length;
+  assert.ok(countIn(architecture) >= 30, `${countIn(architecture)} in ${architecture}`);
+  assert.ok(countIn(glossary) >= 60, `${countIn(glossary)} in ${glossary}`);
+});
+
+pages('a reference to a missing file or name is found', async () => {
+  const text =
+    'see `packages/zen/src/vote.ts#grantVote`, `packages/zen/src/vote.ts#grant` and `packages/no.ts`';
+  const findings = await Promise.all(referencesIn('a page', text).map(findingOf));
+  assert.equal(findings, [
+    undefined,
+    'a page: packages/zen/src/vote.ts declares no grant',
+    'a page: there is no packages/no.ts',
+  ]);
+});
+
+pages('a name in a comment or a call is no declaration', () => {
+  const text = '/** mentioned */ class Outer { member() { called(); } get value() { return 1; } }';
+  const names = declaredNames('x.ts', text);
+  assert.ok(['Outer', 'member', 'Outer.member', 'value'].every((name) => names.has(name)));
+  assert.not.ok(['mentioned', 'called', 'Outer.called'].some((name) => names.has(name)));
+});
+
+pages(
+  'the glossary has a row for every word of the list that the engineers were given',
+  async () => {
+    const text = (await readPages()).get(glossary) ?? '';
+    const list = await readFile(
+      join(repositoryRoot, 'tests', 'fixtures', 'plain-words.json'),
+      'utf8',
+    );
+    const plainWords = PlainWords.parse(JSON.parse(list));
+    const rows = text.split('\n').filter((line) => line.startsWith('| '));
+    const words = rows.flatMap((row) =>
+      (row.split('|')[1] ?? '').split(',').map((word) => word.trim()),
+    );
+    assert.equal(
+      plainWords.filter((word) => !words.includes(word)),
+      [],
+    );
+  },
+);
+
+pages('the package graph shows the imports as they are', async () => {
+  await run(process.execPath, [join(repositoryRoot, 'docs', 'package-graph.mjs'), '--check']);
+});
+
+pages.run();
--- /dev/null
+++ b/tests/src/support/code-references.ts
@@ -0,0 +1,86 @@
+/**
+ * References from pages to the code: `path/to/file.ts` or `path/to/file.ts#name` in backticks. A name is a declaration
+ * of that file, or a member of one of its classes, interfaces and objects, written `Class.member` or just `member`.
+ */
+import { readdir, readFile } from 'node:fs/promises';
+import { join } from 'node:path';
+import ts from 'typescript';
+import { repositoryRoot } from './repository.js';
+
+/** One reference of a page. */
+export interface CodeReference {
+  readonly page: string;
+  readonly file: string;
+  /** Empty where the reference names a file alone. */
+  readonly name: string;
+}
+
+const referencePattern =
+  /`((?:packages|platform|tests|docs)\/[\w./-]+\.(?:ts|mjs|js|json))(?:#([\w.]+))?`/g;
+
+/** Every page that may refer to code, by its path from the root. */
+export const readPages = async (): Promise<ReadonlyMap<string, string>> => {
+  const names = await readdir(join(repositoryRoot, 'docs'));
+  const pages = names.filter((name) => name.endsWith('.md')).map((name) => join('docs', name));
+  const texts = await Promise.all(
+    [...pages, 'README.md', 'CONTRIBUTING.md'].map(
+      async (page): Promise<readonly [string, string]> => [
+        page,
+        await readFile(join(repositoryRoot, page), 'utf8'),
+      ],
+    ),
+  );
+  return new Map(texts);
+};
+
+/** The references of a page, in its order. */
+export const referencesIn = (page: string, text: string): readonly CodeReference[] =>
+  [...text.matchAll(referencePattern)].map(([, file = '', name = '']) => ({ page, file, name }));
+
+const nameOf = (node: ts.Node): string | undefined => {
+  const isNamed =
+    ts.isFunctionDeclaration(node) ||
+    ts.isVariableDeclaration(node) ||
+    ts.isTypeAliasDeclaration(node) ||
+    ts.isEnumDeclaration(node) ||
+    ts.isClassDeclaration(node) ||
+    ts.isInterfaceDeclaration(node) ||
+    ts.isClassElement(node) ||
+    ts.isTypeElement(node) ||
+    ts.isPropertyAssignment(node) ||
+    ts.isMethodDeclaration(node);
+  const isParameterProperty =
+    ts.isParameter(node) && ts.isParameterPropertyDeclaration(node, node.parent);
+  if (!isNamed && !isParameterProperty) return undefined;
+  const { name } = node;
+  return name && (ts.isIdentifier(name) || ts.isStringLiteral(name)) ? name.text : undefined;
+};
+
+/** The names that a source declares: each by itself and, inside another declaration, as `Outer.name`. */
+export const declaredNames = (file: string, text: string): ReadonlySet<string> => {
+  const names = new Set<string>();
+  const visit = (node: ts.Node, outer: string): void => {
+    const name = nameOf(node);
+    if (name !== undefined) {
+      names.add(name);
+      if (outer !== '') names.add(`${outer}.${name}`);
+    }
+    ts.forEachChild(node, (child) => {
+      visit(child, outer === '' ? (name ?? '') : outer);
+    });
+  };
+  visit(ts.createSourceFile(file, text, ts.ScriptTarget.Latest, true), '');
+  return names;
+};
+
+/** What is wrong with a reference; undefined where its file exists and declares its name. */
+export const findingOf = async ({
+  page,
+  file,
+  name,
+}: CodeReference): Promise<string | undefined> => {
+  const text = await readFile(join(repositoryRoot, file), 'utf8').catch(() => undefined);
+  if (text === undefined) return `${page}: there is no ${file}`;
+  if (name === '' || declaredNames(file, text).has(name)) return undefined;
+  return `${page}: ${file} declares no ${name}`;
+};
