--- a/tests/src/repository/architecture.test.ts
+++ b/tests/src/repository/architecture.test.ts
@@ -6,13 +6,20 @@
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
 import { declaredNames, findingOf, readPages, referencesIn } from '../support/code-references.js';
-import { repositoryRoot } from '../support/repository.js';
+import { readSources, repositoryRoot } from '../support/repository.js';
 
 const pages = suite('references from the pages to the code');
 const run = promisify(execFile);
-/** The users' plain words, from their letter on readable code; withdrawn as names, so they stand in a file of data. */
+/** The users' plain words, from their letter on readable code. The code may not contain them, so they stand in a file of data. */
 const PlainWords = z.array(z.string()).min(60);
 
+/** Pages that name tests by topic and file, as in `zen/vote`. */
+const testPages = ['never-list', 'brief', 'incidents'].map((name) => join('docs', `${name}.md`));
+const testsNamedIn = (text: string): readonly string[] =>
+  [...text.matchAll(/`(?!tests\/|packages\/)([a-z-]+\/[a-z-]+)(?:\.test\.ts)?`/g)].map(
+    ([, name = '']) => name,
+  );
+
 const architecture = join('docs', 'ARCHITECTURE.md');
 const glossary = join('docs', 'glossary.md');
 
@@ -25,6 +32,19 @@
   );
 });
 
+pages('every test that a page names in backticks is there', async () => {
+  const tests = new Set(
+    [...(await readSources()).keys()].filter((file) => file.endsWith('.test.ts')),
+  );
+  const texts = await readPages();
+  const named = testPages.flatMap((page) => testsNamedIn(texts.get(page) ?? ''));
+  assert.ok(named.length > 100, `${named.length} tests are named`);
+  assert.equal(
+    named.filter((name) => !tests.has(join('tests', 'src', `${name}.test.ts`))),
+    [],
+  );
+});
+
 pages('the architecture page and the glossary rest on many references', async () => {
   const texts = await readPages();
   const countIn = (page: string): number =>
--- a/tests/src/support/code-references.ts
+++ b/tests/src/support/code-references.ts
@@ -37,23 +37,26 @@
 export const referencesIn = (page: string, text: string): readonly CodeReference[] =>
   [...text.matchAll(referencePattern)].map(([, file = '', name = '']) => ({ page, file, name }));
 
+/** The kinds of declarations whose names count; those of parameters only where they declare a field as well. */
+const declarationTests: readonly ((node: ts.Node) => boolean)[] = [
+  ts.isFunctionDeclaration,
+  ts.isVariableDeclaration,
+  ts.isTypeAliasDeclaration,
+  ts.isEnumDeclaration,
+  ts.isClassDeclaration,
+  ts.isInterfaceDeclaration,
+  ts.isClassElement,
+  ts.isTypeElement,
+  ts.isPropertyAssignment,
+  (node) => ts.isParameter(node) && ts.isParameterPropertyDeclaration(node, node.parent),
+];
+
+const isDeclaration = (node: ts.Node): node is ts.NamedDeclaration =>
+  declarationTests.some((test) => test(node));
+
 const nameOf = (node: ts.Node): string | undefined => {
-  const isNamed =
-    ts.isFunctionDeclaration(node) ||
-    ts.isVariableDeclaration(node) ||
-    ts.isTypeAliasDeclaration(node) ||
-    ts.isEnumDeclaration(node) ||
-    ts.isClassDeclaration(node) ||
-    ts.isInterfaceDeclaration(node) ||
-    ts.isClassElement(node) ||
-    ts.isTypeElement(node) ||
-    ts.isPropertyAssignment(node) ||
-    ts.isMethodDeclaration(node);
-  const isParameterProperty =
-    ts.isParameter(node) && ts.isParameterPropertyDeclaration(node, node.parent);
-  if (!isNamed && !isParameterProperty) return undefined;
-  const { name } = node;
-  return name && (ts.isIdentifier(name) || ts.isStringLiteral(name)) ? name.text : undefined;
+  if (!isDeclaration(node) || !node.name) return undefined;
+  return ts.isIdentifier(node.name) || ts.isStringLiteral(node.name) ? node.name.text : undefined;
 };
 
 /** The names that a source declares: each by itself and, inside another declaration, as `Outer.name`. */
