--- a/tests/src/repository/architecture.test.ts
+++ b/tests/src/repository/architecture.test.ts
@@ -91,6 +91,23 @@
   },
 );
 
+pages('the log lines that the operators page explains are in the code', async () => {
+  const text = (await readPages()).get(join('docs', 'operators.md')) ?? '';
+  const table = text.split('## What the log says')[1]?.split('\n## ')[0] ?? '';
+  const lines = [...table.matchAll(/^\| (.+?) \|/gm)].map(([, line = '']) => line).slice(1);
+  const words = lines.flatMap((line) => line.split(/…| \/ |,/).map((part) => part.trim()));
+  const code = [...(await readSources())]
+    .filter(([file]) => file.startsWith('packages'))
+    .map(([, source]) => source)
+    .join('\n');
+  assert.ok(lines.length > 15, `${lines.length} lines`);
+  const inCode = (part: string): boolean => code.includes(part.replace(/^\((\w+)\)$/, "'$1'"));
+  assert.equal(
+    words.filter((part) => !inCode(part)),
+    [],
+  );
+});
+
 pages('the package graph shows the imports as they are', async () => {
   await run(process.execPath, [join(repositoryRoot, 'docs', 'package-graph.mjs'), '--check']);
 });
