--- a/tests/src/repository/architecture.test.ts
+++ b/tests/src/repository/architecture.test.ts
@@ -5,6 +5,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
+import { rpcErrorCodes } from '@tillerstair/wire';
 import { declaredNames, findingOf, readPages, referencesIn } from '../support/code-references.js';
 import { readSources, repositoryRoot } from '../support/repository.js';
 
@@ -91,6 +92,15 @@
   },
 );
 
+pages('the page of errors lists every code, and no code that there is not', async () => {
+  const text = (await readPages()).get(join('docs', 'errors.md')) ?? '';
+  const rows = text.split('\n').filter((line) => line.startsWith('| `'));
+  const listed = rows.flatMap((row) =>
+    [...(row.split('|')[2] ?? '').matchAll(/`([a-z-]+)`/g)].map(([, code = '']) => code),
+  );
+  assert.equal([...listed].sort(), Object.values(rpcErrorCodes).flat().sort());
+});
+
 pages('the log lines that the operators page explains are in the code', async () => {
   const text = (await readPages()).get(join('docs', 'operators.md')) ?? '';
   const table = text.split('## What the log says')[1]?.split('\n## ')[0] ?? '';
--- a/tests/src/support/code-references.ts
+++ b/tests/src/support/code-references.ts
@@ -37,7 +37,7 @@
 export const referencesIn = (page: string, text: string): readonly CodeReference[] =>
   [...text.matchAll(referencePattern)].map(([, file = '', name = '']) => ({ page, file, name }));
 
-/** The kinds of declarations whose names count; those of parameters only where they declare a field as well. */
+/** The kinds of declarations whose names count. A parameter's name does only where it declares a field too. */
 const declarationTests: readonly ((node: ts.Node) => boolean)[] = [
   ts.isFunctionDeclaration,
   ts.isVariableDeclaration,
