--- a/tests/src/repository/architecture.test.ts
+++ b/tests/src/repository/architecture.test.ts
@@ -21,6 +21,30 @@
     ([, name = '']) => name,
   );
 
+/** Pages whose names in backticks, as in `StateSender`, `Publisher.publish` and `joinMaster`, are names of the code. */
+const designPages = [
+  'answers-and-connections',
+  'control-safety',
+  'design',
+  'gaps',
+  'never-list',
+  'operators',
+  'platform',
+  'zen',
+].map((name) => join('docs', `${name}.md`));
+/** Names of others in the same pages: the language's, Node's, the Gateway API's, and a field of the users' orders. */
+const foreignNames: ReadonlySet<string> = new Set([
+  'Object.fromEntries',
+  'setImmediate',
+  'HTTPRoute',
+  'PathPrefix',
+  'overS',
+]);
+const namesIn = (page: string, text: string): readonly { page: string; name: string }[] =>
+  [...text.matchAll(/`([A-Z]+[a-z][A-Za-z]*(?:\.[a-z][A-Za-z]+)?|[a-z]+[A-Z][A-Za-z]*)`/g)].map(
+    ([, name = '']) => ({ page, name }),
+  );
+
 const architecture = join('docs', 'ARCHITECTURE.md');
 const glossary = join('docs', 'glossary.md');
 
@@ -33,6 +57,18 @@
   );
 });
 
+pages('every name of the code in the design pages is declared somewhere', async () => {
+  const sources = [...(await readSources())].filter(([file]) => !file.startsWith('tests'));
+  const declared = new Set(sources.flatMap(([file, text]) => [...declaredNames(file, text)]));
+  const texts = await readPages();
+  const named = designPages.flatMap((page) => namesIn(page, texts.get(page) ?? ''));
+  assert.ok(named.length > 50, `${named.length} names`);
+  assert.equal(
+    named.filter(({ name }) => !declared.has(name) && !foreignNames.has(name)),
+    [],
+  );
+});
+
 pages('every test that a page names in backticks is there', async () => {
   const tests = new Set(
     [...(await readSources()).keys()].filter((file) => file.endsWith('.test.ts')),
