--- a/tests/src/repository/architecture.test.ts
+++ b/tests/src/repository/architecture.test.ts
@@ -15,7 +15,9 @@
 const PlainWords = z.array(z.string()).min(60);
 
 /** Pages that name tests by topic and file, as in `zen/vote`. */
-const testPages = ['never-list', 'brief', 'incidents'].map((name) => join('docs', `${name}.md`));
+const testPages = ['never-list', 'brief', 'incidents', 'callers'].map((name) =>
+  join('docs', `${name}.md`),
+);
 const testsNamedIn = (text: string): readonly string[] =>
   [...text.matchAll(/`(?!tests\/|packages\/)([a-z-]+\/[a-z-]+)(?:\.test\.ts)?`/g)].map(
     ([, name = '']) => name,
