--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -3,7 +3,6 @@
 import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { z } from 'zod';
 import {
   FolderDisk,
   encodeFrame,
@@ -14,20 +13,14 @@
   type JournalTimings,
 } from '@tillerstair/journal';
 import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
-import { ReplicaStore } from '@tillerstair/store';
+import { ReplicaRecord, ReplicaStore } from '@tillerstair/store';
+import { z } from 'zod';
 import { openJournal } from './journal-rig.js';
 
-/** The records of one line of a store's log, as far as the tests look into them. */
-const LogRecords = z.array(
-  z.object({
-    t: z.string(),
-    to: z.string().optional(),
-    items: z.array(z.object({ seq: z.number() })).optional(),
-  }),
-);
-
 const chunked = suite('journals in chunks');
 
+const Batch = z.array(ReplicaRecord);
+
 interface Scanned {
   readonly records: readonly unknown[];
   readonly good: number;
@@ -202,13 +195,11 @@
     assert.ok(chunks.length > 2, `${chunks.length} chunks`);
     assert.is(later.length, longItems + 3);
     const lines = Buffer.concat(chunks).toString('utf8').split('\n').slice(0, -1);
-    const written = lines.flatMap((line) => LogRecords.parse(JSON.parse(line.slice(9))));
-    const seqs = written.flatMap((record) =>
-      record.t === 'put' ? (record.items ?? []).slice(0, 1).map((item) => item.seq) : [],
-    );
+    const written = lines.flatMap((line) => Batch.parse(JSON.parse(line.slice(9))));
+    const seqs = written.flatMap((r) => (r.t === 'put' ? [r.items.at(0)?.seq] : []));
     assert.ok(seqs.length > 5 && seqs.every((seq) => seq === 1), seqs.join());
     assert.equal(
-      written.flatMap((record) => (record.t === 'hint' ? [record.to] : [])),
+      written.flatMap((r) => (r.t === 'hint' ? [r.to] : [])),
       ['b'],
     );
     await clock.finish('later', Promise.all(later), 1000);
@@ -290,15 +281,15 @@
       const chunks = async function* (): AsyncGenerator<Buffer> {
         for await (const chunk of file.chunks()) {
           const copy = Buffer.from(chunk);
-          if (replaced > 0 && badReads-- > 0) copy[0] ^= 1;
+          if (replaced > 0 && badReads-- > 0) copy.writeUInt8(copy.readUInt8(0) ^ 1, 0);
           yield copy;
         }
       };
-      const replace = (content: Iterable<Buffer>): Promise<void> => {
+      const counted = (replacement: Iterable<Buffer>): Promise<void> => {
         replaced++;
-        return file.replace(content);
+        return file.replace(replacement);
       };
-      return { ...file, chunks, replace };
+      return { ...file, chunks, replace: counted };
     },
   };
   const { journal } = await clock.finish('open', openJournal(misreading, 'a.log', pace), 1000);
--- a/tests/src/journal/full-and-stalled-disks.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -266,7 +266,8 @@
       for (const seed of seeds) {
         const w = await worldUp(seed, small);
         const pid = (await w.clock.finish('program', w.program(1000), 10000)).program;
-        const store = w.of('store')[seed % 3];
+        const store = w.of('store').at(seed % 3);
+        if (!store) throw new Error('a store is needed');
         store.platter[how] = true;
         const slowest: number[] = [];
         for (let n = 0; n < 6; n++) {
@@ -309,7 +310,8 @@
 disk('a store restarted with a full disk serves again by itself under its id', async () => {
   for (const seed of seeds) {
     const w = await worldUp(seed, small);
-    const store = w.of('store')[0];
+    const store = w.of('store').at(0);
+    if (!store) throw new Error('a store is needed');
     const id = store.store?.id;
     const pid = (await w.clock.finish('program', w.program(1000), 10000)).program;
     store.platter.full = true;
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -12,7 +12,6 @@
   worldUp,
 } from '../support/world-helpers.js';
 import { turns } from '../support/repair-turns.js';
-import { storeIdOf } from '../support/replica-world.js';
 
 const repair = suite('moves and growth');
 
@@ -137,8 +136,7 @@
   for (const seed of seeds) {
     const w = await worldUp(seed, five);
     const p = await w.clock.finish('program', w.program(900), 10000);
-    const slow = w.of('store')[seed % 3];
-    slow.platter.delay = 2500;
+    w.of('store')[seed % 3].platter.delay = 2500;
     const t0 = w.clock.now();
     await turns(w, p.program, 0, 6);
     assert.ok(w.clock.now() - t0 < 6000, `${w.clock.now() - t0} ms for six turns`);
@@ -287,32 +285,37 @@
   },
 );
 
-/** Writes `itemsPerSlot` items of a value to each replica of each slot. */
-const fillStores = async (w: World, itemsPerSlot: number, value: string): Promise<void> => {
-  const writes: Promise<unknown>[] = [];
-  for (const m of w.of('store'))
-    for (const [n, slot] of w.committed?.slots.entries() ?? []) {
-      if (!slot.replicas.includes(storeIdOf(m))) continue;
-      const items = Array.from({ length: itemsPerSlot }, (_, i) => ({
-        key: `k/${n}-${i}`,
-        ownershipEpoch: slot.ownershipEpoch,
-        seq: i,
-        value,
-      }));
-      for (const item of items)
-        writes.push(Promise.resolve(m.replicaStore?.acceptHandoff(n, [item])));
-    }
-  await Promise.all(writes);
+/** Stores 14 items of 32 KB in each slot, on each of its replicas. */
+const fillSlots = async (w: World): Promise<void> => {
+  const value = 'v'.repeat(32 << 10);
+  const handoffs: Promise<void>[] = [];
+  for (const { store, replicaStore } of w.of('store')) {
+    if (!store || !replicaStore) throw new Error('every store is needed');
+    for (const [n, slot] of w.committed?.slots.entries() ?? [])
+      if (slot.replicas.includes(store.id))
+        for (let i = 0; i < 14; i++)
+          handoffs.push(
+            replicaStore.acceptHandoff(n, [
+              { key: `k/${n}-${i}`, ownershipEpoch: slot.ownershipEpoch, seq: i, value },
+            ]),
+          );
+  }
+  await Promise.all(handoffs);
 };
 
+/** Whether a store is a replica of no slot, and no slot is being filled. */
+const isNoReplica = (w: World, storeId: string): boolean =>
+  w.committed?.slots.every(
+    (slot) => !slot.replicas.includes(storeId) && slot.joiningReplicas.length === 0,
+  ) ?? false;
+
 repair(
   'twenty megabytes in 64 slots move off a store within 6 s, and the calls meanwhile are served',
   async () => {
     const w = new World(33, { controls: 3, stores: 4, fronts: 2, slots: 64 });
     await w.bringUp((base) => configText(base), servers);
     const p = await w.clock.finish('program', w.program(900), 10000);
-    const filling = fillStores(w, 14, 'v'.repeat(32 << 10));
-    await w.clock.finish('filling the stores', filling, 60000);
+    await w.clock.finish('filling the stores', fillSlots(w), 60000);
     assert.ok(
       (w.at('store-1').replicaStore?.counts().bytes ?? 0) > 20e6,
       String(w.at('store-1').replicaStore?.counts().bytes),
@@ -320,9 +323,7 @@
     assert.is((await w.operate('POST', '/v1/stores/store-number-1/empty')).status, 200);
     const from = w.clock.now();
     const id = w.at('store-1').store?.id ?? 'none';
-    const empty = () =>
-      w.committed?.slots.every((s) => !s.replicas.includes(id) && s.joiningReplicas.length === 0) ??
-      false;
+    const empty = (): boolean => isNoReplica(w, id);
     for (let i = 0; !empty() && i < 30; i++) await turns(w, p.program, i, 1);
     await w.clock.until('emptied', empty, 6000);
     assert.ok(w.clock.now() - from < 6000, `${w.clock.now() - from} ms`);
