--- a/packages/zen/src/bounds.ts
+++ b/packages/zen/src/bounds.ts
@@ -9,7 +9,7 @@
 export interface ZenBounds {
   /** Between two pings of a master and a follower. */
   readonly heartbeatInterval: number;
-  /** How long a node may be silent before it counts as failed. */
+  /** How long a node may be silent before it is taken for failed. */
   readonly failureTimeout: number;
   /** How long a ping round waits for nodes that do not answer. */
   readonly pingRoundTimeout: number;
@@ -45,7 +45,7 @@
   readonly drainingWithin: number;
   /** Between two pings of a master and a follower. */
   readonly heartbeatInterval: number;
-  /** How long a node may be silent before it counts as failed. */
+  /** How long a node may be silent before it is taken for failed. */
   readonly failureTimeout: number;
 }
 
--- a/packages/zen/src/member-contacts.ts
+++ b/packages/zen/src/member-contacts.ts
@@ -10,7 +10,7 @@
 } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 
-/** A member that replied within this many heartbeats counts as responsive. */
+/** A member that replied within this many heartbeats is responsive. */
 const responsiveHeartbeats = 2;
 
 interface Contact {
