--- a/tests/src/repository/architecture.test.ts
+++ b/tests/src/repository/architecture.test.ts
@@ -38,6 +38,7 @@
 const foreignNames: ReadonlySet<string> = new Set([
   'Object.fromEntries',
   'setImmediate',
+  'Gateway',
   'HTTPRoute',
   'PathPrefix',
   'overS',
