--- a/packages/control/src/operations/operation.ts
+++ b/packages/control/src/operations/operation.ts
@@ -11,8 +11,11 @@
 
 /**
  * What an answer rests on. `none`: what the asked control knows by itself. `quorum-read`: a majority confirmed the
- * master after the request came. `commit`: the change, or the refusal, is committed (design.md, "Versions of the
- * configuration").
+ * master after the request came. `commit`: a change is committed before it is acknowledged; a refusal is never committed,
+ * a majority confirms the master before it is answered (`docs/control-safety.md`, section 1).
+ *
+ * It documents the operation and nothing reads it. What enforces it is the call that the handler makes on the master:
+ * `MasterView.confirm` for `quorum-read`, `MasterView.decide` for `commit`.
  */
 export type Authority = 'none' | 'quorum-read' | 'commit';
 
