--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -1,8 +1,10 @@
 /**
  * Requests that are answered as a whole: calls of the product's own interface, and those of pass routes.
  *
- * Owns the keyed operations that are running here; their intents and results are in the slot's replicas. A key runs at
- * most once, stands for one body, and answers from its record once it is done.
+ * Owns the keyed operations that are running here; their intents and results are in the slot's replicas. A key stands for
+ * one body and answers from its record once it is done. What may have run is sent again only where every server involved
+ * keeps its own record of keys, so that it takes effect at most once; elsewhere it stays "unknown" (`docs/design.md`, "A
+ * tool call"). This rests on the record: one that does not parse is treated as absent (`stored-values.ts`).
  */
 import type { Server } from '@tillerstair/state';
 import { toRpcError, UnavailableError, withTimeout } from '@tillerstair/wire';
@@ -137,6 +139,7 @@
     const replicator = this.owner.replicator(key);
     const running = this.running.get(key);
     if (running) return this.join(operation, running);
+    // A record that does not parse counts as absent: the key would be sent again (docs/gaps.md, "Decisions to take").
     const old = OpValue.safeParse(replicator.get(key));
     const mayHaveRun = old.success && old.data.status !== 'void';
     if (mayHaveRun) {
--- a/packages/session-owner/src/stored-values.ts
+++ b/packages/session-owner/src/stored-values.ts
@@ -1,6 +1,7 @@
 /**
  * What replicas store for programs, turns and operations. The schemas are on disk: their keys and values stay as they
- * are, and a value that does not parse is treated as one that is not there.
+ * are, and a value that does not parse is treated as one that is not there. For an operation this means that its key would
+ * be sent again (`docs/gaps.md`, "Decisions to take").
  */
 import { z } from 'zod';
 
