--- a/packages/proxy/src/front-bounds.ts
+++ b/packages/proxy/src/front-bounds.ts
@@ -1,4 +1,8 @@
-/** The time limits of a front, derived from its settings; those in `bounds` follow the settings file as it is read again. */
+/**
+ * The time limits of a front, derived from its settings. On SIGHUP the heartbeat, the time of a write and the read lease
+ * follow the bounds that were read again; `poll`, the time to connect, `stopWithin` and `retentionMs` stay as they were
+ * at the start.
+ */
 import type { SessionOwnerBounds } from '@tillerstair/session-owner';
 import type { ProxySettings } from '@tillerstair/settings';
 import { toTimerMs } from '@tillerstair/wire';
