--- a/packages/state/src/allocation/live-members.ts
+++ b/packages/state/src/allocation/live-members.ts
@@ -1,7 +1,10 @@
-/** The members of one kind. */
+/**
+ * The members of one kind. Live means listed here: the cluster state has the node, since it joined and was not removed. It
+ * does not say that the node replies now, nor that its disk accepts writes.
+ */
 import type { Member, State } from '../state.js';
 
-/** The members of a kind, by id, so that every master allocates alike. */
+/** The members of a kind that the state lists, by id, so that every master allocates alike. */
 export const liveMembers = (state: State, kind: Member['kind']): readonly Member[] =>
   [...state.nodes.values()]
     .filter((member) => member.kind === kind)
--- a/packages/state/src/margin.ts
+++ b/packages/state/src/margin.ts
@@ -1,15 +1,20 @@
-/** How many more losses the cluster bears now: of voting controls, and of stores for each slot. */
+/**
+ * How many more losses the cluster bears now: of voting controls, and of stores for each slot.
+ *
+ * Live means here that the state lists the node and that it replied to whoever asks. It says nothing of the node's disk:
+ * one that is full or stalled counts as live, though it stores no write (`docs/operators.md`, "A disk that is full").
+ */
 import { z } from 'zod';
 import { lossesBorne, Replication } from './replication.js';
 import { replicasAfterJoin } from './slots.js';
 import type { Slot, State } from './state.js';
 
-/** Whether a node is in touch now, as far as who asks can tell. */
+/** Whether a node replied, as far as who asks can tell. Whether its disk accepts writes is not part of it. */
 export type IsLive = (id: string) => boolean;
 
 const countLive = (ids: readonly string[], isLive: IsLive): number => ids.filter(isLive).length;
 
-/** A node is live only if the state lists it and it was heard of. */
+/** A node is live only if the state lists it and it replied. */
 export const liveNodes =
   (state: State, isHeard: IsLive): IsLive =>
   (id) =>
--- a/packages/zen/src/publish-receiver.ts
+++ b/packages/zen/src/publish-receiver.ts
@@ -111,6 +111,10 @@
     if (!isExpected) throw new ElectionError('other-cluster', 'this node is not of that cluster');
   }
 
+  /**
+   * One vote a term, as in `vote.ts`: accepting a state of a term that this node has not voted in is its vote for the
+   * publisher (see `accept`), and one that it gave to another binds it here too.
+   */
   private requireTerm({ from, term }: Publish): void {
     const { term: votedTerm, votedFor } = this.electionStore.persisted;
     if (term < votedTerm || (term === votedTerm && votedFor !== from.id))
--- a/packages/zen/src/vote.ts
+++ b/packages/zen/src/vote.ts
@@ -4,7 +4,11 @@
 import type { ElectionStore, PersistentState } from './election-store.js';
 import type { Validate, ValidateResponse } from './messages.js';
 
-/** One vote a term, and none in a lower term (docs/zen.md, "One master a term"). */
+/**
+ * One vote a term, and none in a lower term (docs/zen.md, "One master a term"). `PublishReceiver` checks the same of a
+ * publish, since that counts as a vote too: a node that was not asked for its vote votes by accepting a state. Were it
+ * checked in one of them only, a node could vote for one candidate here and accept a state of another in the same term.
+ */
 const requireVoteIsFree = (persisted: PersistentState, candidateId: string, term: number): void => {
   const isTaken = persisted.votedFor !== '' && persisted.votedFor !== candidateId;
   if (term < persisted.term || (term === persisted.term && isTaken))
