--- a/packages/control/src/operations/operation.ts
+++ b/packages/control/src/operations/operation.ts
@@ -17,7 +17,7 @@
  * It documents the operation and nothing reads it. What enforces it is the call that the handler makes on the master:
  * `MasterView.confirm` for `quorum-read`, `MasterView.decide` for `commit`.
  */
-export type Authority = 'none' | 'quorum-read' | 'commit';
+type Authority = 'none' | 'quorum-read' | 'commit';
 
 /** A path of the operators' interface, `/v1/SECTION/ID/VERB`; parts that are absent are empty. */
 export interface OperatorPath {
@@ -34,7 +34,7 @@
 };
 
 /** The body of a request after its schema, or the response that refuses it. */
-export type ParsedBody<Body> =
+type ParsedBody<Body> =
   | { readonly valid: true; readonly body: Body }
   | { readonly valid: false; readonly response: OperatorResponse };
 
@@ -54,7 +54,7 @@
 };
 
 /** Where an operation is asked for. */
-export interface OperationAddress {
+interface OperationAddress {
   readonly method: string;
   readonly matches: (path: OperatorPath) => boolean;
 }
@@ -70,7 +70,7 @@
 }
 
 /** What a handler gets once the body has passed its schema. */
-export interface OperationCall<Body> {
+interface OperationCall<Body> {
   readonly master: MasterView;
   readonly id: string;
   readonly body: Body;
--- a/packages/control/src/operations/operations.ts
+++ b/packages/control/src/operations/operations.ts
@@ -15,7 +15,7 @@
 import { votingControlOperations } from './voting-controls.js';
 
 /** Every operation that a master carries out. */
-export const operations: readonly Operation[] = [
+const operations: readonly Operation[] = [
   ...configurationOperations,
   ...serverOperations,
   ...retirementOperations,
--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -20,7 +20,7 @@
 import { ControlNode } from './node.js';
 
 /** A further address at which operators are served. */
-export interface OperatorListener {
+interface OperatorListener {
   /** Stops serving there. */
   close(): Promise<void>;
 }
--- a/packages/proxy/src/send-guard.ts
+++ b/packages/proxy/src/send-guard.ts
@@ -12,7 +12,7 @@
 }
 
 /** The HTTP client wanted to write a request that may have been sent; it fails before any byte leaves. */
-export class RequestRewrittenError extends Error {
+class RequestRewrittenError extends Error {
   override readonly name: string = 'RequestRewrittenError';
 
   constructor() {
--- a/packages/proxy/src/start.ts
+++ b/packages/proxy/src/start.ts
@@ -18,7 +18,7 @@
 import { createPassHandler, type PassHandler } from './pass-handler.js';
 
 /** Further listeners for callers. */
-export interface ListenerHandle {
+interface ListenerHandle {
   /** Closes them once nothing is under way. */
   close(): Promise<void>;
 }
--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -31,7 +31,7 @@
 import { OpValue } from './stored-values.js';
 
 /** An operation's name at servers that record keys. */
-export const operationOf = (tenant: string, key: string): string =>
+const operationOf = (tenant: string, key: string): string =>
   `${encodeURIComponent(tenant)}/${encodeURIComponent(key)}`;
 
 /** The key under which replicas store an operation. */
--- a/packages/session-owner/src/operation-attempts.ts
+++ b/packages/session-owner/src/operation-attempts.ts
@@ -38,7 +38,7 @@
 }
 
 /** Whether the servers of a pool keep their own record of keys. */
-export const recordsKeys = (owner: OwnerServices, poolName: string): boolean =>
+const recordsKeys = (owner: OwnerServices, poolName: string): boolean =>
   owner.current?.config?.pools.some(
     ({ name, remembersKeys }) => name === poolName && remembersKeys,
   ) ?? false;
--- a/packages/session-owner/src/policies.ts
+++ b/packages/session-owner/src/policies.ts
@@ -19,7 +19,7 @@
 }
 
 /** How the engine of a pool's servers batches requests. */
-export interface Engine {
+interface Engine {
   /** Requests that run in one batch. */
   readonly places: number;
   readonly memoryTokens: number;
@@ -71,11 +71,11 @@
 const requestsAt = ({ inFlight, requests }: ObservedServer): number => Math.max(inFlight, requests);
 
 /** Drops servers that the operator drains or that drain by themselves. */
-export const excludeDraining: PlacementPolicy = (candidates, context) =>
+const excludeDraining: PlacementPolicy = (candidates, context) =>
   candidates.filter(({ server }) => !server.draining && !context.observed(server).draining);
 
 /** Keeps the healthy servers; where there is none, those that are not known to be unhealthy. */
-export const preferHealthy: PlacementPolicy = (candidates, context) => {
+const preferHealthy: PlacementPolicy = (candidates, context) => {
   const healthy = candidates.filter(
     ({ server }) => context.observed(server).health === 'good' && !server.down,
   );
@@ -95,7 +95,7 @@
  * For servers that batch, where the prompt's size is known: the tokens that the server would have to prefill, against
  * what more there is in its batch.
  */
-export const batchCost: PlacementPolicy = (candidates, context) =>
+const batchCost: PlacementPolicy = (candidates, context) =>
   candidates.map((candidate) => {
     const { server, score } = candidate;
     const engine = context.engine(server);
@@ -105,7 +105,7 @@
   });
 
 /** For servers that do not batch: `gain` for a prompt of which all is cached. */
-export const prefixAffinity =
+const prefixAffinity =
   (gain: number): PlacementPolicy =>
   (candidates, context) =>
     candidates.map((candidate) => {
@@ -115,7 +115,7 @@
     });
 
 /** Where `batchCost` does not apply: `cost` for each request at the server, the more the lower its weight. */
-export const loadCost =
+const loadCost =
   (cost: number): PlacementPolicy =>
   (candidates, context) =>
     candidates.map((candidate) => {
@@ -129,7 +129,7 @@
     });
 
 /** A server that is slow by its tuned weight loses to an equal one. */
-export const weightBonus: PlacementPolicy = (candidates, context) =>
+const weightBonus: PlacementPolicy = (candidates, context) =>
   candidates.map(({ server, score }) => ({
     server,
     score: score + Math.min(1, context.weight(server)) * maxWeightBonus,
--- a/packages/session-owner/src/turn-records.ts
+++ b/packages/session-owner/src/turn-records.ts
@@ -7,7 +7,7 @@
 export const turnIdOf = (pid: string, key: string): string => `t-${shortDigest(`${pid}\n${key}`)}`;
 
 /** The digest that callers compare a turn's text with. */
-export const textDigest = (chunks: readonly string[]): string => shortDigest(chunks.join(''));
+const textDigest = (chunks: readonly string[]): string => shortDigest(chunks.join(''));
 
 /** The key under which replicas store a program. */
 export const programKey = (pid: string): string => `p/${pid}`;
--- a/packages/settings/src/daemon.ts
+++ b/packages/settings/src/daemon.ts
@@ -5,7 +5,7 @@
 import { readSettings } from './settings.js';
 
 /** The version that programs show. */
-export const version = '0.1.0';
+const version = '0.1.0';
 
 const FlagTable = z.record(z.string(), z.unknown());
 
--- a/packages/zen/src/elect.ts
+++ b/packages/zen/src/elect.ts
@@ -25,7 +25,7 @@
   [...members].sort((a, b) => (a.id < b.id ? -1 : a.id > b.id ? 1 : 0))[0];
 
 /** The voters of the newest state that this node or anyone who replied has accepted. */
-export const newestVoters = (
+const newestVoters = (
   local: LocalCandidate,
   replies: readonly PingResponse[],
 ): VotingConfiguration | undefined => {
--- a/packages/zen/src/election-log.ts
+++ b/packages/zen/src/election-log.ts
@@ -59,7 +59,7 @@
 export type ElectionRecord = z.infer<typeof ElectionRecord>;
 
 /** The log does not prove that it is complete: its last records must not be relied on. */
-export class IncompleteLogError extends Error {
+class IncompleteLogError extends Error {
   override readonly name = 'IncompleteLogError';
 }
 
--- a/packages/zen/src/index.ts
+++ b/packages/zen/src/index.ts
@@ -9,7 +9,7 @@
 export * from './memory-election-store.js';
 export * from './zen-node.js';
 export * from './zen-node-options.js';
-export type { CommittedState, MasterView } from './master-types.js';
+export type { MasterView } from './master-types.js';
 export * from './pace.js';
 export * from './quorum-read.js';
 
