--- a/packages/control/src/address-history.ts
+++ b/packages/control/src/address-history.ts
@@ -9,7 +9,7 @@
   private readonly addresses = new Map<string, string>();
 
   /** Takes over the addresses of a state, and forgets nodes that it names nowhere. */
-  learn(state: State): void {
+  update(state: State): void {
     for (const member of [...state.votingMembers.values(), ...state.nodes.values()])
       this.addresses.set(member.id, member.addr);
     const named = new Set([
--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -52,13 +52,13 @@
   ) {}
 
   /** Takes over the addresses of an applied state; called for every state, also on controls that are not master. */
-  readonly learn = (state: State): void => {
-    this.addresses.learn(state);
+  readonly recordAddresses = (state: State): void => {
+    this.addresses.update(state);
   };
 
   /** Adds to a state that is about to be published what follows from it: votes passed on, slots allocated. */
   readonly settle = (state: State): State => {
-    this.learn(state);
+    this.recordAddresses(state);
     return this.allocateSlots(this.replaceVoter(state));
   };
 
@@ -76,8 +76,8 @@
   };
 
   /** The median pace that fronts report of each server. */
-  paces(state: State): ReadonlyMap<string, number> {
-    return this.health.paces(state);
+  throughputs(state: State): ReadonlyMap<string, number> {
+    return this.health.medianThroughputs(state);
   }
 
   /** Marks servers and moves overdue slots every half heartbeat, until the master steps down. */
@@ -116,9 +116,9 @@
     const replicaIds = [...new Set(state.slots.flatMap(replicasToWrite))];
     const lostDisks = this.addresses.lostDisks(state, replicaIds);
     return allocate(state, {
-      leastStores: this.leastStores(state),
-      moves: Math.max(1, Math.ceil(slotCount / ownerMoveDivisor)),
-      fills: Math.max(1, Math.floor(slotCount / replicaFillDivisor)),
+      minStores: this.minStores(state),
+      maxMoves: Math.max(1, Math.ceil(slotCount / ownerMoveDivisor)),
+      maxFills: Math.max(1, Math.floor(slotCount / replicaFillDivisor)),
       unresponsiveStores: new Set([...this.unresponsiveStores, ...lostDisks]),
     });
   }
@@ -133,7 +133,7 @@
   }
 
   /** Slots get their first replicas once all can be placed, or a quorum of them when no further store comes. */
-  private leastStores(state: State): number {
+  private minStores(state: State): number {
     const now = this.clock.now();
     const arrivedAt = this.storeArrivals.observe(idsOf(state, 'store'), now);
     return now - arrivedAt > this.bounds.failureTimeout
--- a/packages/control/src/cluster-reports.ts
+++ b/packages/control/src/cluster-reports.ts
@@ -2,7 +2,7 @@
 import {
   liveNodes,
   replicasToWrite,
-  allSlotsAtFullMargin,
+  allSlotsFullyReplicated,
   type IsLive,
   type Member,
   type Server,
@@ -35,7 +35,7 @@
     retiring,
     slotsHeld,
     slotsJoining,
-    done: retiring && slotsHeld === 0 && allSlotsAtFullMargin(state, liveNodes(state, isLive)),
+    done: retiring && slotsHeld === 0 && allSlotsFullyReplicated(state, liveNodes(state, isLive)),
   };
 };
 
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -27,7 +27,7 @@
 import { tuneWeights } from './weight-tuning.js';
 
 /** What a control is made of: what zen needs, and the deployment's list of servers if there is one. */
-export interface ControlParts extends Omit<
+export interface ControlNodeOptions extends Omit<
   ZenNodeOptions,
   'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead' | 'listReport' | 'onListReport'
 > {
@@ -54,11 +54,11 @@
   private readonly allocationController: AllocationController;
   private readonly list: PolledList | undefined;
   private readonly me: Member;
-  private readonly clock: ControlParts['clock'];
-  private readonly transport: ControlParts['transport'];
-  private readonly bounds: ControlParts['bounds'];
+  private readonly clock: ControlNodeOptions['clock'];
+  private readonly transport: ControlNodeOptions['transport'];
+  private readonly bounds: ControlNodeOptions['bounds'];
 
-  constructor(parts: ControlParts) {
+  constructor(parts: ControlNodeOptions) {
     const { me, clock, transport, bounds, log, electionStore } = parts;
     this.me = me;
     this.clock = clock;
@@ -66,7 +66,7 @@
     this.bounds = bounds;
     this.allocationController = new AllocationController(clock, bounds, log);
     const { accepted } = electionStore.persisted;
-    if (accepted) this.allocationController.learn(accepted);
+    if (accepted) this.allocationController.recordAddresses(accepted);
     if (parts.list) {
       const reader = new ListReader(clock, parts.list, bounds, log);
       this.list = { reader, poll: new ListPoll(clock, reader) };
@@ -76,7 +76,7 @@
       ...parts,
       settle: this.allocationController.settle,
       onApplied: (state) => {
-        this.allocationController.learn(state);
+        this.allocationController.recordAddresses(state);
         return Promise.resolve();
       },
       onReport: this.allocationController.onReport,
--- a/packages/control/src/server-health.ts
+++ b/packages/control/src/server-health.ts
@@ -30,7 +30,7 @@
   }
 
   /** The median pace of each server of which one is known. */
-  paces(state: State): ReadonlyMap<string, number> {
+  medianThroughputs(state: State): ReadonlyMap<string, number> {
     const medians = new Map<string, number>();
     for (const server of state.servers.values()) {
       const paces: number[] = [];
--- a/packages/control/src/weight-tuning.ts
+++ b/packages/control/src/weight-tuning.ts
@@ -67,7 +67,7 @@
     () => bounds.heartbeatInterval * tuningHeartbeats,
     async (committed) => {
       if (!committed.config) return;
-      const paces = allocationController.paces(committed);
+      const paces = allocationController.throughputs(committed);
       await submitOrRetryLater(master, (state) => {
         const weights = tunedWeights(state, paces);
         return isSame(weights, state.weights)
--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -104,7 +104,10 @@
       cpuMs(() => allocationController.onReport('f-0', JSON.parse(text))),
     ],
     ['master: standing kept a front, MB', mb / fronts],
-    ['master: a tuning round a front, ms', cpuMs(() => allocationController.paces(s)) / fronts],
+    [
+      'master: a tuning round a front, ms',
+      cpuMs(() => allocationController.throughputs(s)) / fronts,
+    ],
   ]);
 };
 
--- a/packages/fleet/src/capacity-state.ts
+++ b/packages/fleet/src/capacity-state.ts
@@ -57,9 +57,9 @@
   const bootstrapped = bootstrapState('cluster', controls, z.slots);
   const joined = all.reduce((s, member) => reduceState(s, { kind: 'join', member }), bootstrapped);
   const allotted = allocate(joined, {
-    leastStores: 3,
-    moves: z.slots,
-    fills: z.slots,
+    minStores: 3,
+    maxMoves: z.slots,
+    maxFills: z.slots,
     unresponsiveStores: new Set(),
   });
   const servers = serversOf(z.servers);
--- a/packages/state/src/allocation/allocate.ts
+++ b/packages/state/src/allocation/allocate.ts
@@ -6,6 +6,6 @@
 
 /** The state with its slots allocated as far as the limits allow; the very state where no slot needs anything. */
 export const allocate = (state: State, limits: AllocationLimits): State => {
-  const slots = allocateOwners(state, allocateReplicas(state, limits), limits.moves);
+  const slots = allocateOwners(state, allocateReplicas(state, limits), limits.maxMoves);
   return slots.every((slot, index) => slot === state.slots[index]) ? state : { ...state, slots };
 };
--- a/packages/state/src/allocation/limits.ts
+++ b/packages/state/src/allocation/limits.ts
@@ -3,11 +3,11 @@
 /** The bounds of one allocation. */
 export interface AllocationLimits {
   /** Live stores from which a slot gets its first replicas. */
-  readonly leastStores: number;
+  readonly minStores: number;
   /** Slots that may be marked to move to another front at the same time. */
-  readonly moves: number;
+  readonly maxMoves: number;
   /** Slots to which a replica may be joining at the same time. */
-  readonly fills: number;
+  readonly maxFills: number;
   /** Stores whose replicas are replaced if they are no members, as they will not come back soon. */
   readonly unresponsiveStores: ReadonlySet<string>;
 }
--- a/packages/state/src/allocation/replicas.ts
+++ b/packages/state/src/allocation/replicas.ts
@@ -52,7 +52,7 @@
 
 const placeFirstReplicas = (allocation: ReplicaAllocation, slot: Slot): Slot => {
   const { state, limits, usableStores, slotsPerStore } = allocation;
-  if (usableStores.length < limits.leastStores) return slot;
+  if (usableStores.length < limits.minStores) return slot;
   const count = state.replication.replicas;
   const replicas = spreadOverZones(usableStores, [], count, slotsPerStore).map(({ id }) => id);
   for (const id of replicas) addSlots(slotsPerStore, id, 1);
@@ -127,7 +127,7 @@
     if (slot.replicas.length === 0) return placeFirstReplicas(allocation, slot);
     const isFilling = slot.joiningReplicas.length > 0;
     if (isFilling && slot.joiningReplicas.every(isFillable)) return slot;
-    if (!isFilling && filling >= limits.fills) return slot;
+    if (!isFilling && filling >= limits.maxFills) return slot;
     const next = replaceReplica(allocation, slot);
     if (!isFilling && next !== slot) filling++;
     return next;
--- a/packages/state/src/margin.ts
+++ b/packages/state/src/margin.ts
@@ -5,7 +5,7 @@
  * one that is full or stalled counts as live, though it stores no write (`docs/operators.md`, "A disk that is full").
  */
 import { z } from 'zod';
-import { lossesBorne, Replication } from './replication.js';
+import { toleratedLosses, Replication } from './replication.js';
 import { replicasAfterJoin } from './slots.js';
 import type { Slot, State } from './state.js';
 
@@ -84,5 +84,7 @@
 };
 
 /** Whether every slot bears all the losses that its replication is meant for. */
-export const allSlotsAtFullMargin = (state: State, isLive: IsLive): boolean =>
-  state.slots.every((slot) => slotMargin(state, slot, isLive) >= lossesBorne(state.replication));
+export const allSlotsFullyReplicated = (state: State, isLive: IsLive): boolean =>
+  state.slots.every(
+    (slot) => slotMargin(state, slot, isLive) >= toleratedLosses(state.replication),
+  );
--- a/packages/state/src/replication.ts
+++ b/packages/state/src/replication.ts
@@ -24,4 +24,4 @@
 export const defaultReplication: Replication = replicationFor(1);
 
 /** The number of losses at once that a replication bears when all replicas are complete. */
-export const lossesBorne = ({ replicas, quorum }: Replication): number => replicas - quorum;
+export const toleratedLosses = ({ replicas, quorum }: Replication): number => replicas - quorum;
--- a/tests/src/control/allocation-controller.test.ts
+++ b/tests/src/control/allocation-controller.test.ts
@@ -147,13 +147,13 @@
 controller('the pace of a server is the median of what was reported of its URL', () => {
   const state = sampleState([], { servers: new Map([['a', server]]) });
   const { allocation } = started(state);
-  assert.is(allocation.paces(state).size, 0);
+  assert.is(allocation.throughputs(state).size, 0);
   allocation.onReport('f1', seen(true, 'u', 3));
   allocation.onReport('f2', seen(true, 'u', 1));
   allocation.onReport('f3', seen(true, 'u', 2));
   allocation.onReport('f4', seen(true, 'another', 9));
   allocation.onReport('f5', seen(true));
-  assert.equal([...allocation.paces(state)], [['a', 2]]);
+  assert.equal([...allocation.throughputs(state)], [['a', 2]]);
 });
 
 controller('a slot that its owner released goes to the target', async () => {
--- a/tests/src/control/operator-answers.test.ts
+++ b/tests/src/control/operator-answers.test.ts
@@ -10,9 +10,9 @@
   platformRoute,
   platformConfiguration,
   jsonText,
-  startWorld,
-  operatorAt,
-} from '../support/operator-world.js';
+  startCluster,
+  operatorClient,
+} from '../support/operator-cluster.js';
 
 const answers = suite('answers to operators');
 
@@ -68,8 +68,8 @@
 ];
 
 answers('an invalid configuration is rejected with findings and changes nothing', async () => {
-  const w = await startWorld(49);
-  const desk = operatorAt(w);
+  const w = await startCluster(49);
+  const desk = operatorClient(w);
   assert.is((await desk.change('PUT', 0, platformConfiguration(5))).status, 200);
   for (const [what, body] of invalidConfigurations)
     assert.is((await desk.change('PUT', 5, body)).status, 400, what);
@@ -85,12 +85,12 @@
 });
 
 answers('a configuration of ten thousand routes is accepted and read back', async () => {
-  const w = await startWorld(50);
+  const w = await startCluster(50);
   const big = platformConfiguration(1, {
     ways: Array.from({ length: 10000 }, (_, i) => platformRoute(`r${i}`)),
   });
   assert.ok(jsonText(big).length > 2 << 20);
-  const desk = operatorAt(w);
+  const desk = operatorClient(w);
   assert.is((await desk.change('PUT', 0, big)).status, 200);
   assert.is(await desk.read(), jsonText(big));
 });
@@ -98,8 +98,8 @@
 answers(
   'a change without a master is answered 503, and one whose outcome is unknown 504',
   async () => {
-    const w = await startWorld(51);
-    assert.is((await operatorAt(w).change('PUT', 0, platformConfiguration(1))).status, 200);
+    const w = await startCluster(51);
+    assert.is((await operatorClient(w).change('PUT', 0, platformConfiguration(1))).status, 200);
     const [a, b, c] = w.of('control');
     const alone = [a, b, c].find((m) => m !== w.master);
     for (const m of [a, b, c]) if (m !== alone) m.kill('power');
@@ -124,14 +124,14 @@
 );
 
 answers('a store is emptied by its name; an unknown one is 404, too few others 409', async () => {
-  const w = await startWorld(52, { controls: 3, stores: 4, fronts: 2 });
+  const w = await startCluster(52, { controls: 3, stores: 4, fronts: 2 });
   await w.operate('PUT', '/v1/config', configText(0));
   await w.clock.until(
     'replicas',
     () => w.committed?.slots.every((s) => s.replicas.length === 3) ?? false,
     20000,
   );
-  const desk = operatorAt(w);
+  const desk = operatorClient(w);
   const name = 'store-number-1';
   assert.is((await desk.retire('POST', 'nobody')).status, 404);
   assert.is((await desk.retire('GET', 'nobody')).status, 404);
@@ -157,7 +157,7 @@
   assert.is((await desk.retire('POST', name)).status, 200);
   w.master?.kill('power');
   await w.clock.until('a new master', () => w.master !== undefined, 20000);
-  assert.equal((await operatorAt(w).retire('GET', name)).body, { state: 'delivered' });
+  assert.equal((await operatorClient(w).retire('GET', name)).body, { state: 'delivered' });
 });
 
 answers("the operators' page uses the platform's statuses and forms", async () => {
--- a/tests/src/control/operator.test.ts
+++ b/tests/src/control/operator.test.ts
@@ -9,17 +9,17 @@
   platformService,
   platformConfiguration,
   jsonText,
-  startWorld,
-  operatorAt,
-} from '../support/operator-world.js';
+  startCluster,
+  operatorClient,
+} from '../support/operator-cluster.js';
 
 const operator = suite('configuration changes of operators');
 
 operator(
   'versions go up in uneven steps, and what was sent is read back word for word at any control',
   async () => {
-    const w = await startWorld(41);
-    const desk = operatorAt(w);
+    const w = await startCluster(41);
+    const desk = operatorClient(w);
     const empty = await desk.read();
     assert.is(typeof empty === 'string' ? 200 : empty.status, 404);
     const first = `${JSON.stringify(platformConfiguration(3), null, 1)}\n`;
@@ -29,7 +29,7 @@
     assert.is((await desk.change('PUT', 3, platformConfiguration(12))).status, 412);
     assert.is((await desk.change('PUT', 0, platformConfiguration(1))).status, 412);
     for (const n of [0, 1, 2])
-      assert.is(await operatorAt(w, n).read(), jsonText(platformConfiguration(11)));
+      assert.is(await operatorClient(w, n).read(), jsonText(platformConfiguration(11)));
     assert.is(w.committed?.config?.version, 11);
   },
 );
@@ -37,13 +37,13 @@
 operator(
   'the same change again is acknowledged, also after a later one; another on the same base is not',
   async () => {
-    const w = await startWorld(42);
-    const desk = operatorAt(w);
+    const w = await startCluster(42);
+    const desk = operatorClient(w);
     assert.is((await desk.change('PUT', 0, platformConfiguration(2))).status, 200);
     assert.is((await desk.change('PUT', 0, platformConfiguration(2))).status, 200);
     const patch = { edition: 5, upsert: { ways: [platformRoute('r3')] }, remove: { ways: ['r1'] } };
     for (const n of [0, 1, 2])
-      assert.is((await operatorAt(w, n).change('PATCH', 2, patch)).status, 200);
+      assert.is((await operatorClient(w, n).change('PATCH', 2, patch)).status, 200);
     assert.is((await desk.change('PATCH', 2, { ...patch, edition: 6 })).status, 412);
     assert.is((await desk.change('PUT', 5, platformConfiguration(9))).status, 200);
     for (const again of [
@@ -60,15 +60,15 @@
     assert.is(await desk.read(), jsonText(platformConfiguration(9)));
     w.master?.kill('power');
     await w.clock.until('a new master', () => w.master !== undefined, 20000);
-    assert.is((await operatorAt(w).change('PATCH', 2, patch)).status, 200);
+    assert.is((await operatorClient(w).change('PATCH', 2, patch)).status, 200);
     assert.is(w.committed?.config?.version, 9);
   },
 );
 
 operator('of two changes on one base one wins', async () => {
   for (const seed of [43, 44, 45]) {
-    const w = await startWorld(seed);
-    assert.is((await operatorAt(w).change('PUT', 0, platformConfiguration(1))).status, 200);
+    const w = await startCluster(seed);
+    assert.is((await operatorClient(w).change('PUT', 0, platformConfiguration(1))).status, 200);
     const nodes = w.of('control').flatMap((m) => m.control ?? []);
     const race = nodes.map((node, i) => {
       const desk = new OperatorAdapter((o) => node.operate(o));
@@ -89,8 +89,8 @@
 operator(
   'a patch puts items in their places, adds and removes by name, and keeps unknown fields',
   async () => {
-    const w = await startWorld(46);
-    const desk = operatorAt(w);
+    const w = await startCluster(46);
+    const desk = operatorClient(w);
     assert.is(
       (await desk.change('PUT', 0, platformConfiguration(1, { note: { a: [1] } }))).status,
       200,
@@ -118,7 +118,7 @@
       ['r1', 'r3'],
     );
     assert.is(config?.routes[0]?.pass?.deadlineMs, 900);
-    const first = await operatorAt(await startWorld(47)).change('PATCH', 0, patch);
+    const first = await operatorClient(await startCluster(47)).change('PATCH', 0, patch);
     assert.is(first.status, 412);
   },
 );
@@ -126,8 +126,8 @@
 operator(
   "the platform's routes and services are translated to the product's configuration",
   async () => {
-    const w = await startWorld(48);
-    assert.is((await operatorAt(w).change('PUT', 0, platformConfiguration(1))).status, 200);
+    const w = await startCluster(48);
+    assert.is((await operatorClient(w).change('PUT', 0, platformConfiguration(1))).status, 200);
     const config = compiledConfig(w.committed?.config);
     if (!config) throw new Error('no configuration');
     const [a, b] = config.routes;
--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -6,7 +6,7 @@
 import { Incarnation, SimClock, SimList, World } from '@tillerstair/sim';
 import { silentLogger, type Transport } from '@tillerstair/wire';
 import { ServerListMonitor } from '@tillerstair/agent';
-import { listUp, press, everyFront } from '../support/listed-servers.js';
+import { startListedCluster, sendLoad, roundRobinFronts } from '../support/listed-servers.js';
 
 const reading = suite('how the list of servers is read');
 
@@ -14,9 +14,9 @@
 
 reading('in ordinary times one control alone asks, and no more often than its bound', async () => {
   for (const seed of seeds) {
-    const { w, shown } = await listUp(seed);
+    const { cluster: w, serverList: shown } = await startListedCluster(seed);
     const from = w.clock.now();
-    await press(w, 'o', 20000, everyFront(w));
+    await sendLoad(w, 'o', 20000, roundRobinFronts(w));
     assert.is(shown.readers(from).size, 1);
     const span = w.clock.now() - from;
     assert.ok(
@@ -26,7 +26,7 @@
 });
 
 reading('without a master no control asks more often than its bound', async () => {
-  const { w, shown } = await listUp(23);
+  const { cluster: w, serverList: shown } = await startListedCluster(23);
   const core = w.of('control').map((m) => m.addr);
   for (const a of core)
     w.net.cutBoth(
--- a/tests/src/state/allocate.test.ts
+++ b/tests/src/state/allocate.test.ts
@@ -7,9 +7,9 @@
 const allocation = suite('allocation');
 
 const bounds = (more: Partial<AllocationLimits> = {}): AllocationLimits => ({
-  leastStores: 3,
-  moves: 8,
-  fills: 8,
+  minStores: 3,
+  maxMoves: 8,
+  maxFills: 8,
   unresponsiveStores: new Set(),
   ...more,
 });
@@ -22,7 +22,7 @@
 allocation('a slot gets no replicas before enough stores live', () => {
   const state = withoutNodes(sampleState(emptySlots(1)), 's3', 's4');
   assert.equal(allocate(state, bounds()).slots[0]?.replicas, []);
-  assert.is(allocate(state, bounds({ leastStores: 2 })).slots[0]?.replicas.length, 2);
+  assert.is(allocate(state, bounds({ minStores: 2 })).slots[0]?.replicas.length, 2);
 });
 
 allocation('a store that is being emptied gets no replicas', () => {
@@ -71,7 +71,7 @@
 
 allocation('no more slots are filled at once than the bound says', () => {
   const state = withoutNodes(sampleState([sampleSlot(), sampleSlot(), sampleSlot()]), 's1');
-  const { slots } = allocate(state, bounds({ fills: 2, unresponsiveStores: new Set(['s1']) }));
+  const { slots } = allocate(state, bounds({ maxFills: 2, unresponsiveStores: new Set(['s1']) }));
   assert.is(slots.filter((slot) => slot.joiningReplicas.length > 0).length, 2);
 });
 
@@ -115,7 +115,7 @@
 allocation('no more slots move at once than the bound says', () => {
   const slots = [sampleSlot({ transferTarget: 'f2' }), sampleSlot(), sampleSlot(), sampleSlot()];
   const state = sampleState(slots);
-  assert.is(allocate(state, bounds({ moves: 1 })), state);
+  assert.is(allocate(state, bounds({ maxMoves: 1 })), state);
 });
 
 allocation('a slot does not move while a replica of it is filled', () => {
--- a/tests/src/state/quorum.test.ts
+++ b/tests/src/state/quorum.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  allSlotsAtFullMargin,
+  allSlotsFullyReplicated,
   hasQuorum,
   isMajority,
   isNewerVersion,
@@ -81,8 +81,8 @@
 
 quorum('all slots bear what their replication is meant for, or not', () => {
   const state = sampleState([sampleSlot(), joining]);
-  assert.ok(allSlotsAtFullMargin(state, live('s1', 's2', 's3', 's4')));
-  assert.not(allSlotsAtFullMargin(state, live('s1', 's2', 's3')));
+  assert.ok(allSlotsFullyReplicated(state, live('s1', 's2', 's3', 's4')));
+  assert.not(allSlotsFullyReplicated(state, live('s1', 's2', 's3')));
   assert.is(marginReport(state, live('s1', 's2', 's3')).leastSlotMargin, 0);
   assert.is(marginReport(sampleState([]), live()).leastSlotMargin, null);
 });
--- a/tests/src/store/emptying-stores.test.ts
+++ b/tests/src/store/emptying-stores.test.ts
@@ -1,7 +1,7 @@
 /** Stores that are emptied, also beside the loss of another. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { allSlotsAtFullMargin } from '@tillerstair/state';
+import { allSlotsFullyReplicated } from '@tillerstair/state';
 import type { World, Machine } from '@tillerstair/sim';
 import { configText, servers, worldUp } from '../support/world-helpers.js';
 import {
@@ -96,7 +96,8 @@
     assert.is((await w.operate('POST', '/v1/stores/nobody/empty')).status, 404);
     assert.is((await w.operate('POST', '/v1/stores/store-number-0/empty')).status, 409);
     assert.ok(
-      w.committed && allSlotsAtFullMargin(w.committed, (id) => w.committed?.nodes.has(id) ?? false),
+      w.committed &&
+        allSlotsFullyReplicated(w.committed, (id) => w.committed?.nodes.has(id) ?? false),
     );
     await assertKept(w, 'd');
   },
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -109,9 +109,9 @@
       bootstrapped,
     );
     const s = allocate(joined, {
-      leastStores: bootstrapped.replication.replicas,
-      moves: 32,
-      fills: 32,
+      minStores: bootstrapped.replication.replicas,
+      maxMoves: 32,
+      maxFills: 32,
       unresponsiveStores: new Set(),
     });
     for (const slot of s.slots)
--- a/tests/src/support/listed-servers.ts
+++ b/tests/src/support/listed-servers.ts
@@ -2,15 +2,19 @@
 import { SimList, World, type Machine, type WorldSizes } from '@tillerstair/sim';
 import { configText, five, servers } from './world-helpers.js';
 
-export interface Listing {
-  readonly w: World;
-  readonly shown: SimList;
+export interface ListedCluster {
+  readonly cluster: World;
+  readonly serverList: SimList;
 }
 
-export const known = (w: World): readonly (readonly string[])[] =>
+export const serverIdsByFront = (w: World): readonly (readonly string[])[] =>
   w.readyFronts().map((m) => [...(m.front?.owner.current?.state.servers.keys() ?? [])].sort());
 
-export const listUp = async (seed: number, sizes: WorldSizes = five, lag = 0): Promise<Listing> => {
+export const startListedCluster = async (
+  seed: number,
+  sizes: WorldSizes = five,
+  lag = 0,
+): Promise<ListedCluster> => {
   const w = new World(seed, sizes);
   const shown = new SimList(w.clock, lag);
   w.list = shown;
@@ -19,14 +23,15 @@
   await w.clock.until(
     'servers',
     () =>
-      known(w).length === sizes.fronts && known(w).every((ids) => ids.length === servers.length),
+      serverIdsByFront(w).length === sizes.fronts &&
+      serverIdsByFront(w).every((ids) => ids.length === servers.length),
     3000 + lag,
   );
   await w.clock.run(1000 + (seed % 7) * 173);
-  return { w, shown };
+  return { cluster: w, serverList: shown };
 };
 
-export const press = async (
+export const sendLoad = async (
   w: World,
   what: string,
   forMs: number,
@@ -42,7 +47,7 @@
   return from;
 };
 
-export const everyFront =
+export const roundRobinFronts =
   (w: World) =>
   (i: number): Machine | undefined =>
     w.of('front')[i % w.of('front').length];
--- a/tests/src/support/operator-world.ts
+++ b/tests/src/support/operator-cluster.ts
@@ -68,7 +68,7 @@
 
 export const jsonText = (v: unknown): string => JSON.stringify(v);
 
-export const startWorld = async (seed: number, sizes = small): Promise<World> => {
+export const startCluster = async (seed: number, sizes = small): Promise<World> => {
   const w = new World(seed, sizes);
   w.start();
   await w.clock.until('a master', () => w.master !== undefined, 12000);
@@ -77,7 +77,7 @@
   return w;
 };
 
-export const operatorAt = (w: World, n?: number) => {
+export const operatorClient = (w: World, n?: number) => {
   const node = n === undefined ? w.master?.control : w.of('control')[n]?.control;
   if (!node) throw new Error('no control');
   const desk = new OperatorAdapter((o) => node.operate(o));
