--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -182,7 +182,7 @@
     clock: hostClock,
     transport: stub(),
     log: silentLogger,
-    table: () => table,
+    compiledState: () => table,
     putTimeoutMs: 1500,
     heartbeatIntervalMs: 1000,
     retentionMs: 3600000,
--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -68,9 +68,9 @@
     backend: idle(),
     bounds: {
       heartbeatInterval,
-      putWithin: failureTimeout / 2,
+      putTimeoutMs: failureTimeout / 2,
       readLease,
-      poll: heartbeatInterval / 4,
+      pollIntervalMs: heartbeatInterval / 4,
       retentionMs: 3600000,
       stopWithin: failureTimeout,
     },
--- a/packages/proxy/src/front-bounds.ts
+++ b/packages/proxy/src/front-bounds.ts
@@ -1,6 +1,6 @@
 /**
  * The time limits of a front, derived from its settings. On SIGHUP the heartbeat, the time of a write and the read lease
- * follow the bounds that were read again; `poll`, the time to connect, `stopWithin` and `retentionMs` stay as they were
+ * follow the bounds that were read again; `pollIntervalMs`, the time to connect, `stopWithin` and `retentionMs` stay as they were
  * at the start.
  */
 import type { SessionOwnerBounds } from '@tillerstair/session-owner';
@@ -29,13 +29,15 @@
   get heartbeatInterval() {
     return inForce().heartbeatInterval;
   },
-  get putWithin() {
+  get putTimeoutMs() {
     return toTimerMs(inForce().failureTimeout * putShare);
   },
   get readLease() {
     return readLeaseOf(inForce().drainingWithin);
   },
-  poll: settings.asksServers ? toTimerMs(settings.bounds.heartbeatInterval / pollsPerHeartbeat) : 0,
+  pollIntervalMs: settings.asksServers
+    ? toTimerMs(settings.bounds.heartbeatInterval / pollsPerHeartbeat)
+    : 0,
   retentionMs: settings.retentionMs,
   stopWithin: settings.stopWithin,
 });
--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -23,7 +23,7 @@
   type CallOutcome,
   type EmitChunk,
   type SessionOwnerBounds,
-  type SessionOwnerParts,
+  type SessionOwnerOptions,
 } from '@tillerstair/session-owner';
 import {
   createAbortController,
@@ -40,7 +40,7 @@
 import { notFound } from './status-codes.js';
 
 /** What a front is made from. */
-export type FrontParts = SessionOwnerParts;
+export type FrontParts = SessionOwnerOptions;
 
 /**
  * The share of the stop time for which a stopping front takes requests, so that callers see that it is not ready; the
@@ -199,7 +199,7 @@
       id: this.id,
       applied: versionOf(this.owner.current?.state),
       seen: this.owner.placement.report(),
-      released: this.owner.releases(),
+      released: this.owner.releaseIdleSlots(),
       stopping: this.stopping,
       ...(this.owner.leaseReleased ? { leaseReleased: true } : {}),
     };
--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -149,7 +149,7 @@
     // It outlives its caller: what was begun for a key has to be known.
     const outcome = this.run(operation, { replicator, mayHaveRun }, neverAborted());
     this.running.set(key, { digest, outcome });
-    const leave = replicator.enter();
+    const leave = replicator.beginRequest();
     return outcome.finally(() => {
       leave();
       this.running.delete(key);
--- a/packages/session-owner/src/owned-slots.ts
+++ b/packages/session-owner/src/owned-slots.ts
@@ -66,7 +66,7 @@
   }
 
   /** Slots, with their ownership epochs, that have no request in progress and can go to their transfer target. */
-  releases(): readonly (readonly [number, number])[] {
+  releaseIdleSlots(): readonly (readonly [number, number])[] {
     return [...this.replicators.values()].flatMap((replicator) => {
       const released = replicator.tryRelease();
       return released ? [released] : [];
--- a/packages/session-owner/src/replica-client.ts
+++ b/packages/session-owner/src/replica-client.ts
@@ -7,7 +7,7 @@
 export interface ReplicaClientOptions {
   readonly transport: Transport;
   /** The committed state as this front applied it, which says at what address a store is. */
-  readonly table: () => CompiledState | undefined;
+  readonly compiledState: () => CompiledState | undefined;
   /** Each request is given up after so many ms. */
   readonly timeoutMs: number;
 }
@@ -18,7 +18,7 @@
  */
 export class ReplicaClient {
   private readonly transport: Transport;
-  private readonly table: () => CompiledState | undefined;
+  private readonly compiledState: () => CompiledState | undefined;
   private readonly timeoutMs: number;
 
   constructor(
@@ -26,7 +26,7 @@
     options: ReplicaClientOptions,
   ) {
     this.transport = options.transport;
-    this.table = options.table;
+    this.compiledState = options.compiledState;
     this.timeoutMs = options.timeoutMs;
   }
 
@@ -60,7 +60,7 @@
   }
 
   private request(replica: string, kind: string, body: unknown): Promise<unknown> {
-    const member = this.table()?.state.nodes.get(replica);
+    const member = this.compiledState()?.state.nodes.get(replica);
     if (!member)
       return Promise.reject(new ReplicaError('away', `replica ${replica} is unavailable`));
     return this.transport.call(member.addr, kind, body, { timeoutMs: this.timeoutMs });
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -38,11 +38,11 @@
 export interface SessionOwnerBounds {
   readonly heartbeatInterval: number;
   /** How long a replica may take for a write. */
-  readonly putWithin: number;
+  readonly putTimeoutMs: number;
   /** How long after its last renewal the read lease is valid. */
   readonly readLease: number;
   /** The interval at which servers are asked for their load; 0 where they report it themselves. */
-  readonly poll: number;
+  readonly pollIntervalMs: number;
   /** How long values stay in memory after their last use. */
   readonly retentionMs: number;
   /** How long a front that is told to stop may take. */
@@ -50,7 +50,7 @@
 }
 
 /** What a session owner is made from. */
-export interface SessionOwnerParts {
+export interface SessionOwnerOptions {
   /** The front's id in the cluster state. */
   readonly id: string;
   readonly clock: Clock;
@@ -85,7 +85,7 @@
 /** What a server said of itself counts for this share of the read lease. */
 const sightShare = 4 / 5;
 
-const isConfigured = (table: CompiledState): table is ConfiguredState => table.config !== undefined;
+const isConfigured = (state: CompiledState): state is ConfiguredState => state.config !== undefined;
 
 /** Runs the requests of the slots that the cluster state gives to this front. */
 export class SessionOwner implements OwnerServices {
@@ -102,44 +102,49 @@
   private readonly dispatch: ServerDispatch;
   private readonly watches = new Set<Watch>();
   private readonly stopping = createAbortController();
-  private table: CompiledState | undefined;
+  private compiledState: CompiledState | undefined;
   private leaseRenewedAt = -Infinity;
   private leaseGivenUp = false;
 
-  constructor(parts: SessionOwnerParts) {
-    const { id, clock, transport, backend, bounds, log } = parts;
+  constructor(options: SessionOwnerOptions) {
+    const { id, clock, transport, backend, bounds, log } = options;
     this.id = id;
     this.clock = clock;
     this.transport = transport;
     this.backend = backend;
     this.bounds = bounds;
-    const table = (): CompiledState | undefined => this.table;
+    const compiledState = (): CompiledState | undefined => this.compiledState;
     this.placement = new Placement({
       clock,
       backend,
-      policies: placementPolicies(parts.affinity),
+      policies: placementPolicies(options.affinity),
       bounds: {
-        pollIntervalMs: bounds.poll,
-        pollTimeoutMs: bounds.poll,
+        pollIntervalMs: bounds.pollIntervalMs,
+        pollTimeoutMs: bounds.pollIntervalMs,
         retryUnhealthyAfterMs: bounds.heartbeatInterval,
         pollValidForMs: bounds.readLease * sightShare,
         reportedLoadValidForMs: bounds.heartbeatInterval / 2,
       },
-      table,
-      maxInFlightPerServer: () => this.table?.config?.bounds.perServer ?? defaultPerServer,
+      table: compiledState,
+      maxInFlightPerServer: () => this.compiledState?.config?.bounds.perServer ?? defaultPerServer,
       frontId: id,
     });
     const leaseValid = (): boolean => this.leaseValid;
-    this.dispatch = new ServerDispatch({ clock, placement: this.placement, table, leaseValid });
+    this.dispatch = new ServerDispatch({
+      clock,
+      placement: this.placement,
+      table: compiledState,
+      leaseValid,
+    });
     this.slots = new OwnedSlots(id, (n, ownedSinceEpoch) => {
       // Read anew for each replicator: the bounds follow the settings file.
-      const { putWithin, heartbeatInterval, retentionMs } = bounds;
+      const { putTimeoutMs, heartbeatInterval, retentionMs } = bounds;
       return new SlotReplicator(n, ownedSinceEpoch, {
         clock,
         transport,
         log,
-        table,
-        putTimeoutMs: putWithin,
+        compiledState,
+        putTimeoutMs,
         heartbeatIntervalMs: heartbeatInterval,
         retentionMs,
       });
@@ -160,7 +165,7 @@
   }
 
   get current(): CompiledState | undefined {
-    return this.table;
+    return this.compiledState;
   }
 
   get leaseValid(): boolean {
@@ -179,7 +184,7 @@
 
   /** Follows a newer committed state. */
   applyState(state: State): void {
-    this.table = compileState(state, this.table);
+    this.compiledState = compileState(state, this.compiledState);
     void this.placement.poll(true).then(() => this.dispatch.admit());
     for (const watch of [...this.watches]) if (!state.nodes.has(watch.front)) watch.lost.abort();
     this.slots.apply(state.slots);
@@ -213,10 +218,10 @@
   }
 
   requireLease(): ConfiguredState {
-    const { table } = this;
-    if (!table || !isConfigured(table) || !this.leaseValid)
+    const { compiledState } = this;
+    if (!compiledState || !isConfigured(compiledState) || !this.leaseValid)
       throw new UnavailableError('not-ready', this.readiness().why);
-    return table;
+    return compiledState;
   }
 
   /** The slot of a key. Throws an `UnavailableError` before the first state. */
@@ -226,7 +231,7 @@
 
   /** The id of the front that owns a slot; empty where there is none. */
   ownerOf(slot: number): string {
-    return this.table?.state.slots[slot]?.owner ?? '';
+    return this.compiledState?.state.slots[slot]?.owner ?? '';
   }
 
   /** Takes no further requests into its slots; those in progress go on. */
@@ -248,12 +253,12 @@
   async findTurn(attempt: string): Promise<readonly FoundTurn[]> {
     const { transport, bounds } = this;
     const state = this.requireState();
-    return findFinishedTurn({ transport, state, timeoutMs: bounds.putWithin }, attempt);
+    return findFinishedTurn({ transport, state, timeoutMs: bounds.putTimeoutMs }, attempt);
   }
 
   /** Slots, with their ownership epochs, that can go to their transfer target. */
-  releases(): readonly (readonly [number, number])[] {
-    return this.slots.releases();
+  releaseIdleSlots(): readonly (readonly [number, number])[] {
+    return this.slots.releaseIdleSlots();
   }
 
   findRoute(kind: RouteKind, path: string): Route | undefined {
@@ -292,22 +297,22 @@
   }
 
   private get maintenanceIntervalMs(): number {
-    const { poll, heartbeatInterval } = this.bounds;
-    return poll > 0 ? poll : heartbeatInterval / 4;
+    const { pollIntervalMs, heartbeatInterval } = this.bounds;
+    return pollIntervalMs > 0 ? pollIntervalMs : heartbeatInterval / 4;
   }
 
   private requireState(): State {
-    const state = this.table?.state;
+    const state = this.compiledState?.state;
     if (!state) throw new UnavailableError('not-ready', 'no committed state yet');
     return state;
   }
 
   private whyNotReady(): string | undefined {
-    const { table } = this;
-    if (!table) return 'no committed state yet';
-    if (!table.config) return 'no configuration yet';
+    const { compiledState } = this;
+    if (!compiledState) return 'no committed state yet';
+    if (!compiledState.config) return 'no configuration yet';
     if (!this.leaseValid) return 'the control link is down and its read lease ran out';
-    if (!table.state.nodes.has(this.id)) return 'not listed in the cluster state';
-    return table.state.retiring.has(this.id) ? 'being drained' : undefined;
+    if (!compiledState.state.nodes.has(this.id)) return 'not listed in the cluster state';
+    return compiledState.state.retiring.has(this.id) ? 'being drained' : undefined;
   }
 }
--- a/packages/session-owner/src/slot-fencing.ts
+++ b/packages/session-owner/src/slot-fencing.ts
@@ -18,7 +18,7 @@
 export interface SlotFencingOptions {
   readonly clock: Clock;
   readonly client: ReplicaClient;
-  readonly table: () => CompiledState | undefined;
+  readonly compiledState: () => CompiledState | undefined;
   /** Replicas that have to be fenced; read anew when it is compared. */
   readonly quorum: () => number;
   readonly requestTimeoutMs: number;
@@ -28,7 +28,7 @@
 export class SlotFencing {
   private readonly clock: Clock;
   private readonly client: ReplicaClient;
-  private readonly table: () => CompiledState | undefined;
+  private readonly compiledState: () => CompiledState | undefined;
   private readonly quorum: () => number;
   private readonly hedgeAfterMs: number;
 
@@ -38,7 +38,7 @@
   ) {
     this.clock = options.clock;
     this.client = options.client;
-    this.table = options.table;
+    this.compiledState = options.compiledState;
     this.quorum = options.quorum;
     this.hedgeAfterMs = toTimerMs(options.requestTimeoutMs * hedgeAfterShareOfTimeout);
   }
@@ -77,7 +77,7 @@
 
   /** Each slot begins with another replica, so that slots opened together spread their reads. */
   private liveReplicasFirst(replicas: readonly string[]): readonly string[] {
-    const nodes = this.table()?.state.nodes;
+    const nodes = this.compiledState()?.state.nodes;
     const start = replicas.length === 0 ? 0 : this.slotNumber % replicas.length;
     const rotated = [...replicas.slice(start), ...replicas.slice(0, start)];
     return [...rotated.filter((id) => nodes?.has(id)), ...rotated.filter((id) => !nodes?.has(id))];
--- a/packages/session-owner/src/slot-replicator.ts
+++ b/packages/session-owner/src/slot-replicator.ts
@@ -31,7 +31,7 @@
   readonly clock: Clock;
   readonly transport: Transport;
   readonly log: Logger;
-  readonly table: () => CompiledState | undefined;
+  readonly compiledState: () => CompiledState | undefined;
   /** A request to a replica is given up after so many ms. */
   readonly putTimeoutMs: number;
   readonly heartbeatIntervalMs: number;
@@ -51,7 +51,7 @@
   private isReleased = false;
   private readonly clock: Clock;
   private readonly log: Logger;
-  private readonly table: () => CompiledState | undefined;
+  private readonly compiledState: () => CompiledState | undefined;
   private readonly retryIntervalMs: number;
   private readonly retentionMs: number;
   private readonly items: SlotItems;
@@ -63,18 +63,22 @@
     readonly ownedSinceEpoch: number,
     options: SlotReplicatorOptions,
   ) {
-    const { clock, transport, table, putTimeoutMs } = options;
+    const { clock, transport, compiledState, putTimeoutMs } = options;
     this.clock = clock;
     this.log = options.log;
-    this.table = table;
+    this.compiledState = compiledState;
     this.retryIntervalMs = options.heartbeatIntervalMs / retriesPerHeartbeat;
     this.retentionMs = options.retentionMs;
     this.items = new SlotItems(clock);
-    this.client = new ReplicaClient(slotNumber, { transport, table, timeoutMs: putTimeoutMs });
+    this.client = new ReplicaClient(slotNumber, {
+      transport,
+      compiledState,
+      timeoutMs: putTimeoutMs,
+    });
     this.fencing = new SlotFencing(slotNumber, {
       clock,
       client: this.client,
-      table,
+      compiledState,
       quorum: () => this.quorum,
       requestTimeoutMs: putTimeoutMs,
     });
@@ -97,11 +101,11 @@
 
   /** Replicas that must sync a write, or respond to a read; out of reach while no state is known. */
   private get quorum(): number {
-    return this.table()?.state.replication.quorum ?? Infinity;
+    return this.compiledState()?.state.replication.quorum ?? Infinity;
   }
 
   /** Counts a job in, which keeps the slot from being released; the returned function counts it out. */
-  enter(): () => void {
+  beginRequest(): () => void {
     this.runningJobs++;
     return () => {
       this.runningJobs--;
@@ -205,7 +209,7 @@
     return this.items.expire(
       Math.max(
         this.retentionMs * memoryShareOfRetention,
-        turnRetentionLimitMs(this.table()?.config),
+        turnRetentionLimitMs(this.compiledState()?.config),
       ),
     );
   }
--- a/packages/session-owner/src/streams.ts
+++ b/packages/session-owner/src/streams.ts
@@ -75,7 +75,7 @@
     if (this.running.has(key))
       return refused(status.conflict, 'running', 'this attempt is in progress');
     this.running.add(key);
-    const leave = replicator?.enter();
+    const leave = replicator?.beginRequest();
     try {
       return await this.runAttempt({ request, rules, config, replicator, key, emit, signal });
     } catch (error) {
--- a/packages/session-owner/src/turn-records.ts
+++ b/packages/session-owner/src/turn-records.ts
@@ -19,7 +19,7 @@
 export const turnKey = (pid: string, turn: string): string => `p/${pid}/t/${turn}`;
 
 /** The turn or attempt that a turn's key names. */
-export const turnOfKey = (key: string): string | undefined => key.split('/')[3];
+export const turnIdOfKey = (key: string): string | undefined => key.split('/')[3];
 
 /** What a caller gets as the end of a turn. */
 export interface TurnSummary {
--- a/packages/session-owner/src/turn-search.ts
+++ b/packages/session-owner/src/turn-search.ts
@@ -7,7 +7,7 @@
 import { ReplicaError, UnavailableError, type Transport } from '@tillerstair/wire';
 import type { FoundTurn } from './owner-services.js';
 import { PassTurn } from './stored-values.js';
-import { turnOfKey } from './turn-records.js';
+import { turnIdOfKey } from './turn-records.js';
 
 interface StoredTurn extends FoundTurn {
   readonly item: Item;
@@ -38,7 +38,7 @@
 const storedTurns = (items: readonly Item[]): readonly StoredTurn[] =>
   items.flatMap((item) => {
     const turn = PassTurn.safeParse(item.value);
-    const attempt = turnOfKey(item.key) ?? '';
+    const attempt = turnIdOfKey(item.key) ?? '';
     return turn.success ? [{ item, turn: turn.data, attempt }] : [];
   });
 
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -28,7 +28,7 @@
   programSlotKey,
   turnIdOf,
   turnKey,
-  turnOfKey,
+  turnIdOfKey,
   turnSummary,
 } from './turn-records.js';
 
@@ -108,7 +108,7 @@
       outcomeOfError(toRpcError(error)),
     );
     this.running.set(key, outcome);
-    const leave = replicator.enter();
+    const leave = replicator.beginRequest();
     return outcome.finally(() => {
       leave();
       this.running.delete(key);
@@ -142,7 +142,7 @@
     const turns = replicator.turnKeysOf(pid).flatMap((key) => {
       const value = TurnValue.safeParse(replicator.get(key));
       return value.success && value.data.status === 'done'
-        ? [{ turn: turnOfKey(key), after: value.data.after, tokens: value.data.cost }]
+        ? [{ turn: turnIdOfKey(key), after: value.data.after, tokens: value.data.cost }]
         : [];
     });
     return done({
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -164,9 +164,9 @@
       backend: w.servers.backend(life, this.addr),
       bounds: {
         heartbeatInterval,
-        putWithin: failureTimeout / 2,
+        putTimeoutMs: failureTimeout / 2,
         readLease,
-        poll: heartbeatInterval / 4,
+        pollIntervalMs: heartbeatInterval / 4,
         retentionMs: w.retentionMs,
         stopWithin: 5 * heartbeatInterval,
       },
--- a/tests/src/proxy/client-listeners.test.ts
+++ b/tests/src/proxy/client-listeners.test.ts
@@ -185,9 +185,9 @@
     affinity: false,
     bounds: {
       heartbeatInterval: 1000,
-      putWithin: 1000,
+      putTimeoutMs: 1000,
       readLease: 1e6,
-      poll: 0,
+      pollIntervalMs: 0,
       retentionMs: 1e6,
       stopWithin: 1000,
     },
--- a/tests/src/proxy/refusals.test.ts
+++ b/tests/src/proxy/refusals.test.ts
@@ -87,9 +87,9 @@
     affinity: false,
     bounds: {
       heartbeatInterval: 200,
-      putWithin: 1000,
+      putTimeoutMs: 1000,
       readLease: 1e6,
-      poll: 0,
+      pollIntervalMs: 0,
       retentionMs: 1e6,
       stopWithin: 1000,
     },
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -68,15 +68,15 @@
 operations('the intent is on a quorum before the operation is sent', async () => {
   const rig = await SessionOwnerRig.opened();
   assert.is(brief(await rig.finish(call(rig))), 'done 200');
-  const sentAt = rig.trail.findIndex((line) => line.startsWith('send'));
-  const before = rig.trail.slice(0, sentAt).filter((line) => line === `put ${key} intent`);
-  assert.ok(before.length >= 2, rig.trail.join(', '));
+  const sentAt = rig.events.findIndex((line) => line.startsWith('send'));
+  const before = rig.events.slice(0, sentAt).filter((line) => line === `put ${key} intent`);
+  assert.ok(before.length >= 2, rig.events.join(', '));
   assert.is(statusOf(rig.stored(key)), 'done');
 });
 
 operations('without a quorum for the intent nothing is sent', async () => {
   const rig = await SessionOwnerRig.opened();
-  rig.down.add('a').add('b');
+  rig.unreachableStores.add('a').add('b');
   assert.is(brief(await rig.finish(call(rig))), 'refused 503 unavailable');
   assert.is(rig.sent.length, 0);
 });
@@ -129,7 +129,7 @@
   assert.is(statusOf(rig.stored(key)), 'intent');
   const later = await SessionOwnerRig.opened();
   later.store(key, rig.stored(key));
-  await later.ownAgain();
+  await later.transferAwayAndBack();
   assert.is(brief(await later.finish(call(later))), 'unknown 504 unknown');
   assert.is(later.sent.length, 0);
 });
@@ -157,7 +157,7 @@
             : route,
         ),
       });
-      await rig.ownAgain();
+      await rig.transferAwayAndBack();
       const before = rig.sent.length;
       assert.is(brief(await rig.finish(pass(rig, request))), expected);
       assert.is(rig.sent.length - before, expected === 'done 200' ? 1 : 0);
@@ -174,7 +174,7 @@
     const stored = rig.stored(key);
     if (stored === null || typeof stored !== 'object') throw new Error('nothing stored');
     rig.store(key, { ...stored, status: 'intent', recorded: true });
-    await rig.ownAgain();
+    await rig.transferAwayAndBack();
     rig.reply = () => declinedReply;
     assert.is((await rig.finish(pass(rig, request))).outcome, 'refused');
     assert.is(statusOf(rig.stored(key)), 'unknown');
@@ -360,10 +360,10 @@
   const work = call(rig);
   await rig.clock.run(10);
   rig.changeSlot({ transferTarget: 'f2' });
-  assert.equal(rig.owner.releases(), []);
+  assert.equal(rig.owner.releaseIdleSlots(), []);
   server.open();
   await rig.finish(work);
-  assert.equal(rig.owner.releases(), [[0, 1]]);
+  assert.equal(rig.owner.releaseIdleSlots(), [[0, 1]]);
   assert.is(await codeOf(() => rig.finish(call(rig, { key: 'next' }))), 'taking-over');
 });
 
--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -51,12 +51,12 @@
 
 readiness('a slot is served by its owner alone, once it is open and until it closes', async () => {
   const rig = new SessionOwnerRig();
-  rig.down.add('a').add('b');
+  rig.unreachableStores.add('a').add('b');
   rig.change({});
   await rig.clock.run(100);
   assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
-  rig.down.clear();
-  await rig.slotOpen();
+  rig.unreachableStores.clear();
+  await rig.waitForSlotOpen();
   rig.owner.stopAccepting();
   assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
   const other = await SessionOwnerRig.opened();
@@ -68,10 +68,10 @@
   const rig = await SessionOwnerRig.opened();
   const before = rig.owner.replicator('p/x');
   rig.changeSlot({ ownershipEpoch: 2 });
-  await rig.slotOpen();
+  await rig.waitForSlotOpen();
   assert.is(rig.owner.replicator('p/x'), before);
   rig.changeSlot({ ownershipEpoch: 4, ownedSinceEpoch: 4 });
-  await rig.slotOpen();
+  await rig.waitForSlotOpen();
   assert.is.not(rig.owner.replicator('p/x'), before);
   assert.is(before.isOpen, false);
 });
@@ -129,9 +129,9 @@
 readiness('a turn is missing only if no write quorum can hold it', async () => {
   const rig = await SessionOwnerRig.opened();
   assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
-  rig.down.add('c');
+  rig.unreachableStores.add('c');
   assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
-  rig.down.add('b');
+  rig.unreachableStores.add('b');
   assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r0'))), 'unavailable');
   rig.store('p/x-q/t/r0', turn());
   const found = await rig.finish(rig.owner.findTurn('r0'));
@@ -148,7 +148,7 @@
   rig.store('p/x-q/t/r0', turn({ status: 'reserved' }));
   assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r0'))), 'not-finished');
   rig.store('p/x-q/t/r0', turn({ status: 'failed' }), ['a']);
-  rig.raise('p/x-q/t/r0', 'a');
+  rig.bumpSequence('p/x-q/t/r0', 'a');
   assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
 });
 
--- a/tests/src/session-owner/programs.test.ts
+++ b/tests/src/session-owner/programs.test.ts
@@ -84,7 +84,7 @@
     'refused 503 unavailable',
   );
   rig.store('p/p1/t/t-void', { ...turnValue(rig), status: 'void' });
-  await rig.ownAgain();
+  await rig.transferAwayAndBack();
   assert.is(brief(await rig.finish(readHistory(rig, { turn: 't-void' }))), 'refused 404 missing');
 });
 
--- a/tests/src/session-owner/slot-fencing.test.ts
+++ b/tests/src/session-owner/slot-fencing.test.ts
@@ -54,7 +54,7 @@
 
 fencing('without a cluster state no slot opens', async () => {
   const fixture = new ReplicatorFixture();
-  fixture.table = undefined;
+  fixture.compiledState = undefined;
   fixture.replicator.apply(slotAt(1));
   await fixture.clock.run(1000);
   assert.is(fixture.replicator.isOpen, false);
--- a/tests/src/session-owner/slot-writes.test.ts
+++ b/tests/src/session-owner/slot-writes.test.ts
@@ -277,7 +277,7 @@
   const fixture = await ReplicatorFixture.open();
   assert.is(fixture.replicator.tryRelease(), undefined);
   fixture.replicator.apply(leaving);
-  const leave = fixture.replicator.enter();
+  const leave = fixture.replicator.beginRequest();
   assert.is(fixture.replicator.tryRelease(), undefined);
   assert.is(fixture.replicator.isAccepting, true);
   leave();
--- a/tests/src/session-owner/streamed-turns.test.ts
+++ b/tests/src/session-owner/streamed-turns.test.ts
@@ -61,9 +61,9 @@
 streams('the reservation is on a quorum before the request is sent', async () => {
   const rig = await SessionOwnerRig.opened();
   assert.is(brief(await rig.finish(run(rig))), 'done 200');
-  const sentAt = rig.trail.findIndex((line) => line.startsWith('send'));
-  const before = rig.trail.slice(0, sentAt).filter((line) => line === `put ${key} reserved`);
-  assert.ok(before.length >= 2, rig.trail.join(', '));
+  const sentAt = rig.events.findIndex((line) => line.startsWith('send'));
+  const before = rig.events.slice(0, sentAt).filter((line) => line === `put ${key} reserved`);
+  assert.ok(before.length >= 2, rig.events.join(', '));
   assert.is(turnAt(rig).status, 'done');
   assert.is(turnAt(rig).output, 'one\n');
 });
@@ -100,7 +100,7 @@
   ] as const) {
     const later = await SessionOwnerRig.opened();
     later.store(key, stored({ status }));
-    await later.ownAgain();
+    await later.transferAwayAndBack();
     assert.is(brief(await later.finish(run(later))), expected, status);
   }
   assert.is(rig.sent.length, 1);
@@ -115,7 +115,7 @@
   ] as const) {
     const rig = await SessionOwnerRig.opened();
     rig.store('p/x-p/t/r0', stored({ status }));
-    await rig.ownAgain();
+    await rig.transferAwayAndBack();
     assert.is(brief(await rig.finish(run(rig, { after: 'r0' }))), expected, status);
     if (status === 'done') assert.is(rig.sent[0]?.body, 'before;said\nin;');
     else assert.is(rig.sent.length, 0);
@@ -307,10 +307,10 @@
   const work = run(rig);
   await rig.clock.run(10);
   rig.changeSlot({ transferTarget: 'f2' });
-  assert.equal(rig.owner.releases(), []);
+  assert.equal(rig.owner.releaseIdleSlots(), []);
   server.open();
   await rig.finish(work);
-  assert.equal(rig.owner.releases(), [[0, 1]]);
+  assert.equal(rig.owner.releaseIdleSlots(), [[0, 1]]);
 });
 
 streams('a caller that goes stops the server, and the turn has broken off', async () => {
--- a/tests/src/session-owner/turns.test.ts
+++ b/tests/src/session-owner/turns.test.ts
@@ -25,9 +25,9 @@
 turns('the reservation is on a quorum before the turn is sent', async () => {
   const rig = await withProgram();
   assert.is(brief(await rig.finish(runTurn(rig))), 'done 200');
-  const sentAt = rig.trail.findIndex((line) => line.startsWith('send'));
-  const before = rig.trail.slice(0, sentAt).filter((line) => line === `put ${turnKey} reserved`);
-  assert.ok(before.length >= 2, rig.trail.join(', '));
+  const sentAt = rig.events.findIndex((line) => line.startsWith('send'));
+  const before = rig.events.slice(0, sentAt).filter((line) => line === `put ${turnKey} reserved`);
+  assert.ok(before.length >= 2, rig.events.join(', '));
   assert.is(turnValue(rig).cost, 3);
   assert.equal(rig.emitted, ['x', 'y', 'z']);
 });
@@ -90,7 +90,7 @@
   assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
   assert.is(brief(await rig.finish(readHistory(rig, { turn }))), 'unknown 504 broken-off');
   rig.store(turnKey, { ...turnValue(rig), status: 'reserved' });
-  await rig.ownAgain();
+  await rig.transferAwayAndBack();
   assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
   assert.is(rig.sent.length, 1);
 });
@@ -113,7 +113,7 @@
     ['done', 'done 200'],
   ] as const) {
     rig.store(`p/p1/t/t-${status}`, { ...first, status, cost: 0, chunks: ['said'] });
-    await rig.ownAgain();
+    await rig.transferAwayAndBack();
     const outcome = await rig.finish(runTurn(rig, { after: `t-${status}`, key: status }));
     assert.is(brief(outcome), expected);
   }
@@ -309,10 +309,10 @@
   const work = runTurn(rig);
   await rig.clock.run(10);
   rig.changeSlot({ transferTarget: 'f2' });
-  assert.equal(rig.owner.releases(), []);
+  assert.equal(rig.owner.releaseIdleSlots(), []);
   server.open();
   await rig.finish(work);
-  assert.equal(rig.owner.releases(), [[0, 1]]);
+  assert.equal(rig.owner.releaseIdleSlots(), [[0, 1]]);
   assert.is(await codeOf(() => runTurn(rig, { key: 'next' })), 'taking-over');
 });
 
--- a/tests/src/support/fake-replicas.ts
+++ b/tests/src/support/fake-replicas.ts
@@ -128,7 +128,7 @@
 export class ReplicatorFixture {
   readonly clock = new SimClock();
   readonly replicas = new FakeReplicas();
-  table: CompiledState | undefined = {
+  compiledState: CompiledState | undefined = {
     state: stateWithStores(),
     config: undefined,
     routes: new Map(),
@@ -137,7 +137,7 @@
     clock: this.clock,
     transport: this.replicas,
     log: silentLogger,
-    table: () => this.table,
+    compiledState: () => this.compiledState,
     putTimeoutMs: putTimeoutMs,
     heartbeatIntervalMs: heartbeatIntervalMs,
     retentionMs,
--- a/tests/src/support/front-rig.ts
+++ b/tests/src/support/front-rig.ts
@@ -124,9 +124,9 @@
     affinity: false,
     bounds: {
       heartbeatInterval,
-      putWithin: 1000,
+      putTimeoutMs: 1000,
       readLease,
-      poll: 0,
+      pollIntervalMs: 0,
       retentionMs: 1e6,
       stopWithin: 1000,
     },
--- a/tests/src/support/http-server.ts
+++ b/tests/src/support/http-server.ts
@@ -121,9 +121,9 @@
     affinity: false,
     bounds: {
       heartbeatInterval: 1000,
-      putWithin: 1000,
+      putTimeoutMs: 1000,
       readLease: 1e6,
-      poll: 0,
+      pollIntervalMs: 0,
       retentionMs: 1e6,
       stopWithin: 1000,
     },
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-rig.ts
@@ -15,8 +15,8 @@
   configuration,
   memberOf,
   ownedSlot,
-  rigFront,
-  rigStores,
+  frontId,
+  storeIds,
   serverOf,
 } from './session-owner-state.js';
 
@@ -45,7 +45,7 @@
 };
 
 /** What a scripted server gets of a request that reached it. */
-export interface Sent {
+export interface SentRequest {
   readonly kind: 'turn' | 'call' | 'pass';
   readonly server: string;
   readonly key: string;
@@ -57,7 +57,7 @@
 }
 
 /** What a scripted server answers with: chunks of a turn or bytes of a stream go out before its end. */
-export interface Reply {
+export interface ServerReply {
   readonly ended: BackendOutcome;
   readonly chunks?: readonly (readonly [number, string])[];
   readonly status?: number;
@@ -68,7 +68,7 @@
 }
 
 /** The three chunks of a turn, or one event of a stream, answered whole. */
-export const wholeReply: Reply = {
+export const wholeReply: ServerReply = {
   ended: { kind: 'done', code: 200, body: 3 },
   chunks: [
     [0, 'x'],
@@ -77,8 +77,8 @@
   ],
   bytes: ['id: 1\ndata: one\n\n'],
 };
-export const lostReply: Reply = { ended: { kind: 'lost', text: 'cut' } };
-export const declinedReply: Reply = { ended: { kind: 'declined', text: 'no' } };
+export const lostReply: ServerReply = { ended: { kind: 'lost', text: 'cut' } };
+export const declinedReply: ServerReply = { ended: { kind: 'declined', text: 'no' } };
 
 /** An outcome in short: what became of the request, the status and the error code. */
 export const brief = (outcome: CallOutcome): string =>
@@ -103,7 +103,7 @@
   return { opened, open: () => opening.abort() };
 };
 
-const headOf = (reply: Reply) => ({
+const headOf = (reply: ServerReply) => ({
   status: reply.status ?? 200,
   headers: [['content-type', reply.contentType ?? 'text/event-stream'] as const],
 });
@@ -112,17 +112,17 @@
   readonly clock = new SimClock();
   readonly owner: SessionOwner;
   readonly stores = new Map<string, Map<string, StoredItem>>(
-    rigStores.map((id) => [id, new Map<string, StoredItem>()]),
+    storeIds.map((id) => [id, new Map<string, StoredItem>()]),
   );
   /** `put KEY STATUS` when a store has synced a value, `send SERVER` when a request reaches a server. */
-  readonly trail: string[] = [];
-  readonly sent: Sent[] = [];
+  readonly events: string[] = [];
+  readonly sent: SentRequest[] = [];
   /** Stores that refuse everything. */
-  readonly down = new Set<string>();
+  readonly unreachableStores = new Set<string>();
   /** Called before a store syncs a value; one that returns false refuses the write. */
   onPut: (key: string, status: string) => boolean = () => true;
   /** Answers each request that reaches a server; `n` counts them from 0. */
-  reply: (n: number, sent: Sent) => Reply = () => wholeReply;
+  reply: (n: number, sent: SentRequest) => ServerReply = () => wholeReply;
   /** When set, servers ask just before the first byte whether the request may still go, as the real client does. */
   beforeSend: (() => void) | undefined;
   leaseMs = 60000;
@@ -134,8 +134,8 @@
     this.state = {
       ...base,
       nodes: new Map([
-        [rigFront, memberOf(rigFront, 'front')],
-        ...rigStores.map((id) => [id, memberOf(id, 'store')] as const),
+        [frontId, memberOf(frontId, 'front')],
+        ...storeIds.map((id) => [id, memberOf(id, 'store')] as const),
       ]),
       config: configRecordOf(configuration, 1),
       slots: [ownedSlot(1)],
@@ -152,7 +152,7 @@
     };
     const lease = (): number => this.leaseMs;
     this.owner = new SessionOwner({
-      id: rigFront,
+      id: frontId,
       clock: this.clock,
       transport: this.transport(),
       backend: this.backend(),
@@ -160,11 +160,11 @@
       affinity: false,
       bounds: {
         heartbeatInterval: 500,
-        putWithin: 500,
+        putTimeoutMs: 500,
         get readLease() {
           return lease();
         },
-        poll: 0,
+        pollIntervalMs: 0,
         retentionMs: 600000,
         stopWithin: 5000,
       },
@@ -176,15 +176,15 @@
     const rig = new SessionOwnerRig();
     rig.change({});
     rig.owner.renewLease(rig.clock.now());
-    await rig.slotOpen();
+    await rig.waitForSlotOpen();
     return rig;
   }
 
-  async slotOpen(): Promise<void> {
-    await this.clock.until('slot open', () => this.takesRequests, 10000);
+  async waitForSlotOpen(): Promise<void> {
+    await this.clock.until('slot open', () => this.acceptsRequests, 10000);
   }
 
-  get takesRequests(): boolean {
+  get acceptsRequests(): boolean {
     try {
       this.owner.replicator('p/x');
       return true;
@@ -229,11 +229,11 @@
   }
 
   /** The slot goes to another front and comes back: a later ownership of the same process. */
-  async ownAgain(): Promise<void> {
+  async transferAwayAndBack(): Promise<void> {
     const epoch = (this.state.slots[0]?.ownershipEpoch ?? 0) + 1;
     this.changeSlot({ owner: 'f2', ownershipEpoch: epoch, ownedSinceEpoch: epoch });
-    this.changeSlot({ owner: rigFront, ownershipEpoch: epoch + 1, ownedSinceEpoch: epoch + 1 });
-    await this.slotOpen();
+    this.changeSlot({ owner: frontId, ownershipEpoch: epoch + 1, ownedSinceEpoch: epoch + 1 });
+    await this.waitForSlotOpen();
   }
 
   finish<T>(work: Promise<T>): Promise<T> {
@@ -249,12 +249,12 @@
     return values.length >= 2 ? values[0] : undefined;
   }
 
-  store(key: string, value: unknown, ids: readonly string[] = rigStores): void {
+  store(key: string, value: unknown, ids: readonly string[] = storeIds): void {
     for (const id of ids) this.stores.get(id)?.set(key, { key, ownershipEpoch: 0, seq: 1, value });
   }
 
   /** Makes what one store has of a key newer than what the others have. */
-  raise(key: string, id: string): void {
+  bumpSequence(key: string, id: string): void {
     const items = this.stores.get(id);
     const item = items?.get(key);
     if (items && item) items.set(key, { ...item, seq: item.seq + 1 });
@@ -266,7 +266,7 @@
 
   private transport(): Transport {
     return {
-      self: rigFront,
+      self: frontId,
       call: async (to, kind, body) => {
         await Promise.resolve();
         return this.answer(to, kind, StoreRequest.parse(body));
@@ -279,7 +279,8 @@
 
   private answer(to: string, kind: string, request: z.infer<typeof StoreRequest>): unknown {
     const items = this.stores.get(to);
-    if (!items || this.down.has(to)) throw new RpcError('connection-refused', `${to} is down`);
+    if (!items || this.unreachableStores.has(to))
+      throw new RpcError('connection-refused', `${to} is down`);
     switch (kind) {
       case 'store/fence':
         return { items: [...items.values()], next: '' };
@@ -306,20 +307,20 @@
     if (!this.onPut(item.key, status))
       throw new RpcError('unavailable', 'the disk takes no writes');
     items.set(item.key, item);
-    this.trail.push(`put ${item.key} ${status}`);
+    this.events.push(`put ${item.key} ${status}`);
   }
 
   private async carried(
-    sent: Sent,
+    sent: SentRequest,
     still: () => boolean,
-    play: (reply: Reply) => void,
+    play: (reply: ServerReply) => void,
   ): Promise<BackendOutcome> {
     await Promise.resolve();
     if (this.beforeSend) {
       this.beforeSend();
       if (!still()) return { kind: 'never-left', text: 'not allowed any more' };
     }
-    this.trail.push(`send ${sent.server}`);
+    this.events.push(`send ${sent.server}`);
     const reply = this.reply(this.sent.push(sent) - 1, sent);
     if (reply.after) await reply.after;
     play(reply);
--- a/tests/src/support/session-owner-state.ts
+++ b/tests/src/support/session-owner-state.ts
@@ -9,8 +9,8 @@
 } from '@tillerstair/state';
 
 /** The front whose session owner is tested. */
-export const rigFront = 'f1';
-export const rigStores = ['a', 'b', 'c'] as const;
+export const frontId = 'f1';
+export const storeIds = ['a', 'b', 'c'] as const;
 /** The host of all pass routes. */
 export const host = 'a.example';
 
@@ -89,11 +89,11 @@
 };
 
 export const ownedSlot = (epoch: number): Slot => ({
-  owner: rigFront,
+  owner: frontId,
   ownershipEpoch: epoch,
   ownedSinceEpoch: epoch,
   transferTarget: '',
-  replicas: [...rigStores],
+  replicas: [...storeIds],
   joiningReplicas: [],
   replacedReplica: '',
 });
