--- a/packages/session-owner/src/admission-queue.ts
+++ b/packages/session-owner/src/admission-queue.ts
@@ -74,7 +74,7 @@
   }
 
   /** Rejects the requests whose turn cannot come in time any more, but never the first of a class. */
-  review(): void {
+  rejectOverdue(): void {
     const now = this.clock.now();
     for (const { waiters, rate } of [this.urgent, this.ordinary]) {
       let position = 0;
@@ -90,7 +90,7 @@
   }
 
   /** Admits requests as long as one of them can pick; to be called when a server may have become free. */
-  pump(): void {
+  admitWaiting(): void {
     while (this.admitNext());
   }
 
@@ -141,7 +141,7 @@
       };
       signal.addEventListener('abort', onAbort, { once: true });
       waiters.add(waiter);
-      this.pump();
+      this.admitWaiting();
     });
   }
 
@@ -151,7 +151,7 @@
     const order = isOrdinaryDue ? [this.ordinary, this.urgent] : [this.urgent, this.ordinary];
     for (const queue of order)
       for (const waiter of queue.waiters) {
-        const picked = this.tryPick(waiter);
+        const picked = this.pickOrReject(waiter);
         if (picked === undefined) continue;
         this.urgentInARow = queue === this.urgent ? this.urgentInARow + 1 : 0;
         queue.rate.recordAdmission();
@@ -161,7 +161,7 @@
     return false;
   }
 
-  private tryPick(waiter: Waiter<T>): T | undefined {
+  private pickOrReject(waiter: Waiter<T>): T | undefined {
     try {
       return waiter.pick();
     } catch (error) {
--- a/packages/session-owner/src/admission-rate.ts
+++ b/packages/session-owner/src/admission-rate.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@tillerstair/wire';
 
 /** The weight of the newest interval in the moving average. */
-const smoothing = 0.1;
+const smoothingFactor = 0.1;
 
 /** A moving average of the time between two admissions. */
 export class AdmissionRate {
@@ -25,7 +25,7 @@
     this.intervalMs =
       this.intervalMs === 0
         ? sinceLastMs
-        : this.intervalMs + (sinceLastMs - this.intervalMs) * smoothing;
+        : this.intervalMs + (sinceLastMs - this.intervalMs) * smoothingFactor;
     this.admittedAt = now;
   }
 
--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -14,7 +14,7 @@
 import type { PrefixBlock } from './prefix-blocks.js';
 
 /** How often an end is written before it is given up. */
-export const endWriteAttempts = 20;
+export const outcomeWriteAttempts = 20;
 
 /** What a request asks for when it waits for a server. */
 export interface PlacementRequest {
--- a/packages/session-owner/src/event-splitter.ts
+++ b/packages/session-owner/src/event-splitter.ts
@@ -44,7 +44,7 @@
   }
 
   /** What came behind the last complete event. */
-  get tail(): string {
+  get trailingBytes(): string {
     return this.remainder;
   }
 
--- a/packages/session-owner/src/operation-attempts.ts
+++ b/packages/session-owner/src/operation-attempts.ts
@@ -7,7 +7,7 @@
  */
 import type { RouteKind, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
-import { endWriteAttempts, type Attempts } from './attempt-machine.js';
+import { outcomeWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { BackendOutcome } from './backend.js';
 import type { CallOutcome } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
@@ -132,14 +132,14 @@
       case 'declined':
         return undefined;
       case 'done':
-        if (ended.code >= firstServerError && this.operation.idempotent && this.mayRepeat) {
+        if (ended.code >= firstServerError && this.operation.idempotent && this.mayRetry) {
           this.lost = ended;
           return undefined;
         }
         return this.storeDone(ended.code, ended.body);
       case 'lost':
         this.lost = ended;
-        if (!this.signal.aborted && this.mayRepeat) return undefined;
+        if (!this.signal.aborted && this.mayRetry) return undefined;
         await this.store('unknown').catch(() => undefined);
         return unknown(ended.text);
     }
@@ -150,7 +150,7 @@
   }
 
   /** Whether what may have run may be sent to another server. */
-  private get mayRepeat(): boolean {
+  private get mayRetry(): boolean {
     const { operation, history } = this;
     const keysRecorded =
       history.replicator !== undefined &&
@@ -174,7 +174,7 @@
       body,
       recorded: this.allServersRecord,
     };
-    const tries = recordStatus === 'intent' ? intentWriteAttempts : endWriteAttempts;
+    const tries = recordStatus === 'intent' ? intentWriteAttempts : outcomeWriteAttempts;
     await history.replicator.putWithRetry(operation.key, value, tries);
   }
 
--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -7,9 +7,9 @@
 import type { Clock } from '@tillerstair/wire';
 import type { Backend, ReportedLoad } from './backend.js';
 import type { Candidate, PlacementContext, PlacementPolicy } from './policies.js';
-import { PoolCredit, sharesOf } from './pool-credit.js';
+import { PoolCredit, activeShares } from './pool-credit.js';
 import { PrefixIndex } from './prefix-index.js';
-import { tokensOf, type PrefixBlock } from './prefix-blocks.js';
+import { countTokens, type PrefixBlock } from './prefix-blocks.js';
 import {
   ServerObservations,
   type ObservationBounds,
@@ -28,7 +28,7 @@
   /** Applied one after the other. */
   readonly policies: readonly PlacementPolicy[];
   readonly bounds: ObservationBounds;
-  readonly table: () => CompiledState | undefined;
+  readonly compiledState: () => CompiledState | undefined;
   /** Requests that this front may have in flight at a server which does not say how many it can run. */
   readonly maxInFlightPerServer: () => number;
   /** The front that places; its zone comes first. */
@@ -37,7 +37,7 @@
 
 /** Picks servers, and observes what comes of it. */
 export class Placement {
-  private readonly table: () => CompiledState | undefined;
+  private readonly compiledState: () => CompiledState | undefined;
   private readonly policies: readonly PlacementPolicy[];
   private readonly maxInFlightPerServer: () => number;
   private readonly frontId: string;
@@ -47,14 +47,14 @@
   private readonly poolCredit = new PoolCredit();
 
   constructor(options: PlacementOptions) {
-    const { clock, backend, bounds, table } = options;
-    this.table = table;
+    const { clock, backend, bounds, compiledState } = options;
+    this.compiledState = compiledState;
     this.policies = options.policies;
     this.maxInFlightPerServer = options.maxInFlightPerServer;
     this.frontId = options.frontId;
     this.observations = new ServerObservations(clock, bounds);
     const { observations } = this;
-    this.poller = new ServerPoller({ clock, backend, bounds, table, observations });
+    this.poller = new ServerPoller({ clock, backend, bounds, compiledState, observations });
   }
 
   /** Sets the servers that get nothing new, since the front's own copy of the server list does not offer them. */
@@ -69,17 +69,17 @@
 
   /** Whether a picked server may still be sent a request of the route: looked at right before it is sent. */
   isAllowed(picked: Server, route: Route): boolean {
-    const server = this.table()?.state.servers.get(picked.id);
+    const server = this.compiledState()?.state.servers.get(picked.id);
     if (server?.url !== picked.url || server.pool !== picked.pool) return false;
     if (server.draining || this.observations.observed(server).draining) return false;
-    return sharesOf(route).some(({ pool }) => pool === server.pool);
+    return activeShares(route).some(({ pool }) => pool === server.pool);
   }
 
   /** Whether any server of the route is, or may soon be, able to run a request, be it full now or not. */
   hasUsableServer(route: Route, skip: ReadonlySet<string>): boolean {
-    const state = this.table()?.state;
+    const state = this.compiledState()?.state;
     if (!state) return false;
-    const pools = new Set(sharesOf(route).map(({ pool }) => pool));
+    const pools = new Set(activeShares(route).map(({ pool }) => pool));
     return [...state.servers.values()].some(
       (server) =>
         pools.has(server.pool) && !skip.has(server.id) && !server.draining && this.isUsable(server),
@@ -93,7 +93,7 @@
     stickyPool: string,
     skip: ReadonlySet<string>,
   ): Server | undefined {
-    const state = this.table()?.state;
+    const state = this.compiledState()?.state;
     if (!state) return undefined;
     const context = this.contextOf(state, prompt);
     for (const pool of this.poolCredit.order(route, stickyPool)) {
@@ -124,7 +124,7 @@
 
   /** What this front reports to the master of every listed server. */
   report(): readonly ServerReport[] {
-    const servers = this.table()?.state.servers.values() ?? [];
+    const servers = this.compiledState()?.state.servers.values() ?? [];
     return [...servers].map((server) => this.observations.reportOf(server));
   }
 
@@ -140,16 +140,16 @@
   }
 
   private maxInFlight(server: Server): number {
-    const pool = this.table()?.config?.pools.find(({ name }) => name === server.pool);
+    const pool = this.compiledState()?.config?.pools.find(({ name }) => name === server.pool);
     const places = pool?.engine?.places ?? server.places;
     return places > 0 ? places : this.maxInFlightPerServer();
   }
 
   private contextOf(state: State, prompt: readonly PrefixBlock[]): PlacementContext {
-    const pools = new Map(this.table()?.config?.pools.map((pool) => [pool.name, pool]));
+    const pools = new Map(this.compiledState()?.config?.pools.map((pool) => [pool.name, pool]));
     const zone = state.nodes.get(this.frontId)?.zone ?? '';
     return {
-      promptTokens: tokensOf(prompt),
+      promptTokens: countTokens(prompt),
       observed: (server) => this.observations.observed(server),
       cachedShare: this.prefixIndex.cachedShareOf(prompt),
       engine: (server) => pools.get(server.pool)?.engine,
--- a/packages/session-owner/src/policies.ts
+++ b/packages/session-owner/src/policies.ts
@@ -62,7 +62,7 @@
 /** What a server in another zone costs where it does not batch, in requests. */
 const remoteCost = 0.25;
 /** Among servers with as many requests the one with fewer of this front's comes first. */
-const inFlightExtra = 0.1;
+const inFlightTieBreakCost = 0.1;
 const minWeight = 0.05;
 const maxWeightBonus = 0.5;
 const defaultAffinityGain = 4;
@@ -123,7 +123,7 @@
       if (context.engine(server) && context.promptTokens > 0) return candidate;
       const observed = context.observed(server);
       const remote = context.isNear(server) ? 0 : remoteCost;
-      const requests = requestsAt(observed) + observed.inFlight * inFlightExtra;
+      const requests = requestsAt(observed) + observed.inFlight * inFlightTieBreakCost;
       const weight = Math.max(minWeight, context.weight(server));
       return { server, score: score - remote - (cost * requests) / weight };
     });
--- a/packages/session-owner/src/pool-credit.ts
+++ b/packages/session-owner/src/pool-credit.ts
@@ -11,7 +11,7 @@
 export type PoolShare = Route['shares'][number];
 
 /** The pools of a route that get work. */
-export const sharesOf = (route: Route): readonly PoolShare[] =>
+export const activeShares = (route: Route): readonly PoolShare[] =>
   route.shares.filter(({ share }) => share > 0);
 
 const totalOf = (shares: readonly PoolShare[]): number =>
@@ -23,7 +23,7 @@
 
   /** The route's pools in the order in which they are to be tried: the sticky one first, then by credit. */
   order(route: Route, stickyPool: string): readonly string[] {
-    const shares = sharesOf(route);
+    const shares = activeShares(route);
     const total = totalOf(shares);
     return shares
       .map(({ pool, share }) => ({
@@ -36,7 +36,7 @@
 
   /** One request goes to a pool: each gets its share of credit, and that one pays. */
   charge(route: Route, chosenPool: string): void {
-    const shares = sharesOf(route);
+    const shares = activeShares(route);
     const total = totalOf(shares);
     for (const { pool, share } of shares) {
       const next = this.creditOf(route, pool) + share / total - (pool === chosenPool ? 1 : 0);
--- a/packages/session-owner/src/prefix-blocks.ts
+++ b/packages/session-owner/src/prefix-blocks.ts
@@ -48,5 +48,5 @@
 };
 
 /** Tokens of a prompt; 0 where it is not known. */
-export const tokensOf = (prompt: readonly PrefixBlock[]): number =>
+export const countTokens = (prompt: readonly PrefixBlock[]): number =>
   prompt.reduce((tokens, block) => tokens + block.tokens, 0);
--- a/packages/session-owner/src/prefix-index.ts
+++ b/packages/session-owner/src/prefix-index.ts
@@ -1,6 +1,6 @@
 /** Which servers were sent which prefixes of prompts, so that they may have them in their prefix cache. */
 import type { Server } from '@tillerstair/state';
-import { tokensOf, type PrefixBlock } from './prefix-blocks.js';
+import { countTokens, type PrefixBlock } from './prefix-blocks.js';
 
 /** So many blocks are remembered; beyond that the least recently sent ones are dropped. */
 const maxBlocks = 20_000;
@@ -27,7 +27,7 @@
    * blocks from the first one on counts.
    */
   cachedShareOf(prompt: readonly PrefixBlock[]): (server: Server) => number {
-    const total = tokensOf(prompt);
+    const total = countTokens(prompt);
     const cachedTokens = new Map<string, number>();
     const unbroken = new Set<string>(this.serversByBlock.get(prompt[0]?.name ?? '') ?? []);
     for (const { name, tokens } of prompt) {
--- a/packages/session-owner/src/server-dispatch.ts
+++ b/packages/session-owner/src/server-dispatch.ts
@@ -19,7 +19,7 @@
   readonly clock: Clock;
   readonly placement: Placement;
   /** The newest state and configuration. */
-  readonly table: () => CompiledState | undefined;
+  readonly compiledState: () => CompiledState | undefined;
   /** Whether the read lease is valid now. */
   readonly leaseValid: () => boolean;
 }
@@ -28,14 +28,14 @@
 export class ServerDispatch implements ServerDispatcher {
   readonly clock: Clock;
   private readonly placement: Placement;
-  private readonly table: () => CompiledState | undefined;
+  private readonly compiledState: () => CompiledState | undefined;
   private readonly leaseValid: () => boolean;
   private readonly queues = new Map<string, AdmissionQueue<Server>>();
 
   constructor(options: ServerDispatchOptions) {
     this.clock = options.clock;
     this.placement = options.placement;
-    this.table = options.table;
+    this.compiledState = options.compiledState;
     this.leaseValid = options.leaseValid;
   }
 
@@ -46,8 +46,8 @@
 
   /** The route that takes requests of this kind at this path. */
   findRoute(kind: RouteKind, path: string): Route | undefined {
-    const table = this.table();
-    return table && findRoute(table.routes, kind, path);
+    const compiledState = this.compiledState();
+    return compiledState && findRoute(compiledState.routes, kind, path);
   }
 
   /** Resolves with a server that counts the request from now on; rejects with an `AdmissionError` where there is none. */
@@ -73,19 +73,19 @@
   /** Ends a request's stay at a server, whose place goes to the next one waiting. */
   release(server: Server, healthy: boolean, tokensPerSecond?: number): void {
     this.placement.end(server, healthy, tokensPerSecond);
-    this.admit();
+    this.admitWaiting();
   }
 
   /** Lets waiting requests in where servers are free. */
-  admit(): void {
-    for (const queue of this.queues.values()) queue.pump();
+  admitWaiting(): void {
+    for (const queue of this.queues.values()) queue.admitWaiting();
   }
 
   /** Lets waiting requests in, and refuses those that would wait beyond their time. */
-  review(): void {
+  processQueues(): void {
     for (const queue of this.queues.values()) {
-      queue.pump();
-      queue.review();
+      queue.admitWaiting();
+      queue.rejectOverdue();
     }
   }
 
@@ -107,7 +107,7 @@
       this.queues.get(pools) ??
       new AdmissionQueue<Server>(
         this.clock,
-        () => this.table()?.config?.bounds.queue ?? defaultQueueLimit,
+        () => this.compiledState()?.config?.bounds.queue ?? defaultQueueLimit,
       );
     this.queues.set(pools, queue);
     return queue;
--- a/packages/session-owner/src/server-observations.ts
+++ b/packages/session-owner/src/server-observations.ts
@@ -73,7 +73,7 @@
 
   /** What policies see of a server now. */
   observed(server: Server): ObservedServer {
-    const observation = this.of(server);
+    const observation = this.observationOf(server);
     return {
       inFlight: observation.inFlight,
       requests: Math.max(observation.polledRequests, this.reportedRequests(observation)),
@@ -84,7 +84,7 @@
 
   /** Requests of this front that are in flight at the server. */
   inFlight(server: Server): number {
-    return this.of(server).inFlight;
+    return this.observationOf(server).inFlight;
   }
 
   /** Failures of a server since its last success. */
@@ -94,12 +94,12 @@
 
   /** Whether a server was polled with success at its present address. */
   wasPolled(server: Server): boolean {
-    return this.of(server).polledAt > -Infinity;
+    return this.observationOf(server).polledAt > -Infinity;
   }
 
   /** Whether the server was listed a moment ago, so that its first response to a poll is still to come. */
   awaitsFirstPoll(server: Server): boolean {
-    const { polledAt, failures } = this.of(server);
+    const { polledAt, failures } = this.observationOf(server);
     return (
       this.bounds.pollIntervalMs > 0 &&
       polledAt === -Infinity &&
@@ -110,12 +110,12 @@
 
   /** A request is sent to the server. */
   recordStart(server: Server): void {
-    this.update(server, { inFlight: this.of(server).inFlight + 1 });
+    this.update(server, { inFlight: this.observationOf(server).inFlight + 1 });
   }
 
   /** A request has ended well, at some speed if that is known. */
   recordSuccess(server: Server, tokensPerSecond: number | undefined): void {
-    const previous = this.of(server);
+    const previous = this.observationOf(server);
     this.update(server, {
       inFlight: Math.max(0, previous.inFlight - 1),
       failures: 0,
@@ -125,7 +125,7 @@
 
   /** A request has failed. */
   recordFailure(server: Server): void {
-    const { inFlight, failures } = this.of(server);
+    const { inFlight, failures } = this.observationOf(server);
     this.update(server, {
       inFlight: Math.max(0, inFlight - 1),
       failures: failures + 1,
@@ -146,7 +146,7 @@
   /** The server did not respond to a poll. */
   recordPollFailure(server: Server): void {
     this.update(server, {
-      failures: this.of(server).failures + 1,
+      failures: this.observationOf(server).failures + 1,
       lastFailureAt: this.clock.now(),
     });
   }
@@ -164,7 +164,7 @@
 
   /** What this front reports of a server. */
   reportOf(server: Server): ServerReport {
-    const { failures, tokensPerSecond } = this.of(server);
+    const { failures, tokensPerSecond } = this.observationOf(server);
     return {
       id: server.id,
       url: server.url,
@@ -173,13 +173,13 @@
     };
   }
 
-  private of(server: Server): Observation {
+  private observationOf(server: Server): Observation {
     const observation = this.observations.get(server.id);
     return observation?.url === server.url ? observation : noObservation(server.url);
   }
 
   private update(server: Server, change: Partial<Observation>): void {
-    this.observations.set(server.id, { ...this.of(server), ...change });
+    this.observations.set(server.id, { ...this.observationOf(server), ...change });
   }
 
   private healthOf({ failures, lastFailureAt }: Observation): ServerHealth {
--- a/packages/session-owner/src/server-poller.ts
+++ b/packages/session-owner/src/server-poller.ts
@@ -10,7 +10,7 @@
   readonly clock: Clock;
   readonly backend: Backend;
   readonly bounds: ObservationBounds;
-  readonly table: () => CompiledState | undefined;
+  readonly compiledState: () => CompiledState | undefined;
   readonly observations: ServerObservations;
 }
 
@@ -19,20 +19,20 @@
   private readonly clock: Clock;
   private readonly backend: Backend;
   private readonly bounds: ObservationBounds;
-  private readonly table: () => CompiledState | undefined;
+  private readonly compiledState: () => CompiledState | undefined;
   private readonly observations: ServerObservations;
 
   constructor(options: ServerPollerOptions) {
     this.clock = options.clock;
     this.backend = options.backend;
     this.bounds = options.bounds;
-    this.table = options.table;
+    this.compiledState = options.compiledState;
     this.observations = options.observations;
   }
 
   /** Resolves when every server, or every one that never responded before, has responded or failed. Never rejects. */
   async poll(onlyNew: boolean): Promise<void> {
-    const state = this.table()?.state;
+    const state = this.compiledState()?.state;
     if (!state) return;
     this.observations.retain(state.servers);
     if (this.bounds.pollIntervalMs <= 0) return;
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -125,12 +125,17 @@
         pollValidForMs: bounds.readLease * sightShare,
         reportedLoadValidForMs: bounds.heartbeatInterval / 2,
       },
-      table,
+      compiledState: table,
       maxInFlightPerServer: () => this.table?.config?.bounds.perServer ?? defaultPerServer,
       frontId: id,
     });
     const leaseValid = (): boolean => this.leaseValid;
-    this.dispatch = new ServerDispatch({ clock, placement: this.placement, table, leaseValid });
+    this.dispatch = new ServerDispatch({
+      clock,
+      placement: this.placement,
+      compiledState: table,
+      leaseValid,
+    });
     this.slots = new OwnedSlots(id, (n, ownedSinceEpoch) => {
       // Read anew for each replicator: the bounds follow the settings file.
       const { putWithin, heartbeatInterval, retentionMs } = bounds;
@@ -180,10 +185,10 @@
   /** Follows a newer committed state. */
   applyState(state: State): void {
     this.table = compileState(state, this.table);
-    void this.placement.poll(true).then(() => this.dispatch.admit());
+    void this.placement.poll(true).then(() => this.dispatch.admitWaiting());
     for (const watch of [...this.watches]) if (!state.nodes.has(watch.front)) watch.lost.abort();
     this.slots.apply(state.slots);
-    this.dispatch.admit();
+    this.dispatch.admitWaiting();
   }
 
   /** Renews the read lease as of a time on this clock, in ms; an older one changes nothing. */
@@ -285,7 +290,7 @@
   private async maintain(): Promise<void> {
     while (!this.stopping.signal.aborted) {
       await this.placement.poll();
-      this.dispatch.review();
+      this.dispatch.processQueues();
       this.slots.expire();
       await delay(this.clock, this.maintenanceIntervalMs, this.stopping.signal);
     }
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -7,7 +7,7 @@
 import type { Config, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
 import { withAbortListener } from './abort-listener.js';
-import { endWriteAttempts, type Attempts } from './attempt-machine.js';
+import { outcomeWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { BackendOutcome } from './backend.js';
 import { passRoutePath, type CallOutcome, type EmitChunk, type PassRequest } from './messages.js';
 import { done, outcomeOfError, refused, unknown } from './outcomes.js';
@@ -65,9 +65,9 @@
   private readonly reservation: PassTurn;
   private reserved = false;
   /** Attempts that reached a server. */
-  private offered = 0;
+  private attemptsSent = 0;
   /** Why the newest attempt that was lost was lost; empty if none was. */
-  private lostText = '';
+  private lossReason = '';
   /** Tokens that have been generated. */
   private cost = 0;
   private serverHealthy = true;
@@ -100,7 +100,7 @@
 
   refuseBeforePlacing(remainingMs: number): CallOutcome | Promise<CallOutcome> | undefined {
     if (remainingMs <= 0) return this.giveUp(noServerInTime(retryAfterSeconds.capacity));
-    if (this.offered >= this.job.rules.tries)
+    if (this.attemptsSent >= this.job.rules.tries)
       return this.giveUp(
         refused(
           status.unavailable,
@@ -149,7 +149,7 @@
         server,
         { ...request, body, resume },
         response,
-        response.stopped,
+        response.abortSignal,
         this.deadline - this.owner.clock.now(),
         mayStillRun,
       ),
@@ -159,7 +159,7 @@
 
   async complete(server: Server, ended: BackendOutcome): Promise<CallOutcome | undefined> {
     this.serverHealthy = ended.kind === 'done' || ended.kind === 'declined' || this.signal.aborted;
-    if (ended.kind !== 'never-left') this.offered++;
+    if (ended.kind !== 'never-left') this.attemptsSent++;
     switch (ended.kind) {
       case 'never-left':
       case 'declined':
@@ -169,7 +169,7 @@
         return this.storeEnd(ended.code);
       case 'lost':
         this.cost = this.generatedTokens(server);
-        this.lostText = ended.text;
+        this.lossReason = ended.text;
         return this.resumeOrFail(ended.text);
     }
   }
@@ -186,7 +186,7 @@
     return reserved + request.most > request.budget;
   }
 
-  private get isKept(): boolean {
+  private get retainsTurns(): boolean {
     return this.job.rules.turnRetentionMs > 0;
   }
 
@@ -197,19 +197,21 @@
 
   private store(turn: PassTurn): Promise<void> {
     const { replicator, key } = this.job;
-    return replicator ? replicator.putWithRetry(key, turn, endWriteAttempts) : Promise.resolve();
+    return replicator
+      ? replicator.putWithRetry(key, turn, outcomeWriteAttempts)
+      : Promise.resolve();
   }
 
   /** Ends without a result: a reservation that never ran becomes void, a stream that was lost stays unknown. */
   private async giveUp(refusal: CallOutcome): Promise<CallOutcome> {
-    const lost = this.lostText !== '';
+    const lost = this.lossReason !== '';
     if (this.reserved)
       await this.store({
         ...this.reservation,
         status: lost ? 'failed' : 'void',
         cost: this.cost,
       }).catch(() => undefined);
-    return lost ? unknown(this.lostText, 'broken-off') : refusal;
+    return lost ? unknown(this.lossReason, 'broken-off') : refusal;
   }
 
   /**
@@ -222,7 +224,7 @@
       rules.resumable &&
       this.relay.resumable &&
       !this.signal.aborted &&
-      this.offered < rules.tries &&
+      this.attemptsSent < rules.tries &&
       this.deadline > this.owner.clock.now()
     ) {
       this.relay.events.dropIncompleteEvent();
@@ -239,7 +241,7 @@
   private async storeEnd(code: number): Promise<CallOutcome> {
     const { request } = this.job;
     const succeeded = isSuccess(code);
-    const mustBeStored = this.isKept && succeeded;
+    const mustBeStored = this.retainsTurns && succeeded;
     const stored = this.store({
       t: 'pass',
       status: succeeded ? 'done' : 'failed',
--- a/packages/session-owner/src/streamed-response.ts
+++ b/packages/session-owner/src/streamed-response.ts
@@ -30,7 +30,7 @@
   }
 
   /** Aborted once nothing more of the answer is of use. */
-  get stopped(): AbortSignal {
+  get abortSignal(): AbortSignal {
     return this.stop.signal;
   }
 
@@ -68,7 +68,7 @@
       const { events } = this.relay;
       if (events.endsWithinEvent)
         return { kind: 'lost', text: 'the stream stopped within an event' };
-      if (events.tail !== '') this.relay.emitText(events.tail);
+      if (events.trailingBytes !== '') this.relay.emitText(events.trailingBytes);
     }
     return { ...ended, code: this.status };
   }
--- a/packages/session-owner/src/streams.ts
+++ b/packages/session-owner/src/streams.ts
@@ -141,7 +141,7 @@
       const local = PassTurn.safeParse(replicator.get(streamTurnKey(program, at)));
       const turn = local.success ? local.data : found.get(at);
       if (!turn) {
-        const refusal = await this.findElsewhere(at, found);
+        const refusal = await this.findInOtherPrograms(at, found);
         if (refusal) return { refusal };
         continue;
       }
@@ -154,7 +154,7 @@
   }
 
   /** Adds a turn of any program, and those it goes on from, to `found`. */
-  private async findElsewhere(
+  private async findInOtherPrograms(
     attempt: string,
     found: Map<string, PassTurn>,
   ): Promise<CallOutcome | undefined> {
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -7,7 +7,7 @@
 import { rootProgramId, type Config, type Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
 import { withAbortListener } from './abort-listener.js';
-import { endWriteAttempts, type Attempts } from './attempt-machine.js';
+import { outcomeWriteAttempts, type Attempts } from './attempt-machine.js';
 import type { BackendOutcome, ConversationMessage } from './backend.js';
 import type { CallOutcome, EmitChunk, TurnRequest } from './messages.js';
 import { done, outcomeOfError, unknown } from './outcomes.js';
@@ -195,7 +195,7 @@
   }
 
   private store(value: TurnValue): Promise<void> {
-    return this.job.replicator.putWithRetry(this.key, value, endWriteAttempts);
+    return this.job.replicator.putWithRetry(this.key, value, outcomeWriteAttempts);
   }
 
   private storeVoid(): Promise<void> {
--- a/tests/src/session-owner/admission-bounds.test.ts
+++ b/tests/src/session-owner/admission-bounds.test.ts
@@ -36,7 +36,7 @@
   async release(afterMs: number): Promise<void> {
     await this.clock.run(afterMs);
     this.free++;
-    this.queue.pump();
+    this.queue.admitWaiting();
     await this.clock.runReadyTasks();
   }
 }
@@ -80,7 +80,7 @@
   await fixture.clock.runReadyTasks();
   assert.equal(fixture.ended, ['a', 'b']);
   assert.is(fixture.queue.waiting, 1);
-  fixture.queue.review();
+  fixture.queue.rejectOverdue();
   await fixture.clock.runReadyTasks();
   assert.is(fixture.queue.waiting, 1);
 });
@@ -93,7 +93,7 @@
     fixture.enter('c', 2000);
     await fixture.release(100);
     await fixture.clock.run(1000);
-    fixture.queue.review();
+    fixture.queue.rejectOverdue();
     await fixture.clock.runReadyTasks();
     assert.equal(fixture.ended, ['a', 'c queue-timeout']);
     assert.is(fixture.queue.waiting, 1);
--- a/tests/src/session-owner/batch-placement.test.ts
+++ b/tests/src/session-owner/batch-placement.test.ts
@@ -88,7 +88,7 @@
     backend: sims.backend(new Incarnation()),
     policies: placementPolicies(true),
     bounds,
-    table: () => table,
+    compiledState: () => table,
     maxInFlightPerServer: () => 16,
     frontId: 'f',
   });
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -97,7 +97,7 @@
       backend: servers.backend(new Incarnation()),
       policies: placementPolicies(affinity),
       bounds,
-      table: () => table,
+      compiledState: () => table,
       maxInFlightPerServer: () => 16,
       frontId: '',
     }),
@@ -227,7 +227,7 @@
     await clock.runReadyTasks();
     for (let i = 0; i < 10; i++) {
       free = 1;
-      admissionQueue.pump();
+      admissionQueue.admitWaiting();
       await clock.runReadyTasks();
     }
     assert.equal(order.join(''), 'uuuuouuuuo');
--- a/tests/src/session-owner/stream-events.test.ts
+++ b/tests/src/session-owner/stream-events.test.ts
@@ -107,10 +107,10 @@
 events('bytes after the last event are kept, and an event without an id is known', () => {
   const e = new EventSplitter();
   e.push('id: 1\ndata: a\n\n\r\n ');
-  assert.equal([e.tail, e.endsWithinEvent, e.lastEventHasNoId], [' ', false, false]);
+  assert.equal([e.trailingBytes, e.endsWithinEvent, e.lastEventHasNoId], [' ', false, false]);
   const f = new EventSplitter();
   f.push('id: 1\ndata: a\n\ndata: b\n\n');
-  assert.equal([f.tail, f.lastId, f.lastEventHasNoId], ['', '1', true]);
+  assert.equal([f.trailingBytes, f.lastId, f.lastEventHasNoId], ['', '1', true]);
 });
 
 events('data may be empty and may begin with spaces', () => {
--- a/tests/src/support/placement-fixture.ts
+++ b/tests/src/support/placement-fixture.ts
@@ -17,7 +17,7 @@
   type State,
 } from '@tillerstair/state';
 
-const text = JSON.stringify({
+const configText = JSON.stringify({
   base: 0,
   pools: [
     { name: 'first', kind: 'model' },
@@ -37,7 +37,7 @@
   ],
 });
 
-export const serverAt = (id: string, change: Partial<Server> = {}): Server => ({
+export const makeServer = (id: string, change: Partial<Server> = {}): Server => ({
   id,
   pool: 'first',
   url: `http://127.0.0.1:1/${id}`,
@@ -51,7 +51,7 @@
 export const pollIntervalMs = 100;
 export const loadValidForMs = 400;
 export const retryAfterMs = 1000;
-export const placesOfServer = 2;
+export const maxInFlightPerServer = 2;
 
 const unused = (): never => {
   throw new Error('a placement test sends nothing');
@@ -60,14 +60,14 @@
 export class PlacementFixture {
   readonly clock = new SimClock();
   /** Asked servers, in order, and what each says; one that is not here fails. */
-  readonly polled: string[] = [];
-  readonly loads = new Map<string, ServerStatus>();
+  readonly polledServerIds: string[] = [];
+  readonly statuses = new Map<string, ServerStatus>();
   readonly placement: Placement;
   readonly route: Route;
   private state: State;
 
   constructor(servers: readonly Server[], poll: number = pollIntervalMs) {
-    const { config } = checkConfig(text);
+    const { config } = checkConfig(configText);
     const route = config?.routes[0];
     if (!route) throw new Error('no route');
     this.route = route;
@@ -75,8 +75,8 @@
       ...bootstrapState('test', [], 1),
       config: {
         version: 1,
-        text,
-        digest: configDigest(text),
+        text: configText,
+        digest: configDigest(configText),
         compiled: JSON.stringify(config),
         changeId: '',
       },
@@ -87,8 +87,8 @@
       act: unused,
       pass: unused,
       load: (server) => {
-        this.polled.push(server.id);
-        const load = this.loads.get(server.id);
+        this.polledServerIds.push(server.id);
+        const load = this.statuses.get(server.id);
         return load ? Promise.resolve(load) : Promise.reject(new Error('no reply'));
       },
     };
@@ -103,16 +103,16 @@
         pollValidForMs: loadValidForMs,
         reportedLoadValidForMs: loadValidForMs,
       },
-      table: () => compileState(this.state, undefined),
-      maxInFlightPerServer: () => placesOfServer,
+      compiledState: () => compileState(this.state, undefined),
+      maxInFlightPerServer: () => maxInFlightPerServer,
       frontId: 'owner',
     });
   }
 
   /** All servers are idle and have just said so. */
-  static async polled(servers: readonly Server[]): Promise<PlacementFixture> {
+  static async createPolled(servers: readonly Server[]): Promise<PlacementFixture> {
     const fixture = new PlacementFixture(servers);
-    for (const { id } of servers) fixture.loads.set(id, { busy: 0, draining: false });
+    for (const { id } of servers) fixture.statuses.set(id, { busy: 0, draining: false });
     await fixture.placement.poll();
     return fixture;
   }
@@ -129,11 +129,11 @@
     return this.placement.pick(this.route, [], '', new Set(skip))?.id;
   }
 
-  usable(skip: readonly string[] = []): boolean {
+  hasUsableServer(skip: readonly string[] = []): boolean {
     return this.placement.hasUsableServer(this.route, new Set(skip));
   }
 
-  fail(server: Server, times: number): void {
+  recordFailures(server: Server, times: number): void {
     for (let n = 0; n < times; n++) this.placement.end(server, false);
   }
 }
