--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -125,7 +125,7 @@
         pollValidForMs: bounds.readLease * sightShare,
         reportedLoadValidForMs: bounds.heartbeatInterval / 2,
       },
-      table: compiledState,
+      compiledState,
       maxInFlightPerServer: () => this.compiledState?.config?.bounds.perServer ?? defaultPerServer,
       frontId: id,
     });
@@ -133,7 +133,7 @@
     this.dispatch = new ServerDispatch({
       clock,
       placement: this.placement,
-      table: compiledState,
+      compiledState,
       leaseValid,
     });
     this.slots = new OwnedSlots(id, (n, ownedSinceEpoch) => {
@@ -185,10 +185,10 @@
   /** Follows a newer committed state. */
   applyState(state: State): void {
     this.compiledState = compileState(state, this.compiledState);
-    void this.placement.poll(true).then(() => this.dispatch.admit());
+    void this.placement.poll(true).then(() => this.dispatch.admitWaiting());
     for (const watch of [...this.watches]) if (!state.nodes.has(watch.front)) watch.lost.abort();
     this.slots.apply(state.slots);
-    this.dispatch.admit();
+    this.dispatch.admitWaiting();
   }
 
   /** Renews the read lease as of a time on this clock, in ms; an older one changes nothing. */
@@ -290,7 +290,7 @@
   private async maintain(): Promise<void> {
     while (!this.stopping.signal.aborted) {
       await this.placement.poll();
-      this.dispatch.review();
+      this.dispatch.processQueues();
       this.slots.expire();
       await delay(this.clock, this.maintenanceIntervalMs, this.stopping.signal);
     }
