--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -142,7 +142,7 @@
 
   /** Asks the master to hand the slots of the proxy over, unless it does so already. */
   private async announceDeparture({ id, zen }: AdoptedProxy): Promise<void> {
-    const master = zen.masterSeen;
+    const master = zen.knownMaster;
     if (!master || zen.applied?.retiring.has(id)) return;
     const timeoutMs = this.bounds.heartbeatInterval;
     await this.transport
@@ -159,10 +159,10 @@
   readiness(): Readiness {
     if (!this.adopted) return { ready: false, why: proxyMissing };
     const { zen, feed } = this.adopted;
-    if (!zen.masterSeen) return { ready: false, why: 'no master is known' };
+    if (!zen.knownMaster) return { ready: false, why: 'no master is known' };
     if (feed.idleMs > this.bounds.heartbeatInterval * readyHeartbeats)
       return { ready: false, why: 'the proxy takes no feed' };
-    return { ready: true, why: `master ${zen.masterSeen.addr}` };
+    return { ready: true, why: `master ${zen.knownMaster.addr}` };
   }
 
   private currentProxy(): AdoptedProxy {
@@ -253,7 +253,7 @@
     const releasesMore = await feed.feed(state, {
       leaseRenewedAt: Math.min(zen.leaseRenewedAt, serverList.leaseRenewedAt),
       barred: serverList.barredServers(state),
-      master: zen.masterSeen?.id ?? '',
+      master: zen.knownMaster?.id ?? '',
       term: zen.term,
     });
     this.lastReport = feed.report;
--- a/packages/agent/src/server-list-monitor.ts
+++ b/packages/agent/src/server-list-monitor.ts
@@ -118,8 +118,8 @@
   private isLate(zen: ZenNode, now: number): boolean {
     const { listReadInterval, heartbeatInterval } = this.bounds;
     if (this.hasList === 'unknown')
-      return zen.masterSeen === undefined && zen.leaseRenewedAt > -Infinity;
-    const maxAge = zen.masterSeen
+      return zen.knownMaster === undefined && zen.leaseRenewedAt > -Infinity;
+    const maxAge = zen.knownMaster
       ? heartbeatInterval + listReadInterval * lateWithMaster
       : listReadInterval * lateWithoutMaster;
     const readAt = Math.max(this.masterReadAt, this.directReadAt);
@@ -131,7 +131,7 @@
     const voters = [...(zen.applied?.votingMembers.values() ?? [])].sort((a, b) =>
       a.id < b.id ? -1 : 1,
     );
-    const others = voters.filter(({ id }) => id !== zen.masterSeen?.id);
+    const others = voters.filter(({ id }) => id !== zen.knownMaster?.id);
     const controls = others.length > 0 ? others : voters;
     for (let n = 0; n < controls.length && !this.stopping.signal.aborted; n++) {
       const remainingMs = end - this.clock.now();
--- a/packages/agent/src/start.ts
+++ b/packages/agent/src/start.ts
@@ -12,7 +12,7 @@
 const viewOf = (agent: Agent, addr: string): NodeView => {
   const node = agent.zenNode;
   const id = node ? addr : '';
-  return nodeViewOf(id, 'agent', node?.term ?? 0, node?.masterSeen?.id ?? '', node?.applied);
+  return nodeViewOf(id, 'agent', node?.term ?? 0, node?.knownMaster?.id ?? '', node?.applied);
 };
 
 const answerPage = (agent: Agent, addr: string, res: ServerResponse, path: string): void => {
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -134,11 +134,11 @@
   private async dispatch(request: OperatorRequest): Promise<OperatorResponse> {
     const local = operateLocally(request, () => this.localView());
     if (local) return local;
-    const { leading, masterSeen } = this.zen;
+    const { leading, knownMaster } = this.zen;
     if (leading) return operate(leading, request);
-    if (!masterSeen)
+    if (!knownMaster)
       return notCarriedOut('no-master', 'no master is known', this.bounds.failureTimeout);
-    return this.forward(masterSeen, request);
+    return this.forward(knownMaster, request);
   }
 
   /** Asks the master, for no longer than it may publish twice; a change without a clear answer may have been made. */
@@ -159,8 +159,8 @@
 
   /** What this control alone holds, which may be old: it names the state's version and waits for no majority. */
   private localView(): NodeView {
-    const { term, masterSeen, applied } = this.zen;
-    return nodeViewOf(this.me.id, 'control', term, masterSeen?.id ?? '', applied);
+    const { term, knownMaster, applied } = this.zen;
+    return nodeViewOf(this.me.id, 'control', term, knownMaster?.id ?? '', applied);
   }
 
   private leadingMaster(): MasterView {
--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -20,7 +20,12 @@
   type DrainableServer,
   type Logger,
 } from '@tillerstair/wire';
-import { controlPace, DiskElectionStore, reloadableBounds, type ZenBounds } from '@tillerstair/zen';
+import {
+  controlJournalTimings,
+  DiskElectionStore,
+  reloadableBounds,
+  type ZenBounds,
+} from '@tillerstair/zen';
 import type { ServerList } from './list-reader.js';
 import { ControlNode } from './node.js';
 
@@ -60,7 +65,7 @@
     disk,
     freshControlId,
     settings.journalLongAt,
-    controlPace(hostClock, bounds, log),
+    controlJournalTimings(hostClock, bounds, log),
   );
   return new ControlNode({
     me: memberFor(electionStore.persisted.id, settings),
@@ -78,10 +83,10 @@
 };
 
 const readinessOf = (node: ControlNode): Readiness => {
-  const { masterSeen } = node.zen;
+  const { knownMaster } = node.zen;
   return {
-    ready: masterSeen !== undefined,
-    why: masterSeen ? `master ${masterSeen.addr}` : 'no master is known',
+    ready: knownMaster !== undefined,
+    why: knownMaster ? `master ${knownMaster.addr}` : 'no master is known',
   };
 };
 
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -7,7 +7,7 @@
 import {
   DiskElectionStore,
   reloadableBounds,
-  type OuterBounds,
+  type ConfiguredBounds,
   type ReloadableBounds,
 } from '@tillerstair/zen';
 import { silentLogger, type Logger } from '@tillerstair/wire';
@@ -199,7 +199,7 @@
   }
 
   /** Reads the settings again while running (SIGHUP): seeds and bounds are swapped. */
-  reload(outer: OuterBounds): void {
+  reload(outer: ConfiguredBounds): void {
     this.settings.replace(outer);
     this.control?.zen.replaceSeeds(this.seeds);
     this.store?.zen.replaceSeeds(this.seeds);
--- a/packages/sim/src/sim-cluster.ts
+++ b/packages/sim/src/sim-cluster.ts
@@ -1,7 +1,7 @@
 /** The machines of one simulated world: added, started, found by kind, brought up to serve. */
 import type { OperatorResponse } from '@tillerstair/control';
 import type { State } from '@tillerstair/state';
-import { zenBounds, type OuterBounds, type ZenBounds } from '@tillerstair/zen';
+import { zenBounds, type ConfiguredBounds, type ZenBounds } from '@tillerstair/zen';
 import { Machine } from './machine.js';
 import { seededRng } from './random.js';
 import { SimClock } from './sim-clock.js';
@@ -16,14 +16,14 @@
   readonly fronts: number;
   readonly slots?: number;
   /** Outer bounds of the deployment, in ms; the usual ones if left out. */
-  readonly outer?: OuterBounds;
+  readonly outer?: ConfiguredBounds;
   /** Losses of stores at once that the cluster is bootstrapped to bear. */
   readonly losses?: number;
   /** How many zones the machines are spread over; three if left out. */
   readonly zones?: number;
 }
 
-const usualOuter: OuterBounds = {
+const usualOuter: ConfiguredBounds = {
   serveWithin: 12000,
   drainingWithin: 3000,
   heartbeatInterval: 1000,
@@ -36,7 +36,7 @@
   readonly clock = new SimClock();
   readonly net;
   readonly servers;
-  readonly outer: OuterBounds;
+  readonly outer: ConfiguredBounds;
   readonly bounds: ZenBounds;
   readonly zones: number;
   /** Names the seeds that settings hold from now on; the first three controls while unset. */
--- a/packages/store/src/open-store-disk.ts
+++ b/packages/store/src/open-store-disk.ts
@@ -48,7 +48,7 @@
     timings.log?.warn(
       `${replicaStoreLog} is damaged (${errorText(error)}): kept as ${replicaStoreLog}.damaged, starting as a new store.`,
     );
-    await electionStore.forget(disk);
+    await electionStore.retireIdentity(disk);
     await retryTransientDiskErrors(timings, replicaStoreLog, () => disk.setAside(replicaStoreLog));
     return { electionStore: await openElectionStore(), replicaStore: await openReplicaStore() };
   }
--- a/packages/store/src/start.ts
+++ b/packages/store/src/start.ts
@@ -10,7 +10,7 @@
 } from '@tillerstair/settings';
 import type { Member } from '@tillerstair/state';
 import { hostClock, sendJson, TcpTransport, type HttpHandler } from '@tillerstair/wire';
-import { reloadableBounds, storePace } from '@tillerstair/zen';
+import { reloadableBounds, storeJournalTimings } from '@tillerstair/zen';
 import { openStoreDisk } from './open-store-disk.js';
 import type { ReplicaStore } from './replica-store.js';
 import { StoreNode } from './store-node.js';
@@ -30,7 +30,7 @@
 });
 
 const readinessOf = (node: StoreNode): Readiness => {
-  const master = node.zen.masterSeen;
+  const master = node.zen.knownMaster;
   return {
     ready: master !== undefined && node.zen.applied !== undefined,
     why: master ? `master ${master.addr}` : 'no master is known',
@@ -59,7 +59,7 @@
   const { electionStore, replicaStore } = await openStoreDisk({
     disk,
     clock: hostClock,
-    timings: storePace(hostClock, bounds, log),
+    timings: storeJournalTimings(hostClock, bounds, log),
     limits: {
       rewriteMinBytes: settings.journalLongAt,
       retentionMs: settings.retentionMs,
--- a/packages/store/src/store-node.ts
+++ b/packages/store/src/store-node.ts
@@ -55,7 +55,7 @@
       latestState: () => this.latestState,
     };
     this.maintenance = new Maintenance({ ...shared, appliedState: () => this.zen.applied });
-    this.refill = new ReplicaRefill({ ...shared, currentMaster: () => this.zen.masterSeen });
+    this.refill = new ReplicaRefill({ ...shared, currentMaster: () => this.zen.knownMaster });
   }
 
   get id(): string {
@@ -82,7 +82,7 @@
       this.storeId,
       'store',
       this.zen.term,
-      this.zen.masterSeen?.id ?? '',
+      this.zen.knownMaster?.id ?? '',
       this.zen.applied,
     );
     const { hints } = this.replicaStore.counts();
--- a/packages/zen/src/bootstrap-closure.ts
+++ b/packages/zen/src/bootstrap-closure.ts
@@ -12,7 +12,7 @@
   readonly seeds: readonly string[];
   readonly pingResponses: readonly PingResponse[];
   /** Everyone whom the control has heard of. */
-  readonly heardOf: readonly Member[];
+  readonly knownMembers: readonly Member[];
 }
 
 /** The members that may bootstrap, sorted by id; none of them with the reason. */
@@ -51,7 +51,7 @@
  * anyone named has responded, and that none of them knows a cluster.
  */
 export const closureOf = (view: BootstrapView): BootstrapClosure => {
-  const { localMember, seeds, pingResponses, heardOf } = view;
+  const { localMember, seeds, pingResponses, knownMembers } = view;
   const respondents = pingResponses.map((response) => response.from);
   const responded = new Set([localMember, ...respondents].map((member) => member.addr));
   const silentSeeds = seeds.filter((addr) => !responded.has(addr));
@@ -59,7 +59,7 @@
   const bootstrapped = pingResponses.find((response) => response.clusterId !== '');
   if (bootstrapped) return noClosure(`${bootstrapped.from.addr} knows a bootstrapped cluster`);
   const members = respondingControls(view);
-  const silentControls = [...heardOf, ...pingResponses.flatMap((response) => response.known)]
+  const silentControls = [...knownMembers, ...pingResponses.flatMap((response) => response.known)]
     .filter((member) => member.kind === 'control')
     .filter((member) => !members.has(member.id) && !responded.has(member.addr));
   if (silentControls.length > 0)
--- a/packages/zen/src/bootstrapper.ts
+++ b/packages/zen/src/bootstrapper.ts
@@ -46,7 +46,7 @@
   }
 
   /** Looks at a ping round; resolves with true if this control has bootstrapped the cluster. */
-  async round(view: BootstrapView): Promise<boolean> {
+  async onPingRound(view: BootstrapView): Promise<boolean> {
     const { members, reason } = closureOf(view);
     const closureKey = membersKey(members);
     if (members.length === 0 || closureKey !== this.lastClosureKey) {
@@ -110,7 +110,7 @@
     }
     const addresses = new Set(members.map((member) => member.addr));
     if (!bootstrapVote.every((member) => addresses.has(member.addr))) return false;
-    await this.electionStore.bootstrapVote(members);
+    await this.electionStore.recordBootstrapVote(members);
     return true;
   }
 
--- a/packages/zen/src/bounds.ts
+++ b/packages/zen/src/bounds.ts
@@ -38,7 +38,7 @@
 }
 
 /** What a deployment states, in whole milliseconds. */
-export interface OuterBounds {
+export interface ConfiguredBounds {
   /** Within which time a cluster that starts must serve. */
   readonly serveWithin: number;
   /** Within which time a server that drains must get nothing new. */
@@ -50,7 +50,7 @@
 }
 
 /** Derives the inner times from the outer bounds. */
-export const zenBounds = (outer: OuterBounds): ZenBounds => ({
+export const zenBounds = (outer: ConfiguredBounds): ZenBounds => ({
   heartbeatInterval: toTimerMs(outer.heartbeatInterval),
   failureTimeout: toTimerMs(outer.failureTimeout),
   pingRoundTimeout: toTimerMs(outer.serveWithin / 24),
@@ -72,11 +72,11 @@
   /** Always shows the values in force now; whoever keeps a copy of a value does not follow. */
   readonly bounds: ZenBounds;
   /** Puts other values in force, at once and for everybody who holds `bounds`. */
-  replace(outer: OuterBounds): void;
+  replace(outer: ConfiguredBounds): void;
 }
 
 /** Derives bounds whose values follow a later `replace`, for settings that are read again. */
-export const reloadableBounds = (outer: OuterBounds): ReloadableBounds => {
+export const reloadableBounds = (outer: ConfiguredBounds): ReloadableBounds => {
   const bounds = zenBounds(outer);
   return {
     bounds,
--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -17,7 +17,7 @@
 export interface WonElection {
   readonly term: number;
   /** The newest state that the candidate or one of its voters has accepted. */
-  readonly newest: State;
+  readonly newestState: State;
   /** Clock time in milliseconds before which no vote was asked for. */
   readonly requestedAt: number;
   /** The joins of those that voted. */
@@ -91,17 +91,17 @@
     }
     this.log.info(`Master in term ${term} with ${votes.granted.size + 1} votes.`);
     const granted = joins.filter(({ join }) => votes.granted.has(join.from.id));
-    return { term, newest: votes.newest, requestedAt, joins: granted };
+    return { term, newestState: votes.newestState, requestedAt, joins: granted };
   }
 
   /**
    * Whether a majority of the voters voted, both by the candidate's state and by the newest that a voter has accepted,
    * and the candidate itself has not voted in a later term meanwhile (docs/zen.md, "One master a term").
    */
-  private hasWon(term: number, accepted: State, { granted, newest }: GatheredVotes): boolean {
+  private hasWon(term: number, accepted: State, { granted, newestState }: GatheredVotes): boolean {
     const voted = this.withLocal(granted);
     if (this.localNode.term !== term) return false;
-    return hasQuorum(accepted.voters, voted) && hasQuorum(newest.voters, voted);
+    return hasQuorum(accepted.voters, voted) && hasQuorum(newestState.voters, voted);
   }
 
   private withLocal(ids: Iterable<string>): ReadonlySet<string> {
--- a/packages/zen/src/disk-election-store.ts
+++ b/packages/zen/src/disk-election-store.ts
@@ -51,7 +51,7 @@
   }
 
   /** Gives up this identity for good; its log stays under another name. */
-  async forget(disk: Disk): Promise<void> {
+  async retireIdentity(disk: Disk): Promise<void> {
     await this.journal.close();
     await disk.setAside(electionLogName);
   }
@@ -85,7 +85,7 @@
   }
 
   /** Records the members that this node votes to bootstrap a cluster with. */
-  bootstrapVote(members: readonly Member[]): Promise<void> {
+  recordBootstrapVote(members: readonly Member[]): Promise<void> {
     return this.record({ t: 'bootstrap-vote', members: [...members] });
   }
 
--- a/packages/zen/src/election-store.ts
+++ b/packages/zen/src/election-store.ts
@@ -13,7 +13,7 @@
   /** Records the vote of a term, which the caller has checked to be free. */
   recordVote(term: number, candidateId: string): Promise<void>;
   /** Records the members that this node votes to bootstrap a cluster with. */
-  bootstrapVote(members: readonly Member[]): Promise<void>;
+  recordBootstrapVote(members: readonly Member[]): Promise<void>;
   /** Records a state, which the caller has checked to be newer than the accepted one. */
   accept(state: State): Promise<void>;
   /** Resolves once all that has been recorded is on disk; rejects while the disk takes no records. */
--- a/packages/zen/src/gather-votes.ts
+++ b/packages/zen/src/gather-votes.ts
@@ -29,13 +29,13 @@
   /** Ids of the nodes that voted; without the candidate itself. */
   readonly granted: ReadonlySet<string>;
   /** The newest state that the candidate or one of its voters has accepted. */
-  readonly newest: State;
+  readonly newestState: State;
 }
 
 /** Votes of one term as they come in. */
 class VoteRound {
   private readonly granted = new Set<string>();
-  private newest: State;
+  private newestState: State;
   private isEveryRequestAnswered = false;
 
   constructor(
@@ -43,7 +43,7 @@
     private readonly accepted: State,
     private readonly term: number,
   ) {
-    this.newest = accepted;
+    this.newestState = accepted;
   }
 
   get isOpen(): boolean {
@@ -51,7 +51,7 @@
   }
 
   get votes(): GatheredVotes {
-    return { granted: new Set(this.granted), newest: this.newest };
+    return { granted: new Set(this.granted), newestState: this.newestState };
   }
 
   get hasVoterQuorum(): boolean {
@@ -78,7 +78,8 @@
       await transport.call(voter.addr, 'zen/validate', body, { timeoutMs: bounds.joinTimeout }),
     );
     const state = response.state ? decodeState(new Map(response.state)) : undefined;
-    if (state && isNewerVersion(versionOf(state), versionOf(this.newest))) this.newest = state;
+    if (state && isNewerVersion(versionOf(state), versionOf(this.newestState)))
+      this.newestState = state;
     this.granted.add(voter.id);
   }
 }
--- a/packages/zen/src/index.ts
+++ b/packages/zen/src/index.ts
@@ -10,7 +10,7 @@
 export * from './zen-node.js';
 export * from './zen-node-options.js';
 export type { MasterView } from './master-types.js';
-export * from './pace.js';
+export * from './journal-timings.js';
 export * from './quorum-read.js';
 
 export * from './addressee.js';
--- a/packages/zen/src/pace.ts
+++ b/packages/zen/src/journal-timings.ts
@@ -7,7 +7,11 @@
 import type { ZenBounds } from './bounds.js';
 
 /** For controls: a sync that lasts longer than a publish waits is of no use to any majority. */
-export const controlPace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalTimings => ({
+export const controlJournalTimings = (
+  clock: Clock,
+  bounds: ZenBounds,
+  log: Logger,
+): JournalTimings => ({
   clock,
   log,
   get syncTimeoutMs() {
@@ -19,7 +23,11 @@
 });
 
 /** For stores: a slow sync still makes a replica complete, though the slot's writes do not wait for it. */
-export const storePace = (clock: Clock, bounds: ZenBounds, log: Logger): JournalTimings => ({
+export const storeJournalTimings = (
+  clock: Clock,
+  bounds: ZenBounds,
+  log: Logger,
+): JournalTimings => ({
   clock,
   log,
   get syncTimeoutMs() {
--- a/packages/zen/src/leadership.ts
+++ b/packages/zen/src/leadership.ts
@@ -50,9 +50,9 @@
   /** Leads in the term that was won; resolves once the master has stepped down. */
   async run(election: WonElection): Promise<void> {
     const { masterOptions } = this;
-    const master = new Master(masterOptions, election.term, election.newest);
+    const master = new Master(masterOptions, election.term, election.newestState);
     this.running = master;
-    const pending = this.pendingJoins.take();
+    const pending = this.pendingJoins.drain();
     try {
       const joiners = election.joins.map(({ join }) => join.from);
       await master.begin(joiners, election.requestedAt);
--- a/packages/zen/src/master-finder.ts
+++ b/packages/zen/src/master-finder.ts
@@ -87,11 +87,11 @@
   private async bootstrap(round: PingRoundResult): Promise<boolean> {
     const { member, accepted } = this.localNode;
     if (member.kind !== 'control' || accepted || !this.mayBootstrap) return false;
-    return this.bootstrapper.round({
+    return this.bootstrapper.onPingRound({
       localMember: member,
       seeds: this.seeds(),
       pingResponses: round.pingResponses,
-      heardOf: this.knownMembers.all(),
+      knownMembers: this.knownMembers.all(),
     });
   }
 
--- a/packages/zen/src/memory-election-store.ts
+++ b/packages/zen/src/memory-election-store.ts
@@ -18,7 +18,7 @@
   }
 
   /** Records the members that this node votes to bootstrap a cluster with. */
-  bootstrapVote(members: readonly Member[]): Promise<void> {
+  recordBootstrapVote(members: readonly Member[]): Promise<void> {
     return this.record({ bootstrapVote: members });
   }
 
--- a/packages/zen/src/pending-joins.ts
+++ b/packages/zen/src/pending-joins.ts
@@ -44,7 +44,7 @@
   }
 
   /** Hands over all joins to a new master, which answers them, and queues no more. */
-  take(): readonly PendingJoin[] {
+  drain(): readonly PendingJoin[] {
     const joins = this.list();
     this.queue = undefined;
     return joins;
@@ -52,7 +52,7 @@
 
   /** Rejects all joins, since another control leads or none can, and queues no more. */
   rejectAll(): void {
-    for (const pending of this.take())
+    for (const pending of this.drain())
       pending.reject(new NotMasterError('another control was elected'));
   }
 }
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -169,7 +169,7 @@
   }
 
   /** The master as far as this node knows: itself, or the one that it follows. */
-  get masterSeen(): Member | undefined {
+  get knownMaster(): Member | undefined {
     return this.leading ? this.localNode.member : this.follower.master;
   }
 
--- a/tests/src/agent/agent.test.ts
+++ b/tests/src/agent/agent.test.ts
@@ -108,7 +108,7 @@
   await clock.run(500);
   const node = agent.zenNode;
   assert.ok(node);
-  Object.defineProperty(node, 'masterSeen', { get: () => ({ id: 'm', addr: 'm:1' }) });
+  Object.defineProperty(node, 'knownMaster', { get: () => ({ id: 'm', addr: 'm:1' }) });
   assert.is(agent.readiness().ready, true);
   proxy.id = '';
   await clock.run(bounds.heartbeatInterval * 3);
--- a/tests/src/journal/full-and-stalled-disks.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -61,7 +61,7 @@
         await w.clock.until(
           'the old one to follow',
           () =>
-            old.control?.zen.masterSeen?.id === master.control?.id &&
+            old.control?.zen.knownMaster?.id === master.control?.id &&
             version(old) === version(master),
           w.bounds.failureTimeout,
         );
@@ -142,7 +142,7 @@
   const w = await worldUp(1, small);
   const follower = w.of('control').find((m) => m !== w.master);
   const node = follower?.control?.zen;
-  const from = w.master?.control?.zen.masterSeen;
+  const from = w.master?.control?.zen.knownMaster;
   if (!follower || !node || !from) throw new Error('a follower is needed');
   const ask = async () =>
     PingResponse.parse(
@@ -321,7 +321,7 @@
     store.start();
     await w.clock.run(1500);
     store.platter.full = false;
-    await w.clock.until('back', () => store.store?.zen.masterSeen !== undefined, 8000);
+    await w.clock.until('back', () => store.store?.zen.knownMaster !== undefined, 8000);
     assert.is(store.store?.id, id);
     await w.clock.until(
       'whole',
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -150,7 +150,7 @@
     net.serve(id, ({ kind }) => answer(kind), new Incarnation());
   }
   await clock.finish('start', node.start(), 1000);
-  await clock.until('a master', () => node.zen.masterSeen !== undefined, 10000);
+  await clock.until('a master', () => node.zen.knownMaster !== undefined, 10000);
   const commit = { from: control, to: 'store-0', stateVersion: acceptedVersion };
   assert.is(await ask('zen/commit', commit), '{}');
   return rig;
--- a/tests/src/support/zen-rig.ts
+++ b/tests/src/support/zen-fixtures.ts
@@ -95,7 +95,7 @@
   );
 
 /** A store of an election in memory that has accepted a state. */
-export const storeWith = async (
+export const electionStoreWith = async (
   state: State | undefined,
   id = 'me',
 ): Promise<MemoryElectionStore> => {
--- a/tests/src/support/zen-node-rig.ts
+++ b/tests/src/support/zen-node-harness.ts
@@ -17,7 +17,7 @@
   pingResponse,
   ScriptedTransport,
   type SentRequest,
-} from './zen-rig.js';
+} from './zen-fixtures.js';
 
 /** How long each request takes, in milliseconds of simulated time. */
 const roundTripMs = 1;
@@ -27,21 +27,21 @@
 /** What the peers answer to one kind of request; a kind that is not named is refused. */
 export type Answers = Readonly<Partial<Record<string, (request: SentRequest) => Promise<unknown>>>>;
 
-export interface NodeOptions {
+export interface HarnessOptions {
   readonly me?: Member;
   /** The state that the node has accepted before it starts, if any. */
   readonly state?: State | undefined;
   readonly electionStore?: MemoryElectionStore;
   readonly answers?: Answers;
-  readonly more?: Partial<ZenNodeOptions>;
+  readonly overrides?: Partial<ZenNodeOptions>;
 }
 
 /** An election store in memory whose disk a test can take away. */
-export class SwitchedElectionStore extends MemoryElectionStore {
+export class TogglableElectionStore extends MemoryElectionStore {
   override writable = true;
 }
 
-export class NodeRig {
+export class NodeHarness {
   readonly clock = new SimClock();
   readonly transport: ScriptedTransport;
   readonly node: ZenNode;
@@ -50,7 +50,7 @@
     readonly me: Member,
     readonly electionStore: MemoryElectionStore,
     answers: Answers,
-    more: Partial<ZenNodeOptions>,
+    overrides: Partial<ZenNodeOptions>,
   ) {
     this.transport = new ScriptedTransport(async (request) => {
       await delay(this.clock, roundTripMs);
@@ -67,7 +67,7 @@
       bounds,
       log: silentLogger,
       slots: 1,
-      ...more,
+      ...overrides,
     });
   }
 
@@ -89,12 +89,12 @@
   }
 }
 
-export const nodeRig = async (options: NodeOptions = {}): Promise<NodeRig> => {
-  const { me = a, answers = {}, more = {} } = options;
+export const createHarness = async (options: HarnessOptions = {}): Promise<NodeHarness> => {
+  const { me = a, answers = {}, overrides = {} } = options;
   const state = 'state' in options ? options.state : bootstrapped;
   const electionStore = options.electionStore ?? new MemoryElectionStore(me.id);
   if (state) await electionStore.accept(state);
-  return new NodeRig(me, electionStore, answers, more);
+  return new NodeHarness(me, electionStore, answers, overrides);
 };
 
 /** Answers each ping with the reply of the node at the address, if it has one here. */
@@ -108,7 +108,7 @@
 export const answersWith = (answer: unknown) => (): Promise<unknown> => Promise.resolve(answer);
 
 /** What peers answer to a control `a` that they vote for and follow. */
-export const followersOfA: Answers = {
+export const followerAnswers: Answers = {
   'zen/ping': answersPings(pingResponse(b), pingResponse(c)),
   'zen/validate': answersWith({ accepted: { term: 0, version: 1 } }),
   'zen/publish': answersWith({ outcome: 'accepted' }),
@@ -117,8 +117,11 @@
 };
 
 /** A control `a` that was joined by `b` and is master in term 1. */
-export const leadingRig = async (options: NodeOptions = {}): Promise<NodeRig> => {
-  const rig = await nodeRig({ ...options, answers: { ...followersOfA, ...options.answers } });
+export const leadingHarness = async (options: HarnessOptions = {}): Promise<NodeHarness> => {
+  const rig = await createHarness({
+    ...options,
+    answers: { ...followerAnswers, ...options.answers },
+  });
   await rig.startFor(settleMs);
   const joined = rig.join(b);
   await rig.clock.finish('join', joined, bounds.joinTimeout);
@@ -134,18 +137,18 @@
   age: 0,
 };
 
-export const masterA: Answers = {
+export const masterAnswers: Answers = {
   'zen/ping': answersPings(pingResponse(a, { master: a }), pingResponse(c)),
   'zen/join': answersWith({ term: 1 }),
   'zen/master-ping': answersWith(masterPingResponse),
 };
 
 /** A control `b` that follows `a`. */
-export const followingRig = async (options: NodeOptions = {}): Promise<NodeRig> => {
-  const rig = await nodeRig({
+export const followingHarness = async (options: HarnessOptions = {}): Promise<NodeHarness> => {
+  const rig = await createHarness({
     me: b,
     ...options,
-    answers: { ...masterA, ...options.answers },
+    answers: { ...masterAnswers, ...options.answers },
   });
   await rig.startFor(settleMs);
   return rig;
--- a/tests/src/zen/addressed-requests.test.ts
+++ b/tests/src/zen/addressed-requests.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { type Member } from '@tillerstair/state';
 import { requireAddressee } from '@tillerstair/zen';
-import { a, b } from '../support/zen-rig.js';
+import { a, b } from '../support/zen-fixtures.js';
 
 const addressed = suite('a request for a named node');
 
--- a/tests/src/zen/bootstrap.test.ts
+++ b/tests/src/zen/bootstrap.test.ts
@@ -22,7 +22,7 @@
   ObservedElectionStore,
   ScriptedTransport,
   type SentRequest,
-} from '../support/zen-rig.js';
+} from '../support/zen-fixtures.js';
 
 const bootstraps = suite('bootstrapping');
 
@@ -31,7 +31,7 @@
   localMember,
   seeds,
   pingResponses,
-  heardOf: [],
+  knownMembers: [],
 });
 const blankReplies = [blankPingResponse(b), blankPingResponse(c)];
 const viewOfA = viewOf(a, blankReplies);
@@ -53,9 +53,9 @@
   });
   /** Two rounds that saw the same, as far apart as a bootstrap needs. */
   const twoRounds = async (view: BootstrapView, apart = bounds.bootstrapStablePeriod) => {
-    await bootstrapper.round(view);
+    await bootstrapper.onPingRound(view);
     await clock.run(apart);
-    return bootstrapper.round(view);
+    return bootstrapper.onPingRound(view);
   };
   return { bootstrapper, clock, transport, twoRounds };
 };
@@ -74,8 +74,8 @@
   const d = member('d');
   const named = blankPingResponse(c, { known: [d] });
   assert.is(closureOf(viewOf(a, [blankPingResponse(b), named])).members.length, 0);
-  assert.is(closureOf({ ...viewOfA, heardOf: [d] }).members.length, 0);
-  assert.is(closureOf({ ...viewOfA, heardOf: [member('d', 'store')] }).members.length, 3);
+  assert.is(closureOf({ ...viewOfA, knownMembers: [d] }).members.length, 0);
+  assert.is(closureOf({ ...viewOfA, knownMembers: [member('d', 'store')] }).members.length, 3);
 });
 
 bootstraps('only controls are members', () => {
@@ -104,8 +104,8 @@
   assert.is(await twoRounds(viewOfA, bounds.bootstrapStablePeriod - 1), false);
   const others = [...blankReplies, blankPingResponse(member('d'))];
   await clock.run(1);
-  assert.is(await bootstrapper.round(viewOf(a, others)), false);
-  assert.is(await bootstrapper.round(viewOfA), false);
+  assert.is(await bootstrapper.onPingRound(viewOf(a, others)), false);
+  assert.is(await bootstrapper.onPingRound(viewOfA), false);
   assert.is(electionStore.persisted.accepted, undefined);
 });
 
@@ -132,7 +132,7 @@
 bootstraps('a vote that moved while the others were asked forbids it', async () => {
   const electionStore = new MemoryElectionStore('a');
   const { twoRounds } = bootstrapperOf(electionStore, async () => {
-    await electionStore.bootstrapVote([a, b, c, member('d')]);
+    await electionStore.recordBootstrapVote([a, b, c, member('d')]);
     return { yes: true };
   });
   assert.is(await twoRounds(viewOfA), false);
@@ -154,9 +154,9 @@
   electionStore: MemoryElectionStore,
   voted: readonly Member[] = [],
 ) => {
-  if (voted.length > 0) await electionStore.bootstrapVote(voted);
+  if (voted.length > 0) await electionStore.recordBootstrapVote(voted);
   const { bootstrapper } = bootstrapperOf(electionStore);
-  await bootstrapper.round(viewOf(b, [blankPingResponse(a), blankPingResponse(c)]));
+  await bootstrapper.onPingRound(viewOf(b, [blankPingResponse(a), blankPingResponse(c)]));
   return bootstrapper;
 };
 const all = { from: a, members: [a, b, c] };
--- a/tests/src/zen/choice-of-master.test.ts
+++ b/tests/src/zen/choice-of-master.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { elect, type PingResponse } from '@tillerstair/zen';
-import { a, b, bootstrapped, c, member, pingResponse } from '../support/zen-rig.js';
+import { a, b, bootstrapped, c, member, pingResponse } from '../support/zen-fixtures.js';
 
 const choices = suite('the choice of a master');
 
--- a/tests/src/zen/election-store.test.ts
+++ b/tests/src/zen/election-store.test.ts
@@ -6,7 +6,7 @@
 import { diffStates, encodeState, type State } from '@tillerstair/state';
 import { silentLogger } from '@tillerstair/wire';
 import { DiskElectionStore } from '@tillerstair/zen';
-import { a, b, outcomeOf, stateAt } from '../support/zen-rig.js';
+import { a, b, outcomeOf, stateAt } from '../support/zen-fixtures.js';
 
 const logs = suite('a log of votes and accepted states');
 
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -105,7 +105,7 @@
       await clock.finish('work', work, 1000);
       platter.powerLoss();
     };
-    await lose((await open()).bootstrapVote([a, b]));
+    await lose((await open()).recordBootstrapVote([a, b]));
     await lose((await open()).recordVote(4, 'b'));
     const { persisted } = await open();
     assert.equal(
@@ -227,7 +227,7 @@
   () => {
     const blank = (m: Member, more: Partial<PingResponse> = {}) =>
       pingResponse(m, { clusterId: '', canWin: false, ...more });
-    const view = { localMember: a, seeds: [a.addr, b.addr, c.addr], heardOf: [] };
+    const view = { localMember: a, seeds: [a.addr, b.addr, c.addr], knownMembers: [] };
     assert.is(closureOf({ ...view, pingResponses: [blank(b), blank(c)] }).members.length, 3);
     assert.is(closureOf({ ...view, pingResponses: [blank(b)] }).members.length, 0);
     assert.is(
@@ -241,8 +241,8 @@
       0,
     );
     assert.is(
-      closureOf({ ...view, heardOf: [member('e')], pingResponses: [blank(b), blank(c)] }).members
-        .length,
+      closureOf({ ...view, knownMembers: [member('e')], pingResponses: [blank(b), blank(c)] })
+        .members.length,
       0,
     );
   },
--- a/tests/src/zen/finding-a-master.test.ts
+++ b/tests/src/zen/finding-a-master.test.ts
@@ -7,12 +7,12 @@
 import {
   answersPings,
   answersWith,
-  followersOfA,
-  type NodeOptions,
-  nodeRig,
+  followerAnswers,
+  type HarnessOptions,
+  createHarness,
   settleMs,
-  SwitchedElectionStore,
-} from '../support/zen-node-rig.js';
+  TogglableElectionStore,
+} from '../support/zen-node-harness.js';
 import {
   a,
   b,
@@ -24,16 +24,16 @@
   outcomeOf,
   pingResponse,
   stateAt,
-} from '../support/zen-rig.js';
+} from '../support/zen-fixtures.js';
 
 const replies = suite('the reply to a ping');
 
-const replyOf = async (options: NodeOptions): Promise<PingResponse> => {
-  const rig = await nodeRig(options);
+const replyOf = async (options: HarnessOptions): Promise<PingResponse> => {
+  const rig = await createHarness(options);
   return PingResponse.parse(await rig.handle('zen/ping', { from: c, known: [], clusterId: '' }, c));
 };
-const unwritable = (): SwitchedElectionStore => {
-  const electionStore = new SwitchedElectionStore('a');
+const unwritable = (): TogglableElectionStore => {
+  const electionStore = new TogglableElectionStore('a');
   electionStore.writable = false;
   return electionStore;
 };
@@ -63,7 +63,7 @@
 const searches = suite('a node that looks for a master');
 
 searches('does not join a master of another cluster', async () => {
-  const rig = await nodeRig({
+  const rig = await createHarness({
     me: b,
     answers: {
       'zen/ping': answersPings(
@@ -84,15 +84,15 @@
   'zen/ping': answersPings(blankPingResponse(b), blankPingResponse(c)),
   'zen/bootstrap': answersWith({ yes: true }),
 };
-const bootstrapRequests = async (options: NodeOptions): Promise<number> => {
-  const rig = await nodeRig({ answers: blank, ...options });
+const bootstrapRequests = async (options: HarnessOptions): Promise<number> => {
+  const rig = await createHarness({ answers: blank, ...options });
   await rig.startFor(bounds.bootstrapStablePeriod * 3);
   return rig.transport.count('zen/bootstrap');
 };
 
 searches('bootstraps only as a blank control that may', async () => {
   assert.is(await bootstrapRequests({ state: undefined }), 2);
-  assert.is(await bootstrapRequests({ state: undefined, more: { mayBootstrap: false } }), 0);
+  assert.is(await bootstrapRequests({ state: undefined, overrides: { mayBootstrap: false } }), 0);
   assert.is(await bootstrapRequests({}), 0);
   assert.is(await bootstrapRequests({ state: undefined, me: member('a', 'store') }), 0);
 });
@@ -100,7 +100,7 @@
 searches('does not speak of bootstrapping once it has accepted a state', async () => {
   const texts: string[] = [];
   const log = { ...silentLogger, info: (text: string) => texts.push(text) };
-  const rig = await nodeRig({ answers: followersOfA, more: { log } });
+  const rig = await createHarness({ answers: followerAnswers, overrides: { log } });
   await rig.startFor(settleMs);
   assert.equal(
     texts.map((text) => text.includes('ootstrapp')),
@@ -110,7 +110,7 @@
 
 searches('asks nobody and queues no joins while its disk takes no writes', async () => {
   const electionStore = unwritable();
-  const rig = await nodeRig({ electionStore, answers: followersOfA });
+  const rig = await createHarness({ electionStore, answers: followerAnswers });
   await rig.startFor(bounds.heartbeatInterval * 2);
   assert.is(rig.transport.sent.length, 0);
   assert.is(await outcomeOf(rig.join(b)), 'not-master');
@@ -120,8 +120,8 @@
 });
 
 searches('drops the joins that it queued when its disk stops taking writes', async () => {
-  const electionStore = new SwitchedElectionStore('a');
-  const rig = await nodeRig({
+  const electionStore = new TogglableElectionStore('a');
+  const rig = await createHarness({
     electionStore,
     answers: { 'zen/ping': ({ to }) => Promise.reject(new ConnectionRefusedError(to)) },
   });
@@ -133,7 +133,7 @@
 });
 
 searches('queues one join of a node, the latest', async () => {
-  const rig = await nodeRig({ answers: followersOfA });
+  const rig = await createHarness({ answers: followerAnswers });
   await rig.startFor(settleMs);
   const earlier = outcomeOf(rig.join(member('d')));
   const later = rig.join(member('d'));
@@ -142,20 +142,20 @@
 });
 
 searches('refuses joins of another cluster, and those before it looks', async () => {
-  const rig = await nodeRig({ answers: followersOfA });
+  const rig = await createHarness({ answers: followerAnswers });
   assert.is(await outcomeOf(rig.join(b)), 'not-master');
   await rig.startFor(settleMs);
   assert.is(await outcomeOf(rig.join(b, { clusterId: 'y' })), 'other-cluster');
 });
 
 searches('as a store queues no joins', async () => {
-  const rig = await nodeRig({ me: member('s', 'store'), answers: {} });
+  const rig = await createHarness({ me: member('s', 'store'), answers: {} });
   await rig.startFor(settleMs);
   assert.is(await outcomeOf(rig.join(b)), 'not-master');
 });
 
 searches('refuses a request of an unknown kind, or for another node', async () => {
-  const rig = await nodeRig();
+  const rig = await createHarness();
   assert.is(await outcomeOf(rig.handle('zen/what', {})), 'unknown-kind');
   const ping = (to: Member): object => ({ from: c, to: to.id, term: 1, clusterId: 'x' });
   assert.is(await outcomeOf(rig.handle('zen/node-ping', ping(b), c)), 'other-node');
--- a/tests/src/zen/following.test.ts
+++ b/tests/src/zen/following.test.ts
@@ -6,13 +6,13 @@
 import {
   answersPings,
   answersWith,
-  followingRig,
-  masterA,
+  followingHarness,
+  masterAnswers,
   masterPingResponse,
-  type NodeOptions,
-  nodeRig,
+  type HarnessOptions,
+  createHarness,
   settleMs,
-} from '../support/zen-node-rig.js';
+} from '../support/zen-node-harness.js';
 import {
   a,
   b,
@@ -23,7 +23,7 @@
   pingResponse,
   publishOf,
   stateAt,
-} from '../support/zen-rig.js';
+} from '../support/zen-fixtures.js';
 
 const follows = suite('a node that follows a master');
 
@@ -31,10 +31,10 @@
 const hasLostMaster = async (
   masterPing: () => Promise<unknown>,
   ms: number,
-  more: NodeOptions = {},
+  more: HarnessOptions = {},
 ): Promise<boolean> => {
   let pings = 0;
-  const rig = await followingRig({
+  const rig = await followingHarness({
     ...more,
     answers: {
       'zen/ping': (request) => {
@@ -48,7 +48,7 @@
   await rig.clock.run(ms);
   return pings > joinedWith;
 };
-const isLostAfter = (answer: object, ms: number, more?: NodeOptions): Promise<boolean> =>
+const isLostAfter = (answer: object, ms: number, more?: HarnessOptions): Promise<boolean> =>
   hasLostMaster(() => Promise.resolve({ ...masterPingResponse, ...answer }), ms, more);
 const severalPings = bounds.heartbeatInterval * 5;
 
@@ -61,11 +61,11 @@
 });
 
 follows('leaves it if it is in a lower term than the node has voted in', async () => {
-  const voted = await nodeRig({ me: b });
+  const voted = await createHarness({ me: b });
   await voted.electionStore.recordVote(3, 'a');
   const { electionStore } = voted;
   assert.is(await isLostAfter({ term: 2 }, settleMs, { electionStore }), true);
-  const again = await nodeRig({ me: b });
+  const again = await createHarness({ me: b });
   await again.electionStore.recordVote(3, 'a');
   assert.is(
     await isLostAfter({ term: 3 }, settleMs, { electionStore: again.electionStore }),
@@ -97,9 +97,9 @@
 follows('renews its read lease only while it is listed and has the newest state', async () => {
   const renewalsWith = async (answer: object): Promise<number> => {
     let renewals = 0;
-    const rig = await followingRig({
+    const rig = await followingHarness({
       answers: { 'zen/master-ping': answersWith({ ...masterPingResponse, ...answer }) },
-      more: { onListReport: () => renewals++ },
+      overrides: { onListReport: () => renewals++ },
     });
     await rig.clock.run(settleMs);
     assert.is(rig.node.leaseRenewedAt > 0, renewals > 0);
@@ -111,19 +111,19 @@
 });
 
 follows('dates its read lease back to the last contact of the master with a majority', async () => {
-  const rig = await followingRig({
+  const rig = await followingHarness({
     answers: { 'zen/master-ping': answersWith({ ...masterPingResponse, age: 700 }) },
   });
   assert.ok(rig.node.leaseRenewedAt <= rig.clock.now() - 700);
 });
 
 follows('refuses joins', async () => {
-  const rig = await followingRig();
+  const rig = await followingHarness();
   assert.is(await outcomeOf(rig.join(c)), 'not-master');
 });
 
 follows('looks again at once only if its own master says that it stepped down', async () => {
-  const rig = await followingRig();
+  const rig = await followingHarness();
   const count = () => rig.transport.count('zen/master-ping');
   const before = count();
   await rig.handle('zen/stepped-down', { from: c }, c);
@@ -146,29 +146,29 @@
 });
 
 joining('votes for this one and for nobody else', async () => {
-  const rig = await followingRig({ answers: { 'zen/join': neverAnswers } });
+  const rig = await followingHarness({ answers: { 'zen/join': neverAnswers } });
   assert.is(await outcomeOf(rig.handle('zen/validate', validateBy(c), c)), 'not-joining');
   assert.is(await outcomeOf(rig.handle('zen/validate', validateBy(a), a)), 'done');
   assert.equal([rig.electionStore.persisted.term, rig.electionStore.persisted.votedFor], [1, 'a']);
 });
 
 joining('votes no more once it has joined', async () => {
-  const rig = await followingRig();
+  const rig = await followingHarness();
   assert.is(await outcomeOf(rig.handle('zen/validate', validateBy(a), a)), 'not-joining');
 });
 
 joining('takes a first state from the master it joins or follows alone', async () => {
   const publish = (from: Member) => publishOf(from, stateAt(1, 2), 'b');
-  const joins = await followingRig({ state: undefined, answers: { 'zen/join': neverAnswers } });
+  const joins = await followingHarness({ state: undefined, answers: { 'zen/join': neverAnswers } });
   assert.is(await outcomeOf(joins.handle('zen/publish', publish(c), c)), 'other-cluster');
   assert.is(await outcomeOf(joins.handle('zen/publish', publish(a), a)), 'done');
-  const followsA = await followingRig({ state: undefined });
+  const followsA = await followingHarness({ state: undefined });
   assert.is(await outcomeOf(followsA.handle('zen/publish', publish(c), c)), 'other-cluster');
   assert.is(await outcomeOf(followsA.handle('zen/publish', publish(a), a)), 'done');
 });
 
 joining('drops the joins of others that it queued while it looked for a master', async () => {
-  const rig = await nodeRig({ me: b, answers: masterA });
+  const rig = await createHarness({ me: b, answers: masterAnswers });
   rig.node.start();
   const join = outcomeOf(rig.join(member('d')));
   await rig.clock.run(settleMs);
--- a/tests/src/zen/joining.test.ts
+++ b/tests/src/zen/joining.test.ts
@@ -22,7 +22,7 @@
   ScriptedTransport,
   stateAt,
   type SentRequest,
-} from '../support/zen-rig.js';
+} from '../support/zen-fixtures.js';
 
 const joins = suite('a join');
 
@@ -101,9 +101,9 @@
     ]),
   );
   assert.equal([...votes.granted].sort(), ['b', 'c']);
-  assert.equal([votes.newest.term, votes.newest.version], [3, 9]);
+  assert.equal([votes.newestState.term, votes.newestState.version], [3, 9]);
   const older = await gather(new Map([[b.addr, granted(stateAt(-1, 30))]]));
-  assert.equal([older.newest.term, older.newest.version], [0, 1]);
+  assert.equal([older.newestState.term, older.newestState.version], [0, 1]);
 });
 
 joins.run();
--- a/tests/src/zen/leading.test.ts
+++ b/tests/src/zen/leading.test.ts
@@ -5,25 +5,25 @@
 import { ElectionError } from '@tillerstair/wire';
 import {
   answersWith,
-  followersOfA,
-  leadingRig,
-  nodeRig,
+  followerAnswers,
+  leadingHarness,
+  createHarness,
   settleMs,
-} from '../support/zen-node-rig.js';
-import { a, b, bounds, c, member, outcomeOf, publishOf, stateAt } from '../support/zen-rig.js';
+} from '../support/zen-node-harness.js';
+import { a, b, bounds, c, member, outcomeOf, publishOf, stateAt } from '../support/zen-fixtures.js';
 
 const leads = suite('a candidate');
 
 leads('leads in a new term once a majority has joined and voted', async () => {
-  const rig = await leadingRig();
+  const rig = await leadingHarness();
   assert.is(rig.node.leading?.term, 1);
-  assert.is(rig.node.masterSeen?.id, 'a');
+  assert.is(rig.node.knownMaster?.id, 'a');
   assert.equal([rig.electionStore.persisted.term, rig.electionStore.persisted.votedFor], [1, 'a']);
   assert.is(rig.node.applied?.term, 1);
 });
 
 leads('raises no term before a majority has joined', async () => {
-  const rig = await nodeRig({ answers: followersOfA });
+  const rig = await createHarness({ answers: followerAnswers });
   await rig.startFor(bounds.joinTimeout * 2);
   assert.is(rig.electionStore.persisted.term, 0);
   assert.is(rig.transport.count('zen/validate'), 0);
@@ -31,7 +31,7 @@
 });
 
 leads('takes a term above that of every node that joins', async () => {
-  const rig = await nodeRig({ answers: followersOfA });
+  const rig = await createHarness({ answers: followerAnswers });
   await rig.startFor(settleMs);
   void rig.join(b, { term: 7 }).catch(() => undefined);
   await rig.clock.run(settleMs);
@@ -40,7 +40,7 @@
 
 leads('does not lead without the votes of a majority', async () => {
   const refused = () => Promise.reject(new ElectionError('stale-term', ''));
-  const rig = await nodeRig({ answers: { ...followersOfA, 'zen/validate': refused } });
+  const rig = await createHarness({ answers: { ...followerAnswers, 'zen/validate': refused } });
   await rig.startFor(settleMs);
   assert.is(
     await rig.clock.finish('join', outcomeOf(rig.join(b)), bounds.joinTimeout),
@@ -56,7 +56,7 @@
     to === `${voter}:1`
       ? Promise.resolve({ accepted: { term: 0, version: 2 }, state: [...encodeState(state)] })
       : Promise.reject(new ElectionError('stale-term', ''));
-  const rig = await nodeRig({ answers: { ...followersOfA, 'zen/validate': validate } });
+  const rig = await createHarness({ answers: { ...followerAnswers, 'zen/validate': validate } });
   await rig.startFor(settleMs);
   void rig.join(store).catch(() => undefined);
   void rig.join(b).catch(() => undefined);
@@ -77,9 +77,9 @@
 });
 
 leads('does not lead in a term after which it has voted in a later one', async () => {
-  const rig = await nodeRig({
+  const rig = await createHarness({
     answers: {
-      ...followersOfA,
+      ...followerAnswers,
       'zen/validate': async () => {
         await rig.handle('zen/publish', publishOf(c, stateAt(9, 9), 'a'), c);
         return { accepted: { term: 0, version: 1 } };
@@ -97,13 +97,13 @@
 const masters = suite('a master');
 
 masters('steps down for a publish in a later term', async () => {
-  const rig = await leadingRig();
+  const rig = await leadingHarness();
   await rig.handle('zen/publish', publishOf(c, stateAt(2, 9), 'a'), c);
   assert.is(rig.node.leading, undefined);
 });
 
 masters('steps down for a member that pings it in a later term', async () => {
-  const rig = await leadingRig();
+  const rig = await leadingHarness();
   const ping = (term: number) => ({
     from: b,
     term,
@@ -119,7 +119,7 @@
 });
 
 masters('steps down for another master of its own cluster, not of another', async () => {
-  const rig = await leadingRig();
+  const rig = await leadingHarness();
   const ping = (clusterId: string) => ({ from: c, to: 'a', term: 2, clusterId });
   await rig.handle('zen/node-ping', ping('y'), c);
   assert.ok(rig.node.leading);
@@ -128,7 +128,7 @@
 });
 
 masters('that stepped down validates no join', async () => {
-  const rig = await leadingRig();
+  const rig = await leadingHarness();
   const before = rig.transport.count('zen/validate');
   const other = { from: c, to: 'a', term: 2, clusterId: 'x' };
   void rig.handle('zen/node-ping', other, c);
@@ -138,20 +138,20 @@
 });
 
 masters('commits the leave of a node that says so', async () => {
-  const rig = await leadingRig();
+  const rig = await leadingHarness();
   assert.ok(rig.node.applied?.nodes.has('b'));
   await rig.clock.finish('leave', rig.handle('zen/leave', { from: b }, b), bounds.joinTimeout);
   assert.not.ok(rig.node.applied?.nodes.has('b'));
 });
 
 masters('answers no peer of a join with another cluster', async () => {
-  const rig = await leadingRig({ answers: { 'zen/commit': answersWith({}) } });
+  const rig = await leadingHarness({ answers: { 'zen/commit': answersWith({}) } });
   const before = rig.transport.count('zen/validate');
   assert.is(await outcomeOf(rig.join(c, { clusterId: 'y' })), 'other-cluster');
   assert.is(rig.transport.count('zen/validate'), before);
   assert.is(await rig.clock.finish('join', outcomeOf(rig.join(c)), bounds.joinTimeout), 'done');
   assert.ok(rig.node.applied?.nodes.has(c.id));
-  assert.is(rig.node.masterSeen?.id, a.id);
+  assert.is(rig.node.knownMaster?.id, a.id);
 });
 
 leads.run();
--- a/tests/src/zen/master-rig.ts
+++ b/tests/src/zen/master-rig.ts
@@ -146,8 +146,8 @@
     return this.memory.recordVote(voteTerm, candidate);
   }
 
-  bootstrapVote(members: readonly Member[]): Promise<void> {
-    return this.memory.bootstrapVote(members);
+  recordBootstrapVote(members: readonly Member[]): Promise<void> {
+    return this.memory.recordBootstrapVote(members);
   }
 
   accept(state: State): Promise<void> {
--- a/tests/src/zen/ping-rounds.test.ts
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -13,7 +13,7 @@
   pingResponse,
   ScriptedTransport,
   type SentRequest,
-} from '../support/zen-rig.js';
+} from '../support/zen-fixtures.js';
 
 const rounds = suite('a ping round');
 
--- a/tests/src/zen/publish-refusals.test.ts
+++ b/tests/src/zen/publish-refusals.test.ts
@@ -12,8 +12,8 @@
   publishDiffOf,
   publishOf,
   stateAt,
-  storeWith,
-} from '../support/zen-rig.js';
+  electionStoreWith,
+} from '../support/zen-fixtures.js';
 
 const refusals = suite('a published state');
 
@@ -37,7 +37,7 @@
 };
 
 refusals('of a lower term is refused, also from the master that this node voted for', async () => {
-  const electionStore = await storeWith(bootstrapped);
+  const electionStore = await electionStoreWith(bootstrapped);
   await electionStore.recordVote(4, 'a');
   const { publish } = receiverOf(electionStore);
   assert.is(await publish(a, stateAt(3, 9)), 'stale-term');
@@ -45,14 +45,14 @@
 });
 
 refusals('of a lower term is not acknowledged, also if it was accepted before', async () => {
-  const electionStore = await storeWith(stateAt(3, 9));
+  const electionStore = await electionStoreWith(stateAt(3, 9));
   await electionStore.recordVote(4, 'b');
   const { publish } = receiverOf(electionStore);
   assert.is(await publish(a, stateAt(3, 9)), 'stale-term');
 });
 
 refusals('of a master that this node did not vote for in its term is refused', async () => {
-  const electionStore = await storeWith(bootstrapped);
+  const electionStore = await electionStoreWith(bootstrapped);
   await electionStore.recordVote(4, 'a');
   const { publish, publishers } = receiverOf(electionStore);
   assert.is(await publish(b, stateAt(4, 9)), 'stale-term');
@@ -61,25 +61,25 @@
 });
 
 refusals('of another cluster is refused', async () => {
-  const electionStore = await storeWith(bootstrapped);
+  const electionStore = await electionStoreWith(bootstrapped);
   const { publish } = receiverOf(electionStore, ['a']);
   assert.is(await publish(a, stateAt(4, 9, { clusterId: 'y' })), 'other-cluster');
 });
 
 refusals('reaches a blank node only from the master that it joins or follows', async () => {
-  const { publish } = receiverOf(await storeWith(undefined), ['b']);
+  const { publish } = receiverOf(await electionStoreWith(undefined), ['b']);
   assert.is(await publish(a, stateAt(4, 9)), 'other-cluster');
   assert.is(await publish(b, stateAt(4, 9)), 'done');
 });
 
 refusals('must be of the term it is published in', async () => {
-  const { receiver } = receiverOf(await storeWith(bootstrapped));
+  const { receiver } = receiverOf(await electionStoreWith(bootstrapped));
   const mislabelled = { ...publishOf(a, stateAt(3, 9)), term: 4 };
   assert.is(await outcomeOf(receiver.onPublish(mislabelled)), 'stale-state');
 });
 
 refusals('that is older than the accepted one is refused', async () => {
-  const electionStore = await storeWith(stateAt(4, 9));
+  const electionStore = await electionStoreWith(stateAt(4, 9));
   await electionStore.recordVote(4, 'a');
   const { publish, terms } = receiverOf(electionStore);
   assert.is(await publish(a, stateAt(4, 8)), 'stale-state');
@@ -88,7 +88,7 @@
 });
 
 refusals('in a later term is a vote for its master, recorded before the state', async () => {
-  const electionStore = await storeWith(bootstrapped);
+  const electionStore = await electionStoreWith(bootstrapped);
   const { publish, terms } = receiverOf(electionStore);
   assert.is(await publish(a, stateAt(4, 9)), 'done');
   assert.equal([electionStore.persisted.term, electionStore.persisted.votedFor], [4, 'a']);
@@ -139,7 +139,7 @@
 });
 
 refusals('as a difference from a state that is not accepted asks for the whole', async () => {
-  const electionStore = await storeWith(stateAt(4, 7));
+  const electionStore = await electionStoreWith(stateAt(4, 7));
   await electionStore.recordVote(4, 'a');
   const { receiver } = receiverOf(electionStore);
   const skips = publishDiffOf(a, stateAt(4, 8), stateAt(4, 9));
@@ -152,10 +152,10 @@
 const commits = suite('a commit');
 
 commits('is refused unless it names the accepted state', async () => {
-  const blank = receiverOf(await storeWith(undefined));
+  const blank = receiverOf(await electionStoreWith(undefined));
   const commit = { term: 4, version: 9 };
   assert.is(await outcomeOf(blank.receiver.onCommit(commit)), 'not-held');
-  const { receiver, applied } = receiverOf(await storeWith(stateAt(4, 9)));
+  const { receiver, applied } = receiverOf(await electionStoreWith(stateAt(4, 9)));
   assert.is(await outcomeOf(receiver.onCommit({ term: 4, version: 8 })), 'not-held');
   assert.is(await outcomeOf(receiver.onCommit({ term: 5, version: 9 })), 'not-held');
   assert.is(applied.length, 0);
@@ -164,7 +164,7 @@
 });
 
 commits('of a state that is applied already changes nothing', async () => {
-  const electionStore = await storeWith(stateAt(4, 9));
+  const electionStore = await electionStoreWith(stateAt(4, 9));
   const { receiver, applied } = receiverOf(electionStore);
   await receiver.onCommit({ term: 4, version: 9 });
   await electionStore.accept(stateAt(4, 10));
@@ -174,7 +174,7 @@
 });
 
 commits('never applies an older state over a newer one', async () => {
-  const { receiver, applied } = receiverOf(await storeWith(undefined));
+  const { receiver, applied } = receiverOf(await electionStoreWith(undefined));
   await receiver.apply(stateAt(4, 9));
   await receiver.apply(stateAt(4, 8));
   await receiver.apply(stateAt(4, 9));
--- a/tests/src/zen/read-lease.test.ts
+++ b/tests/src/zen/read-lease.test.ts
@@ -2,7 +2,12 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PingResponse } from '@tillerstair/zen';
-import { controlPace, ReadLease, reloadableBounds, storePace } from '@tillerstair/zen';
+import {
+  controlJournalTimings,
+  ReadLease,
+  reloadableBounds,
+  storeJournalTimings,
+} from '@tillerstair/zen';
 import { SimClock } from '@tillerstair/sim';
 import { silentLogger } from '@tillerstair/wire';
 import { memberOf, stateWith, term, threeVoters } from './master-rig.js';
@@ -71,7 +76,9 @@
 leases('bounds follow a later replace, and so do the paces of disks derived from them', () => {
   const reloadable = reloadableBounds(outer);
   const { bounds } = reloadable;
-  const paces = [controlPace, storePace].map((pace) => pace(new SimClock(), bounds, silentLogger));
+  const paces = [controlJournalTimings, storeJournalTimings].map((pace) =>
+    pace(new SimClock(), bounds, silentLogger),
+  );
   const values = () => [
     ...Object.values({ ...bounds }),
     ...paces.flatMap((pace) => [pace.syncTimeoutMs, pace.retryIntervalMs]),
--- a/tests/src/zen/vote.test.ts
+++ b/tests/src/zen/vote.test.ts
@@ -10,8 +10,8 @@
   ObservedElectionStore,
   outcomeOf,
   stateAt,
-  storeWith,
-} from '../support/zen-rig.js';
+  electionStoreWith,
+} from '../support/zen-fixtures.js';
 
 const votes = suite('a vote');
 
@@ -23,7 +23,7 @@
 });
 
 votes('is given to one candidate a term', async () => {
-  const electionStore = await storeWith(bootstrapped);
+  const electionStore = await electionStoreWith(bootstrapped);
   assert.is(await outcomeOf(grantVote(electionStore, 'a', validateOf(a, 4))), 'done');
   assert.is(await outcomeOf(grantVote(electionStore, 'b', validateOf(b, 4))), 'stale-term');
   assert.equal([electionStore.persisted.term, electionStore.persisted.votedFor], [4, 'a']);
@@ -31,25 +31,25 @@
 });
 
 votes('is not given in a lower term, also not to the candidate of the later one', async () => {
-  const electionStore = await storeWith(bootstrapped);
+  const electionStore = await electionStoreWith(bootstrapped);
   await electionStore.recordVote(4, 'a');
   assert.is(await outcomeOf(grantVote(electionStore, 'a', validateOf(a, 3))), 'stale-term');
   assert.is(electionStore.persisted.term, 4);
 });
 
 votes('is given only to the candidate that this node joins', async () => {
-  const electionStore = await storeWith(bootstrapped);
+  const electionStore = await electionStoreWith(bootstrapped);
   assert.is(await outcomeOf(grantVote(electionStore, 'a', validateOf(b, 4))), 'not-joining');
   assert.is(await outcomeOf(grantVote(electionStore, undefined, validateOf(b, 4))), 'not-joining');
   assert.is(electionStore.persisted.term, 0);
 });
 
 votes('is not given to a candidate of another cluster', async () => {
-  const electionStore = await storeWith(bootstrapped);
+  const electionStore = await electionStoreWith(bootstrapped);
   const validate = validateOf(a, 4, stateAt(0, 1, { clusterId: 'y' }));
   assert.is(await outcomeOf(grantVote(electionStore, 'a', validate)), 'other-cluster');
   assert.is(electionStore.persisted.term, 0);
-  assert.is(await outcomeOf(grantVote(await storeWith(undefined), 'a', validate)), 'done');
+  assert.is(await outcomeOf(grantVote(await electionStoreWith(undefined), 'a', validate)), 'done');
 });
 
 votes('is said only once it is on disk, also when it is said again', async () => {
@@ -63,7 +63,7 @@
 });
 
 votes('carries the accepted state only if that is ahead of the candidate', async () => {
-  const electionStore = await storeWith(stateAt(3, 5));
+  const electionStore = await electionStoreWith(stateAt(3, 5));
   const behind = await grantVote(electionStore, 'a', validateOf(a, 4, stateAt(3, 4)));
   assert.ok(behind.state);
   const level = await grantVote(electionStore, 'a', validateOf(a, 4, stateAt(3, 5)));
