--- a/packages/control/src/operations/configuration.ts
+++ b/packages/control/src/operations/configuration.ts
@@ -56,7 +56,7 @@
   const { version, digest } = record;
   const identity = { base: file.config.base, version, changeId: changeIdOf(record) };
   try {
-    const committed = await master.decide((state) =>
+    const committed = await master.submitConfirmed((state) =>
       wasAccepted(state, identity) ? state : reduceState(state, { kind: 'config', record }),
     );
     await master.waitUntilInForce(committed);
--- a/packages/control/src/operations/errors.ts
+++ b/packages/control/src/operations/errors.ts
@@ -1,6 +1,6 @@
 /**
  * Why the state in place forbids an operator's request. These are thrown while the master makes a change or reads the
- * state, and reach the operator once a majority has confirmed the master (`MasterView.decide` and `confirm`).
+ * state, and reach the operator once a majority has confirmed the master (`MasterView.submitConfirmed` and `confirm`).
  */
 import { OperationError } from '@tillerstair/wire';
 import type { OperatorResponse } from '../messages.js';
--- a/packages/control/src/operations/operation.ts
+++ b/packages/control/src/operations/operation.ts
@@ -15,7 +15,7 @@
  * a majority confirms the master before it is answered (`docs/control-safety.md`, section 1).
  *
  * It documents the operation and nothing reads it. What enforces it is the call that the handler makes on the master:
- * `MasterView.confirm` for `quorum-read`, `MasterView.decide` for `commit`.
+ * `MasterView.confirm` for `quorum-read`, `MasterView.submitConfirmed` for `commit`.
  */
 type Authority = 'none' | 'quorum-read' | 'commit';
 
@@ -108,7 +108,7 @@
   { change, view }: PlannedChange,
 ): Promise<OperatorResponse> => {
   try {
-    const { state } = await master.decide(change);
+    const { state } = await master.submitConfirmed(change);
     return succeeded(view(state));
   } catch (error) {
     if (error instanceof OperatorRequestError) return error.toResponse();
--- a/packages/zen/src/change-queue.ts
+++ b/packages/zen/src/change-queue.ts
@@ -67,7 +67,7 @@
   private readonly publish: (state: State) => Promise<void>;
   private readonly confirm: () => Promise<unknown>;
   private readonly taskQueue = new TaskQueue('publish');
-  private waiting: Task[] = [];
+  private pendingTasks: Task[] = [];
 
   constructor(options: ChangeQueueOptions) {
     this.mastership = options.mastership;
@@ -93,14 +93,14 @@
    *
    * @throws also QuorumUnavailableError if no majority does.
    */
-  decide(change: Change): Promise<CommittedState> {
+  submitConfirmed(change: Change): Promise<CommittedState> {
     return this.enqueue(change, true);
   }
 
   /** Refuses all changes that wait, and those that come later. */
   close(): void {
-    const { waiting } = this;
-    this.waiting = [];
+    const { pendingTasks: waiting } = this;
+    this.pendingTasks = [];
     for (const task of waiting) task.reject(new NotMasterError());
     this.taskQueue.close();
   }
@@ -111,38 +111,38 @@
         reject(new NotMasterError());
         return;
       }
-      this.waiting.push({ change, needsConfirmation, resolve, reject });
-      if (this.waiting.length === 1) void this.taskQueue.run(() => this.processWaiting());
+      this.pendingTasks.push({ change, needsConfirmation, resolve, reject });
+      if (this.pendingTasks.length === 1) void this.taskQueue.run(() => this.processPending());
     });
   }
 
-  private async processWaiting(): Promise<void> {
-    const tasks = this.waiting;
-    this.waiting = [];
+  private async processPending(): Promise<void> {
+    const tasks = this.pendingTasks;
+    this.pendingTasks = [];
     const batch = applyChanges(tasks, this.published.base);
     const next = this.settle(batch.next);
     try {
       const isPublished = next !== this.published.base || !this.published.committed;
       if (isPublished) await this.publish(next);
-      this.report(batch, isPublished);
+      this.reportOutcomes(batch, isPublished);
     } catch (e) {
-      this.fail(batch, toRpcError(e));
+      this.failBatch(batch, toRpcError(e));
     }
   }
 
-  private report(batch: Batch, isPublished: boolean): void {
+  private reportOutcomes(batch: Batch, isPublished: boolean): void {
     const { committed: state, committedAt: at } = this.published;
     if (!state) throw new NotMasterError('nothing is committed');
     for (const task of batch.applied)
-      this.end(task, isPublished, () => task.resolve({ state, at }));
+      this.endTask(task, isPublished, () => task.resolve({ state, at }));
     for (const { task, reason } of batch.refused)
-      this.end(task, isPublished, () => task.reject(reason));
+      this.endTask(task, isPublished, () => task.reject(reason));
     if (completeVotingChange(state) !== state)
       void this.submit(completeVotingChange).catch(() => undefined);
   }
 
   /** Ends a task at once where a publish since it came has confirmed this master, else after a quorum read. */
-  private end(task: Task, isPublished: boolean, report: () => void): void {
+  private endTask(task: Task, isPublished: boolean, report: () => void): void {
     if (isPublished || !task.needsConfirmation) {
       report();
       return;
@@ -156,7 +156,7 @@
    * After a publish that failed, members may hold the state: whether its changes are made is for the next master to
    * find out. A refusal may rest on one of them, so it is not reported then.
    */
-  private fail(batch: Batch, { message }: RpcError): void {
+  private failBatch(batch: Batch, { message }: RpcError): void {
     for (const task of batch.applied) task.reject(new UnknownOutcomeError(message));
     for (const { task } of batch.refused) task.reject(new QuorumUnavailableError(message));
     this.mastership.stepDown(message);
--- a/packages/zen/src/front-barrier.ts
+++ b/packages/zen/src/front-barrier.ts
@@ -28,7 +28,7 @@
   private readonly departures = new Map<string, Departure>();
   /** Fronts that said that they serve no more; an id is never used again. */
   private readonly leasesReleased = new Set<string>();
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
   private readonly electedAt: number;
 
   constructor(
@@ -62,7 +62,7 @@
 
   /** Lets everybody who waits look again. */
   wakeAll(): void {
-    for (const wake of [...this.waiting]) wake();
+    for (const wake of [...this.waiters]) wake();
   }
 
   /**
@@ -71,7 +71,7 @@
    *
    * @throws UnknownOutcomeError when this control steps down meanwhile.
    */
-  async passed(committed: CommittedState): Promise<void> {
+  async waitUntilPassed(committed: CommittedState): Promise<void> {
     for (;;) {
       if (this.mastership.lost.aborted)
         throw new UnknownOutcomeError('this control stopped being master meanwhile');
@@ -115,11 +115,11 @@
     return new Promise((resolve) => {
       const wake = (): void => {
         timer.stop();
-        this.waiting.delete(wake);
+        this.waiters.delete(wake);
         resolve();
       };
       const timer = this.clock.after(ms, wake);
-      this.waiting.add(wake);
+      this.waiters.add(wake);
     });
   }
 }
--- a/packages/zen/src/leave.ts
+++ b/packages/zen/src/leave.ts
@@ -23,14 +23,16 @@
  * @throws RequestTimeoutError, or the master's error; the node stops all the same, and fault detection finds it gone.
  */
 export const leaveCluster = async (
-  { me, clock, transport, bounds, leaseReleased = false }: LeaveOptions,
+  { me: localMember, clock, transport, bounds, leaseReleased = false }: LeaveOptions,
   followed: Member | undefined,
   leading: MasterView | undefined,
 ): Promise<void> => {
   const timeoutMs = bounds.heartbeatInterval;
-  const notice = leaseReleased ? { from: me, leaseReleased } : { from: me };
+  const notice = leaseReleased ? { from: localMember, leaseReleased } : { from: localMember };
   if (followed) await transport.call(followed.addr, 'zen/leave', notice, { timeoutMs });
   if (!leading) return;
-  const leave = leading.submit((state) => reduceState(state, { kind: 'leave', id: me.id }));
-  await withTimeout(clock, timeoutMs, leave, () => new RequestTimeoutError(me.addr));
+  const leave = leading.submit((state) =>
+    reduceState(state, { kind: 'leave', id: localMember.id }),
+  );
+  await withTimeout(clock, timeoutMs, leave, () => new RequestTimeoutError(localMember.addr));
 };
--- a/packages/zen/src/master-types.ts
+++ b/packages/zen/src/master-types.ts
@@ -17,7 +17,7 @@
 
 /** What a master works with. */
 export interface MasterOptions {
-  readonly me: Member;
+  readonly localMember: Member;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly electionStore: ElectionStore;
@@ -56,7 +56,7 @@
    *
    * @throws also QuorumUnavailableError if no majority does.
    */
-  decide(change: Change): Promise<CommittedState>;
+  submitConfirmed(change: Change): Promise<CommittedState>;
   /**
    * A quorum read: the committed state, once a majority has confirmed this master since the call.
    *
--- a/packages/zen/src/master.ts
+++ b/packages/zen/src/master.ts
@@ -31,7 +31,7 @@
 
 /** The master of one term. */
 export class Master implements MasterView {
-  private readonly me: Member;
+  private readonly localMember: Member;
   private readonly clock: Clock;
   private readonly transport: Transport;
   private readonly electionStore: ElectionStore;
@@ -45,8 +45,8 @@
   private readonly sender: StateSender;
   private readonly publisher: Publisher;
   private readonly quorumRead: QuorumRead;
-  private readonly changes: ChangeQueue;
-  private readonly fronts: FrontBarrier;
+  private readonly changeQueue: ChangeQueue;
+  private readonly frontBarrier: FrontBarrier;
   private readonly faultDetector: NodesFaultDetector;
   private pingsFromAnotherMaster = 0;
 
@@ -55,7 +55,7 @@
    * @param newest - The newest accepted state among those votes.
    */
   constructor(options: MasterOptions, term: number, newest: State) {
-    this.me = options.me;
+    this.localMember = options.localMember;
     this.clock = options.clock;
     this.transport = options.transport;
     this.electionStore = options.electionStore;
@@ -65,7 +65,7 @@
     this.onReport = options.onReport;
     this.mastership = new Mastership(term, options.log);
     this.published = new PublishedState(newest);
-    this.contacts = new MemberContacts(this.me.id, this.clock);
+    this.contacts = new MemberContacts(this.localMember.id, this.clock);
     const parts = {
       ...options,
       mastership: this.mastership,
@@ -75,24 +75,24 @@
     this.sender = new StateSender(parts);
     this.publisher = new Publisher({ ...parts, sender: this.sender });
     this.quorumRead = this.createQuorumRead();
-    this.changes = new ChangeQueue({
+    this.changeQueue = new ChangeQueue({
       ...parts,
       publish: (state) => this.publish(state),
       confirm: () => this.confirm(),
     });
-    this.fronts = new FrontBarrier(this.clock, this.bounds, this.mastership, this.contacts);
+    this.frontBarrier = new FrontBarrier(this.clock, this.bounds, this.mastership, this.contacts);
     this.faultDetector = new NodesFaultDetector({
       ...parts,
       sender: this.sender,
       removeMember: (id) => this.removeMember(id),
     });
     this.published.onCommit((previous, committed) => {
-      this.fronts.noteDeparted(previous, committed);
+      this.frontBarrier.noteDeparted(previous, committed);
     });
-    this.contacts.onApplied(() => this.fronts.wakeAll());
+    this.contacts.onApplied(() => this.frontBarrier.wakeAll());
     this.mastership.onEnd(() => {
-      this.changes.close();
-      this.fronts.wakeAll();
+      this.changeQueue.close();
+      this.frontBarrier.wakeAll();
     });
   }
 
@@ -126,7 +126,7 @@
   async begin(joiners: readonly Member[], askedAt: number): Promise<void> {
     for (const { id } of joiners) this.contacts.reset(id, askedAt);
     await this.submit((state) =>
-      [this.me, ...joiners].reduce(
+      [this.localMember, ...joiners].reduce(
         (joined, member) => reduceState(joined, { kind: 'join', member }),
         state,
       ),
@@ -142,11 +142,11 @@
   }
 
   submit(change: Change): Promise<CommittedState> {
-    return this.changes.submit(change);
+    return this.changeQueue.submit(change);
   }
 
-  decide(change: Change): Promise<CommittedState> {
-    return this.changes.decide(change);
+  submitConfirmed(change: Change): Promise<CommittedState> {
+    return this.changeQueue.submitConfirmed(change);
   }
 
   confirm(): Promise<State> {
@@ -154,7 +154,7 @@
   }
 
   waitUntilInForce(committed: CommittedState): Promise<void> {
-    return this.fronts.passed(committed);
+    return this.frontBarrier.waitUntilPassed(committed);
   }
 
   unresponsiveFor(memberId: string): number {
@@ -169,18 +169,20 @@
     const { clusterId } = this.published.base;
     return pingPeers(
       { transport: this.transport, bounds: this.bounds },
-      { from: this.me, term: this.term, clusterId },
+      { from: this.localMember, term: this.term, clusterId },
       peers,
     );
   }
 
   holdsCommitted(memberId: string): boolean {
-    return memberId === this.me.id || this.sender.holds(memberId, versionOf(this.committed));
+    return (
+      memberId === this.localMember.id || this.sender.holds(memberId, versionOf(this.committed))
+    );
   }
 
   /** Pings the member at this address at once: a connection to it was lost. */
-  connectionLost(address: string): void {
-    this.faultDetector.connectionLost(address);
+  onConnectionLost(address: string): void {
+    this.faultDetector.onConnectionLost(address);
   }
 
   /**
@@ -226,7 +228,7 @@
   }
 
   /** Takes a ping of another master: with a later term often enough, it ends this mastership. */
-  onAnotherMaster(term: number, address: string): void {
+  onPingFromAnotherMaster(term: number, address: string): void {
     if (term <= this.term) return;
     this.pingsFromAnotherMaster++;
     if (this.pingsFromAnotherMaster >= this.bounds.pingsFromAnotherMaster)
@@ -235,19 +237,19 @@
 
   /** A front that is about to leave has released its read lease. */
   noteLeaseReleased(frontId: string): void {
-    this.fronts.noteLeaseReleased(frontId);
+    this.frontBarrier.noteLeaseReleased(frontId);
   }
 
   private createQuorumRead(): QuorumRead {
     return new QuorumRead({
-      me: this.me,
+      localMember: this.localMember,
       clock: this.clock,
       transport: this.transport,
       bounds: this.bounds,
       term: this.term,
       lost: this.lost,
       committed: () => this.committed,
-      deposed: () => this.electionStore.persisted.term !== this.term,
+      hasVotedInLaterTerm: () => this.electionStore.persisted.term !== this.term,
       onLaterTerm: (term, address) => this.stepDown(`${address} is in term ${term}`),
     });
   }
@@ -261,7 +263,7 @@
   private async validate(member: Member): Promise<void> {
     const { base } = this.published;
     const body = {
-      from: this.me,
+      from: this.localMember,
       term: this.term,
       clusterId: base.clusterId,
       have: versionOf(base),
--- a/packages/zen/src/nodes-fault-detector.ts
+++ b/packages/zen/src/nodes-fault-detector.ts
@@ -19,13 +19,13 @@
 import type { StateSender } from './state-sender.js';
 
 /** A member that refuses this many pings in a row has failed: its process is gone, or another node has its address. */
-const refusalsOfFailed = 2;
+const maxRefusals = 2;
 /** After a first refusal the next ping follows this many times sooner than a heartbeat. */
 const retriesPerHeartbeat = 10;
 
 /** What a detector works with. */
 export interface NodesFaultDetectorOptions {
-  readonly me: Member;
+  readonly localMember: Member;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly bounds: ZenBounds;
@@ -50,7 +50,7 @@
 
 /** Watches all members for as long as the mastership lasts. */
 export class NodesFaultDetector {
-  private readonly me: Member;
+  private readonly localMember: Member;
   private readonly clock: Clock;
   private readonly transport: Transport;
   private readonly bounds: ZenBounds;
@@ -63,10 +63,10 @@
   private readonly onReport: (memberId: string, report: unknown) => void;
   private readonly watchedIds = new Set<string>();
   /** Ends the wait before the next ping, by the address of the member. */
-  private readonly pauses = new Map<string, AbortController>();
+  private readonly pingDelays = new Map<string, AbortController>();
 
   constructor(options: NodesFaultDetectorOptions) {
-    this.me = options.me;
+    this.localMember = options.localMember;
     this.clock = options.clock;
     this.transport = options.transport;
     this.bounds = options.bounds;
@@ -81,7 +81,7 @@
 
   /** Begins to watch the members of the newest state that are not watched yet. */
   watchMembers(): void {
-    for (const { id } of peersOf(this.published.base, this.me.id)) {
+    for (const { id } of peersOf(this.published.base, this.localMember.id)) {
       if (this.watchedIds.has(id)) continue;
       this.watchedIds.add(id);
       void this.watch(id);
@@ -89,8 +89,8 @@
   }
 
   /** Pings the member at this address at once: a connection to it was lost. */
-  connectionLost(address: string): void {
-    this.pauses.get(address)?.abort();
+  onConnectionLost(address: string): void {
+    this.pingDelays.get(address)?.abort();
   }
 
   /** Pings a member until it is no voter and off the list, or the mastership ends. */
@@ -102,7 +102,7 @@
       if (!member) break;
       if (!(await this.ping(member, watch))) return;
       this.removeIfFailed(member, watch);
-      await this.pauseBeforePing(member, watch);
+      await this.delayNextPing(member, watch);
     }
     this.watchedIds.delete(id);
   }
@@ -113,7 +113,7 @@
     const { clusterId } = this.published.base;
     const askedAt = this.clock.now();
     try {
-      const body = { from: this.me, to: member.id, term, clusterId };
+      const body = { from: this.localMember, to: member.id, term, clusterId };
       const response = NodePingResponse.parse(
         await this.transport.call(member.addr, 'zen/node-ping', body, {
           timeoutMs: this.bounds.failureTimeout,
@@ -147,24 +147,24 @@
     if (!this.published.base.nodes.has(member.id)) return;
     const heardAt = Math.max(watch.repliedAt, this.contacts.lastReplyAt(member.id));
     const isSilent = this.clock.now() - heardAt > this.bounds.failureTimeout;
-    if (watch.refusals < refusalsOfFailed && !isSilent) return;
+    if (watch.refusals < maxRefusals && !isSilent) return;
     watch.refusals = 0;
     this.log.info(`Member ${member.kind} ${member.addr} failed.`);
     this.removeMember(member.id);
   }
 
-  private async pauseBeforePing(member: Member, { refusals }: Watch): Promise<void> {
+  private async delayNextPing(member: Member, { refusals }: Watch): Promise<void> {
     const { heartbeatInterval } = this.bounds;
     const ms = refusals === 1 ? heartbeatInterval / retriesPerHeartbeat : heartbeatInterval;
     const pause = new AbortController();
     const end = (): void => pause.abort();
-    this.pauses.set(member.addr, pause);
+    this.pingDelays.set(member.addr, pause);
     this.mastership.lost.addEventListener('abort', end, { once: true });
     try {
       await delay(this.clock, ms, pause.signal);
     } finally {
       this.mastership.lost.removeEventListener('abort', end);
-      this.pauses.delete(member.addr);
+      this.pingDelays.delete(member.addr);
     }
   }
 }
--- a/packages/zen/src/publication.ts
+++ b/packages/zen/src/publication.ts
@@ -12,26 +12,26 @@
 } from '@tillerstair/state';
 import type { PublishPayload } from './messages.js';
 
-const pack = (payload: PublishPayload): string =>
+const compressPayload = (payload: PublishPayload): string =>
   deflateSync(JSON.stringify(payload)).toString('base64');
 
 /** One state to be sent; each form is made once, whatever the number of members. */
 export class Publication {
   /** The change from `base`, for members that hold that; none when there is no base to start from. */
   readonly diff: string | undefined;
-  private packedState: string | undefined;
+  private fullPayload: string | undefined;
 
   constructor(
     readonly state: State,
     base: State | undefined,
   ) {
-    this.diff = base && pack({ diff: diffStates(base, state) });
+    this.diff = base && compressPayload({ diff: diffStates(base, state) });
   }
 
   /** The whole state. */
   get full(): string {
-    this.packedState ??= pack({ full: [...encodeState(this.state)] });
-    return this.packedState;
+    this.fullPayload ??= compressPayload({ full: [...encodeState(this.state)] });
+    return this.fullPayload;
   }
 
   get version(): StateVersion {
--- a/packages/zen/src/publish-receiver.ts
+++ b/packages/zen/src/publish-receiver.ts
@@ -37,10 +37,10 @@
   | { readonly kind: 'already-accepted' }
   | { readonly kind: 'other-base' };
 
-const unpack = (packed: string): PublishPayload =>
+const decompressPayload = (packed: string): PublishPayload =>
   PublishPayload.parse(JSON.parse(inflateSync(Buffer.from(packed, 'base64')).toString('utf8')));
 
-const decode = (payload: PublishPayload, accepted: State | undefined): DecodedPublish => {
+const resolvePublish = (payload: PublishPayload, accepted: State | undefined): DecodedPublish => {
   const isAccepted = (version: StateVersion): boolean =>
     accepted !== undefined && isSameVersion(versionOf(accepted), version);
   if ('full' in payload) {
@@ -92,7 +92,10 @@
   async onPublish(publish: Publish): Promise<PublishResponse> {
     this.requireCluster(publish);
     this.requireTerm(publish);
-    const decoded = decode(unpack(publish.packed), this.electionStore.persisted.accepted);
+    const decoded = resolvePublish(
+      decompressPayload(publish.packed),
+      this.electionStore.persisted.accepted,
+    );
     switch (decoded.kind) {
       case 'other-base':
         return { outcome: 'need-full' };
--- a/packages/zen/src/publisher.ts
+++ b/packages/zen/src/publisher.ts
@@ -19,7 +19,7 @@
 
 /** What a publisher works with. */
 export interface PublisherOptions {
-  readonly me: Member;
+  readonly localMember: Member;
   readonly clock: Clock;
   readonly bounds: ZenBounds;
   readonly log: Logger;
@@ -31,7 +31,7 @@
 
 /** Brings one state after the other to a majority of the voters. */
 export class Publisher {
-  private readonly me: Member;
+  private readonly localMember: Member;
   private readonly clock: Clock;
   private readonly bounds: ZenBounds;
   private readonly log: Logger;
@@ -41,7 +41,7 @@
   private readonly sender: StateSender;
 
   constructor(options: PublisherOptions) {
-    this.me = options.me;
+    this.localMember = options.localMember;
     this.clock = options.clock;
     this.bounds = options.bounds;
     this.log = options.log;
@@ -63,7 +63,7 @@
       ...content,
       term: this.mastership.term,
       version: base.version + 1,
-      master: this.me.id,
+      master: this.localMember.id,
     };
     const publication = new Publication(state, base);
     this.refuseAfterLaterVote();
@@ -71,7 +71,7 @@
     await this.replicate(publication, round);
     this.published.commit(state, this.clock.now());
     for (const member of round.acceptors)
-      if (member.id !== this.me.id) void this.sender.commit(member, publication.version);
+      if (member.id !== this.localMember.id) void this.sender.commit(member, publication.version);
     return state;
   }
 
@@ -100,10 +100,11 @@
   private offerToAll(publication: Publication, round: AcceptanceRound): void {
     const { state } = publication;
     this.electionStore.accept(state).then(
-      () => round.accept(this.me),
+      () => round.accept(this.localMember),
       (e: unknown) => this.log.warn(`Not synced here: ${toRpcError(e).message}.`),
     );
-    for (const member of peersOf(state, this.me.id)) void this.offer(member, publication, round);
+    for (const member of peersOf(state, this.localMember.id))
+      void this.offer(member, publication, round);
   }
 
   private async offer(
--- a/packages/zen/src/quorum-read.ts
+++ b/packages/zen/src/quorum-read.ts
@@ -19,7 +19,7 @@
 
 /** What a quorum read needs to know of the master on whose behalf it asks. */
 export interface QuorumReadOptions {
-  readonly me: Member;
+  readonly localMember: Member;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly bounds: ZenBounds;
@@ -30,34 +30,34 @@
   /** The newest state that a majority holds, if this master has committed one. */
   readonly committed: () => State | undefined;
   /** Whether this control has itself voted in a later term. */
-  readonly deposed: () => boolean;
+  readonly hasVotedInLaterTerm: () => boolean;
   /** Hears of a voter that answered in a later term. */
   readonly onLaterTerm: (term: number, address: string) => void;
 }
 
 /** The quorum reads of one master; owns the round under way and the one that comes next. */
 export class QuorumRead {
-  private readonly me: Member;
+  private readonly localMember: Member;
   private readonly clock: Clock;
   private readonly transport: Transport;
   private readonly bounds: ZenBounds;
   private readonly term: number;
   private readonly lost: AbortSignal;
   private readonly committed: () => State | undefined;
-  private readonly deposed: () => boolean;
+  private readonly hasVotedInLaterTerm: () => boolean;
   private readonly onLaterTerm: (term: number, address: string) => void;
   private nextRound: Promise<State> | undefined;
   private currentRound: Promise<unknown> = Promise.resolve();
 
   constructor(options: QuorumReadOptions) {
-    this.me = options.me;
+    this.localMember = options.localMember;
     this.clock = options.clock;
     this.transport = options.transport;
     this.bounds = options.bounds;
     this.term = options.term;
     this.lost = options.lost;
     this.committed = options.committed;
-    this.deposed = options.deposed;
+    this.hasVotedInLaterTerm = options.hasVotedInLaterTerm;
     this.onLaterTerm = options.onLaterTerm;
   }
 
@@ -76,9 +76,9 @@
     await this.currentRoundOrTimeout();
     this.nextRound = undefined;
     if (this.lost.aborted) throw new NotMasterError();
-    const round = this.round(this.clock.now() + this.bounds.heartbeatInterval);
-    this.currentRound = round.catch(() => undefined);
-    return round;
+    const runRound = this.round(this.clock.now() + this.bounds.heartbeatInterval);
+    this.currentRound = runRound.catch(() => undefined);
+    return runRound;
   }
 
   private async currentRoundOrTimeout(): Promise<void> {
@@ -92,15 +92,15 @@
     const state = this.committed();
     if (!state) throw new NotMasterError('nothing is committed yet');
     const confirmedBy = await this.collectConfirmations(state, deadline);
-    if (this.lost.aborted || this.deposed() || !hasQuorum(state.voters, confirmedBy))
+    if (this.lost.aborted || this.hasVotedInLaterTerm() || !hasQuorum(state.voters, confirmedBy))
       throw new QuorumUnavailableError('no majority confirms this master');
     return state;
   }
 
   /** Asks all voters; ends with the majority, or once each has answered or the deadline has passed. */
   private async collectConfirmations(state: State, deadline: number): Promise<ReadonlySet<string>> {
-    const confirmedBy = new Set([this.me.id]);
-    const others = [...state.votingMembers.values()].filter(({ id }) => id !== this.me.id);
+    const confirmedBy = new Set([this.localMember.id]);
+    const others = [...state.votingMembers.values()].filter(({ id }) => id !== this.localMember.id);
     const over = new AbortController();
     await new Promise<void>((resolve) => {
       const endIfQuorum = (): void => {
@@ -127,7 +127,7 @@
   ): Promise<boolean> {
     while (this.clock.now() < deadline && !this.lost.aborted && !over.aborted) {
       try {
-        return await this.askForTerm(voter, clusterId, deadline);
+        return await this.isInSameTerm(voter, clusterId, deadline);
       } catch (e) {
         if (toRpcError(e).code === 'other-node') return false;
       }
@@ -137,9 +137,9 @@
   }
 
   /** Whether the voter is in this master's term still. */
-  private async askForTerm(voter: Member, clusterId: string, deadline: number): Promise<boolean> {
-    const { me, term } = this;
-    const body = { from: me, to: voter.id, term, clusterId };
+  private async isInSameTerm(voter: Member, clusterId: string, deadline: number): Promise<boolean> {
+    const { localMember, term } = this;
+    const body = { from: localMember, to: voter.id, term, clusterId };
     const response = NodePingResponse.parse(
       await this.transport.call(voter.addr, 'zen/node-ping', body, {
         timeoutMs: deadline - this.clock.now(),
--- a/packages/zen/src/request-dispatcher.ts
+++ b/packages/zen/src/request-dispatcher.ts
@@ -120,7 +120,7 @@
   /** A ping of this cluster's master in a later term ends a master here (docs/zen.md, "One master a term"). */
   private onNodePing({ from, term, clusterId }: NodePing): NodePingResponse {
     if (clusterId === this.localNode.clusterId)
-      this.leadership.master?.onAnotherMaster(term, from.addr);
+      this.leadership.master?.onPingFromAnotherMaster(term, from.addr);
     return {
       term: this.localNode.term,
       applied: versionOf(this.applied()),
--- a/packages/zen/src/state-sender.ts
+++ b/packages/zen/src/state-sender.ts
@@ -24,7 +24,7 @@
 
 /** What a state sender works with. */
 export interface StateSenderOptions {
-  readonly me: Member;
+  readonly localMember: Member;
   readonly transport: Transport;
   readonly bounds: ZenBounds;
   readonly log: Logger;
@@ -35,7 +35,7 @@
 
 /** Brings states to members, one member at a time. */
 export class StateSender {
-  private readonly me: Member;
+  private readonly localMember: Member;
   private readonly transport: Transport;
   private readonly bounds: ZenBounds;
   private readonly log: Logger;
@@ -45,7 +45,7 @@
   private readonly acceptedVersions = new Map<string, StateVersion>();
 
   constructor(options: StateSenderOptions) {
-    this.me = options.me;
+    this.localMember = options.localMember;
     this.transport = options.transport;
     this.bounds = options.bounds;
     this.log = options.log;
@@ -75,7 +75,7 @@
 
   /** Tells a member that the state which it has accepted is committed; resolves once it has applied it. Never rejects. */
   async commit(member: Member, stateVersion: StateVersion): Promise<void> {
-    const body = { from: this.me, to: member.id, stateVersion };
+    const body = { from: this.localMember, to: member.id, stateVersion };
     try {
       await this.transport.call(member.addr, 'zen/commit', body, {
         timeoutMs: this.bounds.failureTimeout,
@@ -121,7 +121,7 @@
 
   private async publish(member: Member, state: State, packed: string): Promise<PublishOutcome> {
     const body = {
-      from: this.me,
+      from: this.localMember,
       term: this.mastership.term,
       clusterId: state.clusterId,
       to: member.id,
--- a/packages/zen/src/stepped-down.ts
+++ b/packages/zen/src/stepped-down.ts
@@ -8,19 +8,21 @@
 
 /** What the notice is sent with. */
 export interface SteppedDownOptions {
-  readonly me: Member;
+  readonly localMember: Member;
   readonly transport: Transport;
   readonly bounds: Pick<ZenBounds, 'heartbeatInterval'>;
 }
 
 /** Notifies all members of the newest committed state; does not wait for their answers. */
 export const notifySteppedDown = (
-  { me, transport, bounds }: SteppedDownOptions,
+  { localMember, transport, bounds }: SteppedDownOptions,
   committed: State | undefined,
 ): void => {
   const options = { timeoutMs: bounds.heartbeatInterval };
   for (const member of committed?.nodes.values() ?? []) {
-    if (member.id === me.id) continue;
-    transport.call(member.addr, 'zen/stepped-down', { from: me }, options).catch(() => undefined);
+    if (member.id === localMember.id) continue;
+    transport
+      .call(member.addr, 'zen/stepped-down', { from: localMember }, options)
+      .catch(() => undefined);
   }
 };
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -114,7 +114,7 @@
     const { me, transport, electionStore, settle, onReport, onLead } = this.options;
     return new Leadership({
       masterOptions: {
-        me,
+        localMember: me,
         clock: this.clock,
         transport,
         electionStore,
@@ -285,7 +285,7 @@
   }
 
   private onConnectionLost(addr: string): void {
-    this.leadership.master?.connectionLost(addr);
+    this.leadership.master?.onConnectionLost(addr);
     if (this.follower.master?.addr === addr) this.sleep.wake();
   }
 }
--- a/tests/src/control/operations.test.ts
+++ b/tests/src/control/operations.test.ts
@@ -52,7 +52,7 @@
   const master = masterOf();
   const outcome = await ask(master, 'PUT', '/v1/config', fileText({ changeId: 'a' }));
   assert.is(outcome.status, 200);
-  assert.equal(master.calls, ['decide', 'waitUntilInForce']);
+  assert.equal(master.calls, ['submitConfirmed', 'waitUntilInForce']);
   assert.is(master.state.config?.version, 1);
   assert.equal(outcome.body, { version: 1, digest: master.state.config?.digest });
 });
@@ -87,7 +87,7 @@
   assert.is(outcome.status, 200);
   assert.match(JSON.stringify(outcome.body), '"newest":9');
   assert.is(master.state.config, later);
-  assert.equal(master.calls, ['decide', 'waitUntilInForce']);
+  assert.equal(master.calls, ['submitConfirmed', 'waitUntilInForce']);
 });
 
 operations('a change older than the record is answered as unclear', async () => {
@@ -218,7 +218,12 @@
   });
   assert.equal(await ask(master, 'DELETE', path), { status: 200, body: { id: 'a b', gone: true } });
   assert.equal(statusAndCode(await ask(master, 'POST', `${path}/draining`)), [404, 'missing']);
-  assert.equal(master.calls, ['decide', 'decide', 'decide', 'decide']);
+  assert.equal(master.calls, [
+    'submitConfirmed',
+    'submitConfirmed',
+    'submitConfirmed',
+    'submitConfirmed',
+  ]);
 });
 
 operations('a store is emptied by id, address or name, and again without a change', async () => {
--- a/tests/src/control/order-sent-again.test.ts
+++ b/tests/src/control/order-sent-again.test.ts
@@ -5,12 +5,12 @@
 import { ElectionError } from '@tillerstair/wire';
 import {
   bounds,
-  MasterRig,
+  MasterHarness,
   memberOf,
   roundTrip,
   stateWith,
   threeVoters,
-} from '../zen/master-rig.js';
+} from '../zen/master-harness.js';
 
 const orders = suite('orders that are sent again');
 
@@ -23,14 +23,14 @@
     ],
   });
 
-const put = (rig: MasterRig, base: number): Promise<OperatorResponse> =>
+const put = (rig: MasterHarness, base: number): Promise<OperatorResponse> =>
   operate(rig.master, { method: 'PUT', path: '/v1/config', body: fileOn(base) });
 
 orders(
   'an acknowledged order is acknowledged again at once, though a later one waits',
   async () => {
     const newest = stateWith(threeVoters, [memberOf('f', 'front')]);
-    const rig = await MasterRig.begun({ newest });
+    const rig = await MasterHarness.started({ newest });
     await rig.clock.run(bounds.readLease);
     const first = await rig.clock.finish('the first order', put(rig, 0), bounds.publishTimeout);
     assert.is(first.status, 200);
--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -122,7 +122,7 @@
     pingPeers: () => Promise.resolve(new Set<string>()),
     waitUntilInForce: () => Promise.resolve(undefined),
     confirm: () => Promise.resolve(committed),
-    decide: () => Promise.reject(new Error('a poll asks for no proof')),
+    submitConfirmed: () => Promise.reject(new Error('a poll asks for no proof')),
     submit: (change) => {
       submits++;
       committed = change(committed);
--- a/tests/src/support/scripted-master.ts
+++ b/tests/src/support/scripted-master.ts
@@ -34,7 +34,8 @@
   }
 
   readonly submit: MasterView['submit'] = (change) => this.apply('submit', change);
-  readonly decide: MasterView['decide'] = (change) => this.apply('decide', change);
+  readonly submitConfirmed: MasterView['submitConfirmed'] = (change) =>
+    this.apply('submitConfirmed', change);
 
   async confirm(): Promise<State> {
     this.calls.push('confirm');
--- a/tests/src/zen/front-barrier.test.ts
+++ b/tests/src/zen/front-barrier.test.ts
@@ -4,13 +4,13 @@
 import { reduceState, type State } from '@tillerstair/state';
 import {
   bounds,
-  MasterRig,
+  MasterHarness,
   memberOf,
   outcomeOf,
   roundTrip,
   stateWith,
   threeVoters,
-} from './master-rig.js';
+} from './master-harness.js';
 
 const barrier = suite('changes while fronts leave');
 
@@ -25,9 +25,9 @@
     reduceState(state, { kind: 'leave', id });
 
 /** A master with several fronts, after the read lease of its election has run out. */
-const masterWithFronts = async (): Promise<MasterRig> => {
+const masterWithFronts = async (): Promise<MasterHarness> => {
   const members = fronts.map((id) => memberOf(id, 'front'));
-  const rig = await MasterRig.begun({ newest: stateWith(threeVoters, members) });
+  const rig = await MasterHarness.started({ newest: stateWith(threeVoters, members) });
   await rig.clock.run(bounds.readLease);
   return rig;
 };
--- a/tests/src/zen/master-fault-detection.test.ts
+++ b/tests/src/zen/master-fault-detection.test.ts
@@ -6,7 +6,7 @@
 import {
   bounds,
   isFull,
-  MasterRig,
+  MasterHarness,
   memberOf,
   newestVersion,
   noVersion,
@@ -15,7 +15,7 @@
   stateWith,
   term,
   threeVoters,
-} from './master-rig.js';
+} from './master-harness.js';
 
 const faults = suite('fault detection of a master');
 
@@ -38,7 +38,7 @@
 });
 
 faults('a member that refuses its connection twice in a row has failed', async () => {
-  const rig = await MasterRig.begun({ newest: withStore });
+  const rig = await MasterHarness.started({ newest: withStore });
   rig.peer('s').refusing = true;
   await rig.clock.run(bounds.heartbeatInterval);
   assert.ok(rig.master.committed?.nodes.has('s'), 'after one refusal');
@@ -47,7 +47,7 @@
 });
 
 faults('refusals with an answer between them do not add up', async () => {
-  const rig = await MasterRig.begun({ newest: withStore });
+  const rig = await MasterHarness.started({ newest: withStore });
   for (let i = 0; i < 3; i++) {
     const pinged = rig.sentOf('zen/node-ping', 's').length;
     rig.peer('s').refusing = true;
@@ -63,7 +63,7 @@
 });
 
 faults('another node at the address of a member counts as its failure', async () => {
-  const rig = await MasterRig.begun({ newest: withStore });
+  const rig = await MasterHarness.started({ newest: withStore });
   rig.peer('s').on('zen/node-ping', () => {
     throw new ElectionError('other-node', 'this is another node');
   });
@@ -72,7 +72,7 @@
 });
 
 faults('a silent member is kept for the failure timeout, then taken off the list', async () => {
-  const rig = await MasterRig.begun({ newest: withStore });
+  const rig = await MasterHarness.started({ newest: withStore });
   rig.peer('s').silent = true;
   await rig.clock.run(bounds.failureTimeout);
   assert.ok(rig.master.committed?.nodes.has('s'));
@@ -84,7 +84,7 @@
 });
 
 faults('a voter that is off the list is watched on, and not taken off again', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.peer('c').refusing = true;
   await rig.clock.run(bounds.heartbeatInterval * 2);
   assert.not(rig.master.committed?.nodes.has('c'));
@@ -96,16 +96,16 @@
 });
 
 faults('a lost connection is followed by a ping at once', async () => {
-  const rig = await MasterRig.begun({ newest: withStore });
+  const rig = await MasterHarness.started({ newest: withStore });
   await rig.clock.run(roundTrip * 2);
   const pinged = rig.sentOf('zen/node-ping', 's').length;
-  rig.master.connectionLost('s');
+  rig.master.onConnectionLost('s');
   await rig.clock.run(roundTrip);
   assert.is(rig.sentOf('zen/node-ping', 's').length, pinged + 1);
 });
 
 faults('a member that applied an older state is sent the committed one', async () => {
-  const rig = await MasterRig.begun({ newest: withStore });
+  const rig = await MasterHarness.started({ newest: withStore });
   rig.peer('s').applied = noVersion;
   await rig.clock.run(bounds.heartbeatInterval + roundTrip * 3);
   const later = rig.sentOf('zen/publish', 's').slice(1);
@@ -115,7 +115,7 @@
 });
 
 faults('a member that applied the committed state is sent nothing', async () => {
-  const rig = await MasterRig.elected({ newest: withStore });
+  const rig = await MasterHarness.elected({ newest: withStore });
   for (const id of ['b', 'c', 's']) rig.peer(id).applied = { term, version: newestVersion + 1 };
   await rig.outcome(rig.begin());
   await rig.clock.run(bounds.heartbeatInterval * 3);
@@ -123,21 +123,21 @@
 });
 
 faults('a member in a later term ends the mastership', async () => {
-  const rig = await MasterRig.begun({ newest: withStore });
+  const rig = await MasterHarness.started({ newest: withStore });
   rig.peer('s').term = term + 1;
   await rig.clock.run(bounds.heartbeatInterval + roundTrip);
   assert.ok(rig.master.lost.aborted);
 });
 
 faults('a master whose own disk takes no writes steps down', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.electionStore.writable = false;
   await rig.clock.run(bounds.heartbeatInterval / 4);
   assert.ok(rig.master.lost.aborted);
 });
 
 faults('a master that hears no majority for the failure timeout steps down', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   await rig.clock.run(bounds.heartbeatInterval * 4);
   rig.peer('b').silent = true;
   await rig.clock.run(bounds.failureTimeout * 2);
@@ -154,7 +154,7 @@
     `during a voting change the ${silentGroup} voters have to be heard of as well`,
     async () => {
       const voters = { current: ['a', 'b', 'c'], next: ['a', 'd', 'e'] };
-      const rig = await MasterRig.elected({ newest: stateWith(voters) });
+      const rig = await MasterHarness.elected({ newest: stateWith(voters) });
       await rig.outcome(rig.begin());
       // The publish that completes the change waits for the silent voters, so that the change stays joint.
       for (const id of voters[silentGroup]) rig.peer(id).silent = true;
@@ -166,14 +166,14 @@
   );
 
 faults('a member that joins with a later term ends the mastership', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   assert.is(await rig.outcome(rig.master.onJoin(joinOf('s', term + 1))), 'not-master no');
   assert.ok(rig.master.lost.aborted);
   assert.not(rig.master.committed?.nodes.has('s'));
 });
 
 faults('a node that does not validate its join is not listed', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.peer('s').on('zen/validate', () => {
     throw new ElectionError('not-joining', 'this node is not joining you');
   });
@@ -182,7 +182,7 @@
 });
 
 faults('a node that joins is listed and sent the full state before it is told', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   assert.is(await rig.outcome(rig.master.onJoin(joinOf('s'))), 'done');
   assert.ok(rig.master.committed?.nodes.has('s'));
   assert.ok(rig.sentOf('zen/publish', 's').every(isFull));
@@ -190,7 +190,7 @@
 });
 
 faults('only what a listed member reports counts', async () => {
-  const rig = await MasterRig.begun({ newest: stateWith(threeVoters, [front]) });
+  const rig = await MasterHarness.started({ newest: stateWith(threeVoters, [front]) });
   rig.reports.length = 0;
   assert.is(rig.master.onMasterPing(pingOf('unlisted')).listed, false);
   assert.equal(rig.reports, []);
@@ -199,7 +199,7 @@
 });
 
 faults('a master that stepped down says so to its followers and takes no reports', async () => {
-  const rig = await MasterRig.begun({ newest: stateWith(threeVoters, [front]) });
+  const rig = await MasterHarness.started({ newest: stateWith(threeVoters, [front]) });
   rig.master.stepDown('test');
   rig.reports.length = 0;
   assert.is(rig.master.onMasterPing(pingOf('f')).leading, false);
@@ -207,7 +207,7 @@
 });
 
 faults('the age told to followers is that of the last contact with a majority', async () => {
-  const rig = await MasterRig.begun({ newest: stateWith(threeVoters, [front]) });
+  const rig = await MasterHarness.started({ newest: stateWith(threeVoters, [front]) });
   rig.peer('b').silent = true;
   rig.peer('c').silent = true;
   const before = rig.master.onMasterPing(pingOf('f')).age;
@@ -217,16 +217,16 @@
 });
 
 faults('a ping of another master counts only with a later term', async () => {
-  const rig = await MasterRig.begun();
-  rig.master.onAnotherMaster(term, 'b');
-  rig.master.onAnotherMaster(term - 1, 'b');
+  const rig = await MasterHarness.started();
+  rig.master.onPingFromAnotherMaster(term, 'b');
+  rig.master.onPingFromAnotherMaster(term - 1, 'b');
   assert.not(rig.master.lost.aborted);
-  rig.master.onAnotherMaster(term + 1, 'b');
+  rig.master.onPingFromAnotherMaster(term + 1, 'b');
   assert.ok(rig.master.lost.aborted);
 });
 
 faults('a member counts as heard of for two heartbeats', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   assert.ok(rig.master.isResponsive('a'));
   assert.not(rig.master.isResponsive('nobody'));
   await rig.clock.run(bounds.heartbeatInterval);
@@ -238,7 +238,7 @@
 });
 
 faults('a member is unresponsive since its last answer, or else since the election', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   const sinceElection = rig.master.unresponsiveFor('nobody');
   await rig.clock.run(bounds.heartbeatInterval);
   assert.is(rig.master.unresponsiveFor('nobody'), sinceElection + bounds.heartbeatInterval);
@@ -246,7 +246,7 @@
 });
 
 faults('a member is synced only while it is known to hold the committed state', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   assert.ok(rig.master.holdsCommitted('a'));
   assert.ok(rig.master.holdsCommitted('b'));
   assert.not(rig.master.holdsCommitted('nobody'));
@@ -260,7 +260,7 @@
 });
 
 faults('only members that reply in the term of the master are reached', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.peer('c').term = term - 1;
   rig.peer('d').silent = true;
   const reached = await rig.clock.finish(
@@ -272,7 +272,7 @@
 });
 
 faults('a mastership ends once', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.master.stepDown('first reason');
   rig.master.stepDown('second reason');
   assert.is(rig.warnings.length, 1);
@@ -280,7 +280,7 @@
 });
 
 faults('a master that stepped down pings no member any more', async () => {
-  const rig = await MasterRig.begun({ newest: withStore });
+  const rig = await MasterHarness.started({ newest: withStore });
   rig.master.stepDown('test');
   await rig.clock.run(roundTrip);
   const sent = rig.sent.length;
--- a/tests/src/zen/master-rig.ts
+++ b/tests/src/zen/master-harness.ts
@@ -159,13 +159,13 @@
   }
 }
 
-export interface MasterRigOptions {
+export interface MasterHarnessOptions {
   readonly newest?: State;
   readonly settle?: (state: State) => State;
   readonly onApply?: (state: State) => Promise<void>;
 }
 
-export class MasterRig {
+export class MasterHarness {
   readonly clock = new SimClock();
   readonly electionStore = new TestElectionStore();
   readonly sent: SentMessage[] = [];
@@ -194,11 +194,11 @@
 
   private constructor(
     readonly newest: State,
-    options: MasterRigOptions,
+    options: MasterHarnessOptions,
   ) {
     this.master = new Master(
       {
-        me: memberOf('a'),
+        localMember: memberOf('a'),
         clock: this.clock,
         transport: this.transport,
         electionStore: this.electionStore,
@@ -219,17 +219,17 @@
   }
 
   /** A master that has won its election and not published yet. */
-  static async elected(options: MasterRigOptions = {}): Promise<MasterRig> {
+  static async elected(options: MasterHarnessOptions = {}): Promise<MasterHarness> {
     const newest = options.newest ?? stateWith(threeVoters);
-    const rig = new MasterRig(newest, options);
+    const rig = new MasterHarness(newest, options);
     await rig.electionStore.accept(newest);
     await rig.electionStore.recordVote(term, 'a');
     return rig;
   }
 
   /** A master that has committed its first state. */
-  static async begun(options: MasterRigOptions = {}): Promise<MasterRig> {
-    const rig = await MasterRig.elected(options);
+  static async started(options: MasterHarnessOptions = {}): Promise<MasterHarness> {
+    const rig = await MasterHarness.elected(options);
     await rig.clock.finish('begin', rig.begin(), bounds.publishTimeout);
     await rig.clock.run(roundTrip * 2);
     return rig;
--- a/tests/src/zen/master-publication.test.ts
+++ b/tests/src/zen/master-publication.test.ts
@@ -6,7 +6,7 @@
 import {
   bounds,
   isFull,
-  MasterRig,
+  MasterHarness,
   memberOf,
   newestVersion,
   noVersion,
@@ -15,7 +15,7 @@
   stateWith,
   term,
   threeVoters,
-} from './master-rig.js';
+} from './master-harness.js';
 
 const publication = suite('publication of a master');
 
@@ -28,7 +28,7 @@
     reduceState(state, { kind: 'join', member: memberOf(id, 'store') });
 
 publication('a state accepted by a majority of the voters is committed and applied', async () => {
-  const rig = await MasterRig.elected();
+  const rig = await MasterHarness.elected();
   rig.peer('c').silent = true;
   assert.is(await rig.outcome(rig.begin()), 'done');
   assert.equal(versionOf(rig.master.committed), firstVersion);
@@ -41,7 +41,7 @@
 publication(
   'a state without a majority is never committed, and the master steps down',
   async () => {
-    const rig = await MasterRig.elected();
+    const rig = await MasterHarness.elected();
     rig.peer('b').silent = true;
     rig.peer('c').silent = true;
     assert.is(await rig.outcome(rig.begin(), bounds.publishTimeout + 1), 'unknown unknown');
@@ -52,7 +52,7 @@
 );
 
 publication('a new voting configuration needs a majority of its own to be committed', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.peer('d').silent = true;
   rig.peer('e').silent = true;
   const voters = { current: ['a', 'b', 'c'], next: ['a', 'd', 'e'] };
@@ -69,7 +69,7 @@
   'a voting change is completed only with a majority of the old configuration',
   async () => {
     const voters = { current: ['a', 'b', 'c'], next: ['a', 'd', 'e'] };
-    const rig = await MasterRig.elected({ newest: stateWith(voters) });
+    const rig = await MasterHarness.elected({ newest: stateWith(voters) });
     let accepted = 0;
     for (const id of ['b', 'c'])
       rig.peer(id).on('zen/publish', () => {
@@ -85,13 +85,13 @@
 
 publication('a voting change is completed after its commit', async () => {
   const voters = { current: ['a', 'b', 'c'], next: ['a', 'd', 'e'] };
-  const rig = await MasterRig.begun({ newest: stateWith(voters) });
+  const rig = await MasterHarness.started({ newest: stateWith(voters) });
   await rig.clock.run(roundTrip * 2);
   assert.equal(rig.master.committed?.voters, { current: voters.next, next: voters.next });
 });
 
 publication('nothing is published once this control has voted in a later term', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   const before = rig.sentOf('zen/publish').length;
   await rig.electionStore.recordVote(term + 1, 'b');
   assert.is(await rig.outcome(rig.master.submit(addStore('s'))), 'unknown unknown');
@@ -100,7 +100,7 @@
 });
 
 publication('stepping down ends the publish under way with an unknown outcome', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.peer('b').silent = true;
   rig.peer('c').silent = true;
   const work = outcomeOf(rig.master.submit(addStore('s')));
@@ -111,7 +111,7 @@
 
 publication('a commit is sent to nobody before a majority has accepted the state', async () => {
   const five = ['a', 'b', 'c', 'd', 'e'];
-  const rig = await MasterRig.elected({ newest: stateWith({ current: five, next: five }) });
+  const rig = await MasterHarness.elected({ newest: stateWith({ current: five, next: five }) });
   for (const [index, id] of ['b', 'c', 'd', 'e'].entries())
     rig.peer(id).delayMs = roundTrip * (index + 1);
   const began = rig.clock.now();
@@ -130,7 +130,7 @@
 });
 
 publication('a voter that fails to accept is asked again, another node is not', async () => {
-  const rig = await MasterRig.elected({
+  const rig = await MasterHarness.elected({
     newest: stateWith(threeVoters, [memberOf('s', 'store')]),
   });
   rig.peer('b').silent = true;
@@ -147,7 +147,7 @@
 });
 
 publication('a voter is not asked again once the state is committed without it', async () => {
-  const rig = await MasterRig.elected();
+  const rig = await MasterHarness.elected();
   rig.peer('c').applied = firstVersion;
   rig.peer('c').on('zen/publish', () => {
     throw new UnavailableError('unavailable', 'not synced');
@@ -159,7 +159,7 @@
 });
 
 publication('a peer that holds the base is sent the diff, any other the full state', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   assert.ok(rig.sentOf('zen/publish').every(isFull));
   rig.peer('c').on('zen/publish', () => {
     throw new UnavailableError('unavailable', 'not synced');
@@ -175,7 +175,7 @@
 });
 
 publication('a peer whose acceptance of the base is not known is sent the full state', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.peer('c').delayMs = roundTrip * 20;
   assert.is(await rig.outcome(rig.master.submit(addStore('s'))), 'done');
   assert.not(rig.master.holdsCommitted('c'), 'an older state is not the committed one');
@@ -186,7 +186,7 @@
 });
 
 publication('a peer that cannot use the diff is sent the full state', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.peer('c').silent = true;
   rig
     .peer('b')
@@ -198,14 +198,14 @@
 });
 
 publication('a peer that asks for the full state again has not accepted it', async () => {
-  const rig = await MasterRig.elected();
+  const rig = await MasterHarness.elected();
   for (const id of ['b', 'c']) rig.peer(id).on('zen/publish', () => ({ outcome: 'need-full' }));
   assert.is(await rig.outcome(rig.begin()), 'unknown unknown');
   assert.is(rig.master.committed, undefined);
 });
 
 publication('a peer that failed to apply a commit is sent the full state next', async () => {
-  const rig = await MasterRig.elected();
+  const rig = await MasterHarness.elected();
   rig.peer('b').applied = firstVersion;
   rig.peer('b').on('zen/commit', () => {
     throw new ElectionError('not-held', 'that state is not held');
@@ -229,7 +229,7 @@
 publication(
   'a peer that refuses the committed state is not taken to hold it any more',
   async () => {
-    const rig = await MasterRig.begun();
+    const rig = await MasterHarness.started();
     await rig.clock.run(bounds.heartbeatInterval / 2);
     assert.ok(rig.master.holdsCommitted('c'));
     rig.peer('c').applied = noVersion;
@@ -242,7 +242,7 @@
 );
 
 publication('an answer that tells of a vote in a later term ends the mastership', async () => {
-  const rig = await MasterRig.elected();
+  const rig = await MasterHarness.elected();
   rig.peer('b').on('zen/publish', () => {
     throw new ElectionError('stale-term', 'voted for another');
   });
--- a/tests/src/zen/master-tasks.test.ts
+++ b/tests/src/zen/master-tasks.test.ts
@@ -5,7 +5,7 @@
 import { ElectionError, OperationError } from '@tillerstair/wire';
 import {
   bounds,
-  MasterRig,
+  MasterHarness,
   memberOf,
   newestVersion,
   outcomeOf,
@@ -13,7 +13,7 @@
   stateWith,
   term,
   threeVoters,
-} from './master-rig.js';
+} from './master-harness.js';
 
 const tasks = suite('task queue of a master');
 
@@ -26,12 +26,12 @@
 };
 const unchanged = (state: State): State => state;
 
-const withoutPeers = (rig: MasterRig): void => {
+const withoutPeers = (rig: MasterHarness): void => {
   for (const id of ['b', 'c']) rig.peer(id).silent = true;
 };
 
 tasks('a change that comes after the step-down is refused', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   rig.master.stepDown('test');
   let called = false;
   const work = rig.master.submit((state) => {
@@ -43,7 +43,7 @@
 });
 
 tasks('changes that wait for the publish under way are refused by a step-down', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   withoutPeers(rig);
   const first = outcomeOf(rig.master.submit(addStore('s')));
   await rig.clock.run(1);
@@ -55,7 +55,7 @@
 });
 
 tasks('changes that wait together are published together', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   const work = ['s', 't', 'u'].map((id) => rig.master.submit(addStore(id)));
   await rig.clock.finish('all', Promise.all(work), bounds.publishTimeout);
   await rig.clock.run(roundTrip * 2);
@@ -67,7 +67,7 @@
 });
 
 tasks('a change that refuses leaves the others of its batch alone', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   const refused = outcomeOf(rig.master.submit(refuse));
   const made = outcomeOf(rig.master.submit(addStore('s')));
   assert.equal(
@@ -78,7 +78,7 @@
 });
 
 tasks('a refusal that rests on a batch without a majority is not told as a refusal', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   withoutPeers(rig);
   const made = outcomeOf(rig.master.submit(addStore('s')));
   const refused = outcomeOf(rig.master.submit(refuse));
@@ -89,37 +89,37 @@
 });
 
 tasks('a change that alters nothing publishes nothing', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   const before = rig.sent.length;
   assert.is(await rig.outcome(rig.master.submit(unchanged)), 'done');
   assert.is(rig.sent.length, before);
 });
 
 tasks('a refusal to decide is told only once a majority confirms this master', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   const before = rig.sent.length;
-  assert.is(await rig.outcome(rig.master.decide(refuse)), 'refused no');
+  assert.is(await rig.outcome(rig.master.submitConfirmed(refuse)), 'refused no');
   assert.ok(rig.sent.slice(before).some((m) => m.kind === 'zen/node-ping'));
   withoutPeers(rig);
-  assert.is(await rig.outcome(rig.master.decide(refuse)), 'unavailable no');
+  assert.is(await rig.outcome(rig.master.submitConfirmed(refuse)), 'unavailable no');
   assert.is(await rig.outcome(rig.master.submit(refuse)), 'refused no');
 });
 
 tasks(
   'a decision that alters nothing is told only once a majority confirms this master',
   async () => {
-    const rig = await MasterRig.begun();
-    assert.is(await rig.outcome(rig.master.decide(unchanged)), 'done');
+    const rig = await MasterHarness.started();
+    assert.is(await rig.outcome(rig.master.submitConfirmed(unchanged)), 'done');
     withoutPeers(rig);
-    assert.is(await rig.outcome(rig.master.decide(unchanged)), 'unavailable no');
+    assert.is(await rig.outcome(rig.master.submitConfirmed(unchanged)), 'unavailable no');
   },
 );
 
 tasks('a decision in a published batch needs no further round', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   const before = rig.sent.length;
   const made = outcomeOf(rig.master.submit(addStore('s')));
-  const decided = outcomeOf(rig.master.decide(refuse));
+  const decided = outcomeOf(rig.master.submitConfirmed(refuse));
   assert.equal(await rig.clock.finish('both', Promise.all([made, decided]), roundTrip), [
     'done',
     'refused no',
@@ -129,20 +129,23 @@
 });
 
 tasks('each batch is settled before it is published', async () => {
-  const rig = await MasterRig.begun({ settle: addStore('settled') });
+  const rig = await MasterHarness.started({ settle: addStore('settled') });
   assert.ok(rig.master.committed?.nodes.has('settled'));
 });
 
 const withFront = stateWith(threeVoters, [memberOf('f', 'front')]);
 
 /** A master in whose state the front `f` is listed, after the read lease of its election has run out. */
-const masterWithFront = async (): Promise<MasterRig> => {
-  const rig = await MasterRig.begun({ newest: withFront });
+const masterWithFront = async (): Promise<MasterHarness> => {
+  const rig = await MasterHarness.started({ newest: withFront });
   await rig.clock.run(bounds.readLease);
   return rig;
 };
 
-const inForceAfter = async (rig: MasterRig, change: (state: State) => State): Promise<number> => {
+const inForceAfter = async (
+  rig: MasterHarness,
+  change: (state: State) => State,
+): Promise<number> => {
   const committed = await rig.clock.finish(
     'the commit',
     rig.master.submit(change),
@@ -205,7 +208,7 @@
 });
 
 tasks('nothing is in force before the read lease since the election has passed', async () => {
-  const rig = await MasterRig.begun();
+  const rig = await MasterHarness.started();
   const took = await inForceAfter(rig, addStore('s'));
   assert.ok(took > bounds.readLease - roundTrip * 10, `${took} ms`);
 });
--- a/tests/src/zen/quorum-read.test.ts
+++ b/tests/src/zen/quorum-read.test.ts
@@ -48,13 +48,13 @@
   const held = { state, asked: 0, later: 0 };
   const lost = new AbortController();
   const read = new QuorumRead({
-    me: member('a'),
+    localMember: member('a'),
     clock,
     bounds,
     term,
     lost: lost.signal,
     committed: () => held.state,
-    deposed: () => more.deposed ?? false,
+    hasVotedInLaterTerm: () => more.deposed ?? false,
     onLaterTerm: (t) => {
       held.later = t;
       lost.abort();
--- a/tests/src/zen/read-lease.test.ts
+++ b/tests/src/zen/read-lease.test.ts
@@ -5,7 +5,7 @@
 import { controlPace, ReadLease, reloadableBounds, storePace } from '@tillerstair/zen';
 import { SimClock } from '@tillerstair/sim';
 import { silentLogger } from '@tillerstair/wire';
-import { memberOf, stateWith, term, threeVoters } from './master-rig.js';
+import { memberOf, stateWith, term, threeVoters } from './master-harness.js';
 
 const leases = suite('read lease');
 
