--- a/tests/src/zen/read-lease.test.ts
+++ b/tests/src/zen/read-lease.test.ts
@@ -10,7 +10,7 @@
 } from '@tillerstair/zen';
 import { SimClock } from '@tillerstair/sim';
 import { silentLogger } from '@tillerstair/wire';
-import { memberOf, stateWith, term, threeVoters } from './master-rig.js';
+import { memberOf, stateWith, term, threeVoters } from './master-harness.js';
 
 const leases = suite('read lease');
 
