--- a/packages/session-owner/src/calls.ts
+++ b/packages/session-owner/src/calls.ts
@@ -1,10 +1,11 @@
 /**
- * Requests that are answered as a whole: calls of the product's own interface, and those of pass routes.
+ * Requests with a complete, unstreamed response: calls of the product's own interface, and those of pass routes.
  *
- * Owns the keyed operations that are running here; their intents and results are in the slot's replicas. A key stands for
- * one body and answers from its record once it is done. What may have run is sent again only where every server involved
- * keeps its own record of keys, so that it takes effect at most once; elsewhere it stays "unknown" (`docs/design.md`, "A
- * tool call"). This rests on the record: one that does not parse is treated as absent (`stored-values.ts`).
+ * Holds the keyed operations that are running here; their intents and results are in the slot's replicas. A key is
+ * bound to one request body, and a finished operation is answered from its record. An operation that may have run is
+ * sent again only if every server involved keeps its own record of keys, so that it takes effect at most once;
+ * otherwise its outcome stays "unknown" (`docs/design.md`, "A tool call"). This depends on the record: a record that
+ * does not parse is treated as absent (`stored-values.ts`).
  */
 import type { Server } from '@tillerstair/state';
 import { toRpcError, UnavailableError, withTimeout } from '@tillerstair/wire';
@@ -30,7 +31,7 @@
 import { shortDigest } from './short-digest.js';
 import { OpValue } from './stored-values.js';
 
-/** An operation's name at servers that record keys. */
+/** The id of an operation at servers that record keys. */
 const operationOf = (tenant: string, key: string): string =>
   `${encodeURIComponent(tenant)}/${encodeURIComponent(key)}`;
 
@@ -39,7 +40,7 @@
 
 const digestOf = (...parts: readonly string[]): string => shortDigest(parts.join('\n'));
 
-/** The share of a call's time limit in which it is sent to servers; the rest is for the answer. */
+/** The share of a call's time limit in which attempts may begin; the rest is left for the response. */
 const attemptShare = 1 / 2;
 
 const neverAborted = (): AbortSignal => new AbortController().signal;
@@ -54,14 +55,14 @@
   readonly outcome: Promise<CallOutcome>;
 }
 
-/** Serves the operations of the slots that this front owns, and requests without a key. */
+/** Runs the operations of the slots that this front owns, and requests without a key. */
 export class Calls {
   private readonly running = new Map<string, RunningOperation>();
   private callCount = 0;
 
   constructor(private readonly owner: OwnerServices) {}
 
-  /** Runs a call of the product's own interface; an acting one needs a key. */
+  /** Runs a call of the product's own interface; a route with side effects (`acting`) requires a key. */
   async runCall(request: CallRequest, signal: AbortSignal): Promise<CallOutcome> {
     const { config } = this.owner.requireLease();
     const route = this.owner.findRoute('call', request.path);
@@ -84,7 +85,7 @@
     return request.key === '' ? this.runWithoutKey(operation, signal) : this.runOnce(operation);
   }
 
-  /** Runs a request of a pass route. Rejects with an `OwnershipError` where the route or the slot is not served here. */
+  /** Runs a request of a pass route. Rejects with an `OwnershipError` if this front lacks the route or the slot. */
   async runPass(request: PassRequest, signal: AbortSignal): Promise<CallOutcome> {
     this.owner.requireLease();
     const path = passRoutePath(request);
@@ -139,19 +140,19 @@
     const replicator = this.owner.replicator(key);
     const running = this.running.get(key);
     if (running) return this.join(operation, running);
-    // A record that does not parse counts as absent: the key would be sent again (docs/gaps.md, "Decisions to take").
-    const old = OpValue.safeParse(replicator.get(key));
-    const mayHaveRun = old.success && old.data.status !== 'void';
+    // A record that does not parse counts as absent: the operation is sent again (docs/gaps.md, "Decisions to take").
+    const existing = OpValue.safeParse(replicator.get(key));
+    const mayHaveRun = existing.success && existing.data.status !== 'void';
     if (mayHaveRun) {
-      const outcome = this.outcomeOfRecord(operation, old.data);
+      const outcome = this.outcomeOfRecord(operation, existing.data);
       if (outcome) return outcome;
     }
-    // It outlives its caller: what was begun for a key has to be known.
+    // Not aborted when the caller disconnects: the outcome of a keyed operation that has begun must be recorded.
     const outcome = this.run(operation, { replicator, mayHaveRun }, neverAborted());
     this.running.set(key, { digest, outcome });
-    const leave = replicator.beginRequest();
+    const endRequest = replicator.beginRequest();
     return outcome.finally(() => {
-      leave();
+      endRequest();
       this.running.delete(key);
     });
   }
@@ -160,13 +161,13 @@
     if (running.digest !== operation.digest) return otherBody();
     const { clock } = this.owner;
     const remainingMs = operation.deadline - clock.now();
-    const late = (): Error => new UnavailableError('running', inProgress);
-    return withTimeout(clock, remainingMs, running.outcome, late).catch(() =>
+    const timeoutError = (): Error => new UnavailableError('running', inProgress);
+    return withTimeout(clock, remainingMs, running.outcome, timeoutError).catch(() =>
       refused(status.conflict, 'running', inProgress, retryAfterSeconds.otherAttempt),
     );
   }
 
-  /** What the record of an operation that may have run answers; undefined where it may be sent again. */
+  /** The outcome of a repeated operation according to its record; undefined if the operation may be sent again. */
   private outcomeOfRecord(operation: Operation, record: OpValue): CallOutcome | undefined {
     if (record.digest !== operation.digest) return otherBody();
     if (record.status === 'done') return done(record.body, record.code);
--- a/packages/session-owner/src/compiled-state.ts
+++ b/packages/session-owner/src/compiled-state.ts
@@ -1,4 +1,4 @@
-/** The committed state with what follows from its configuration; compiled anew only when the configuration changes. */
+/** The committed state with its compiled configuration and routes, recompiled only when the configuration changes. */
 import {
   compiledConfig,
   buildRouteTable,
@@ -7,19 +7,20 @@
   type State,
 } from '@tillerstair/state';
 
-/** A committed state, its configuration and the routes of that. */
+/** A committed state, its compiled configuration and that configuration's routes. */
 export interface CompiledState {
   readonly state: State;
-  /** Undefined before the first configuration change. */
+  /** Undefined before the first configuration is committed. */
   readonly config: Config | undefined;
   readonly routes: RouteTable;
 }
 
 const noRoutes: RouteTable = new Map();
 
-/** Compiles a state; `old` is taken over where the configuration is the same. */
-export const compileState = (state: State, old: CompiledState | undefined): CompiledState => {
-  if (old && old.state.config?.digest === state.config?.digest) return { ...old, state };
+/** Compiles a state; reuses the configuration and routes of `previous` if the configuration is unchanged. */
+export const compileState = (state: State, previous: CompiledState | undefined): CompiledState => {
+  if (previous && previous.state.config?.digest === state.config?.digest)
+    return { ...previous, state };
   const config = compiledConfig(state.config);
   return { state, config, routes: config ? buildRouteTable(config) : noRoutes };
 };
--- a/packages/session-owner/src/index.ts
+++ b/packages/session-owner/src/index.ts
@@ -1,4 +1,4 @@
-/** The session owner: runs the requests of the slots that the cluster state gives to a front. */
+/** The session owner: runs the requests of the slots that the cluster state assigns to a front. */
 export * from './admission-queue.js';
 export * from './backend.js';
 export * from './calls.js';
--- a/packages/session-owner/src/item-merge.ts
+++ b/packages/session-owner/src/item-merge.ts
@@ -1,9 +1,11 @@
-/** Merging of what replicas stored when they were fenced (docs/design.md, "Slots, owners, ownership epochs"). */
+/**
+ * Merging of the items that replicas stored when they were fenced (docs/design.md, "Slots, owners, ownership epochs").
+ */
 import { isNewerItem, isSameItem, type Item } from '@tillerstair/state';
 
 type ItemsByKey = ReadonlyMap<string, Item>;
 
-/** The newest item of each key by ownership epoch and sequence, among `known` and what the replicas store. */
+/** The newest item of each key, by ownership epoch and sequence number, among `known` and the items of the replicas. */
 export const mergeItems = (
   known: Iterable<readonly [string, Item]>,
   replicas: Iterable<ItemsByKey>,
@@ -22,7 +24,9 @@
   return stored !== undefined && isSameItem(stored, item);
 };
 
-/** The merged items that fewer than a quorum of the fenced replicas store: nobody knows whether they counted. */
+/**
+ * The merged items that fewer than a quorum of the fenced replicas store: whether their writes took effect is unknown.
+ */
 export const itemsBelowQuorum = (
   merged: ItemsByKey,
   replicas: readonly ItemsByKey[],
--- a/packages/session-owner/src/outcomes.ts
+++ b/packages/session-owner/src/outcomes.ts
@@ -1,4 +1,4 @@
-/** Makes the outcomes of requests. */
+/** Constructors of request outcomes. */
 import { OwnershipError, type RpcError } from '@tillerstair/wire';
 import type { CallOutcome } from './messages.js';
 
@@ -9,14 +9,14 @@
 const millisecondsPerSecond = 1000;
 const routeRetryAfterMs = 300;
 
-/** It ran, and this is its result. */
+/** The outcome of a request that ran; `body` is its result. */
 export const done = (body: unknown, status = ok): CallOutcome => ({
   outcome: 'done',
   status,
   body,
 });
 
-/** It did not run and never will on account of this request; `retryAfter` is in seconds. */
+/** The outcome of a request that did not run and will not run later; `retryAfter` is in seconds. */
 export const refused = (
   status: number,
   errorCode: string,
@@ -30,7 +30,7 @@
   ...(retryAfter === undefined ? {} : { retryAfter }),
 });
 
-/** It may have run. */
+/** The outcome of a request that may have run. */
 export const unknown = (text: string, errorCode = 'unknown'): CallOutcome => ({
   outcome: 'unknown',
   status: gatewayTimeout,
@@ -38,7 +38,7 @@
   text,
 });
 
-/** The outcome of a request that failed: refused if the error says that it was not executed, else unknown. */
+/** The outcome of a request that failed: `refused` if the error guarantees that it was not executed, else `unknown`. */
 export const outcomeOfError = (error: RpcError): CallOutcome =>
   error.executed === 'no'
     ? refused(
@@ -49,7 +49,10 @@
       )
     : unknown(error.message, error.code);
 
-/** The front that took a request knows its route, but this one does not, or not any more: which of them is behind is not known. */
+/**
+ * The error of a forwarded request whose route this front does not have. The forwarding front does have it: either of
+ * the two may have the older configuration, so that the request is to be retried.
+ */
 export const routeUnknown = (path: string): RpcError =>
   new OwnershipError(
     'route-unknown',
--- a/packages/session-owner/src/owned-slots.ts
+++ b/packages/session-owner/src/owned-slots.ts
@@ -1,71 +1,76 @@
 /**
- * The slots that this front owns, each with the replicator that has its values.
+ * The slots that this front owns, each with the replicator that keeps its items in memory.
  *
- * Owns the replicators. One belongs to one unbroken ownership (`ownedSinceEpoch`): a slot that was another front's
- * meanwhile begins again with what its replicas have.
+ * A replicator belongs to one unbroken ownership (`ownedSinceEpoch`). A slot that another front owned meanwhile gets a
+ * new replicator, which reads its items from the replicas.
  */
 import type { Slot } from '@tillerstair/state';
 import { OwnershipError } from '@tillerstair/wire';
 import { SlotReplicator } from './slot-replicator.js';
 
-/** Makes the replicator of a slot for one ownership. */
-export type CreateReplicator = (slot: number, ownedSinceEpoch: number) => SlotReplicator;
+/** Creates the replicator of a slot for the ownership that began at `ownedSinceEpoch`. */
+export type CreateReplicator = (slotNumber: number, ownedSinceEpoch: number) => SlotReplicator;
 
-/** The slots that this front owns. */
+/** The replicators of the slots that this front owns, by slot number. */
 export class OwnedSlots {
   private readonly replicators = new Map<number, SlotReplicator>();
-  private closing = false;
+  private hasStoppedAccepting = false;
 
   constructor(
     private readonly id: string,
     private readonly createReplicator: CreateReplicator,
   ) {}
 
-  /** How many slots are owned. */
+  /** Number of owned slots. */
   get count(): number {
     return this.replicators.size;
   }
 
-  /** How many values they have in memory. */
+  /** Number of items in memory over all owned slots. */
   get itemCount(): number {
     let items = 0;
     for (const replicator of this.replicators.values()) items += replicator.size;
     return items;
   }
 
-  /** Follows a newer state: takes over the slots that it gives this front, and lets the others go. */
+  /**
+   * Applies the slots of a newer state: takes over those assigned to this front and closes those assigned elsewhere.
+   */
   apply(slots: readonly Slot[]): void {
-    slots.forEach((slot, n) => {
-      const old = this.replicators.get(n);
+    slots.forEach((slot, slotNumber) => {
+      const existing = this.replicators.get(slotNumber);
       if (slot.owner === this.id) {
-        const same = old?.ownedSinceEpoch === slot.ownedSinceEpoch ? old : undefined;
-        if (old && !same) old.close();
-        (same ?? this.create(n, slot.ownedSinceEpoch)).apply(slot);
-      } else if (old) {
-        old.close();
-        this.replicators.delete(n);
+        const reusable = existing?.ownedSinceEpoch === slot.ownedSinceEpoch ? existing : undefined;
+        if (existing && !reusable) existing.close();
+        (reusable ?? this.create(slotNumber, slot.ownedSinceEpoch)).apply(slot);
+      } else if (existing) {
+        existing.close();
+        this.replicators.delete(slotNumber);
       }
     });
   }
 
-  /** The replicator of a slot. Throws an `OwnershipError` unless the slot is owned, open and taking requests. */
-  replicator(n: number): SlotReplicator {
-    const replicator = this.replicators.get(n);
-    if (!replicator) throw new OwnershipError('not-owner', `slot ${n} has another owner`);
-    if (this.closing || !replicator.isAccepting)
-      throw new OwnershipError('taking-over', `slot ${n} is being taken over`);
+  /** The replicator of a slot. Throws an `OwnershipError` unless the slot is owned, open and accepting requests. */
+  replicator(slotNumber: number): SlotReplicator {
+    const replicator = this.replicators.get(slotNumber);
+    if (!replicator) throw new OwnershipError('not-owner', `slot ${slotNumber} has another owner`);
+    if (this.hasStoppedAccepting || !replicator.isAccepting)
+      throw new OwnershipError('taking-over', `slot ${slotNumber} is being taken over`);
     return replicator;
   }
 
   /**
-   * Takes no further requests; those in progress go on. A slot that always has a request in progress would otherwise
-   * never be released, and its last ones would end with the process.
+   * Rejects new requests; those in flight continue. Otherwise a slot that always has a request in flight would never be
+   * released, and its last requests would be lost when the process exits.
    */
   stopAccepting(): void {
-    this.closing = true;
+    this.hasStoppedAccepting = true;
   }
 
-  /** Slots, with their ownership epochs, that have no request in progress and can go to their transfer target. */
+  /**
+   * Releases each open slot that has a transfer target and no request in flight; returns the released slots' numbers
+   * and ownership epochs.
+   */
   releaseIdleSlots(): readonly (readonly [number, number])[] {
     return [...this.replicators.values()].flatMap((replicator) => {
       const released = replicator.tryRelease();
@@ -73,14 +78,14 @@
     });
   }
 
-  /** Forgets values that nobody has asked for within their retention time. */
+  /** Drops the items whose retention has passed since the last write to their group. */
   expire(): void {
     for (const replicator of this.replicators.values()) replicator.expire();
   }
 
-  private create(n: number, ownedSinceEpoch: number): SlotReplicator {
-    const replicator = this.createReplicator(n, ownedSinceEpoch);
-    this.replicators.set(n, replicator);
+  private create(slotNumber: number, ownedSinceEpoch: number): SlotReplicator {
+    const replicator = this.createReplicator(slotNumber, ownedSinceEpoch);
+    this.replicators.set(slotNumber, replicator);
     return replicator;
   }
 }
--- a/packages/session-owner/src/pending-reservations.ts
+++ b/packages/session-owner/src/pending-reservations.ts
@@ -1,13 +1,13 @@
-/** Tokens that are being reserved: counted against a budget from the decision until replicas have the reservation. */
+/** Tokens of reservations in progress: they count against a budget until the replicas have stored the reservation. */
 export class PendingReservations {
   private readonly tokens = new Map<string, number>();
 
-  /** Tokens of reservations of this root program that are being written. */
+  /** Tokens of this root program's reservations that are being written. */
   of(rootProgram: string): number {
     return this.tokens.get(rootProgram) ?? 0;
   }
 
-  /** Counts `tokens` while `write` runs. */
+  /** Counts `tokens` as pending until `write` settles; rejects as `write` does. */
   async during(rootProgram: string, tokens: number, write: () => Promise<void>): Promise<void> {
     this.add(rootProgram, tokens);
     try {
--- a/packages/session-owner/src/quorum-request.ts
+++ b/packages/session-owner/src/quorum-request.ts
@@ -1,17 +1,17 @@
 /**
- * A request to as few replicas as a quorum needs, and to further ones only where a response fails or is late
- * (hedged requests). It keeps no state beyond one request.
+ * A request to as many replicas as a quorum needs, and to further replicas only when a request fails or its response is
+ * late (hedged requests). It keeps no state beyond one request.
  */
 import { delay, type Clock } from '@tillerstair/wire';
 
 /** One request to several replicas that ends once a quorum of them has responded. */
 export interface QuorumRequest<Response> {
   readonly clock: Clock;
-  /** The replicas to ask, the preferred ones first. */
+  /** The replicas that may be asked, in order of preference. */
   readonly replicas: readonly string[];
-  /** So many responses are enough. */
+  /** Number of responses that ends the request. */
   readonly quorum: number;
-  /** After so many ms without a quorum one more replica is asked, and so on. */
+  /** Interval at which one more replica is asked while there is no quorum, in ms. */
   readonly hedgeAfterMs: number;
   /** Sends the request to one replica; a rejection counts as no response. */
   readonly send: (replica: string) => Promise<Response>;
@@ -77,8 +77,8 @@
 }
 
 /**
- * Resolves with the responses so far, by replica, once a quorum has responded or nobody is left to ask. It never
- * rejects, and may resolve with fewer than a quorum: the caller compares.
+ * Resolves with the responses so far, by replica, once a quorum has responded or every replica was asked and none is
+ * pending. It never rejects, and may resolve with fewer responses than a quorum: the caller has to compare.
  */
 export const requestQuorum = <Response>(
   request: QuorumRequest<Response>,
--- a/packages/session-owner/src/quorum-write.ts
+++ b/packages/session-owner/src/quorum-write.ts
@@ -1,23 +1,23 @@
 /**
- * One write to all replicas of a slot. It counts once a quorum has synced it, while a replica joins a quorum both of
- * the replicas before and of those after (docs/design.md, "Changing a replica"). Replicas that missed a write which
- * others synced are helped by a hint on one of these.
+ * One write to all replicas of a slot. It takes effect once a quorum has synced it; while a replica joins, a quorum of
+ * the replicas before the join and a quorum of those after it (docs/design.md, "Changing a replica"). For each replica
+ * that missed the write, a replica that synced it stores a hint.
  */
 import { replicasAfterJoin, replicasToWrite, type Item, type Slot } from '@tillerstair/state';
 import { toRpcError, UnavailableError, type Logger } from '@tillerstair/wire';
 import type { ReplicaClient } from './replica-client.js';
 
-/** What a `QuorumWrite` needs. */
+/** Dependencies and callbacks of a `QuorumWrite`. */
 export interface QuorumWriteOptions {
   readonly client: ReplicaClient;
   readonly log: Logger;
-  /** Replicas of each group that have to sync the write; read anew at each response. */
+  /** Number of replicas of each group that must sync the write; read again at each response. */
   readonly quorum: () => number;
-  /** A replica refused the write since it was fenced at a higher ownership epoch. */
+  /** Called when a replica rejects the write because it is fenced at a higher ownership epoch. */
   readonly onStaleEpoch: () => void;
 }
 
-/** One write of some items, under the ownership epoch that the slot had when it was made. */
+/** One write of some items, under the ownership epoch that the slot had when the write was created. */
 export class QuorumWrite {
   private readonly targets: readonly string[];
   private readonly groups: readonly (readonly string[])[];
@@ -36,8 +36,9 @@
   }
 
   /**
-   * Sends the write; called once. Resolves when it counts. Rejects when all replicas have responded and it does not:
-   * some of them may have it, and it may still count after the next fence.
+   * Sends the write; called once. Resolves once the write has taken effect. Rejects with an `UnavailableError` when
+   * every replica has responded or failed without a quorum: some of them may have stored the write, which may then take
+   * effect at the next fence.
    */
   send(): Promise<void> {
     const { client, onStaleEpoch } = this.options;
@@ -61,7 +62,7 @@
     });
   }
 
-  /** Acknowledgements in the group that has the fewest. */
+  /** Acknowledgements in the group with the fewest. */
   private acknowledgements(): number {
     return Math.min(
       ...this.groups.map((group) => group.filter((id) => this.synced.includes(id)).length),
@@ -77,13 +78,15 @@
       reject(
         new UnavailableError(
           'unavailable',
-          `${this.synced.length} of ${this.targets.length} replicas synced`,
+          `${this.synced.length} of ${this.targets.length} replicas synced the write`,
         ),
       );
     for (const replica of this.missed) void this.storeHint(replica);
   }
 
-  /** The first replica that can stores the hint; where none can, the missed write waits for the next fence. */
+  /**
+   * Offers the hint to each replica that synced the write until one stores it; if none does, the next fence repairs it.
+   */
   private async storeHint(missedBy: string): Promise<void> {
     for (const replica of this.synced) {
       try {
--- a/packages/session-owner/src/refusals.ts
+++ b/packages/session-owner/src/refusals.ts
@@ -1,4 +1,4 @@
-/** Refusals that several interfaces give, with the retry hints of each; a hint is in seconds. */
+/** Refusals that several interfaces share, with their retry hints in seconds. */
 import type { CallOutcome } from './messages.js';
 import { refused } from './outcomes.js';
 
@@ -12,39 +12,39 @@
   unavailable: 503,
 } as const;
 
-/** Retry hints in seconds, by what the caller has to wait for. */
+/** Retry hints in seconds, by the condition that the caller has to wait for. */
 export const retryAfterSeconds = {
-  /** Another attempt that is likely to end soon. */
+  /** The end of another attempt, likely soon. */
   otherAttempt: 0.2,
-  /** A server that becomes free, or a store that can tell. */
+  /** A free server, or a response from a store. */
   capacity: 0.3,
-  /** A lease, a quorum or a running turn. */
+  /** A lease, a quorum, or the end of a running turn. */
   recovery: 1,
-  /** A server for a turn, which may take longer. */
+  /** A free server for a turn, which may take longer. */
   turnCapacity: 2,
 } as const;
 
-/** The budget does not cover what would have to be reserved. */
+/** Refusal of a turn whose reservation the program's budget does not cover. */
 export const budgetSpent = (): CallOutcome =>
-  refused(status.budgetSpent, 'budget-spent', 'the budget is spent');
+  refused(status.budgetSpent, 'budget-spent', 'the token budget of the program is spent');
 
-/** The caller was gone before anything was sent. */
+/** Refusal of a request whose caller disconnected before the request was sent to a server. */
 export const callerDisconnected = (text: string): CallOutcome =>
   refused(status.unavailable, 'gone', text, retryAfterSeconds.recovery);
 
-/** The read lease ran out before anything was sent. */
+/** Refusal of a request for which the read lease expired before the request was sent to a server. */
 export const leaseExpired = (text: string): CallOutcome =>
   refused(status.unavailable, 'not-ready', text, retryAfterSeconds.recovery);
 
-/** It exists perhaps, but too few replicas can tell. */
-export const unreadable = (what: string): CallOutcome =>
+/** Refusal because too few replicas responded to tell whether `subject` exists. */
+export const unreadable = (subject: string): CallOutcome =>
   refused(
     status.unavailable,
     'unavailable',
-    `${what} cannot be read just now`,
+    `${subject} cannot be read just now`,
     retryAfterSeconds.recovery,
   );
 
-/** No server was free before the time for it was over; `retryAfter` is in seconds. */
+/** Refusal of a request that got no server before its placement deadline; `retryAfter` is in seconds. */
 export const noServerInTime = (retryAfter: number): CallOutcome =>
   refused(status.unavailable, 'queue-timeout', 'no server came free in time', retryAfter);
--- a/packages/session-owner/src/replica-client.ts
+++ b/packages/session-owner/src/replica-client.ts
@@ -1,20 +1,20 @@
-/** Requests of a slot's owner to the replicas of that slot, which are on stores. It keeps no state. */
+/** Requests from a slot's owner to the slot's replicas, which are on stores. It keeps no state. */
 import { fetchPages, type Item, ReadResponse } from '@tillerstair/state';
 import { ReplicaError, type Transport } from '@tillerstair/wire';
 import type { CompiledState } from './compiled-state.js';
 
-/** What a `ReplicaClient` needs. */
+/** Dependencies and time limits of a `ReplicaClient`. */
 export interface ReplicaClientOptions {
   readonly transport: Transport;
-  /** The committed state as this front applied it, which says at what address a store is. */
+  /** The newest state that this front applied, which has the stores' addresses; undefined before the first. */
   readonly compiledState: () => CompiledState | undefined;
-  /** Each request is given up after so many ms. */
+  /** Timeout of each request, in ms. */
   readonly timeoutMs: number;
 }
 
 /**
- * Sends the requests about one slot. Each rejects with an `RpcError`: `away` for a replica whose store is not in the
- * cluster state, `stale-epoch` from a replica that was fenced at a higher ownership epoch.
+ * Sends requests about one slot to its replicas. Each rejects with an `RpcError`: `away` for a replica whose store is
+ * not in the cluster state, `stale-epoch` from a replica that is fenced at a higher ownership epoch.
  */
 export class ReplicaClient {
   private readonly transport: Transport;
@@ -38,7 +38,7 @@
     return items;
   }
 
-  /** Fences the replica at the ownership epoch and fetches the page of its items that follows a key. */
+  /** Fences the replica at the ownership epoch and fetches the page of its items that follows the key `after`. */
   fencePage(replica: string, ownershipEpoch: number, after: string): Promise<unknown> {
     return this.request(replica, 'store/fence', { slot: this.slotNumber, ownershipEpoch, after });
   }
@@ -48,12 +48,12 @@
     return this.request(replica, 'store/put', { slot: this.slotNumber, ownershipEpoch, items });
   }
 
-  /** Resolves when the replica has stored the items on behalf of another one, `missedBy`, which did not get them. */
+  /** Resolves when the replica has stored the items as a hint for `missedBy`, the replica that missed their write. */
   storeHint(replica: string, missedBy: string, items: readonly Item[]): Promise<unknown> {
     return this.request(replica, 'store/hint', { to: missedBy, slot: this.slotNumber, items });
   }
 
-  /** The item that the replica stores at a key, or null. */
+  /** Reads the item that the replica stores under a key; null if it has none. */
   async read(replica: string, ownershipEpoch: number, key: string): Promise<Item | null> {
     const body = { slot: this.slotNumber, ownershipEpoch, key };
     return ReadResponse.parse(await this.request(replica, 'store/read', body)).item;
@@ -62,7 +62,9 @@
   private request(replica: string, kind: string, body: unknown): Promise<unknown> {
     const member = this.compiledState()?.state.nodes.get(replica);
     if (!member)
-      return Promise.reject(new ReplicaError('away', `replica ${replica} is unavailable`));
+      return Promise.reject(
+        new ReplicaError('away', `replica ${replica} is not in the cluster state`),
+      );
     return this.transport.call(member.addr, kind, body, { timeoutMs: this.timeoutMs });
   }
 }
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -1,9 +1,9 @@
 /**
- * The session owner of a front: runs the requests of the slots that the cluster state gives it.
+ * The session owner of a front: runs the requests of the slots that the cluster state assigns to this front.
  *
- * Owns the newest committed state, the read lease, and who watches which front; its parts own the slots, the queues and
- * the running requests. It serves only while the lease is valid, so that a front that is cut off stops before another
- * one takes its slots over (`docs/design.md`, "Freshness and the read lease").
+ * Holds the newest committed state, the read lease and the watches on other fronts; its components hold the slots, the
+ * admission queues and the requests in flight. It serves only while the lease is valid, so that a partitioned front
+ * stops serving before another front takes over its slots (`docs/design.md`, "Freshness and the read lease").
  */
 import {
   slotForKey,
@@ -36,20 +36,21 @@
 
 /** Time limits of a session owner, in ms. */
 export interface SessionOwnerBounds {
+  /** Interval of heartbeats; intervals of retries and maintenance derive from it. */
   readonly heartbeatInterval: number;
-  /** How long a replica may take for a write. */
+  /** Timeout of one request to a replica. */
   readonly putTimeoutMs: number;
-  /** How long after its last renewal the read lease is valid. */
+  /** How long the read lease stays valid after its last renewal. */
   readonly readLease: number;
-  /** The interval at which servers are asked for their load; 0 where they report it themselves. */
+  /** Interval between polls of the servers' load; 0 disables polling, for servers that report their load themselves. */
   readonly pollIntervalMs: number;
-  /** How long values stay in memory after their last use. */
+  /** How long stores retain values after the last write to their group; see `SlotReplicatorOptions.retentionMs`. */
   readonly retentionMs: number;
-  /** How long a front that is told to stop may take. */
+  /** Time limit of a front's graceful shutdown. */
   readonly stopWithin: number;
 }
 
-/** What a session owner is made from. */
+/** Identity, dependencies and time limits of a `SessionOwner`. */
 export interface SessionOwnerOptions {
   /** The front's id in the cluster state. */
   readonly id: string;
@@ -58,36 +59,37 @@
   readonly backend: Backend;
   readonly bounds: SessionOwnerBounds;
   readonly log: Logger;
-  /** Whether servers are chosen by what their prefix cache has. */
+  /** Whether placement prefers servers whose prefix cache holds parts of the prompt. */
   readonly affinity: boolean;
 }
 
+/** One caller's interest in another front: `lost` is aborted when the front leaves the cluster state. */
 interface Watch {
   readonly front: string;
   readonly lost: AbortController;
 }
 
-/** Whether requests can be served, and why not. */
+/** Whether requests can be served; `why` is the reason if not, and "serving" otherwise. */
 export interface Readiness {
   readonly ready: boolean;
   readonly why: string;
 }
 
-/** How much an owner has to do and to remember. */
+/** Load of an owner: slots owned, items in memory and requests in the admission queues. */
 export interface OwnerSizes {
   readonly slots: number;
   readonly items: number;
   readonly waiting: number;
 }
 
-/** Requests at one server at once, before there is a configuration. */
-const defaultPerServer = 16;
-/** What a server said of itself counts for this share of the read lease. */
-const sightShare = 4 / 5;
+/** Limit of requests in flight at one server while there is no configuration. */
+const defaultMaxInFlightPerServer = 16;
+/** A server's response to a poll stays valid for this share of the read lease. */
+const pollValidityShareOfLease = 4 / 5;
 
 const isConfigured = (state: CompiledState): state is ConfiguredState => state.config !== undefined;
 
-/** Runs the requests of the slots that the cluster state gives to this front. */
+/** Runs the requests of the slots that the cluster state assigns to this front. */
 export class SessionOwner implements OwnerServices {
   readonly clock: Clock;
   readonly backend: Backend;
@@ -122,11 +124,12 @@
         pollIntervalMs: bounds.pollIntervalMs,
         pollTimeoutMs: bounds.pollIntervalMs,
         retryUnhealthyAfterMs: bounds.heartbeatInterval,
-        pollValidForMs: bounds.readLease * sightShare,
+        pollValidForMs: bounds.readLease * pollValidityShareOfLease,
         reportedLoadValidForMs: bounds.heartbeatInterval / 2,
       },
       table: compiledState,
-      maxInFlightPerServer: () => this.compiledState?.config?.bounds.perServer ?? defaultPerServer,
+      maxInFlightPerServer: () =>
+        this.compiledState?.config?.bounds.perServer ?? defaultMaxInFlightPerServer,
       frontId: id,
     });
     const leaseValid = (): boolean => this.leaseValid;
@@ -136,10 +139,10 @@
       table: compiledState,
       leaseValid,
     });
-    this.slots = new OwnedSlots(id, (n, ownedSinceEpoch) => {
-      // Read anew for each replicator: the bounds follow the settings file.
+    this.slots = new OwnedSlots(id, (slotNumber, ownedSinceEpoch) => {
+      // Read again for each replicator: a reload of the settings changes the bounds.
       const { putTimeoutMs, heartbeatInterval, retentionMs } = bounds;
-      return new SlotReplicator(n, ownedSinceEpoch, {
+      return new SlotReplicator(slotNumber, ownedSinceEpoch, {
         clock,
         transport,
         log,
@@ -154,12 +157,12 @@
     this.calls = new Calls(this);
   }
 
-  /** Begins to look after servers, queues and old values; ends with `stop`. */
+  /** Starts the maintenance loop: polls servers, reviews the queues and drops expired values until `stop`. */
   start(): void {
     void this.maintain();
   }
 
-  /** Ends what `start` began. */
+  /** Ends the maintenance loop that `start` began. */
   stop(): void {
     this.stopping.abort();
   }
@@ -172,17 +175,17 @@
     return !this.leaseGivenUp && this.clock.now() - this.leaseRenewedAt < this.bounds.readLease;
   }
 
-  /** Whether any slot is owned. */
+  /** Whether this front owns any slot. */
   get ownsSlots(): boolean {
     return this.slots.count > 0;
   }
 
-  /** How many requests wait for a server. */
+  /** Number of requests that wait for a server. */
   get waiting(): number {
     return this.dispatch.waiting;
   }
 
-  /** Follows a newer committed state. */
+  /** Applies a newly committed state: its configuration, servers, fronts and slots. */
   applyState(state: State): void {
     this.compiledState = compileState(state, this.compiledState);
     void this.placement.poll(true).then(() => this.dispatch.admit());
@@ -191,22 +194,22 @@
     this.dispatch.admit();
   }
 
-  /** Renews the read lease as of a time on this clock, in ms; an older one changes nothing. */
+  /** Renews the read lease as of `at`, in ms on this owner's clock; a time before the last renewal changes nothing. */
   renewLease(at: number): void {
     this.leaseRenewedAt = Math.max(this.leaseRenewedAt, at);
   }
 
-  /** Gives the read lease up for good: nothing begins to be served any more, whatever is renewed later. */
+  /** Gives up the read lease permanently: later renewals have no effect, and no further request is served. */
   releaseLease(): void {
     this.leaseGivenUp = true;
   }
 
-  /** Whether the lease was given up. */
+  /** Whether `releaseLease` was called. */
   get leaseReleased(): boolean {
     return this.leaseGivenUp;
   }
 
-  /** Replaces the servers that get nothing until they are listed anew. */
+  /** Replaces the set of barred servers, by id: they get no requests until they are listed again. */
   barServers(ids: ReadonlySet<string>): void {
     this.placement.setBarred(ids);
   }
@@ -229,12 +232,12 @@
     return slotForKey(key, this.requireState().slots.length);
   }
 
-  /** The id of the front that owns a slot; empty where there is none. */
+  /** The id of the front that owns a slot; empty if the slot has no owner or no state is known. */
   ownerOf(slot: number): string {
     return this.compiledState?.state.slots[slot]?.owner ?? '';
   }
 
-  /** Takes no further requests into its slots; those in progress go on. */
+  /** Rejects new requests for its slots; requests in flight continue. */
   stopAccepting(): void {
     this.slots.stopAccepting();
   }
@@ -256,7 +259,7 @@
     return findFinishedTurn({ transport, state, timeoutMs: bounds.putTimeoutMs }, attempt);
   }
 
-  /** Slots, with their ownership epochs, that can go to their transfer target. */
+  /** Releases the slots that are to move and have no request in flight; returns their numbers and ownership epochs. */
   releaseIdleSlots(): readonly (readonly [number, number])[] {
     return this.slots.releaseIdleSlots();
   }
@@ -281,7 +284,7 @@
     this.placement.recordReportedLoad(server, load);
   }
 
-  /** How much there is to do and to remember. */
+  /** The numbers of owned slots, items in memory and waiting requests. */
   sizes(): OwnerSizes {
     const { count, itemCount } = this.slots;
     return { slots: count, items: itemCount, waiting: this.waiting };
--- a/packages/session-owner/src/slot-fencing.ts
+++ b/packages/session-owner/src/slot-fencing.ts
@@ -1,6 +1,7 @@
 /**
- * Fencing of a slot's replicas at an ownership epoch: from then on they refuse puts of lower epochs, and hand over what
- * they store (docs/design.md, "Slots, owners, ownership epochs"). It keeps no state.
+ * Fencing of a slot's replicas at an ownership epoch: a fenced replica rejects puts of lower epochs, and its response
+ * to the fence contains the items that it stores (docs/design.md, "Slots, owners, ownership epochs"). It keeps no
+ * state.
  */
 import type { Item, Slot } from '@tillerstair/state';
 import { toTimerMs, UnavailableError, type Clock } from '@tillerstair/wire';
@@ -8,19 +9,21 @@
 import type { ReplicaClient } from './replica-client.js';
 import type { CompiledState } from './compiled-state.js';
 
-/** A further replica is asked once this share of a request's timeout has passed without a quorum. */
+/** Share of a request's timeout after which a fence without a quorum is sent to one more replica. */
 const hedgeAfterShareOfTimeout = 1 / 3;
 
-/** What replicas stored when they were fenced: items by key, by replica. */
+/** The items that replicas stored when they were fenced: by replica, then by key. */
 export type FencedReplicas = ReadonlyMap<string, ReadonlyMap<string, Item>>;
 
-/** What a `SlotFencing` needs. */
+/** Dependencies and time limits of a `SlotFencing`. */
 export interface SlotFencingOptions {
   readonly clock: Clock;
   readonly client: ReplicaClient;
+  /** The newest state that this front applied; undefined before the first. */
   readonly compiledState: () => CompiledState | undefined;
-  /** Replicas that have to be fenced; read anew when it is compared. */
+  /** Number of replicas that must be fenced; read again at each comparison. */
   readonly quorum: () => number;
+  /** Timeout of one request to a replica, in ms. */
   readonly requestTimeoutMs: number;
 }
 
@@ -44,8 +47,8 @@
   }
 
   /**
-   * Fences a quorum of the slot's replicas at its ownership epoch. Any other quorum shares a replica with it, so every
-   * write that counted under a lower epoch is among the items, and none can count afterwards.
+   * Fences a quorum of the slot's replicas at its ownership epoch. Every other quorum shares a replica with it, so
+   * the items include each write that took effect under a lower epoch, and no such write can take effect afterwards.
    *
    * @throws UnavailableError `unavailable` if fewer than a quorum responded
    */
@@ -60,14 +63,14 @@
     if (fenced.size < this.quorum())
       throw new UnavailableError(
         'unavailable',
-        `${fenced.size} of ${slot.replicas.length} replicas fenced`,
+        `${fenced.size} of ${slot.replicas.length} replicas of slot ${this.slotNumber} fenced`,
       );
     return fenced;
   }
 
   /**
-   * Fences the replicas that were not needed to open the slot too, without waiting: a joining replica may pull from
-   * any of them. One that fails is fenced by the next put.
+   * Also fences the replicas that were not needed to open the slot, without waiting for them: a joining replica may
+   * pull from any of them. A replica whose fence fails is fenced by the next put.
    */
   fenceOthers(slot: Slot, fenced: FencedReplicas): void {
     for (const replica of slot.replicas)
@@ -75,7 +78,7 @@
         this.client.fencePage(replica, slot.ownershipEpoch, '').catch(() => undefined);
   }
 
-  /** Each slot begins with another replica, so that slots opened together spread their reads. */
+  /** Live replicas before others; the first one varies by slot, so that slots opened together spread their reads. */
   private liveReplicasFirst(replicas: readonly string[]): readonly string[] {
     const nodes = this.compiledState()?.state.nodes;
     const start = replicas.length === 0 ? 0 : this.slotNumber % replicas.length;
--- a/packages/session-owner/src/slot-items.ts
+++ b/packages/session-owner/src/slot-items.ts
@@ -1,17 +1,18 @@
 /**
- * The items of one open slot in its owner's memory, with what is derived from them: the turns of each program and the
- * tokens that a program and its sub-agents have spent. Only writes that counted are in it.
+ * The items of one open slot in its owner's memory, with two indexes derived from them: the turns of each program and
+ * the tokens that a program and its sub-agents have spent. Only writes that reached a quorum are included.
  */
 import { recordGroup, rootProgramId, type Item } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import { TurnCost } from './stored-values.js';
 
+/** The cost of a stored turn in tokens; 0 for a value without a cost. */
 const turnCost = (value: unknown): number => {
   const turn = TurnCost.safeParse(value);
   return turn.success ? turn.data.cost : 0;
 };
 
-/** The program whose turn a key names, or undefined for the key of something else. */
+/** The program of a turn's key; undefined for the key of any other item. */
 const programOfTurn = (key: string): string | undefined => {
   const [kind, program = '', part] = key.split('/');
   return kind === 'p' && part === 't' ? program : undefined;
@@ -51,7 +52,7 @@
     return this.turnKeysByProgram.get(program) ?? [];
   }
 
-  /** Puts an item in place of the one at its key, whatever that one's sequence is. */
+  /** Stores an item under its key, replacing an earlier one whatever its sequence number. */
   set(item: Item): void {
     const program = programOfTurn(item.key);
     if (program !== undefined) this.countTurn(program, item);
@@ -67,15 +68,15 @@
     this.lastWriteByGroup = new Map();
   }
 
-  /** Drops all items and takes these. */
+  /** Replaces all items by the given ones. */
   replaceWith(items: Iterable<Item>): void {
     this.clear();
     for (const item of items) this.set(item);
   }
 
   /**
-   * Drops the groups (a program with its sub-agents, or one operation key) to which nothing was written for longer than
-   * `retentionMs`, each complete, and returns how many.
+   * Drops each group (a program with its sub-agents, or one operation key) whose last write is more than `retentionMs`
+   * ago, with all its items, and returns the number of groups dropped.
    */
   expire(retentionMs: number): number {
     const now = this.clock.now();
--- a/packages/session-owner/src/slot-replicator.ts
+++ b/packages/session-owner/src/slot-replicator.ts
@@ -1,7 +1,8 @@
 /**
- * The replication of one slot at its owner. It owns the slot's ownership epoch as this front applied it, the epoch at
- * which the slot is open, the sequence of its writes and its items in memory. Invariant: items are read and written only
- * while the open epoch is the slot's (docs/design.md, "Slots, owners, ownership epochs").
+ * The replication of one slot at its owner. Holds the slot's ownership epoch as this front applied it, the epoch at
+ * which the slot is open, the sequence number of its writes and its items in memory. Invariant: items are read and
+ * written only while the open epoch equals the slot's ownership epoch (docs/design.md, "Slots, owners, ownership
+ * epochs").
  */
 import { splitIntoPages, turnRetentionLimitMs, type Item, type Slot } from '@tillerstair/state';
 import {
@@ -20,19 +21,21 @@
 import { SlotItems } from './slot-items.js';
 import type { CompiledState } from './compiled-state.js';
 
-/** A fence or a put that failed is tried again so often in a heartbeat interval. */
+/** Retries of a failed fence or put per heartbeat interval. */
 const retriesPerHeartbeat = 10;
-/** The owner drops items from memory before the stores drop them. */
+/** The share of the stores' retention for which the owner keeps items, so that it drops them before the stores do. */
 const memoryShareOfRetention = 0.9;
+/** The value of `openEpoch` while the slot is closed. */
 const notOpenEpoch = -1;
 
-/** What a `SlotReplicator` needs. */
+/** Dependencies and time limits of a `SlotReplicator`. */
 export interface SlotReplicatorOptions {
   readonly clock: Clock;
   readonly transport: Transport;
   readonly log: Logger;
+  /** The newest state that this front applied; undefined before the first. */
   readonly compiledState: () => CompiledState | undefined;
-  /** A request to a replica is given up after so many ms. */
+  /** Timeout of one request to a replica, in ms. */
   readonly putTimeoutMs: number;
   readonly heartbeatIntervalMs: number;
   /** How long stores retain items, in ms since the last write to their group. */
@@ -42,12 +45,12 @@
 /** A slot that its owner has released: its number and the ownership epoch until which it was served. */
 export type ReleasedSlot = readonly [slotNumber: number, ownershipEpoch: number];
 
-/** The owner's side of one slot, from the ownership epoch on since which it holds the slot without a break. */
+/** The owner's side of one slot for one continuous ownership, which began at `ownedSinceEpoch`. */
 export class SlotReplicator {
   private slot: Slot | undefined;
   private sequence = 0;
   private openEpoch = notOpenEpoch;
-  private runningJobs = 0;
+  private requestsInFlight = 0;
   private isReleased = false;
   private readonly clock: Clock;
   private readonly log: Logger;
@@ -84,12 +87,12 @@
     });
   }
 
-  /** Whether items may be read and written: a quorum is fenced at the slot's present ownership epoch. */
+  /** Whether items may be read and written: a quorum is fenced at the slot's current ownership epoch. */
   get isOpen(): boolean {
     return this.slot !== undefined && this.openEpoch === this.slot.ownershipEpoch;
   }
 
-  /** Whether new jobs may begin: the slot is open and has not been released to its next owner. */
+  /** Whether new requests may begin: the slot is open and has not been released to its next owner. */
   get isAccepting(): boolean {
     return this.isOpen && !this.isReleased;
   }
@@ -99,26 +102,26 @@
     return this.items.size;
   }
 
-  /** Replicas that must sync a write, or respond to a read; out of reach while no state is known. */
+  /** Replicas that must sync a write or respond to a read; infinite, hence unreachable, while no state is known. */
   private get quorum(): number {
     return this.compiledState()?.state.replication.quorum ?? Infinity;
   }
 
-  /** Counts a job in, which keeps the slot from being released; the returned function counts it out. */
+  /** Counts a request as in flight, which prevents the slot's release; the returned function ends the request. */
   beginRequest(): () => void {
-    this.runningJobs++;
+    this.requestsInFlight++;
     return () => {
-      this.runningJobs--;
+      this.requestsInFlight--;
     };
   }
 
   /**
-   * Releases the slot for a planned move if no job is inside; from then on no job begins. Undefined while it is not to
-   * move or has jobs inside (docs/design.md, "Planned moves").
+   * Releases the slot for a planned move if no request is in flight; from then on no request begins. Undefined while
+   * the slot has no transfer target, is not open or has requests in flight (docs/design.md, "Planned moves").
    */
   tryRelease(): ReleasedSlot | undefined {
     if (!this.slot || this.slot.transferTarget === '' || !this.isOpen) return undefined;
-    if (this.runningJobs === 0) this.isReleased = true;
+    if (this.requestsInFlight === 0) this.isReleased = true;
     return this.isReleased ? [this.slotNumber, this.slot.ownershipEpoch] : undefined;
   }
 
@@ -148,11 +151,11 @@
     void this.openWhenFenced(slot.ownershipEpoch);
   }
 
-  /** The ownership is lost: jobs that still run can read and write nothing any more ("Unbroken ownership"). */
+  /** Ends a lost ownership: requests still in flight can no longer read or write ("Unbroken ownership"). */
   close(): void {
-    if (this.runningJobs > 0)
+    if (this.requestsInFlight > 0)
       this.log.warn(
-        `Slot ${this.slotNumber} went to another owner while ${this.runningJobs} requests ran.`,
+        `Slot ${this.slotNumber} went to another owner while ${this.requestsInFlight} requests were in flight.`,
       );
     this.slot = undefined;
     this.openEpoch = notOpenEpoch;
@@ -162,17 +165,20 @@
   /**
    * Writes a value; resolves when a quorum has synced it.
    *
-   * @throws UnavailableError `unavailable` if the slot is not open, or too few replicas synced: then it may still count
+   * @throws UnavailableError `unavailable` if the slot is not open, or if too few replicas synced: the write may still
+   * take effect then
    */
   async put(key: string, value: unknown): Promise<void> {
     const { ownershipEpoch } = this.requireOpen();
     const item: Item = { key, ownershipEpoch, seq: ++this.sequence, value };
     await this.write(ownershipEpoch, [item]);
-    // A replica that was fenced at a higher epoch closed the slot meanwhile: the next owner may have written the key.
+    // A replica fenced at a higher epoch may have closed the slot meanwhile; the next owner may have written the key.
     if (this.openEpoch === ownershipEpoch) this.items.set(item);
   }
 
-  /** As `put`, in up to `attempts` attempts while the slot is this front's; rejects with the last attempt's error. */
+  /**
+   * Like `put`, with up to `attempts` attempts while this front owns the slot; rejects with the last attempt's error.
+   */
   async putWithRetry(key: string, value: unknown, attempts: number): Promise<void> {
     for (let attempt = 1; ; attempt++) {
       try {
@@ -186,25 +192,31 @@
   }
 
   /**
-   * Asks all replicas for a key that is not in memory. True if a quorum responded and none of them has it: no write of
-   * it ever counted, or it was dropped by its retention.
+   * Asks all replicas for a key that is not in memory. True if a quorum responded and none of the responders has the
+   * key: no write of it ever reached a quorum, or its retention has passed.
    *
-   * @throws UnavailableError `unavailable` if the slot is not open throughout, or fewer than a quorum responded
+   * @throws UnavailableError `unavailable` if the slot does not stay open, or fewer than a quorum responded
    */
   async confirmMissing(key: string): Promise<boolean> {
     const { ownershipEpoch, replicas } = this.requireOpen();
     const reads = await Promise.allSettled(
       replicas.map((replica) => this.client.read(replica, ownershipEpoch, key)),
     );
-    const stored = reads.flatMap((read) => (read.status === 'fulfilled' ? [read.value] : []));
-    if (stored.length < this.quorum)
-      throw new UnavailableError('unavailable', 'too few replicas confirm');
-    if (!this.isAt(ownershipEpoch))
-      throw new UnavailableError('unavailable', 'the slot has moved on');
-    return stored.every((item) => item === null);
+    const responses = reads.flatMap((read) => (read.status === 'fulfilled' ? [read.value] : []));
+    if (responses.length < this.quorum)
+      throw new UnavailableError(
+        'unavailable',
+        `${responses.length} of ${replicas.length} replicas of slot ${this.slotNumber} responded to a read`,
+      );
+    if (!this.isAtEpoch(ownershipEpoch))
+      throw new UnavailableError(
+        'unavailable',
+        `slot ${this.slotNumber} left ownership epoch ${ownershipEpoch} during a read`,
+      );
+    return responses.every((item) => item === null);
   }
 
-  /** Drops from memory what is past its retention; returns how many programs and operation keys that were. */
+  /** Drops expired items from memory; returns the number of programs and operation keys that expired. */
   expire(): number {
     return this.items.expire(
       Math.max(
@@ -214,7 +226,7 @@
     );
   }
 
-  private isAt(ownershipEpoch: number): boolean {
+  private isAtEpoch(ownershipEpoch: number): boolean {
     return this.slot?.ownershipEpoch === ownershipEpoch;
   }
 
@@ -236,17 +248,20 @@
     }
   }
 
-  /** Fences, merges and writes what was below a quorum again; ends without opening if the epoch passes meanwhile. */
+  /**
+   * Makes one attempt to open the slot: fences a quorum, merges its items and rewrites those below a quorum. Returns
+   * without opening if the slot's ownership epoch changes meanwhile.
+   */
   private async openOnce(slot: Slot): Promise<void> {
     const { ownershipEpoch } = slot;
     const fenced = await this.fencing.fenceQuorum(slot);
     const merged = this.merge(fenced);
     const uncertain = itemsBelowQuorum(merged, [...fenced.values()], this.quorum);
-    // `write` refuses a passed epoch too; this spares the newer epoch's sequence, which `renumber` counts up.
-    if (!this.isAt(ownershipEpoch)) return;
+    // `write` rejects a superseded epoch too; this check keeps `renumber` from advancing the newer epoch's sequence.
+    if (!this.isAtEpoch(ownershipEpoch)) return;
     const rewritten = this.renumber(uncertain, ownershipEpoch);
     for (const page of splitIntoPages(rewritten)) await this.write(ownershipEpoch, page);
-    if (!this.isAt(ownershipEpoch)) return;
+    if (!this.isAtEpoch(ownershipEpoch)) return;
     for (const item of rewritten) merged.set(item.key, item);
     this.items.replaceWith(merged.values());
     this.openEpoch = ownershipEpoch;
@@ -256,7 +271,7 @@
     this.fencing.fenceOthers(slot, fenced);
   }
 
-  /** Items in memory are merged in only if the slot was not closed since: then another owner may have written. */
+  /** Merges in the items in memory unless the slot was closed since: another owner may have written then. */
   private merge(fenced: FencedReplicas): Map<string, Item> {
     const known = this.openEpoch === notOpenEpoch ? [] : this.items.entries();
     return mergeItems(known, fenced.values());
@@ -274,7 +289,12 @@
   private write(ownershipEpoch: number, items: readonly Item[]): Promise<void> {
     const slot = this.slot;
     if (slot?.ownershipEpoch !== ownershipEpoch)
-      return Promise.reject(new OwnershipError('not-owner', 'the slot has moved on'));
+      return Promise.reject(
+        new OwnershipError(
+          'not-owner',
+          `slot ${this.slotNumber} is no longer at ownership epoch ${ownershipEpoch}`,
+        ),
+      );
     return new QuorumWrite(slot, items, this.writeOptions(ownershipEpoch)).send();
   }
 
@@ -284,7 +304,7 @@
       log: this.log,
       quorum: () => this.quorum,
       onStaleEpoch: () => {
-        if (this.isAt(ownershipEpoch)) this.openEpoch = notOpenEpoch;
+        if (this.isAtEpoch(ownershipEpoch)) this.openEpoch = notOpenEpoch;
       },
     };
   }
--- a/packages/session-owner/src/stored-values.ts
+++ b/packages/session-owner/src/stored-values.ts
@@ -1,68 +1,71 @@
 /**
- * What replicas store for programs, turns and operations. The schemas are on disk: their keys and values stay as they
- * are, and a value that does not parse is treated as one that is not there. For an operation this means that its key would
- * be sent again (`docs/gaps.md`, "Decisions to take").
+ * Schemas of the values that replicas store for programs, turns and operations. Their property names and enum values
+ * are on disk and must not change. A value that does not parse is treated as absent; an operation with such a record
+ * would be sent again (`docs/gaps.md`, "Decisions to take").
  */
 import { z } from 'zod';
 
-/** A program, under `p/PROGRAM`. */
+/** Schema of a program's record, stored under `p/PROGRAM`. */
 export const ProgramValue = z.object({
   t: z.literal('program'),
   tenant: z.string(),
-  /** In tokens; a sub-program spends its root's. */
+  /** In tokens; a sub-program spends the budget of its root program. */
   budget: z.number(),
   parent: z.string().nullable(),
 });
-/** A program, as stored. */
+/** A program's record. */
 export type ProgramValue = z.infer<typeof ProgramValue>;
 
-/** A turn of the product's own interface, under `p/PROGRAM/t/TURN`. */
+/** Schema of the record of a turn of the product's own interface, stored under `p/PROGRAM/t/TURN`. */
 export const TurnValue = z.object({
   t: z.literal('turn'),
   status: z.enum(['reserved', 'done', 'failed', 'void']),
+  /** The turn that this one follows; null for the first of a conversation. */
   after: z.string().nullable(),
-  /** Of what it was asked with. */
+  /** Digest of the request. */
   digest: z.string(),
   words: z.string(),
   pool: z.string(),
   server: z.string(),
-  /** In tokens: reserved, or generated once it is done. */
+  /** In tokens: those reserved, or those generated once the status is `done`. */
   cost: z.number(),
   chunks: z.array(z.string()),
 });
-/** A turn of the product's own interface, as stored. */
+/** The record of a turn of the product's own interface. */
 export type TurnValue = z.infer<typeof TurnValue>;
 
-/** A keyed operation, under `o/TENANT/KEY`. */
+/** Schema of a keyed operation's record, stored under `o/TENANT/KEY`. */
 export const OpValue = z.object({
   t: z.literal('op'),
   status: z.enum(['intent', 'done', 'unknown', 'void']),
-  /** Of what it was asked with. */
+  /** Digest of the request. */
   digest: z.string(),
-  /** The HTTP status of its result. */
+  /** HTTP status of the result. */
   code: z.number(),
   body: z.unknown(),
-  /** Whether every server that it was sent to keeps its own record of keys. */
+  /** Whether every server that the operation was sent to keeps its own record of keys. */
   recorded: z.boolean().default(false),
 });
-/** A keyed operation, as stored. */
+/** A keyed operation's record. */
 export type OpValue = z.infer<typeof OpValue>;
 
-/** What every stored turn costs its program, in tokens. */
+/** Schema of the cost that every turn's record has, in tokens. */
 export const TurnCost = z.object({ cost: z.number() });
 
 /**
- * A turn on a pass route, under `p/PROGRAM/t/ATTEMPT`: `input` as sent, in base64; `output` the data of its events, a
- * line feed behind each, a byte a character.
+ * Schema of the record of a turn on a pass route, stored under `p/PROGRAM/t/ATTEMPT`. `input` is the request body as
+ * sent, in base64; `output` is the data of the response's events, each followed by a line feed, with one character per
+ * byte.
  */
 export const PassTurn = z.object({
   t: z.literal('pass'),
   status: z.enum(['reserved', 'done', 'failed', 'void']),
+  /** The attempt that this turn follows; empty for the first of a conversation. */
   after: z.string(),
-  /** In tokens: reserved, or generated once it is done. */
+  /** In tokens: those reserved, or those generated once the status is `done`. */
   cost: z.number(),
   input: z.string(),
   output: z.string(),
 });
-/** A turn on a pass route, as stored. */
+/** The record of a turn on a pass route. */
 export type PassTurn = z.infer<typeof PassTurn>;
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -1,8 +1,9 @@
 /**
- * A turn of the product's own interface on its way through the `AttemptMachine`.
+ * The attempts of one turn of the product's own interface, driven by the `AttemptMachine`.
  *
- * Each attempt at a server has a reservation of its own, which is made void when that server did not run the turn. A
- * turn that was sent is never sent again: it is done then, or failed with what had arrived. See `docs/design.md`, "A turn".
+ * Each attempt at a server has its own reservation, which becomes void if that server did not run the turn. A turn that
+ * reached a server is never sent again: it ends as done, or as failed with the chunks that arrived. See
+ * `docs/design.md`, "A turn".
  */
 import { rootProgramId, type Config, type Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
@@ -25,9 +26,9 @@
 import { ProgramValue, type TurnValue } from './stored-values.js';
 import { programKey, turnKey, turnSummary } from './turn-records.js';
 
-/** The share of a turn's time limit that it may wait for a server. */
+/** The share of a turn's time limit that it may spend waiting for a server. */
 const placementShare = 1 / 4;
-/** Below this, in seconds, a run is too short to tell a server's rate from. */
+/** Lower bound of a run's duration, in seconds, for computing a server's rate: shorter runs would overstate it. */
 const shortestRunSeconds = 0.001;
 const millisecondsPerSecond = 1000;
 
@@ -35,26 +36,27 @@
 export interface TurnJob {
   readonly request: TurnRequest;
   readonly turn: string;
-  /** The digest of what the turn was asked with; a key stands for one digest. */
+  /** Digest of the request; a key is bound to one digest. */
   readonly bodyDigest: string;
   readonly config: Config;
   readonly replicator: SlotReplicator;
   /** The whole conversation, oldest first. */
   readonly messages: readonly ConversationMessage[];
-  /** The pool of the turn before; empty without one. */
+  /** The pool of the previous turn; empty for the first turn. */
   readonly stickyPool: string;
   readonly emit: EmitChunk;
   readonly signal: AbortSignal;
 }
 
+/** The result of sending a turn to a server. */
 interface GeneratedTurn {
   readonly ended: BackendOutcome;
   readonly chunks: string[];
-  /** The answer was stopped: its chunks were out of order or too many, or the caller had gone. */
+  /** Whether the generation was stopped: chunks were out of order or too many, or the caller had disconnected. */
   readonly stopped: boolean;
 }
 
-/** Takes one turn through its attempts. */
+/** Reserves, sends and stores one turn; one instance serves all attempts of the turn. */
 export class TurnAttempts implements Attempts<GeneratedTurn> {
   readonly kind = 'turn';
   readonly path: string;
@@ -66,7 +68,7 @@
   private readonly rootProgram: string;
   private reservation: TurnValue;
   private startedAt = 0;
-  /** How the server ended, once that has been stored. */
+  /** How the server ended the turn, once the outcome is stored. */
   private ended: BackendOutcome | undefined;
   private tokens: number | undefined;
 
@@ -125,8 +127,9 @@
 
   async notAllowed(): Promise<CallOutcome | undefined> {
     await this.storeVoid();
-    if (this.cancelled) return callerDisconnected('nothing was run');
-    return this.owner.leaseValid ? undefined : leaseExpired('nothing was run');
+    if (this.cancelled)
+      return callerDisconnected('the caller disconnected before the turn was sent');
+    return this.owner.leaseValid ? undefined : leaseExpired('the turn was not sent');
   }
 
   async send(server: Server, mayStillRun: () => boolean): Promise<GeneratedTurn> {
@@ -134,13 +137,13 @@
     const maxTokens = this.reservation.cost;
     const chunks: string[] = [];
     const stop = new AbortController();
-    const onChunk = (n: number, text: string): void => {
-      if (n !== chunks.length || chunks.length >= maxTokens) {
+    const onChunk = (index: number, text: string): void => {
+      if (index !== chunks.length || chunks.length >= maxTokens) {
         stop.abort();
         return;
       }
       chunks.push(text);
-      emit(n, text);
+      emit(index, text);
     };
     const id = `${request.pid}/${turn}`;
     const stopServer = (): void => stop.abort();
@@ -169,7 +172,10 @@
         return this.storeFailure(ended.text, chunks);
       case 'done':
         return stopped || ended.body !== chunks.length
-          ? this.storeFailure('the stream was not complete', chunks)
+          ? this.storeFailure(
+              `the response of server ${this.reservation.server} was incomplete`,
+              chunks,
+            )
           : this.storeDone(ended, chunks);
     }
   }
@@ -186,7 +192,7 @@
     );
   }
 
-  /** What the root program's budget has over, reservations that are being written included. */
+  /** Tokens left in the root program's budget, net of reservations that are being written. */
   private get remainingTokens(): number {
     const { replicator } = this.job;
     const root = this.rootProgram;
@@ -209,7 +215,7 @@
     return unknown(text, 'broken-off');
   }
 
-  /** A turn is done only once a quorum of replicas has its text. */
+  /** Stores the finished turn; it counts as done only once a quorum of replicas has its text. */
   private async storeDone(ended: BackendOutcome, chunks: string[]): Promise<CallOutcome> {
     const value: TurnValue = {
       ...this.reservation,
--- a/packages/session-owner/src/turn-records.ts
+++ b/packages/session-owner/src/turn-records.ts
@@ -1,4 +1,4 @@
-/** Keys, ids and digests of programs and turns, as they are stored by replicas (`docs/design.md`). */
+/** Keys, ids and digests of the records of programs and turns (`docs/design.md`). */
 import { rootProgramId } from '@tillerstair/state';
 import { shortDigest } from './short-digest.js';
 import type { TurnValue } from './stored-values.js';
@@ -6,7 +6,7 @@
 /** The id of a turn: the same for every request with the same program and key. */
 export const turnIdOf = (pid: string, key: string): string => `t-${shortDigest(`${pid}\n${key}`)}`;
 
-/** The digest that callers compare a turn's text with. */
+/** The digest of a turn's text, with which callers verify the text. */
 const textDigest = (chunks: readonly string[]): string => shortDigest(chunks.join(''));
 
 /** The key under which replicas store a program. */
@@ -18,10 +18,10 @@
 /** The key under which replicas store a turn. */
 export const turnKey = (pid: string, turn: string): string => `p/${pid}/t/${turn}`;
 
-/** The turn or attempt that a turn's key names. */
+/** The id of the turn or attempt in a turn's key; undefined if the key has none. */
 export const turnIdOfKey = (key: string): string | undefined => key.split('/')[3];
 
-/** What a caller gets as the end of a turn. */
+/** The final message of a turn's stream: `chunks` and `tokens` are counts, `digest` is that of the text. */
 export interface TurnSummary {
   readonly turn: string;
   readonly chunks: number;
@@ -29,7 +29,7 @@
   readonly digest: string;
 }
 
-/** The end of a turn as its record has it. */
+/** The summary of a finished turn, from its record. */
 export const turnSummary = (turn: string, value: TurnValue): TurnSummary => ({
   turn,
   chunks: value.chunks.length,
--- a/packages/session-owner/src/turn-search.ts
+++ b/packages/session-owner/src/turn-search.ts
@@ -1,7 +1,8 @@
 /**
- * Looks for a turn by its attempt alone, on every store that has a replica of any slot.
+ * Searches for a turn by its attempt id alone, on every store that has a replica of any slot.
  *
- * A turn is said to be missing only if so many replicas of every slot say so that any write quorum has one of them.
+ * A turn counts as missing only if, in every slot, each possible write quorum includes a replica that responded without
+ * it.
  */
 import { FindTurnResponse, isNewerItem, type Item, type State } from '@tillerstair/state';
 import { ReplicaError, UnavailableError, type Transport } from '@tillerstair/wire';
@@ -15,22 +16,22 @@
 
 interface Responses {
   readonly turns: readonly StoredTurn[];
-  /** Ids of the stores that answered. */
+  /** Ids of the stores that responded. */
   readonly responders: ReadonlySet<string>;
 }
 
-/** Where a search asks. */
+/** Transport, cluster state and time limit of a search. */
 export interface TurnSearchOptions {
   readonly transport: Transport;
   readonly state: State;
-  /** How long one store may take, in ms. */
+  /** Timeout of the request to each store, in ms. */
   readonly timeoutMs: number;
 }
 
 const slotsByStore = (state: State): ReadonlyMap<string, readonly number[]> => {
   const slots = new Map<string, number[]>();
-  state.slots.forEach(({ replicas }, n) => {
-    for (const id of replicas) slots.set(id, [...(slots.get(id) ?? []), n]);
+  state.slots.forEach(({ replicas }, slotNumber) => {
+    for (const id of replicas) slots.set(id, [...(slots.get(id) ?? []), slotNumber]);
   });
   return slots;
 };
@@ -42,15 +43,15 @@
     return turn.success ? [{ item, turn: turn.data, attempt }] : [];
   });
 
-const askStores = async (
+const requestFromStores = async (
   { transport, state, timeoutMs }: TurnSearchOptions,
   attempt: string,
 ): Promise<Responses> => {
   const responders = new Set<string>();
-  const answers = await Promise.allSettled(
+  const results = await Promise.allSettled(
     [...slotsByStore(state)].map(async ([id, slots]) => {
       const member = state.nodes.get(id);
-      if (!member) throw new ReplicaError('away', `replica ${id} is unavailable`);
+      if (!member) throw new ReplicaError('away', `replica ${id} is not in the cluster state`);
       const request = { turn: attempt, slots };
       const found = FindTurnResponse.parse(
         await transport.call(member.addr, 'store/find', request, { timeoutMs }),
@@ -59,17 +60,18 @@
       return found.items;
     }),
   );
-  const items = answers.flatMap((answer) => (answer.status === 'fulfilled' ? answer.value : []));
+  const items = results.flatMap((result) => (result.status === 'fulfilled' ? result.value : []));
   return { turns: storedTurns(items), responders };
 };
 
-const everyQuorumAsked = (state: State, responders: ReadonlySet<string>): boolean => {
+/** Whether, in every slot that has replicas, each possible write quorum includes a store that responded. */
+const everyQuorumResponded = (state: State, responders: ReadonlySet<string>): boolean => {
   const slots = state.slots.filter(({ replicas }) => replicas.length > 0);
   return (
     slots.length > 0 &&
     slots.every(({ replicas }) => {
-      const answered = replicas.filter((id) => responders.has(id)).length;
-      return answered > replicas.length - state.replication.quorum;
+      const responseCount = replicas.filter((id) => responders.has(id)).length;
+      return responseCount > replicas.length - state.replication.quorum;
     })
   );
 };
@@ -81,20 +83,21 @@
   );
 
 /**
- * Resolves with the finished turn of this attempt and those it goes on from, or with nothing where there is none.
- * Rejects with an `UnavailableError`: `not-finished` while the turn runs, `unavailable` while too few stores answer.
+ * Resolves with the finished turn of this attempt and the finished turns that it follows, or with an empty list if the
+ * attempt has no turn. Rejects with an `UnavailableError`: `not-finished` while the turn is running, `unavailable` if
+ * too few stores respond.
  */
 export const findFinishedTurn = async (
   options: TurnSearchOptions,
   attempt: string,
 ): Promise<readonly FoundTurn[]> => {
-  const { turns, responders } = await askStores(options, attempt);
+  const { turns, responders } = await requestFromStores(options, attempt);
   const finished = turns.filter(({ turn }) => turn.status === 'done');
   if (finished.some((turn) => turn.attempt === attempt)) return finished;
-  if (!everyQuorumAsked(options.state, responders))
-    throw new UnavailableError('unavailable', 'too few stores can tell');
+  if (!everyQuorumResponded(options.state, responders))
+    throw new UnavailableError('unavailable', `too few stores responded to find turn ${attempt}`);
   const newest = newestOf(turns.filter((turn) => turn.attempt === attempt));
   if (newest?.turn.status === 'reserved')
-    throw new UnavailableError('not-finished', 'this turn has not finished');
+    throw new UnavailableError('not-finished', `turn ${attempt} has not finished`);
   return [];
 };
--- a/packages/session-owner/src/turns.ts
+++ b/packages/session-owner/src/turns.ts
@@ -1,8 +1,9 @@
 /**
- * Programs and turns of the product's own interface: a turn is named by its program and key and runs at most once.
+ * Programs and turns of the product's own interface: a turn is identified by its program and key and runs at most once.
  *
- * Owns the turns that are running here, by the key of their record; programs and finished turns are in the slot's
- * replicas. A key stands for one body, and what a finished turn answered is repeated from its record.
+ * Holds the turns that are running here, by the key of their record; programs and finished turns are in the slot's
+ * replicas. A key is bound to one request body; a repeated request gets the response of the finished turn from its
+ * record.
  */
 import { rootProgramId, type Config } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
@@ -36,17 +37,18 @@
 
 const programMissing = (): CallOutcome => refused(status.notFound, 'missing', 'no such program');
 
+/** The result of looking up a program: the program, or the refusal to respond with. */
 type ProgramLookup = { readonly program: ProgramValue } | { readonly refusal: CallOutcome };
 
-/** What a turn is asked on top of. */
+/** The conversation that a turn continues, and the pool that served it. */
 interface Conversation {
-  /** Oldest first, the new words included. */
+  /** Oldest first, including the new user message. */
   readonly messages: readonly ConversationMessage[];
-  /** The pool of the turn before; empty without one. */
+  /** The pool of the previous turn; empty for the first turn. */
   readonly stickyPool: string;
 }
 
-/** One request for a turn, with its record's place. */
+/** A request for a turn, with its turn id, the key of its record and the replicator that stores the record. */
 interface TurnLookup {
   readonly request: TurnRequest;
   readonly config: Config;
@@ -64,16 +66,19 @@
 
   constructor(private readonly owner: OwnerServices) {}
 
-  /** Creates a program, or answers with the one that is there. A sub-program (`parent`) spends its root's budget. */
+  /**
+   * Creates a program, or responds with the existing one. A sub-program (one with a `parent`) spends the budget of its
+   * root program.
+   */
   async createProgram(request: ProgramRequest): Promise<CallOutcome> {
     const { pid, tenant, parent } = request;
     const { budgets } = this.owner.requireLease().config;
     const replicator = this.replicatorOf(pid);
     const budget = Math.min(request.budget ?? budgets.program, budgets.program);
-    const old = ProgramValue.safeParse(replicator.get(programKey(pid)));
-    if (old.success) {
-      if (old.data.tenant !== tenant) return programMissing();
-      return done({ program: pid, budget: old.data.budget }, created);
+    const existing = ProgramValue.safeParse(replicator.get(programKey(pid)));
+    if (existing.success) {
+      if (existing.data.tenant !== tenant) return programMissing();
+      return done({ program: pid, budget: existing.data.budget }, created);
     }
     if (parent !== undefined) {
       const lookup = await this.findProgram(replicator, parent, tenant);
@@ -84,7 +89,7 @@
     return done({ program: pid, budget: parent === undefined ? budget : null }, created);
   }
 
-  /** A program with its finished turns, or one turn with its text. */
+  /** Responds with a program and its finished turns or, if the request has a turn, with that turn and its text. */
   async readHistory(request: HistoryRequest): Promise<CallOutcome> {
     const replicator = this.replicatorOf(request.pid);
     const lookup = await this.findProgram(replicator, request.pid, request.tenant);
@@ -94,7 +99,7 @@
       : this.describeTurn(replicator, request.pid, request.turn);
   }
 
-  /** Runs a turn, joins one that runs, or repeats one that is done. */
+  /** Runs a turn, waits for the running turn of the same key, or repeats the response of a finished one. */
   async runTurn(request: TurnRequest, emit: EmitChunk, signal: AbortSignal): Promise<CallOutcome> {
     const { config } = this.owner.requireLease();
     const replicator = this.replicatorOf(request.pid);
@@ -108,9 +113,9 @@
       outcomeOfError(toRpcError(error)),
     );
     this.running.set(key, outcome);
-    const leave = replicator.beginRequest();
+    const endRequest = replicator.beginRequest();
     return outcome.finally(() => {
-      leave();
+      endRequest();
       this.running.delete(key);
     });
   }
@@ -182,7 +187,10 @@
     return unreadable('the turn');
   }
 
-  /** Who joins a turn is looked up like who started it, and gets a finished turn from its record. */
+  /**
+   * Waits for the running turn of the same key. The caller's access to the program is checked as for a new turn; the
+   * response of a finished turn is repeated from its record.
+   */
   private async joinTurn(lookup: TurnLookup, running: Promise<CallOutcome>): Promise<CallOutcome> {
     const { request, replicator } = lookup;
     const first = await running;
@@ -195,8 +203,8 @@
     const { request, replicator, key } = lookup;
     const program = await this.findProgram(replicator, request.pid, request.tenant);
     if ('refusal' in program) return program.refusal;
-    const old = TurnValue.safeParse(replicator.get(key));
-    if (old.success && old.data.status !== 'void') return this.repeatTurn(lookup);
+    const existing = TurnValue.safeParse(replicator.get(key));
+    if (existing.success && existing.data.status !== 'void') return this.repeatTurn(lookup);
     if (!this.owner.findRoute('turn', request.path))
       return refused(status.notFound, 'no-route', `no route takes turns at ${request.path}`);
     const conversation = await this.readConversation(replicator, request);
@@ -212,7 +220,7 @@
       return refused(status.otherBody, 'other-body', 'this key was used with other words');
     if (value.data.status !== 'done')
       return unknown('the turn broke off and is not run again', 'broken-off');
-    value.data.chunks.forEach((text, n) => emit(n, text));
+    value.data.chunks.forEach((text, index) => emit(index, text));
     return done({ end: turnSummary(turn, value.data) });
   }
 
@@ -222,23 +230,23 @@
   ): Promise<Conversation | { readonly refusal: CallOutcome }> {
     const newestFirst: ConversationMessage[] = [{ role: 'user', text: words }];
     let stickyPool = '';
-    for (let at = after; at !== null;) {
-      const value = TurnValue.safeParse(replicator.get(turnKey(pid, at)));
+    for (let turnId = after; turnId !== null;) {
+      const value = TurnValue.safeParse(replicator.get(turnKey(pid, turnId)));
       if (!value.success || value.data.status === 'void') {
-        if (value.success || (await replicator.confirmMissing(turnKey(pid, at))))
-          return { refusal: refused(status.notFound, 'missing-turn', `no such turn: ${at}`) };
+        if (value.success || (await replicator.confirmMissing(turnKey(pid, turnId))))
+          return { refusal: refused(status.notFound, 'missing-turn', `no such turn: ${turnId}`) };
         return { refusal: unreadable('the history') };
       }
       if (value.data.status !== 'done')
         return {
-          refusal: refused(status.conflict, 'not-finished', `turn ${at} has not finished`),
+          refusal: refused(status.conflict, 'not-finished', `turn ${turnId} has not finished`),
         };
       stickyPool ||= value.data.pool;
       newestFirst.push(
         { role: 'assistant', text: value.data.chunks.join('') },
         { role: 'user', text: value.data.words },
       );
-      at = value.data.after;
+      turnId = value.data.after;
     }
     return { messages: newestFirst.reverse(), stickyPool };
   }
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -76,7 +76,7 @@
 
 operations('without a quorum for the intent nothing is sent', async () => {
   const rig = await SessionOwnerRig.opened();
-  rig.unreachableStores.add('a').add('b');
+  rig.down.add('a').add('b');
   assert.is(brief(await rig.finish(call(rig))), 'refused 503 unavailable');
   assert.is(rig.sent.length, 0);
 });
--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -51,11 +51,11 @@
 
 readiness('a slot is served by its owner alone, once it is open and until it closes', async () => {
   const rig = new SessionOwnerRig();
-  rig.unreachableStores.add('a').add('b');
+  rig.down.add('a').add('b');
   rig.change({});
   await rig.clock.run(100);
   assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
-  rig.unreachableStores.clear();
+  rig.down.clear();
   await rig.waitForSlotOpen();
   rig.owner.stopAccepting();
   assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
@@ -129,9 +129,9 @@
 readiness('a turn is missing only if no write quorum can hold it', async () => {
   const rig = await SessionOwnerRig.opened();
   assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
-  rig.unreachableStores.add('c');
+  rig.down.add('c');
   assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
-  rig.unreachableStores.add('b');
+  rig.down.add('b');
   assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r0'))), 'unavailable');
   rig.store('p/x-q/t/r0', turn());
   const found = await rig.finish(rig.owner.findTurn('r0'));
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-rig.ts
@@ -118,7 +118,7 @@
   readonly events: string[] = [];
   readonly sent: SentRequest[] = [];
   /** Stores that refuse everything. */
-  readonly unreachableStores = new Set<string>();
+  readonly down = new Set<string>();
   /** Called before a store syncs a value; one that returns false refuses the write. */
   onPut: (key: string, status: string) => boolean = () => true;
   /** Answers each request that reaches a server; `n` counts them from 0. */
@@ -279,8 +279,7 @@
 
   private answer(to: string, kind: string, request: z.infer<typeof StoreRequest>): unknown {
     const items = this.stores.get(to);
-    if (!items || this.unreachableStores.has(to))
-      throw new RpcError('connection-refused', `${to} is down`);
+    if (!items || this.down.has(to)) throw new RpcError('connection-refused', `${to} is down`);
     switch (kind) {
       case 'store/fence':
         return { items: [...items.values()], next: '' };
