--- a/tests/src/session-owner/programs.test.ts
+++ b/tests/src/session-owner/programs.test.ts
@@ -1,91 +1,102 @@
-/** Programs belong to their tenant, and what they contain is missing only if a quorum says so. */
+/** Programs are visible to their tenant only; a program or turn counts as missing only if a quorum does not have it. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { brief, gate, SessionOwnerRig, wholeReply } from '../support/session-owner-rig.js';
 import {
   readHistory,
   runTurn,
-  turn,
+  turnId,
   turnValue,
   withProgram,
 } from '../support/session-owner-turns.js';
 
 const programs = suite('programs and their history');
 
-programs('a program of another tenant is not there', async () => {
-  const rig = await withProgram();
+programs('a program of another tenant is reported as missing', async () => {
+  const fixture = await withProgram();
   const other = { tenant: 'other' };
   assert.is(
-    brief(await rig.finish(rig.owner.turns.createProgram({ tenant: 'other', pid: 'p1' }))),
+    brief(await fixture.finish(fixture.owner.turns.createProgram({ tenant: 'other', pid: 'p1' }))),
     'refused 404 missing',
   );
-  assert.is(brief(await rig.finish(runTurn(rig, other))), 'refused 404 missing');
-  assert.is(brief(await rig.finish(readHistory(rig, other))), 'refused 404 missing');
-  assert.is(rig.sent.length, 0);
+  assert.is(brief(await fixture.finish(runTurn(fixture, other))), 'refused 404 missing');
+  assert.is(brief(await fixture.finish(readHistory(fixture, other))), 'refused 404 missing');
+  assert.is(fixture.sent.length, 0);
 });
 
-programs('a parent must be there and of the same tenant', async () => {
-  const rig = await withProgram();
+programs('a parent program must exist and belong to the same tenant', async () => {
+  const fixture = await withProgram();
   for (const [tenant, parent, expected] of [
     ['t', 'p2', 'refused 404 missing'],
     ['other', 'p1', 'refused 404 missing'],
     ['t', 'p1', 'done 201'],
   ] as const)
     assert.is(
-      brief(await rig.finish(rig.owner.turns.createProgram({ tenant, pid: 'p1~1', parent }))),
+      brief(
+        await fixture.finish(fixture.owner.turns.createProgram({ tenant, pid: 'p1~1', parent })),
+      ),
       expected,
     );
 });
 
 programs(
-  "a program's budget is at most the configuration's, and a second request does not change it",
+  "a program's budget is limited by the configuration, and a second request does not change it",
   async () => {
-    const rig = await withProgram(1000);
-    assert.equal((await rig.finish(readHistory(rig))).body, {
+    const fixture = await withProgram(1000);
+    assert.equal((await fixture.finish(readHistory(fixture))).body, {
       program: 'p1',
       parent: null,
       budget: 100,
       spent: 0,
       turns: [],
     });
-    const again = await rig.finish(
-      rig.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget: 7 }),
+    const secondResponse = await fixture.finish(
+      fixture.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget: 7 }),
     );
-    assert.equal(again.body, { program: 'p1', budget: 100 });
+    assert.equal(secondResponse.body, { program: 'p1', budget: 100 });
   },
 );
 
 programs(
-  'a program is missing only if a quorum has none; else it cannot be read just now',
+  'a program that replicas store but the owner has not loaded is unavailable, not missing',
   async () => {
-    const rig = await SessionOwnerRig.opened();
-    assert.is(brief(await rig.finish(runTurn(rig))), 'refused 404 missing');
-    rig.store('p/p1', { t: 'program', tenant: 't', budget: 50, parent: null });
-    assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 unavailable');
-    assert.is(brief(await rig.finish(readHistory(rig))), 'refused 503 unavailable');
-    assert.is(rig.sent.length, 0);
+    const fixture = await SessionOwnerRig.opened();
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 404 missing');
+    fixture.store('p/p1', { t: 'program', tenant: 't', budget: 50, parent: null });
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 unavailable');
+    assert.is(brief(await fixture.finish(readHistory(fixture))), 'refused 503 unavailable');
+    assert.is(fixture.sent.length, 0);
   },
 );
 
-programs('the history tells running, missing and unreadable turns apart', async () => {
-  const rig = await withProgram();
+programs('the history distinguishes running, missing and unreadable turns', async () => {
+  const fixture = await withProgram();
   const server = gate();
-  rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const work = runTurn(rig);
-  await rig.clock.run(10);
-  assert.is(brief(await rig.finish(readHistory(rig, { turn }))), 'refused 409 running');
+  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  const runningTurn = runTurn(fixture);
+  await fixture.clock.run(10);
+  assert.is(
+    brief(await fixture.finish(readHistory(fixture, { turn: turnId }))),
+    'refused 409 running',
+  );
   server.open();
-  await rig.finish(work);
-  assert.is(brief(await rig.finish(readHistory(rig, { turn }))), 'done 200');
-  assert.is(brief(await rig.finish(readHistory(rig, { turn: 't-none' }))), 'refused 404 missing');
-  rig.store('p/p1/t/t-late', turnValue(rig));
+  await fixture.finish(runningTurn);
+  assert.is(brief(await fixture.finish(readHistory(fixture, { turn: turnId }))), 'done 200');
+  assert.is(
+    brief(await fixture.finish(readHistory(fixture, { turn: 't-none' }))),
+    'refused 404 missing',
+  );
+  fixture.store('p/p1/t/t-late', turnValue(fixture));
   assert.is(
-    brief(await rig.finish(readHistory(rig, { turn: 't-late' }))),
+    brief(await fixture.finish(readHistory(fixture, { turn: 't-late' }))),
     'refused 503 unavailable',
   );
-  rig.store('p/p1/t/t-void', { ...turnValue(rig), status: 'void' });
-  await rig.transferAwayAndBack();
-  assert.is(brief(await rig.finish(readHistory(rig, { turn: 't-void' }))), 'refused 404 missing');
+  fixture.store('p/p1/t/t-void', { ...turnValue(fixture), status: 'void' });
+  await fixture.transferAwayAndBack();
+  assert.is(
+    brief(await fixture.finish(readHistory(fixture, { turn: 't-void' }))),
+    'refused 404 missing',
+  );
 });
 
 programs.run();
--- a/tests/src/session-owner/replica-quorum.test.ts
+++ b/tests/src/session-owner/replica-quorum.test.ts
@@ -1,4 +1,4 @@
-/** Replicas are asked as few at a time as a quorum needs. */
+/** A request to a quorum asks no more replicas at a time than the quorum needs, and replaces failed and late ones. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { requestQuorum } from '@tillerstair/session-owner';
@@ -15,13 +15,13 @@
   readonly tookMs: number;
 }
 
-/** Runs one request in simulated time; `reply` responds after some ms or fails. */
+/** Runs one request in simulated time; `reply` is each replica's response or failure. */
 const request = async (
   reply: (id: string, clock: SimClock) => Promise<string>,
 ): Promise<Outcome> => {
   const clock = new SimClock();
   const asked: string[] = [];
-  const began = clock.now();
+  const startedAt = clock.now();
   const work = requestQuorum({
     clock,
     replicas: ids,
@@ -33,49 +33,53 @@
     },
   });
   const responses = await clock.finish('request', work, 10000);
-  return { asked, responses, tookMs: clock.now() - began };
+  return { asked, responses, tookMs: clock.now() - startedAt };
 };
 
-const after = (clock: SimClock, ms: number, text: string): Promise<string> =>
-  new Promise((done) => {
-    clock.after(ms, () => done(text));
+/** A response that arrives after a delay. */
+const respondAfter = (clock: SimClock, delayMs: number, text: string): Promise<string> =>
+  new Promise((resolve) => {
+    clock.after(delayMs, () => resolve(text));
   });
 const failure = (): Promise<string> => Promise.reject(new Error('unavailable'));
 
-quorumRequests('only a quorum is asked where all reply', async () => {
-  const { asked, responses } = await request((id, clock) => after(clock, 10, id));
+quorumRequests('only a quorum is asked when all replicas reply', async () => {
+  const { asked, responses } = await request((id, clock) => respondAfter(clock, 10, id));
   assert.equal(asked, ['a', 'b', 'c']);
   assert.equal([...responses.keys()], ['a', 'b', 'c']);
 });
 
-quorumRequests('one that fails is replaced at once', async () => {
+quorumRequests('a replica that fails is replaced immediately', async () => {
   const { asked, responses, tookMs } = await request((id, clock) =>
-    id === 'b' ? failure() : after(clock, 10, id),
+    id === 'b' ? failure() : respondAfter(clock, 10, id),
   );
   assert.equal(asked, ['a', 'b', 'c', 'd']);
   assert.equal([...responses.keys()].sort(), ['a', 'c', 'd']);
   assert.ok(tookMs < hedgeAfterMs);
 });
 
-quorumRequests('one that is late is not waited for', async () => {
+quorumRequests('a late replica is replaced after the hedging interval', async () => {
   const { asked, responses, tookMs } = await request((id, clock) =>
-    after(clock, id === 'a' ? 5000 : 10, id),
+    respondAfter(clock, id === 'a' ? 5000 : 10, id),
   );
   assert.equal(asked, ['a', 'b', 'c', 'd']);
   assert.equal([...responses.keys()].sort(), ['b', 'c', 'd']);
   assert.ok(tookMs < hedgeAfterMs * 2);
 });
 
-quorumRequests('too few responses end the request with what there is', async () => {
-  const { asked, responses } = await request((id, clock) =>
-    id < 'd' ? failure() : after(clock, 10, id),
-  );
-  assert.equal(asked, ids);
-  assert.equal([...responses.keys()].sort(), ['d', 'e']);
-});
+quorumRequests(
+  'the request ends with fewer responses than a quorum when all replicas have been asked',
+  async () => {
+    const { asked, responses } = await request((id, clock) =>
+      id < 'd' ? failure() : respondAfter(clock, 10, id),
+    );
+    assert.equal(asked, ids);
+    assert.equal([...responses.keys()].sort(), ['d', 'e']);
+  },
+);
 
 quorumRequests(
-  'a response after the end is left out, and a failure after it asks nobody',
+  'after the end of the request, a response is ignored and a failure asks no further replica',
   async () => {
     const clock = new SimClock();
     const asked: string[] = [];
@@ -88,9 +92,9 @@
         hedgeAfterMs,
         send: (id) => {
           asked.push(id);
-          if (id === 'a') return after(clock, hedgeAfterMs * 2.5, id);
-          if (id === 'b') return after(clock, hedgeAfterMs * 3, id);
-          return after(clock, hedgeAfterMs * 3, id).then(failure);
+          if (id === 'a') return respondAfter(clock, hedgeAfterMs * 2.5, id);
+          if (id === 'b') return respondAfter(clock, hedgeAfterMs * 3, id);
+          return respondAfter(clock, hedgeAfterMs * 3, id).then(failure);
         },
       }),
       10000,
@@ -102,7 +106,7 @@
   },
 );
 
-quorumRequests('without anybody to ask the request ends empty', async () => {
+quorumRequests('without replicas the request ends with no responses', async () => {
   const clock = new SimClock();
   const work = requestQuorum({ clock, replicas: [], quorum, hedgeAfterMs, send: failure });
   assert.is((await clock.finish('request', work, 1)).size, 0);
--- a/tests/src/session-owner/slot-fencing.test.ts
+++ b/tests/src/session-owner/slot-fencing.test.ts
@@ -1,4 +1,4 @@
-/** What must hold before a slot opens: a quorum of fences, the newest items, and an epoch that still counts. */
+/** A slot opens only after a quorum of fences, with the newest items, and only while its ownership epoch is current. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Item } from '@tillerstair/state';
@@ -22,32 +22,35 @@
   value,
 });
 
-/** Each replica's fence hands over its own items; all else is answered as by a healthy replica. */
-const fencesWith =
+/** The fence of each replica returns that replica's items; other requests get the reply of a healthy replica. */
+const fencesReturning =
   (items: Readonly<Record<string, readonly Item[]>>): ReplicaReply =>
   (request) =>
     request.kind === 'store/fence' ? replyWith(items[request.replica] ?? []) : emptyReply(request);
 
-fencing('one fence does not open a slot, whether the others fail or are silent', async () => {
-  for (const others of [() => failWith('connection-refused'), silence]) {
-    const fixture = new ReplicatorFixture();
-    fixture.replicas.reply = (request) =>
-      request.replica === 's2' ? emptyReply(request) : others(request);
-    fixture.replicator.apply(slotAt(1));
-    await fixture.clock.run(1000);
-    assert.is(fixture.replicator.isOpen, false);
-  }
-});
+fencing(
+  'one fence does not open a slot, whether the other replicas fail or are unresponsive',
+  async () => {
+    for (const others of [() => failWith('connection-refused'), silence]) {
+      const fixture = new ReplicatorFixture();
+      fixture.replicas.reply = (request) =>
+        request.replica === 's2' ? emptyReply(request) : others(request);
+      fixture.replicator.apply(slotAt(1));
+      await fixture.clock.run(1000);
+      assert.is(fixture.replicator.isOpen, false);
+    }
+  },
+);
 
-fencing('a quorum of fences opens a slot, also where the first attempts failed', async () => {
+fencing('a quorum of fences opens a slot, also after earlier attempts failed', async () => {
   const fixture = new ReplicatorFixture();
-  let up = false;
+  let allReachable = false;
   fixture.replicas.reply = (request) =>
-    request.replica === 's2' || up ? emptyReply(request) : failWith('connection-refused');
+    request.replica === 's2' || allReachable ? emptyReply(request) : failWith('connection-refused');
   fixture.replicator.apply(slotAt(1));
   await fixture.clock.run(200);
   assert.is(fixture.replicator.isOpen, false);
-  up = true;
+  allReachable = true;
   await fixture.clock.run(200);
   assert.is(fixture.replicator.isOpen, true);
 });
@@ -61,7 +64,7 @@
 });
 
 fencing(
-  'the newest item by ownership epoch and sequence is taken, whoever hands it over',
+  'the newest item by ownership epoch and sequence wins, whichever replica returns it',
   async () => {
     for (const [older, newer] of [
       [item('o/k', 1, 4, 'old'), item('o/k', 1, 5, 'new')],
@@ -72,7 +75,7 @@
         [newer, older],
       ]) {
         const fixture = new ReplicatorFixture();
-        fixture.replicas.reply = fencesWith({ s1: [first], s2: [second] });
+        fixture.replicas.reply = fencesReturning({ s1: [first], s2: [second] });
         fixture.replicator.apply(slotAt(3));
         await fixture.clock.runReadyTasks();
         assert.is(fixture.replicator.isOpen, true);
@@ -81,30 +84,33 @@
   },
 );
 
-fencing('an item that is on one replica is written to a quorum before the slot opens', async () => {
-  const fixture = new ReplicatorFixture();
-  const put = new DelayedReply();
-  const even = item('o/even', 1, 1, 'even');
-  const fences = fencesWith({ s1: [even, item('o/odd', 1, 2, 'odd')], s2: [even] });
-  fixture.replicas.reply = (request) =>
-    request.kind === 'store/put' && request.replica !== 's1' ? put.wait() : fences(request);
-  fixture.replicator.apply(slotAt(2));
-  await fixture.clock.runReadyTasks();
-  assert.is(fixture.replicator.isOpen, false);
-  assert.equal(
-    fixture.replicas.of('store/put').map(({ replica, items }) => [replica, items]),
-    ['s1', 's2', 's3'].map((id) => [id, [item('o/odd', 2, 1, 'odd')]]),
-  );
-  put.accept();
-  await fixture.clock.runReadyTasks();
-  assert.is(fixture.replicator.isOpen, true);
-  assert.is(fixture.replicator.get('o/odd'), 'odd');
-  assert.is(fixture.replicator.get('o/even'), 'even');
-});
+fencing(
+  'an item that only one replica stores is written to a quorum before the slot opens',
+  async () => {
+    const fixture = new ReplicatorFixture();
+    const put = new DelayedReply();
+    const onQuorum = item('o/even', 1, 1, 'even');
+    const fences = fencesReturning({ s1: [onQuorum, item('o/odd', 1, 2, 'odd')], s2: [onQuorum] });
+    fixture.replicas.reply = (request) =>
+      request.kind === 'store/put' && request.replica !== 's1' ? put.wait() : fences(request);
+    fixture.replicator.apply(slotAt(2));
+    await fixture.clock.runReadyTasks();
+    assert.is(fixture.replicator.isOpen, false);
+    assert.equal(
+      fixture.replicas.of('store/put').map(({ replica, items }) => [replica, items]),
+      ['s1', 's2', 's3'].map((id) => [id, [item('o/odd', 2, 1, 'odd')]]),
+    );
+    put.accept();
+    await fixture.clock.runReadyTasks();
+    assert.is(fixture.replicator.isOpen, true);
+    assert.is(fixture.replicator.get('o/odd'), 'odd');
+    assert.is(fixture.replicator.get('o/even'), 'even');
+  },
+);
 
 fencing('a slot whose items cannot be written to a quorum stays closed', async () => {
   const fixture = new ReplicatorFixture();
-  const fences = fencesWith({ s1: [item('o/odd', 1, 2, 'odd')] });
+  const fences = fencesReturning({ s1: [item('o/odd', 1, 2, 'odd')] });
   fixture.replicas.reply = (request) =>
     request.kind === 'store/put' && request.replica !== 's1'
       ? failWith('connection-refused')
@@ -142,14 +148,14 @@
   assert.is(fixture.replicator.get('o/k'), 'value');
 });
 
-/** Ownership epoch 2 is open with its own value while replies to epoch 1 are still under way. */
-const overtaken = async (late: DelayedReply, isLate: (kind: string) => boolean) => {
+/** Opens ownership epoch 2 with a value of its own while replies to requests of epoch 1 are still pending. */
+const openNewerEpoch = async (lateReply: DelayedReply, isLate: (kind: string) => boolean) => {
   const fixture = new ReplicatorFixture();
-  const old = fencesWith({ s1: [item('o/k', 1, 1, 'old')] });
-  fixture.replicas.reply = (request) => (isLate(request.kind) ? late.wait() : old(request));
+  const older = fencesReturning({ s1: [item('o/k', 1, 1, 'old')] });
+  fixture.replicas.reply = (request) => (isLate(request.kind) ? lateReply.wait() : older(request));
   fixture.replicator.apply(slotAt(1));
   await fixture.clock.runReadyTasks();
-  fixture.replicas.reply = fencesWith({
+  fixture.replicas.reply = fencesReturning({
     s1: [item('o/k', 1, 2, 'new')],
     s2: [item('o/k', 1, 2, 'new')],
   });
@@ -159,42 +165,42 @@
   return fixture;
 };
 
-fencing('fences of an earlier ownership epoch that reply late change nothing', async () => {
-  const late = new DelayedReply();
-  const fixture = await overtaken(late, (kind) => kind === 'store/fence');
-  late.accept({ items: [], next: '' });
+fencing('late replies to fences of an earlier ownership epoch change nothing', async () => {
+  const lateReply = new DelayedReply();
+  const fixture = await openNewerEpoch(lateReply, (kind) => kind === 'store/fence');
+  lateReply.accept({ items: [], next: '' });
   await fixture.clock.run(1000);
   assert.is(fixture.replicator.isOpen, true);
   assert.is(fixture.replicator.get('o/k'), 'new');
 });
 
-fencing('a rewrite of an earlier ownership epoch that ends late changes nothing', async () => {
-  const late = new DelayedReply();
-  const fixture = await overtaken(late, (kind) => kind === 'store/put');
-  late.accept();
+fencing('a rewrite of an earlier ownership epoch that completes late changes nothing', async () => {
+  const lateReply = new DelayedReply();
+  const fixture = await openNewerEpoch(lateReply, (kind) => kind === 'store/put');
+  lateReply.accept();
   await fixture.clock.run(1000);
   assert.is(fixture.replicator.isOpen, true);
   assert.is(fixture.replicator.get('o/k'), 'new');
 });
 
-fencing('no further page is written under an ownership epoch that has passed', async () => {
-  const late = new DelayedReply();
+fencing('no further page is written under a superseded ownership epoch', async () => {
+  const lateReply = new DelayedReply();
   const fixture = new ReplicatorFixture();
   const large = 'x'.repeat(200_000);
-  const fences = fencesWith({ s1: [item('o/a', 1, 1, large), item('o/b', 1, 2, large)] });
+  const fences = fencesReturning({ s1: [item('o/a', 1, 1, large), item('o/b', 1, 2, large)] });
   fixture.replicas.reply = (request) =>
-    request.kind === 'store/put' ? late.wait() : fences(request);
+    request.kind === 'store/put' ? lateReply.wait() : fences(request);
   fixture.replicator.apply(slotAt(2));
   await fixture.clock.runReadyTasks();
   assert.is(fixture.replicas.of('store/put').length, 3);
   fixture.replicas.reply = silence;
   fixture.replicator.apply(slotAt(3));
-  late.accept();
+  lateReply.accept();
   await fixture.clock.run(200);
   assert.is(fixture.replicas.of('store/put').length, 3);
 });
 
-fencing('an ownership epoch that has passed is not fenced again', async () => {
+fencing('a superseded ownership epoch is not fenced again', async () => {
   const fixture = new ReplicatorFixture();
   fixture.replicas.reply = () => failWith('connection-refused');
   fixture.replicator.apply(slotAt(1));
@@ -211,7 +217,7 @@
   );
 });
 
-fencing('replicas that were not needed to open a slot are fenced too', async () => {
+fencing('replicas that were not needed to open a slot are also fenced', async () => {
   const fixture = await ReplicatorFixture.open();
   assert.equal(
     fixture.replicas.of('store/fence').map(({ replica }) => replica),
--- a/tests/src/session-owner/slot-writes.test.ts
+++ b/tests/src/session-owner/slot-writes.test.ts
@@ -1,4 +1,4 @@
-/** When a write counts, when it is refused, and what becomes of a replica that missed it. */
+/** Writes of a slot: when they take effect, when they are rejected, and the hints for replicas that missed one. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { RpcError } from '@tillerstair/wire';
@@ -16,7 +16,7 @@
 
 const writes = suite('writes of a slot');
 
-/** Lets each put wait until its replica's turn comes. */
+/** Delays the puts until the test gives each replica's reply; the result has the delayed reply of each replica. */
 const delayedPuts = (fixture: ReplicatorFixture): Map<string, DelayedReply> => {
   const puts = new Map(['s1', 's2', 's3', 's4'].map((id) => [id, new DelayedReply()]));
   fixture.replicas.reply = (request: ReplicaRequest) =>
@@ -32,7 +32,7 @@
     (error: unknown) => (error instanceof RpcError ? error.code : String(error)),
   );
 
-writes('a write counts once a quorum has synced it, and not before', async () => {
+writes('a write takes effect once a quorum has synced it, and not before', async () => {
   const fixture = await ReplicatorFixture.open();
   const puts = delayedPuts(fixture);
   const put = fixture.put('o/k', 'value');
@@ -46,7 +46,7 @@
   assert.is(fixture.replicator.get('o/k'), 'value');
 });
 
-writes('a write that too few replicas synced is refused', async () => {
+writes('a write that too few replicas synced is rejected', async () => {
   const fixture = await ReplicatorFixture.open();
   const puts = delayedPuts(fixture);
   const put = fixture.put('o/k', 'value');
@@ -59,7 +59,7 @@
 });
 
 writes(
-  'while a replica joins a write needs a quorum of the replicas before and after',
+  'while a replica joins, a write needs a quorum of the replicas before and after the join',
   async () => {
     const joining = slotAt(1, { joiningReplicas: ['s4'], replacedReplica: 's1' });
     for (const [early, last] of [
@@ -81,7 +81,7 @@
   },
 );
 
-writes('a replica that knows a newer ownership epoch closes the slot', async () => {
+writes('a stale-epoch reply from a replica closes the slot', async () => {
   const fixture = await ReplicatorFixture.open();
   fixture.replicas.reply = (request) =>
     request.replica === 's3' ? failWith('stale-epoch') : emptyReply(request);
@@ -99,7 +99,7 @@
   assert.is(fixture.replicas.requests.length, sent);
 });
 
-writes('a write that ends after the slot closed is not read from memory', async () => {
+writes('a write that completes after the slot closed is not kept in memory', async () => {
   const fixture = await ReplicatorFixture.open();
   const puts = delayedPuts(fixture);
   const put = fixture.put('o/k', 'value');
@@ -112,33 +112,39 @@
   assert.is(fixture.replicator.get('o/k'), undefined);
 });
 
-writes('a late refusal of an earlier ownership epoch does not close the newer one', async () => {
-  const fixture = await ReplicatorFixture.open();
-  const puts = delayedPuts(fixture);
-  fixture.put('o/k', 'value');
-  fixture.replicator.apply(slotAt(2));
-  await fixture.clock.runReadyTasks();
-  assert.is(fixture.replicator.isOpen, true);
-  puts.get('s3')?.reject('stale-epoch');
-  await fixture.clock.runReadyTasks();
-  assert.is(fixture.replicator.isOpen, true);
-});
+writes(
+  'a late stale-epoch reply to an earlier ownership epoch does not close the newer one',
+  async () => {
+    const fixture = await ReplicatorFixture.open();
+    const puts = delayedPuts(fixture);
+    fixture.put('o/k', 'value');
+    fixture.replicator.apply(slotAt(2));
+    await fixture.clock.runReadyTasks();
+    assert.is(fixture.replicator.isOpen, true);
+    puts.get('s3')?.reject('stale-epoch');
+    await fixture.clock.runReadyTasks();
+    assert.is(fixture.replicator.isOpen, true);
+  },
+);
 
-writes('a replicator whose ownership was lost refuses puts of earlier jobs', async () => {
-  const fixture = await ReplicatorFixture.open();
-  await fixture.replicator.put('o/k', 'value');
-  const sent = fixture.replicas.requests.length;
-  fixture.replicator.close();
-  assert.is(fixture.replicator.isOpen, false);
-  assert.is(fixture.replicator.isAccepting, false);
-  assert.is(fixture.replicator.get('o/k'), undefined);
-  assert.is(await errorOf(fixture.replicator.put('o/k', 'other')), 'unavailable');
-  assert.is(await errorOf(fixture.replicator.putWithRetry('o/k', 'other', 20)), 'unavailable');
-  assert.is(await errorOf(fixture.replicator.confirmMissing('o/k')), 'unavailable');
-  assert.is(fixture.replicas.requests.length, sent);
-});
+writes(
+  'a replicator whose ownership was lost rejects requests that are still in flight',
+  async () => {
+    const fixture = await ReplicatorFixture.open();
+    await fixture.replicator.put('o/k', 'value');
+    const sent = fixture.replicas.requests.length;
+    fixture.replicator.close();
+    assert.is(fixture.replicator.isOpen, false);
+    assert.is(fixture.replicator.isAccepting, false);
+    assert.is(fixture.replicator.get('o/k'), undefined);
+    assert.is(await errorOf(fixture.replicator.put('o/k', 'other')), 'unavailable');
+    assert.is(await errorOf(fixture.replicator.putWithRetry('o/k', 'other', 20)), 'unavailable');
+    assert.is(await errorOf(fixture.replicator.confirmMissing('o/k')), 'unavailable');
+    assert.is(fixture.replicas.requests.length, sent);
+  },
+);
 
-writes('a put that is retried ends after its number of attempts', async () => {
+writes('a put is not retried beyond its number of attempts', async () => {
   const fixture = await ReplicatorFixture.open();
   fixture.replicas.reply = () => failWith('connection-refused');
   const ended = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 3));
@@ -147,7 +153,7 @@
   assert.is(await ended, 'unavailable');
 });
 
-writes('a put that is retried ends when the slot is lost', async () => {
+writes('a put is not retried after the slot is lost', async () => {
   const fixture = await ReplicatorFixture.open();
   fixture.replicas.reply = () => failWith('connection-refused');
   const ended = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 20));
@@ -161,7 +167,7 @@
 });
 
 writes(
-  'one healthy replica stores the hint for one that missed a write, after all replied',
+  'one replica that synced a write stores the hint for one that missed it, after all replied',
   async () => {
     const fixture = await ReplicatorFixture.open();
     const puts = delayedPuts(fixture);
@@ -180,7 +186,7 @@
 );
 
 writes(
-  'a hint that one replica refuses goes to the next, and to no replica that missed it',
+  'a hint that one replica rejects goes to the next, and not to a replica that missed the write',
   async () => {
     const fixture = await ReplicatorFixture.open();
     const puts = delayedPuts(fixture);
@@ -203,7 +209,7 @@
 );
 
 writes(
-  'a write that no replica synced leaves no hint, nor does a replica of a newer epoch',
+  'no hint is stored if no replica synced the write, nor for a replica at a newer epoch',
   async () => {
     for (const [first, others] of [
       ['connection-lost', ['connection-lost', 'connection-lost']],
@@ -213,8 +219,8 @@
       const puts = delayedPuts(fixture);
       fixture.put('o/k', 'value');
       puts.get('s1')?.reject(first);
-      ['s2', 's3'].forEach((id, at) => {
-        const code = others[at];
+      ['s2', 's3'].forEach((id, index) => {
+        const code = others[index];
         if (code === undefined) puts.get(id)?.accept();
         else puts.get(id)?.reject(code);
       });
@@ -224,7 +230,7 @@
   },
 );
 
-writes('a key is confirmed missing only by a quorum of which none has it', async () => {
+writes('a key is confirmed missing only by a quorum of replicas that do not have it', async () => {
   const stored = { item: { key: 'o/k', ownershipEpoch: 1, seq: 1, value: 1 } };
   for (const [replies, outcome] of [
     [
@@ -272,27 +278,30 @@
   assert.is(await confirmed, 'unavailable');
 });
 
-writes('a slot is released only when it is to be, is open, and has nothing inside', async () => {
-  const leaving = slotAt(1, { transferTarget: 'next' });
-  const fixture = await ReplicatorFixture.open();
-  assert.is(fixture.replicator.tryRelease(), undefined);
-  fixture.replicator.apply(leaving);
-  const leave = fixture.replicator.beginRequest();
-  assert.is(fixture.replicator.tryRelease(), undefined);
-  assert.is(fixture.replicator.isAccepting, true);
-  leave();
-  assert.equal(fixture.replicator.tryRelease(), [0, 1]);
-  assert.is(fixture.replicator.isAccepting, false);
-  fixture.replicator.apply(slotAt(1));
-  assert.is(fixture.replicator.isAccepting, true);
-  const closed = new ReplicatorFixture();
-  closed.replicas.reply = silence;
-  closed.replicator.apply(leaving);
-  await closed.clock.runReadyTasks();
-  assert.is(closed.replicator.tryRelease(), undefined);
-});
+writes(
+  'a slot is released only if it has a transfer target, is open, and has no request in flight',
+  async () => {
+    const moving = slotAt(1, { transferTarget: 'next' });
+    const fixture = await ReplicatorFixture.open();
+    assert.is(fixture.replicator.tryRelease(), undefined);
+    fixture.replicator.apply(moving);
+    const endRequest = fixture.replicator.beginRequest();
+    assert.is(fixture.replicator.tryRelease(), undefined);
+    assert.is(fixture.replicator.isAccepting, true);
+    endRequest();
+    assert.equal(fixture.replicator.tryRelease(), [0, 1]);
+    assert.is(fixture.replicator.isAccepting, false);
+    fixture.replicator.apply(slotAt(1));
+    assert.is(fixture.replicator.isAccepting, true);
+    const closed = new ReplicatorFixture();
+    closed.replicas.reply = silence;
+    closed.replicator.apply(moving);
+    await closed.clock.runReadyTasks();
+    assert.is(closed.replicator.tryRelease(), undefined);
+  },
+);
 
-writes('what was put stays for nine tenths of its retention and is dropped after', async () => {
+writes('items stay in memory for nine tenths of their retention and are then dropped', async () => {
   const fixture = await ReplicatorFixture.open();
   await fixture.replicator.put('p/one', 1);
   await fixture.clock.run(retentionMs * 0.5);
@@ -310,14 +319,17 @@
   assert.is(fixture.replicator.size, 1);
 });
 
-writes('what turns of a program and its sub-agents cost is summed once a turn', async () => {
-  const fixture = await ReplicatorFixture.open();
-  await fixture.replicator.put('p/one/t/x', { cost: 5 });
-  await fixture.replicator.put('p/one~sub/t/y', { cost: 2 });
-  await fixture.replicator.put('p/one/t/x', { cost: 3 });
-  await fixture.replicator.put('p/other/t/z', { cost: 9 });
-  assert.is(fixture.replicator.costOf('one'), 5);
-  assert.equal(fixture.replicator.turnKeysOf('one'), ['p/one/t/x']);
-});
+writes(
+  'the costs of the turns of a program and its sub-agents are summed, each turn once',
+  async () => {
+    const fixture = await ReplicatorFixture.open();
+    await fixture.replicator.put('p/one/t/x', { cost: 5 });
+    await fixture.replicator.put('p/one~sub/t/y', { cost: 2 });
+    await fixture.replicator.put('p/one/t/x', { cost: 3 });
+    await fixture.replicator.put('p/other/t/z', { cost: 9 });
+    assert.is(fixture.replicator.costOf('one'), 5);
+    assert.equal(fixture.replicator.turnKeysOf('one'), ['p/one/t/x']);
+  },
+);
 
 writes.run();
--- a/tests/src/session-owner/turns.test.ts
+++ b/tests/src/session-owner/turns.test.ts
@@ -1,4 +1,4 @@
-/** A turn is reserved before it is sent, sent at most once, and called done only once it is on a quorum. */
+/** A turn is reserved before it is sent, sent at most once, and reported as done only once a quorum stores it. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -14,111 +14,144 @@
 import {
   readHistory,
   runTurn,
-  turn,
+  turnId,
   turnKey,
   turnValue,
   withProgram,
 } from '../support/session-owner-turns.js';
 
-const turns = suite('turns of the own interface');
+const turns = suite("turns of the product's own interface");
 
-turns('the reservation is on a quorum before the turn is sent', async () => {
-  const rig = await withProgram();
-  assert.is(brief(await rig.finish(runTurn(rig))), 'done 200');
-  const sentAt = rig.events.findIndex((line) => line.startsWith('send'));
-  const before = rig.events.slice(0, sentAt).filter((line) => line === `put ${turnKey} reserved`);
-  assert.ok(before.length >= 2, rig.events.join(', '));
-  assert.is(turnValue(rig).cost, 3);
-  assert.equal(rig.emitted, ['x', 'y', 'z']);
+turns('a quorum stores the reservation before the turn is sent', async () => {
+  const fixture = await withProgram();
+  assert.is(brief(await fixture.finish(runTurn(fixture))), 'done 200');
+  const sentAt = fixture.events.findIndex((line) => line.startsWith('send'));
+  const before = fixture.events
+    .slice(0, sentAt)
+    .filter((line) => line === `put ${turnKey} reserved`);
+  assert.ok(before.length >= 2, fixture.events.join(', '));
+  assert.is(turnValue(fixture).cost, 3);
+  assert.equal(fixture.emitted, ['x', 'y', 'z']);
 });
 
 turns(
-  'without a quorum for the reservation nothing is sent, and it is not counted for ever',
+  'without a quorum for the reservation nothing is sent, and the reservation stops counting',
   async () => {
-    const rig = await withProgram(10);
-    rig.onPut = () => false;
-    assert.is(brief(await rig.finish(runTurn(rig, { maxTokens: 8 }))), 'refused 503 unavailable');
-    assert.is(rig.sent.length, 0);
-    rig.onPut = () => true;
-    assert.is(brief(await rig.finish(runTurn(rig, { maxTokens: 8, key: 'other' }))), 'done 200');
-    assert.is(rig.sent[0]?.maxTokens, 8);
+    const fixture = await withProgram(10);
+    fixture.onPut = () => false;
+    assert.is(
+      brief(await fixture.finish(runTurn(fixture, { maxTokens: 8 }))),
+      'refused 503 unavailable',
+    );
+    assert.is(fixture.sent.length, 0);
+    fixture.onPut = () => true;
+    assert.is(
+      brief(await fixture.finish(runTurn(fixture, { maxTokens: 8, key: 'other' }))),
+      'done 200',
+    );
+    assert.is(fixture.sent[0]?.maxTokens, 8);
   },
 );
 
-turns('a turn is done only once it is on a quorum', async () => {
-  const rig = await withProgram();
-  rig.onPut = (_, status) => status !== 'done';
-  assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 unknown');
+turns('a turn is done only once a quorum stores it', async () => {
+  const fixture = await withProgram();
+  fixture.onPut = (_, status) => status !== 'done';
+  assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 unknown');
 });
 
-turns('who joins a turn that runs is looked up too', async () => {
-  const rig = await withProgram();
+turns('access to the program is also checked for a caller that joins a running turn', async () => {
+  const fixture = await withProgram();
   const server = gate();
-  rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const first = runTurn(rig);
-  await rig.clock.run(10);
-  const stranger = runTurn(rig, { tenant: 'other' });
-  const joined = runTurn(rig);
+  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  const first = runTurn(fixture);
+  await fixture.clock.run(10);
+  const otherTenant = runTurn(fixture, { tenant: 'other' });
+  const joined = runTurn(fixture);
   server.open();
-  assert.is(brief(await rig.finish(first)), 'done 200');
-  assert.is(brief(await rig.finish(stranger)), 'refused 404 missing');
-  assert.equal(await rig.finish(joined), await rig.finish(runTurn(rig)));
-  assert.is(rig.sent.length, 1);
+  assert.is(brief(await fixture.finish(first)), 'done 200');
+  assert.is(brief(await fixture.finish(otherTenant)), 'refused 404 missing');
+  assert.equal(await fixture.finish(joined), await fixture.finish(runTurn(fixture)));
+  assert.is(fixture.sent.length, 1);
 });
 
-turns('a turn that is done is answered from its record, whoever asks again', async () => {
-  const rig = await withProgram();
-  const first = await rig.finish(runTurn(rig));
-  rig.emitted.length = 0;
-  assert.equal(await rig.finish(runTurn(rig)), first);
-  assert.equal(rig.emitted, ['x', 'y', 'z']);
-  assert.is(rig.sent.length, 1);
+turns('a repeated request for a finished turn is answered from its record', async () => {
+  const fixture = await withProgram();
+  const first = await fixture.finish(runTurn(fixture));
+  fixture.emitted.length = 0;
+  assert.equal(await fixture.finish(runTurn(fixture)), first);
+  assert.equal(fixture.emitted, ['x', 'y', 'z']);
+  assert.is(fixture.sent.length, 1);
 });
 
-turns('the same key with other words is refused', async () => {
-  const rig = await withProgram();
-  await rig.finish(runTurn(rig));
-  assert.is(brief(await rig.finish(runTurn(rig, { words: 'else' }))), 'refused 422 other-body');
-  assert.is(rig.sent.length, 1);
+turns('a request with the key of another turn and different words is refused', async () => {
+  const fixture = await withProgram();
+  await fixture.finish(runTurn(fixture));
+  assert.is(
+    brief(await fixture.finish(runTurn(fixture, { words: 'else' }))),
+    'refused 422 other-body',
+  );
+  assert.is(fixture.sent.length, 1);
 });
 
-turns('a turn that broke off, or of an earlier ownership, is not run again', async () => {
-  const rig = await withProgram();
-  rig.reply = () => lostReply;
-  assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
-  assert.is(statusOf(rig.stored(turnKey)), 'failed');
-  assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
-  assert.is(brief(await rig.finish(readHistory(rig, { turn }))), 'unknown 504 broken-off');
-  rig.store(turnKey, { ...turnValue(rig), status: 'reserved' });
-  await rig.transferAwayAndBack();
-  assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
-  assert.is(rig.sent.length, 1);
-});
+turns(
+  'a turn that broke off, or was reserved in an earlier ownership, is not run again',
+  async () => {
+    const fixture = await withProgram();
+    fixture.reply = () => lostReply;
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
+    assert.is(statusOf(fixture.stored(turnKey)), 'failed');
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
+    assert.is(
+      brief(await fixture.finish(readHistory(fixture, { turn: turnId }))),
+      'unknown 504 broken-off',
+    );
+    fixture.store(turnKey, { ...turnValue(fixture), status: 'reserved' });
+    await fixture.transferAwayAndBack();
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
+    assert.is(fixture.sent.length, 1);
+  },
+);
 
 turns('a turn without a route is refused', async () => {
-  const rig = await withProgram();
-  assert.is(brief(await rig.finish(runTurn(rig, { path: '/none' }))), 'refused 404 no-route');
+  const fixture = await withProgram();
+  assert.is(
+    brief(await fixture.finish(runTurn(fixture, { path: '/none' }))),
+    'refused 404 no-route',
+  );
 });
 
-turns('what it goes on from must be there and have finished', async () => {
-  const rig = await withProgram();
-  assert.is(brief(await rig.finish(runTurn(rig, { after: 't-none' }))), 'refused 404 missing-turn');
-  const first = { t: 'turn', after: null, digest: '', words: 'w', pool: 'models', server: 'm1' };
-  rig.store('p/p1/t/t-late', { ...first, status: 'done', cost: 0, chunks: [] });
-  assert.is(brief(await rig.finish(runTurn(rig, { after: 't-late' }))), 'refused 503 unavailable');
+turns('the turn that a turn follows must exist and have finished', async () => {
+  const fixture = await withProgram();
+  assert.is(
+    brief(await fixture.finish(runTurn(fixture, { after: 't-none' }))),
+    'refused 404 missing-turn',
+  );
+  const previousTurn = {
+    t: 'turn',
+    after: null,
+    digest: '',
+    words: 'w',
+    pool: 'models',
+    server: 'm1',
+  };
+  fixture.store('p/p1/t/t-late', { ...previousTurn, status: 'done', cost: 0, chunks: [] });
+  assert.is(
+    brief(await fixture.finish(runTurn(fixture, { after: 't-late' }))),
+    'refused 503 unavailable',
+  );
   for (const [status, expected] of [
     ['reserved', 'refused 409 not-finished'],
     ['failed', 'refused 409 not-finished'],
     ['void', 'refused 404 missing-turn'],
     ['done', 'done 200'],
   ] as const) {
-    rig.store(`p/p1/t/t-${status}`, { ...first, status, cost: 0, chunks: ['said'] });
-    await rig.transferAwayAndBack();
-    const outcome = await rig.finish(runTurn(rig, { after: `t-${status}`, key: status }));
+    fixture.store(`p/p1/t/t-${status}`, { ...previousTurn, status, cost: 0, chunks: ['said'] });
+    await fixture.transferAwayAndBack();
+    const outcome = await fixture.finish(runTurn(fixture, { after: `t-${status}`, key: status }));
     assert.is(brief(outcome), expected);
   }
   assert.equal(
-    rig.sent.map((sent) => sent.messages),
+    fixture.sent.map((sent) => sent.messages),
     [
       [
         { role: 'user', text: 'w' },
@@ -130,12 +163,12 @@
 });
 
 turns(
-  'no turn is reserved beyond the budget, and one that spends it is cut to what there is',
+  'no turn is reserved beyond the budget, and the last turn is limited to the tokens that remain',
   async () => {
-    const rig = await withProgram(5);
-    assert.is(brief(await rig.finish(runTurn(rig))), 'done 200');
-    assert.is(rig.sent[0]?.maxTokens, 5);
-    rig.reply = () => ({
+    const fixture = await withProgram(5);
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'done 200');
+    assert.is(fixture.sent[0]?.maxTokens, 5);
+    fixture.reply = () => ({
       ...wholeReply,
       chunks: [
         [0, 'x'],
@@ -143,129 +176,136 @@
       ],
       ended: { kind: 'done', code: 200, body: 2 },
     });
-    await rig.finish(runTurn(rig, { key: 'second' }));
-    assert.is(rig.sent[1]?.maxTokens, 2);
-    assert.is(brief(await rig.finish(runTurn(rig, { key: 'third' }))), 'refused 402 budget-spent');
-    assert.is(rig.sent.length, 2);
+    await fixture.finish(runTurn(fixture, { key: 'second' }));
+    assert.is(fixture.sent[1]?.maxTokens, 2);
+    assert.is(
+      brief(await fixture.finish(runTurn(fixture, { key: 'third' }))),
+      'refused 402 budget-spent',
+    );
+    assert.is(fixture.sent.length, 2);
   },
 );
 
 turns('a reservation that is being written counts against the budget', async () => {
-  const rig = await withProgram(8);
-  const [first, second] = [runTurn(rig), runTurn(rig, { key: 'second' })];
-  const outcomes = [brief(await rig.finish(first)), brief(await rig.finish(second))];
+  const fixture = await withProgram(8);
+  const [first, second] = [runTurn(fixture), runTurn(fixture, { key: 'second' })];
+  const outcomes = [brief(await fixture.finish(first)), brief(await fixture.finish(second))];
   assert.equal(outcomes.sort(), ['done 200', 'refused 402 budget-spent']);
-  assert.is(rig.sent.length, 1);
+  assert.is(fixture.sent.length, 1);
 });
 
-turns('a turn that waited in line looks at the budget again', async () => {
-  const rig = await withProgram(8);
-  rig.removeServers('m2');
-  rig.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
+turns('the budget is checked again after a turn has waited for a server', async () => {
+  const fixture = await withProgram(8);
+  fixture.removeServers('m2');
+  fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
   const server = gate();
-  rig.reply = () => ({
+  fixture.reply = () => ({
     ended: { kind: 'done', code: 200, body: 8 },
-    chunks: Array.from({ length: 8 }, (_, n) => [n, 'x'] as const),
+    chunks: Array.from({ length: 8 }, (_, index) => [index, 'x'] as const),
     after: server.opened,
   });
-  await rig.finish(rig.owner.turns.createProgram({ tenant: 't', pid: 'p2', budget: 50 }));
-  const busy = runTurn(rig, { pid: 'p2' });
-  await rig.clock.run(10);
-  const [second, third] = [runTurn(rig, { key: 'second' }), runTurn(rig, { key: 'third' })];
-  await rig.clock.run(10);
+  await fixture.finish(fixture.owner.turns.createProgram({ tenant: 't', pid: 'p2', budget: 50 }));
+  const occupyingTurn = runTurn(fixture, { pid: 'p2' });
+  await fixture.clock.run(10);
+  const [second, third] = [runTurn(fixture, { key: 'second' }), runTurn(fixture, { key: 'third' })];
+  await fixture.clock.run(10);
   server.open();
   const outcomes = [];
-  for (const work of [busy, second, third]) outcomes.push(brief(await rig.finish(work)));
+  for (const work of [occupyingTurn, second, third])
+    outcomes.push(brief(await fixture.finish(work)));
   assert.equal(outcomes, ['done 200', 'done 200', 'refused 402 budget-spent']);
-  assert.is(rig.sent.length, 2);
+  assert.is(fixture.sent.length, 2);
 });
 
-turns('a turn that finds no server in time is refused as not run', async () => {
-  const rig = await withProgram();
-  rig.reply = () => declinedReply;
-  rig.removeServers('m2');
-  assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 no-server');
-  assert.is(statusOf(rig.stored(turnKey)), 'void');
-  assert.is(turnValue(rig).cost, 0);
-  rig.reply = () => wholeReply;
-  assert.is(brief(await rig.finish(runTurn(rig))), 'done 200');
-});
+turns(
+  'a turn that no server accepts is refused as not run, and its reservation becomes void',
+  async () => {
+    const fixture = await withProgram();
+    fixture.reply = () => declinedReply;
+    fixture.removeServers('m2');
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 no-server');
+    assert.is(statusOf(fixture.stored(turnKey)), 'void');
+    assert.is(turnValue(fixture).cost, 0);
+    fixture.reply = () => wholeReply;
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'done 200');
+  },
+);
 
 turns(
-  'time that passes with the reservation counts, and an attempt after it is not begun',
+  'no further attempt begins after the placement deadline, which includes earlier attempts',
   async () => {
-    const rig = await withProgram();
+    const fixture = await withProgram();
     const putAt: number[] = [];
-    rig.reply = (n) => {
-      if (n > 0) return wholeReply;
-      const late = gate();
-      rig.clock.after(2100, late.open);
-      return { ...declinedReply, after: late.opened };
+    fixture.reply = (index) => {
+      if (index > 0) return wholeReply;
+      const lateReply = gate();
+      fixture.clock.after(2100, lateReply.open);
+      return { ...declinedReply, after: lateReply.opened };
     };
-    rig.onPut = () => {
-      putAt.push(rig.clock.now());
+    fixture.onPut = () => {
+      putAt.push(fixture.clock.now());
       return true;
     };
-    assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 queue-timeout');
-    assert.is(rig.sent.length, 1);
+    assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 queue-timeout');
+    assert.is(fixture.sent.length, 1);
   },
 );
 
-turns('a caller that goes while the reservation is written gets nothing run', async () => {
-  const rig = await withProgram();
+turns('nothing is sent if the caller disconnects while the reservation is written', async () => {
+  const fixture = await withProgram();
   const caller = new AbortController();
-  rig.onPut = () => {
+  fixture.onPut = () => {
     caller.abort();
     return true;
   };
-  assert.is(brief(await rig.finish(runTurn(rig, {}, caller.signal))), 'refused 503 gone');
-  assert.is(rig.sent.length, 0);
-  assert.is(statusOf(rig.stored(turnKey)), 'void');
+  assert.is(brief(await fixture.finish(runTurn(fixture, {}, caller.signal))), 'refused 503 gone');
+  assert.is(fixture.sent.length, 0);
+  assert.is(statusOf(fixture.stored(turnKey)), 'void');
 });
 
-turns('an owner whose read lease ran out sends nothing', async () => {
-  const rig = await withProgram();
-  rig.onPut = () => {
-    rig.leaseMs = 0;
+turns('an owner whose read lease has expired sends nothing', async () => {
+  const fixture = await withProgram();
+  fixture.onPut = () => {
+    fixture.leaseMs = 0;
     return true;
   };
-  assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 not-ready');
-  assert.is(rig.sent.length, 0);
+  assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 not-ready');
+  assert.is(fixture.sent.length, 0);
 });
 
-turns('a server that drains meanwhile gets nothing, another one does', async () => {
-  const rig = await withProgram();
-  rig.removeServers('m2');
-  rig.onPut = (_, status) => {
-    if (status === 'reserved') rig.changeServer('m1', { draining: true });
+turns('a server that begins to drain while the reservation is written gets nothing', async () => {
+  const fixture = await withProgram();
+  fixture.removeServers('m2');
+  fixture.onPut = (_, status) => {
+    if (status === 'reserved') fixture.changeServer('m1', { draining: true });
     return true;
   };
-  assert.is(brief(await rig.finish(runTurn(rig))), 'refused 503 no-server');
-  assert.is(rig.sent.length, 0);
+  assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 no-server');
+  assert.is(fixture.sent.length, 0);
 });
 
-turns('whether it may go is asked again just before the first byte', async () => {
-  const rig = await withProgram();
-  rig.beforeSend = () => {
-    rig.leaseMs = 0;
+turns('whether the turn may be sent is checked again just before the first byte', async () => {
+  const fixture = await withProgram();
+  fixture.beforeSend = () => {
+    fixture.leaseMs = 0;
   };
-  assert.is((await rig.finish(runTurn(rig))).outcome, 'refused');
-  assert.is(rig.sent.length, 0);
+  assert.is((await fixture.finish(runTurn(fixture))).outcome, 'refused');
+  assert.is(fixture.sent.length, 0);
 });
 
-turns('declined, it goes to another server; lost, it does not', async () => {
+turns('a declined turn is sent to another server; a lost one is not', async () => {
   const declined = await withProgram();
-  declined.reply = (n) => (n === 0 ? declinedReply : wholeReply);
+  declined.reply = (index) => (index === 0 ? declinedReply : wholeReply);
   assert.is(brief(await declined.finish(runTurn(declined))), 'done 200');
   assert.is(new Set(declined.sent.map((sent) => sent.server)).size, 2);
   const lost = await withProgram();
-  lost.reply = (n) => (n === 0 ? lostReply : wholeReply);
+  lost.reply = (index) => (index === 0 ? lostReply : wholeReply);
   assert.is(brief(await lost.finish(runTurn(lost))), 'unknown 504 broken-off');
   assert.is(lost.sent.length, 1);
 });
 
 turns(
-  'an answer with a gap, too long, or shorter than the server says has broken off',
+  'a response with a gap, too many chunks, or fewer chunks than the server states breaks the turn off',
   async () => {
     for (const reply of [
       {
@@ -278,42 +318,45 @@
       },
       { ...wholeReply, chunks: [[0, 'x']] as const },
       {
-        chunks: Array.from({ length: 9 }, (_, n) => [n, 'x'] as const),
+        chunks: Array.from({ length: 9 }, (_, index) => [index, 'x'] as const),
         ended: { kind: 'done', code: 200, body: 8 } as const,
       },
     ]) {
-      const rig = await withProgram();
-      rig.reply = () => reply;
-      assert.is(brief(await rig.finish(runTurn(rig))), 'unknown 504 broken-off');
-      assert.is(statusOf(rig.stored(turnKey)), 'failed');
-      assert.ok(rig.emitted.length <= 8);
+      const fixture = await withProgram();
+      fixture.reply = () => reply;
+      assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
+      assert.is(statusOf(fixture.stored(turnKey)), 'failed');
+      assert.ok(fixture.emitted.length <= 8);
     }
   },
 );
 
-turns('a caller that goes stops the server, and the turn has broken off', async () => {
-  const rig = await withProgram();
+turns('a caller that disconnects stops the server and breaks the turn off', async () => {
+  const fixture = await withProgram();
   const caller = new AbortController();
-  rig.reply = (_, sent) => {
+  fixture.reply = (_, sent) => {
     caller.abort();
     assert.is(sent.stop.aborted, true);
     return wholeReply;
   };
-  assert.is(brief(await rig.finish(runTurn(rig, {}, caller.signal))), 'unknown 504 broken-off');
+  assert.is(
+    brief(await fixture.finish(runTurn(fixture, {}, caller.signal))),
+    'unknown 504 broken-off',
+  );
 });
 
-turns('a slot is not released while one of its turns is under way', async () => {
-  const rig = await withProgram();
+turns('a slot is not released while one of its turns is in flight', async () => {
+  const fixture = await withProgram();
   const server = gate();
-  rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const work = runTurn(rig);
-  await rig.clock.run(10);
-  rig.changeSlot({ transferTarget: 'f2' });
-  assert.equal(rig.owner.releaseIdleSlots(), []);
+  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  const runningTurn = runTurn(fixture);
+  await fixture.clock.run(10);
+  fixture.changeSlot({ transferTarget: 'f2' });
+  assert.equal(fixture.owner.releaseIdleSlots(), []);
   server.open();
-  await rig.finish(work);
-  assert.equal(rig.owner.releaseIdleSlots(), [[0, 1]]);
-  assert.is(await codeOf(() => runTurn(rig, { key: 'next' })), 'taking-over');
+  await fixture.finish(runningTurn);
+  assert.equal(fixture.owner.releaseIdleSlots(), [[0, 1]]);
+  assert.is(await codeOf(() => runTurn(fixture, { key: 'next' })), 'taking-over');
 });
 
 turns.run();
--- a/tests/src/session-owner/unbroken-ownership.test.ts
+++ b/tests/src/session-owner/unbroken-ownership.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Ownerships that end and begin again: a front that returns as owner must not run a request that another owner has run
+ * meanwhile, and callers of an unresponsive owner must be served by the next one.
+ */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Machine, World } from '@tillerstair/sim';
@@ -13,93 +17,123 @@
   worldUp,
 } from '../support/world-helpers.js';
 
-const owners = suite('ownerships that break and come back');
+const owners = suite('ownerships that end and begin again');
 
-const slotAt = (w: World, key: string) => {
-  const s = w.committed;
-  return s?.slots[slotForKey(key, s.slots.length)];
+/** The slot of a key in the committed state. */
+const slotOfKey = (cluster: World, key: string) => {
+  const state = cluster.committed;
+  return state?.slots[slotForKey(key, state.slots.length)];
 };
-const ownerAs = (m: Machine, key: string): string =>
-  m.front?.owner.ownerOf(m.front.owner.slotFor(key)) ?? '';
+/** The id of the key's owner according to the state that a machine's front has applied. */
+const ownerAccordingTo = (machine: Machine, key: string): string =>
+  machine.front?.owner.ownerOf(machine.front.owner.slotFor(key)) ?? '';
 
-const oneAtATime = async (w: World): Promise<void> => {
-  await w.operate('DELETE', '/v1/servers/s2');
+/** Leaves one server with one request in flight at a time. */
+const limitToOneRequest = async (cluster: World): Promise<void> => {
+  await cluster.operate('DELETE', '/v1/servers/s2');
   const text = JSON.stringify({
     ...JSON.parse(configText(1)),
     bounds: { turnMs: 240000, callMs: 120000, perServer: 1 },
   });
-  assert.is((await w.operate('PUT', '/v1/config', text)).status, 200);
-  await w.clock.run(1500);
+  assert.is((await cluster.operate('PUT', '/v1/config', text)).status, 200);
+  await cluster.clock.run(1500);
 };
 
 owners(
-  'a front that missed the loss of its slot looks again before it runs what waited in line',
+  'a front that missed the loss of its slot does not run a queued request that another owner ran',
   async () => {
     for (const seed of [61, 62, 63]) {
-      const w = await worldUp(seed, small);
-      await oneAtATime(w);
+      const cluster = await worldUp(seed, small);
+      await limitToOneRequest(cluster);
       const key = `line${seed}`;
-      const a = ownerOf(w, opKeyOf('t', key));
-      const b = w.of('front').find((m) => m !== a);
-      if (!a || !b) throw new Error('no owner');
-      w.servers.set('s1', { slow: 400 });
-      const filler = ['x', 'y', 'z']
-        .map((n) => `f${seed}${n}`)
-        .find((k) => ownerOf(w, opKeyOf('t', k)) === a);
-      const busy = w.call(filler ?? `f${seed}`, '/hold', { n: 0 }, a);
-      await w.clock.run(50);
-      const first = w.call(key, '/hold', { n: 1 }, a);
-      await w.clock.run(200);
-      assert.ok((a.front?.owner.waiting ?? 0) > 0, 'it waits in line');
-      const ownershipEpoch = slotAt(w, opKeyOf('t', key))?.ownershipEpoch ?? 0;
-      a.proxyIncarnation.frozen = true;
-      await w.clock.until('taken over', () => ownerAs(b, opKeyOf('t', key)) === b.front?.id, 20000);
-      w.servers.set('s1', { slow: 1 });
-      const elsewhere = await w.clock.finish('elsewhere', w.call(key, '/hold', { n: 1 }, b), 60000);
-      assert.is(elsewhere.reported, 'done', elsewhere.errorCode);
-      assert.is(acts(w, key), 1);
-      b.kill();
-      await w.clock.until('dismissed', () => a.agent?.zenNode === undefined, 10000);
-      a.proxyIncarnation.wake();
-      await w.clock.until('adopted again', () => a.agent?.zenNode !== undefined, 10000);
-      w.net.cut(`${a.addr}/loop`, `${a.addr}/feed`);
-      await w.clock.until('owner again', () => ownerOf(w, opKeyOf('t', key)) === a, 20000);
-      assert.ok((slotAt(w, opKeyOf('t', key))?.ownershipEpoch ?? 0) >= ownershipEpoch + 2);
-      await w.clock.run(1200);
-      w.net.healCuts();
-      await w.clock.run(40000);
-      await w.clock.finish('busy', busy, 60000);
-      await w.clock.finish('first', first, 60000);
-      assert.is(acts(w, key), 1, `${acts(w, key)} runs`);
-      assertNoBreach(recordsOf(w));
+      const firstOwner = ownerOf(cluster, opKeyOf('t', key));
+      const otherFront = cluster.of('front').find((machine) => machine !== firstOwner);
+      if (!firstOwner || !otherFront) throw new Error(`no owner of key ${key}, or no other front`);
+      cluster.servers.set('s1', { slow: 400 });
+      const fillerKey = ['x', 'y', 'z']
+        .map((suffix) => `f${seed}${suffix}`)
+        .find((candidate) => ownerOf(cluster, opKeyOf('t', candidate)) === firstOwner);
+      const occupyingCall = cluster.call(fillerKey ?? `f${seed}`, '/hold', { n: 0 }, firstOwner);
+      await cluster.clock.run(50);
+      const queuedCall = cluster.call(key, '/hold', { n: 1 }, firstOwner);
+      await cluster.clock.run(200);
+      assert.ok((firstOwner.front?.owner.waiting ?? 0) > 0, 'the call waits for a server');
+      const ownershipEpoch = slotOfKey(cluster, opKeyOf('t', key))?.ownershipEpoch ?? 0;
+      firstOwner.proxyIncarnation.frozen = true;
+      await cluster.clock.until(
+        'taken over',
+        () => ownerAccordingTo(otherFront, opKeyOf('t', key)) === otherFront.front?.id,
+        20000,
+      );
+      cluster.servers.set('s1', { slow: 1 });
+      const repeatedCall = await cluster.clock.finish(
+        'call at the new owner',
+        cluster.call(key, '/hold', { n: 1 }, otherFront),
+        60000,
+      );
+      assert.is(repeatedCall.reported, 'done', repeatedCall.errorCode);
+      assert.is(acts(cluster, key), 1);
+      otherFront.kill();
+      await cluster.clock.until(
+        'removed from the cluster',
+        () => firstOwner.agent?.zenNode === undefined,
+        10000,
+      );
+      firstOwner.proxyIncarnation.wake();
+      await cluster.clock.until(
+        'joined again',
+        () => firstOwner.agent?.zenNode !== undefined,
+        10000,
+      );
+      cluster.net.cut(`${firstOwner.addr}/loop`, `${firstOwner.addr}/feed`);
+      await cluster.clock.until(
+        'owner again',
+        () => ownerOf(cluster, opKeyOf('t', key)) === firstOwner,
+        20000,
+      );
+      assert.ok((slotOfKey(cluster, opKeyOf('t', key))?.ownershipEpoch ?? 0) >= ownershipEpoch + 2);
+      await cluster.clock.run(1200);
+      cluster.net.healCuts();
+      await cluster.clock.run(40000);
+      await cluster.clock.finish('busy', occupyingCall, 60000);
+      await cluster.clock.finish('first', queuedCall, 60000);
+      assert.is(acts(cluster, key), 1, `${acts(cluster, key)} runs`);
+      assertNoBreach(recordsOf(cluster));
     }
   },
 );
 
 owners(
-  'who asked an owner that froze hears from the next one as soon as there is one',
+  'a request to a frozen owner is answered by the next owner as soon as there is one',
   async () => {
     for (const seed of [71, 72, 73]) {
-      const w = await worldUp(seed, small);
-      const p = await w.clock.finish('program', w.program(200), 10000);
+      const cluster = await worldUp(seed, small);
+      const created = await cluster.clock.finish('program', cluster.program(200), 10000);
       const key = `q${seed}`;
-      for (const [slotKey, ask] of [
-        [opKeyOf('t', key), (m: Machine) => w.call(key, '/hold', { n: 1 }, m)],
-        [`p/${p.program}`, (m: Machine) => w.turn(p.program, null, `q #${seed}`, 'k', m)],
+      for (const [slotKey, send] of [
+        [opKeyOf('t', key), (front: Machine) => cluster.call(key, '/hold', { n: 1 }, front)],
+        [
+          `p/${created.program}`,
+          (front: Machine) => cluster.turn(created.program, null, `q #${seed}`, 'k', front),
+        ],
       ] as const) {
-        const a = ownerOf(w, slotKey);
-        const b = w.of('front').find((m) => m !== a);
-        if (!a || !b) throw new Error('no owner');
-        a.freeze();
-        const from = w.clock.now();
-        const reported = await w.clock.finish('reported', ask(b), 30000);
-        assert.is(reported.reported, 'done', reported.errorCode);
-        assert.ok(w.clock.now() - from < 7000, `${w.clock.now() - from} ms`);
-        a.wake();
-        await w.clock.until('all back', () => w.readyFronts().length === 2, 20000);
+        const owner = ownerOf(cluster, slotKey);
+        const otherFront = cluster.of('front').find((machine) => machine !== owner);
+        if (!owner || !otherFront) throw new Error(`no owner of key ${slotKey}, or no other front`);
+        owner.freeze();
+        const startedAt = cluster.clock.now();
+        const reply = await cluster.clock.finish('reported', send(otherFront), 30000);
+        assert.is(reply.reported, 'done', reply.errorCode);
+        assert.ok(cluster.clock.now() - startedAt < 7000, `${cluster.clock.now() - startedAt} ms`);
+        owner.wake();
+        await cluster.clock.until(
+          'all fronts ready',
+          () => cluster.readyFronts().length === 2,
+          20000,
+        );
       }
-      assert.is(acts(w, key), 1);
-      assertNoBreach(recordsOf(w));
+      assert.is(acts(cluster, key), 1);
+      assertNoBreach(recordsOf(cluster));
     }
   },
 );
--- a/tests/src/support/fake-replicas.ts
+++ b/tests/src/support/fake-replicas.ts
@@ -1,4 +1,4 @@
-/** Replicas of one slot that answer as a test says, and a replicator that talks to them in simulated time. */
+/** Scripted replicas of one slot, and a replicator that uses them in simulated time. */
 import { SlotReplicator, type CompiledState } from '@tillerstair/session-owner';
 import { SimClock } from '@tillerstair/sim';
 import { bootstrapState, Item, type Slot, type State } from '@tillerstair/state';
@@ -12,27 +12,30 @@
   to: z.string().optional(),
 });
 
+/** A request that a replica received. */
 export interface ReplicaRequest extends z.infer<typeof RequestBody> {
   readonly replica: string;
   readonly kind: string;
 }
 
-/** Answers one request to a replica; a promise that never settles stands for a silent replica. */
+/** The response to one request to a replica; a promise that never settles simulates an unresponsive replica. */
 export type ReplicaReply = (request: ReplicaRequest) => Promise<unknown>;
 
+/** The reply of an unresponsive replica. */
 export const silence: ReplicaReply = () => new Promise(() => undefined);
+/** A reply that fails with this code. */
 export const failWith = (code: RpcErrorCode): Promise<unknown> =>
-  Promise.reject(new RpcError(code, 'as the test says'));
+  Promise.reject(new RpcError(code, 'scripted failure'));
 
-/** A healthy replica that stores nothing: a fence hands over no items, a read finds none. */
+/** The reply of a healthy replica that stores nothing: a fence returns no items, a read finds none. */
 export const emptyReply: ReplicaReply = ({ kind }) =>
   Promise.resolve(kind === 'store/fence' ? { items: [], next: '' } : { item: null });
 
-/** A healthy replica whose fence hands over these items. */
+/** The reply of a healthy replica whose fence returns these items. */
 export const replyWith = (items: readonly Item[]): Promise<unknown> =>
   Promise.resolve({ items, next: '' });
 
-/** A reply that a test gives later, to each request that waits for it. */
+/** A reply that a test gives later, to all requests that are waiting for it. */
 export class DelayedReply {
   private readonly waiting: { accept: (reply: unknown) => void; reject: (error: Error) => void }[] =
     [];
@@ -50,6 +53,7 @@
   }
 }
 
+/** A transport that records the requests to the replicas and replies as scripted. */
 class FakeReplicas implements Transport {
   readonly self = 'owner';
   readonly requests: ReplicaRequest[] = [];
@@ -61,7 +65,7 @@
     return this.reply(request);
   }
 
-  /** Requests of a kind so far, such as `store/put`. */
+  /** The requests of a kind so far, such as `store/put`. */
   of(kind: string): readonly ReplicaRequest[] {
     return this.requests.filter((request) => request.kind === kind);
   }
@@ -95,6 +99,7 @@
   ),
 });
 
+/** A slot at this ownership epoch with replicas s1, s2 and s3. */
 export const slotAt = (ownershipEpoch: number, change: Partial<Slot> = {}): Slot => ({
   owner: 'owner',
   ownershipEpoch,
@@ -106,22 +111,22 @@
   ...change,
 });
 
-/** How some work ended so far: `pending`, `done`, or the code of its error. */
+/** The state of some work so far: `pending`, `done`, or the code of its error. */
 export interface Observed {
   readonly outcome: string;
 }
 
 const observe = (work: Promise<unknown>): Observed => {
-  const seen = { outcome: 'pending' };
+  const observed = { outcome: 'pending' };
   work.then(
     () => {
-      seen.outcome = 'done';
+      observed.outcome = 'done';
     },
     (error: unknown) => {
-      seen.outcome = error instanceof RpcError ? error.code : String(error);
+      observed.outcome = error instanceof RpcError ? error.code : String(error);
     },
   );
-  return seen;
+  return observed;
 };
 
 /** A replicator of slot 0 with three replicas and a quorum of two. */
@@ -151,12 +156,12 @@
     return fixture;
   }
 
-  /** How a put ends, written down when it does. */
+  /** Starts a put; the result follows its outcome. */
   put(key: string, value: unknown): Observed {
     return observe(this.replicator.put(key, value));
   }
 
-  /** How a confirmation ends, written down when it does. */
+  /** Starts a confirmation that a key is missing; the result follows its outcome. */
   confirmMissing(key: string): Observed {
     return observe(this.replicator.confirmMissing(key));
   }
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-rig.ts
@@ -1,4 +1,4 @@
-/** One session owner over stores and servers that a test scripts: every message, put and send is recorded in its order. */
+/** A session owner with stores and servers that a test scripts; puts and sends are recorded in order. */
 import type {
   Backend,
   CallOutcome,
@@ -38,13 +38,13 @@
 
 const StatusValue = z.object({ status: z.string() });
 
-/** The status of a stored value; empty for one that has none. */
+/** The status of a stored value; empty for a value without one. */
 export const statusOf = (value: unknown): string => {
   const parsed = StatusValue.safeParse(value);
   return parsed.success ? parsed.data.status : '';
 };
 
-/** What a scripted server gets of a request that reached it. */
+/** A request as it reached a scripted server. */
 export interface SentRequest {
   readonly kind: 'turn' | 'call' | 'pass';
   readonly server: string;
@@ -56,18 +56,18 @@
   readonly stop: AbortSignal;
 }
 
-/** What a scripted server answers with: chunks of a turn or bytes of a stream go out before its end. */
+/** A scripted server's response: chunks of a turn or bytes of a stream are delivered before the outcome. */
 export interface ServerReply {
   readonly ended: BackendOutcome;
   readonly chunks?: readonly (readonly [number, string])[];
   readonly status?: number;
   readonly contentType?: string;
   readonly bytes?: readonly string[];
-  /** The answer comes once this has resolved. */
+  /** The response is delayed until this resolves. */
   readonly after?: Promise<void>;
 }
 
-/** The three chunks of a turn, or one event of a stream, answered whole. */
+/** A complete response: three chunks of a turn, or one event of a stream. */
 export const wholeReply: ServerReply = {
   ended: { kind: 'done', code: 200, body: 3 },
   chunks: [
@@ -77,14 +77,16 @@
   ],
   bytes: ['id: 1\ndata: one\n\n'],
 };
+/** The connection to the server is lost after the request was sent. */
 export const lostReply: ServerReply = { ended: { kind: 'lost', text: 'cut' } };
+/** The server declines the request without running it. */
 export const declinedReply: ServerReply = { ended: { kind: 'declined', text: 'no' } };
 
-/** An outcome in short: what became of the request, the status and the error code. */
+/** An outcome as text: outcome, HTTP status and error code. */
 export const brief = (outcome: CallOutcome): string =>
   `${outcome.outcome} ${outcome.status} ${outcome.errorCode ?? ''}`.trim();
 
-/** The code of the `RpcError` that some work ends with. */
+/** The code of the `RpcError` that `work` ends with; "no error" without one. */
 export const codeOf = async (work: () => unknown): Promise<string> => {
   try {
     await work();
@@ -94,7 +96,7 @@
   }
 };
 
-/** A gate that work waits at until the test opens it. */
+/** A gate: `opened` resolves when the test calls `open`. */
 export const gate = (): { readonly opened: Promise<void>; readonly open: () => void } => {
   const opening = new AbortController();
   const opened = new Promise<void>((resolve) => {
@@ -108,6 +110,7 @@
   headers: [['content-type', reply.contentType ?? 'text/event-stream'] as const],
 });
 
+/** A session owner of one slot in simulated time, with scripted stores and servers. */
 export class SessionOwnerRig {
   readonly clock = new SimClock();
   readonly owner: SessionOwner;
@@ -116,16 +119,18 @@
   );
   /** `put KEY STATUS` when a store has synced a value, `send SERVER` when a request reaches a server. */
   readonly events: string[] = [];
+  /** Requests that reached a server, in order. */
   readonly sent: SentRequest[] = [];
-  /** Stores that refuse everything. */
+  /** Ids of stores that cannot be reached. */
   readonly down = new Set<string>();
-  /** Called before a store syncs a value; one that returns false refuses the write. */
+  /** Called before a store syncs a value; returns false to make the store reject the write. */
   onPut: (key: string, status: string) => boolean = () => true;
-  /** Answers each request that reaches a server; `n` counts them from 0. */
-  reply: (n: number, sent: SentRequest) => ServerReply = () => wholeReply;
-  /** When set, servers ask just before the first byte whether the request may still go, as the real client does. */
+  /** The response to each request that reaches a server; `index` counts the requests from 0. */
+  reply: (index: number, sent: SentRequest) => ServerReply = () => wholeReply;
+  /** When set, called before the first byte is sent, after which `mayStillRun` decides, as in the real client. */
   beforeSend: (() => void) | undefined;
   leaseMs = 60000;
+  /** The chunks that the caller received, by index. */
   readonly emitted: string[] = [];
   private state: State;
 
@@ -171,13 +176,13 @@
     });
   }
 
-  /** An owner whose slot is open. */
+  /** Creates an owner with a valid lease whose slot is open. */
   static async opened(): Promise<SessionOwnerRig> {
-    const rig = new SessionOwnerRig();
-    rig.change({});
-    rig.owner.renewLease(rig.clock.now());
-    await rig.waitForSlotOpen();
-    return rig;
+    const fixture = new SessionOwnerRig();
+    fixture.change({});
+    fixture.owner.renewLease(fixture.clock.now());
+    await fixture.waitForSlotOpen();
+    return fixture;
   }
 
   async waitForSlotOpen(): Promise<void> {
@@ -194,10 +199,12 @@
     }
   }
 
+  /** The committed cluster state. */
   get current(): State {
     return this.state;
   }
 
+  /** Commits a changed cluster state and applies it to the owner. */
   change(change: Partial<State>): void {
     this.state = { ...this.state, ...change, version: this.state.version + 1 };
     this.owner.applyState(this.state);
@@ -224,11 +231,12 @@
     });
   }
 
+  /** Commits a configuration. */
   configure(config: object): void {
     this.change({ config: configRecordOf(config, (this.state.config?.version ?? 0) + 1) });
   }
 
-  /** The slot goes to another front and comes back: a later ownership of the same process. */
+  /** Moves the slot to another front and back, which begins a later ownership in the same process. */
   async transferAwayAndBack(): Promise<void> {
     const epoch = (this.state.slots[0]?.ownershipEpoch ?? 0) + 1;
     this.changeSlot({ owner: 'f2', ownershipEpoch: epoch, ownedSinceEpoch: epoch });
@@ -236,11 +244,12 @@
     await this.waitForSlotOpen();
   }
 
+  /** Runs the clock until `work` has settled. */
   finish<T>(work: Promise<T>): Promise<T> {
     return this.clock.finish('outcome', work, 120000);
   }
 
-  /** The newest value of a key that a quorum of stores has, as the stores have it. */
+  /** The value of a key that is stored by a quorum of stores; undefined if fewer have the key. */
   stored(key: string): unknown {
     const values = [...this.stores.values()].flatMap((items) => {
       const item = items.get(key);
@@ -249,19 +258,20 @@
     return values.length >= 2 ? values[0] : undefined;
   }
 
+  /** Stores a value on some stores, as if an earlier owner had written it. */
   store(key: string, value: unknown, ids: readonly string[] = storeIds): void {
     for (const id of ids) this.stores.get(id)?.set(key, { key, ownershipEpoch: 0, seq: 1, value });
   }
 
-  /** Makes what one store has of a key newer than what the others have. */
+  /** Makes one store's item under a key newer than that of the other stores. */
   bumpSequence(key: string, id: string): void {
     const items = this.stores.get(id);
     const item = items?.get(key);
     if (items && item) items.set(key, { ...item, seq: item.seq + 1 });
   }
 
-  readonly emit = (n: number, text: string): void => {
-    this.emitted[n] = text;
+  readonly emit = (index: number, text: string): void => {
+    this.emitted[index] = text;
   };
 
   private transport(): Transport {
@@ -279,7 +289,8 @@
 
   private answer(to: string, kind: string, request: z.infer<typeof StoreRequest>): unknown {
     const items = this.stores.get(to);
-    if (!items || this.down.has(to)) throw new RpcError('connection-refused', `${to} is down`);
+    if (!items || this.down.has(to))
+      throw new RpcError('connection-refused', `store ${to} is unreachable`);
     switch (kind) {
       case 'store/fence':
         return { items: [...items.values()], next: '' };
@@ -289,14 +300,14 @@
       case 'store/read':
         return { item: items.get(request.key ?? '') ?? null };
       case 'store/find':
-        return { items: this.found(items, request.turn ?? '') };
+        return { items: this.findTurn(items, request.turn ?? '') };
       default:
         return {};
     }
   }
 
-  /** A turn by its attempt alone, whatever its program. */
-  private found(items: ReadonlyMap<string, StoredItem>, attempt: string): readonly StoredItem[] {
+  /** Finds a turn by its attempt id alone, in any program. */
+  private findTurn(items: ReadonlyMap<string, StoredItem>, attempt: string): readonly StoredItem[] {
     const first = [...items.values()].find((item) => item.key.endsWith(`/t/${attempt}`));
     return first ? [first] : [];
   }
@@ -304,70 +315,73 @@
   private write(items: Map<string, StoredItem>, item: StoredItem): void {
     const status = statusOf(item.value);
     if (!this.onPut(item.key, status))
-      throw new RpcError('unavailable', 'the disk takes no writes');
+      throw new RpcError('unavailable', `the scripted store rejects the write of ${item.key}`);
     items.set(item.key, item);
     this.events.push(`put ${item.key} ${status}`);
   }
 
-  private async carried(
+  /** Records a request at a server and plays the scripted response. */
+  private async runRequest(
     sent: SentRequest,
-    still: () => boolean,
-    play: (reply: ServerReply) => void,
+    mayStillRun: () => boolean,
+    deliver: (reply: ServerReply) => void,
   ): Promise<BackendOutcome> {
     await Promise.resolve();
     if (this.beforeSend) {
       this.beforeSend();
-      if (!still()) return { kind: 'never-left', text: 'not allowed any more' };
+      if (!mayStillRun()) return { kind: 'never-left', text: 'the request may no longer run' };
     }
     this.events.push(`send ${sent.server}`);
     const reply = this.reply(this.sent.push(sent) - 1, sent);
     if (reply.after) await reply.after;
-    play(reply);
+    deliver(reply);
     return reply.ended;
   }
 
   private backend(): Backend {
-    const nothing = { key: '', body: '', messages: [], maxTokens: 0, resume: '' };
+    const emptyRequest = { key: '', body: '', messages: [], maxTokens: 0, resume: '' };
     return {
-      generate: (...[server, request, onChunk, stop, , still]: Parameters<Backend['generate']>) =>
-        this.carried(
+      generate: (
+        ...[server, request, onChunk, stop, , mayStillRun]: Parameters<Backend['generate']>
+      ) =>
+        this.runRequest(
           {
-            ...nothing,
+            ...emptyRequest,
             kind: 'turn',
             server: server.id,
             messages: request.messages,
             maxTokens: request.maxTokens,
             stop,
           },
-          still,
+          mayStillRun,
           (reply) => {
-            for (const [n, text] of reply.chunks ?? []) onChunk(n, text);
+            for (const [index, text] of reply.chunks ?? []) onChunk(index, text);
           },
         ),
-      act: (server, request, stop, _within, still) =>
-        this.carried(
+      act: (server, request, stop, _timeoutMs, mayStillRun) =>
+        this.runRequest(
           {
-            ...nothing,
+            ...emptyRequest,
             kind: 'call',
             server: server.id,
             key: request.key,
             body: request.body,
             stop,
           },
-          still,
+          mayStillRun,
           () => undefined,
         ),
-      pass: (...[server, request, sink, stop, , still]: Parameters<Backend['pass']>) =>
-        this.carried(
+      pass: (...[server, request, sink, stop, , mayStillRun]: Parameters<Backend['pass']>) =>
+        this.runRequest(
           {
-            ...nothing,
+            ...emptyRequest,
             kind: 'pass',
             server: server.id,
             body: Buffer.from(request.body).toString('latin1'),
             resume: request.resume,
             stop,
           },
-          still,
+          mayStillRun,
           (reply) => {
             if (reply.ended.kind === 'declined') return;
             if (!reply.bytes && reply.ended.kind === 'lost') return;
--- a/tests/src/support/session-owner-state.ts
+++ b/tests/src/support/session-owner-state.ts
@@ -1,4 +1,4 @@
-/** The cluster state and configuration that a `SessionOwnerRig` begins with. */
+/** The initial cluster state and configuration of a `SessionOwnerRig`. */
 import {
   checkConfig,
   configDigest,
@@ -10,10 +10,12 @@
 
 /** The front whose session owner is tested. */
 export const frontId = 'f1';
+/** The stores, each of which has a replica of the only slot. */
 export const storeIds = ['a', 'b', 'c'] as const;
-/** The host of all pass routes. */
+/** The host that all pass routes match. */
 export const host = 'a.example';
 
+/** A node of the cluster whose address is its id. */
 export const memberOf = (id: string, kind: Member['kind']): Member => ({
   id,
   kind,
@@ -24,6 +26,7 @@
   name: '',
 });
 
+/** A healthy server of a pool. */
 export const serverOf = (id: string, pool: string): Server => ({
   id,
   pool,
@@ -34,6 +37,7 @@
   places: 0,
 });
 
+/** A model pool, two service pools, and a route for each kind of request. */
 export const configuration = {
   base: 0,
   pools: [
@@ -75,6 +79,7 @@
   bounds: { turnMs: 8000, callMs: 4000, queue: 256, perServer: 16 },
 };
 
+/** The record of a configuration in the cluster state. Throws if the configuration is invalid. */
 export const configRecordOf = (config: object, version: number): State['config'] => {
   const text = JSON.stringify(config);
   const checked = checkConfig(text);
@@ -88,6 +93,7 @@
   };
 };
 
+/** A slot that the tested front owns since `epoch`. */
 export const ownedSlot = (epoch: number): Slot => ({
   owner: frontId,
   ownershipEpoch: epoch,
--- a/tests/src/support/session-owner-turns.ts
+++ b/tests/src/support/session-owner-turns.ts
@@ -1,14 +1,15 @@
-/** Requests for programs and turns of the product's own interface, made to a `SessionOwnerRig`. */
+/** Requests for programs and turns of the product's own interface, sent to the owner of a `SessionOwnerRig`. */
 import { turnIdOf, TurnValue } from '@tillerstair/session-owner';
 import { SessionOwnerRig } from './session-owner-rig.js';
 
-const never = new AbortController().signal;
-/** The turn that `runTurn` asks for unless told otherwise. */
-export const turn = turnIdOf('p1', 'k');
-/** The key of its record. */
-export const turnKey = `p/p1/t/${turn}`;
+const neverAborted = new AbortController().signal;
+/** The id of the turn that `runTurn` requests by default. */
+export const turnId = turnIdOf('p1', 'k');
+/** The key of that turn's record. */
+export const turnKey = `p/p1/t/${turnId}`;
 
-interface TurnChange {
+/** Properties of a turn request that differ from the defaults. */
+interface TurnOverrides {
   readonly tenant?: string;
   readonly pid?: string;
   readonly after?: string | null;
@@ -18,9 +19,13 @@
   readonly maxTokens?: number;
 }
 
-/** Asks for a turn of program p1. */
-export const runTurn = (rig: SessionOwnerRig, change: TurnChange = {}, stop: AbortSignal = never) =>
-  rig.owner.turns.runTurn(
+/** Requests a turn, by default of program p1. */
+export const runTurn = (
+  fixture: SessionOwnerRig,
+  overrides: TurnOverrides = {},
+  signal: AbortSignal = neverAborted,
+) =>
+  fixture.owner.turns.runTurn(
     {
       tenant: 't',
       pid: 'p1',
@@ -29,25 +34,25 @@
       words: 'hello',
       key: 'k',
       requestId: '',
-      ...change,
+      ...overrides,
     },
-    rig.emit,
-    stop,
+    fixture.emit,
+    signal,
   );
 
 /** Reads program p1 or one of its turns. */
 export const readHistory = (
-  rig: SessionOwnerRig,
-  change: { tenant?: string; turn?: string } = {},
-) => rig.owner.turns.readHistory({ tenant: 't', pid: 'p1', ...change });
+  fixture: SessionOwnerRig,
+  overrides: { tenant?: string; turn?: string } = {},
+) => fixture.owner.turns.readHistory({ tenant: 't', pid: 'p1', ...overrides });
 
-/** An owner with program p1 of tenant t. */
+/** Creates an owner with program p1 of tenant t; `budget` is in tokens. */
 export const withProgram = async (budget = 50): Promise<SessionOwnerRig> => {
-  const rig = await SessionOwnerRig.opened();
-  await rig.finish(rig.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget }));
-  return rig;
+  const fixture = await SessionOwnerRig.opened();
+  await fixture.finish(fixture.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget }));
+  return fixture;
 };
 
-/** The record of a turn. */
-export const turnValue = (rig: SessionOwnerRig, at = turnKey): TurnValue =>
-  TurnValue.parse(rig.stored(at));
+/** The record of a turn, as a quorum of stores has it. */
+export const turnValue = (fixture: SessionOwnerRig, key = turnKey): TurnValue =>
+  TurnValue.parse(fixture.stored(key));
