--- a/packages/session-owner/src/messages.ts
+++ b/packages/session-owner/src/messages.ts
@@ -102,7 +102,7 @@
   status: z.number(),
   headers: HeaderList,
   body: z.string(),
-  /** Set if the response had no length and ended with its connection (`ResponseHead`). */
+  /** Set if the response had neither a length nor chunks, so that its connection ended it (`ResponseHead`). */
   untilClose: z.literal(true).optional(),
 });
 /** A server's complete response, as stored for a key and sent to the caller. */
--- a/packages/session-owner/src/turn-attempts.ts
+++ b/packages/session-owner/src/turn-attempts.ts
@@ -2,7 +2,7 @@
  * The attempts of one turn of the product's own interface, driven by the `AttemptMachine`.
  *
  * Each attempt at a server has its own reservation, which becomes void if that server did not run the turn. A turn that
- * reached a server is never sent again: it ends as done, or as failed with the chunks that arrived. See
+ * a server may have run is never sent again: it ends as done, or as failed with the chunks that arrived. See
  * `docs/design.md`, "A turn".
  */
 import { rootProgramId, type Config, type Server } from '@tillerstair/state';
@@ -129,7 +129,7 @@
     await this.storeVoid();
     if (this.cancelled)
       return callerDisconnected('the caller disconnected before the turn was sent');
-    return this.owner.leaseValid ? undefined : leaseExpired('the turn was not sent');
+    return this.owner.leaseValid ? undefined : leaseExpired('the read lease has expired');
   }
 
   async send(server: Server, mayStillRun: () => boolean): Promise<GeneratedTurn> {
