--- a/packages/session-owner/src/abort-listener.ts
+++ b/packages/session-owner/src/abort-listener.ts
@@ -1,4 +1,4 @@
-/** Runs `work` and calls `onAbort` if the signal is aborted meanwhile; the listener goes with the end of the work. */
+/** Runs `work` and calls `onAbort` if the signal aborts before it settles; the listener is removed afterwards. */
 export const withAbortListener = async <T>(
   signal: AbortSignal,
   onAbort: () => void,
--- a/packages/session-owner/src/admission-queue.ts
+++ b/packages/session-owner/src/admission-queue.ts
@@ -1,28 +1,30 @@
 /**
- * Requests that wait for a server, in two classes: urgent and ordinary. It owns who waits and in which order. Invariants:
- * waiting is bounded in number and time (docs/design.md, "A turn"), nobody who comes later overtakes a request of the
- * same class that could be placed too, and urgent requests do not starve the ordinary ones.
+ * Queue of the requests that wait for a server, in two classes: urgent and ordinary. It owns the set of waiting
+ * requests and their order. Invariants: the number of waiting requests and their waiting time are bounded
+ * (docs/design.md, "A turn"); a request never overtakes an earlier one of its class that could be placed as well; and
+ * urgent requests do not starve ordinary ones.
  */
 import { AdmissionError, RequestCancelledError, toRpcError, type Clock } from '@tillerstair/wire';
 import { AdmissionRate } from './admission-rate.js';
 
-/** After so many urgent requests an ordinary one is admitted. */
+/** Number of consecutive urgent requests after which an ordinary one is admitted. */
 const urgentPerOrdinary = 4;
-/** A request is queued if the estimated wait is at most this share of its time. */
+/** A request is queued only if its estimated wait is at most this share of its timeout. */
 const maxWaitShare = 0.8;
 
 /** A request for admission. */
 export interface AdmissionRequest<T> {
   readonly isUrgent: boolean;
-  /** It waits so long at most, in ms. */
+  /** Maximum waiting time, in ms. */
   readonly timeoutMs: number;
-  /** Aborts when its caller has gone. */
+  /** Aborted when the caller disconnects; the request then leaves the queue. */
   readonly signal: AbortSignal;
-  /** Reserves what the request waits for; undefined if there is none now. An error ends the request. */
+  /** Reserves a server for the request; undefined if none is free. An error rejects the request. */
   readonly pick: () => T | undefined;
 }
 
 interface Waiter<T> {
+  /** On the queue's clock, in ms. */
   readonly deadline: number;
   readonly pick: () => T | undefined;
   resolve(picked: T): void;
@@ -34,13 +36,13 @@
   readonly rate: AdmissionRate;
 }
 
-/** The queue before a group of servers. */
+/** The admission queue of a group of servers. */
 export class AdmissionQueue<T> {
   private readonly urgent: WaiterQueue<T>;
   private readonly ordinary: WaiterQueue<T>;
   private urgentInARow = 0;
 
-  /** @param maxWaiting - how many requests of each class may wait; read anew for each request */
+  /** @param maxWaiting - maximum number of waiting requests of each class; read again for each request */
   constructor(
     private readonly clock: Clock,
     private readonly maxWaiting: () => number,
@@ -49,14 +51,15 @@
     this.ordinary = { waiters: new Set(), rate: new AdmissionRate(clock) };
   }
 
-  /** The number of requests that wait. */
+  /** The number of waiting requests of both classes. */
   get waiting(): number {
     return this.urgent.waiters.size + this.ordinary.waiters.size;
   }
 
   /**
-   * Resolves with what was picked. Rejects with an `AdmissionError`: `queue-full`, or `queue-timeout` when the wait is or
-   * would be too long; with a `RequestCancelledError` when the caller has gone; with the error of `pick`.
+   * Resolves with the result of `pick`. Rejects with an `AdmissionError`: `queue-full`, or `queue-timeout` when the
+   * wait exceeds, or is expected to exceed, the timeout; with a `RequestCancelledError` when the caller disconnects; or
+   * with the error that `pick` threw.
    */
   enter(request: AdmissionRequest<T>): Promise<T> {
     if (this.waiting === 0) {
@@ -73,7 +76,7 @@
     return refusal ? Promise.reject(refusal) : this.wait(request, queue);
   }
 
-  /** Rejects the requests whose turn cannot come in time any more, but never the first of a class. */
+  /** Rejects the requests that are expected to miss their deadline, but never the first of a class. */
   rejectOverdue(): void {
     const now = this.clock.now();
     for (const { waiters, rate } of [this.urgent, this.ordinary]) {
@@ -82,14 +85,19 @@
         const waitMs = rate.estimateWaitMs(position);
         if (position > 0 && now + waitMs > waiter.deadline)
           waiter.reject(
-            new AdmissionError('queue-timeout', 'no server will be free in time', 'no', waitMs),
+            new AdmissionError(
+              'queue-timeout',
+              'no server is expected to become free before the deadline',
+              'no',
+              waitMs,
+            ),
           );
         else position++;
       }
     }
   }
 
-  /** Admits requests as long as one of them can pick; to be called when a server may have become free. */
+  /** Admits requests until none of them can pick a server; to be called when a server may have become free. */
   admitWaiting(): void {
     while (this.admitNext());
   }
@@ -100,11 +108,16 @@
   ): AdmissionError | undefined {
     const waitMs = rate.estimateWaitMs(waiters.size);
     if (waiters.size >= this.maxWaiting())
-      return new AdmissionError('queue-full', 'the queue is full', 'no', waitMs);
+      return new AdmissionError(
+        'queue-full',
+        `the admission queue is full: ${waiters.size} requests are waiting`,
+        'no',
+        waitMs,
+      );
     if (waiters.size > 0 && waitMs > request.timeoutMs * maxWaitShare)
       return new AdmissionError(
         'queue-timeout',
-        'the queue is too long for the time that the request has',
+        'the estimated wait in the admission queue is too long for the time left to the request',
         'no',
         waitMs,
       );
@@ -120,9 +133,14 @@
         waiter.reject(new RequestCancelledError('no'));
       };
       const timer = this.clock.after(timeoutMs, () => {
-        waiter.reject(new AdmissionError('queue-timeout', 'no server became free in time'));
+        waiter.reject(
+          new AdmissionError(
+            'queue-timeout',
+            `no server became free within ${Math.round(timeoutMs)} ms`,
+          ),
+        );
       });
-      const leave = () => {
+      const removeWaiter = () => {
         waiters.delete(waiter);
         timer.stop();
         signal.removeEventListener('abort', onAbort);
@@ -131,11 +149,11 @@
         deadline: this.clock.now() + timeoutMs,
         pick,
         resolve: (picked) => {
-          leave();
+          removeWaiter();
           resolve(picked);
         },
         reject: (error) => {
-          leave();
+          removeWaiter();
           reject(error);
         },
       };
@@ -145,7 +163,7 @@
     });
   }
 
-  /** Admits the first request that can pick; false if none can. */
+  /** Admits the first request that can pick a server, in the order of classes; false if none can. */
   private admitNext(): boolean {
     const isOrdinaryDue = this.urgentInARow >= urgentPerOrdinary;
     const order = isOrdinaryDue ? [this.ordinary, this.urgent] : [this.urgent, this.ordinary];
@@ -161,6 +179,7 @@
     return false;
   }
 
+  /** Picks a server for a waiting request; an error of `pick` rejects that request alone. */
   private pickOrReject(waiter: Waiter<T>): T | undefined {
     try {
       return waiter.pick();
--- a/packages/session-owner/src/admission-rate.ts
+++ b/packages/session-owner/src/admission-rate.ts
@@ -1,10 +1,10 @@
-/** The rate at which a queue admits requests, by which the time to wait in it is estimated. */
+/** The rate at which an admission queue admits requests, from which the waiting time is estimated. */
 import type { Clock } from '@tillerstair/wire';
 
 /** The weight of the newest interval in the moving average. */
 const smoothingFactor = 0.1;
 
-/** A moving average of the time between two admissions. */
+/** An exponential moving average of the time between two admissions, in ms. */
 export class AdmissionRate {
   private intervalMs = 0;
   private admittedAt: number;
@@ -13,12 +13,12 @@
     this.admittedAt = clock.now();
   }
 
-  /** The queue was empty until now: nobody waited in the time before. */
+  /** Starts a new interval when a request arrives at an empty queue, so that the idle time before does not count. */
   restart(): void {
     this.admittedAt = this.clock.now();
   }
 
-  /** A request was admitted. */
+  /** Records that a request was admitted now. */
   recordAdmission(): void {
     const now = this.clock.now();
     const sinceLastMs = now - this.admittedAt;
@@ -30,8 +30,8 @@
   }
 
   /**
-   * The time in ms that a request is likely to wait behind `ahead` others. A standstill counts: it takes no less than
-   * the time since the last admission.
+   * The estimated waiting time, in ms, of a request with `ahead` others before it. It is at least the time since the
+   * last admission, so that the estimate grows while nothing is admitted.
    */
   estimateWaitMs(ahead: number): number {
     const sinceLastMs = this.clock.now() - this.admittedAt;
--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -1,81 +1,85 @@
 /**
  * The state machine that every request to a server goes through, whatever its interface.
  *
- * `placing` waits for a server, `placed` records what is about to run, `recorded` looks once more and sends, `answered`
- * stores what came back. A server that did not run the request leads back to `placing`; everything else ends it.
+ * `placing` waits for a server, `placed` stores the intent or reservation, `recorded` checks the preconditions again
+ * and sends the request, `answered` stores the result. A request that the server did not run, or that may be retried,
+ * returns to `placing`; every other result ends it.
  *
- * The machine owns the state of one request and the set of servers it has tried. It keeps these invariants: nothing is
- * sent before `record` has completed; the server, the route and the read lease are looked at again in the same turn of
- * the event loop in which the request is sent; each server that was placed is released exactly once.
+ * The machine owns the state of one request and the set of servers it has tried. Invariants: nothing is sent before
+ * `record` has completed; the server, the route and the read lease are checked again in the same turn of the event loop
+ * in which the request is sent; each assigned server is released exactly once.
  */
 import type { RouteKind, Server } from '@tillerstair/state';
 import { RpcError, toRpcError, type Clock } from '@tillerstair/wire';
 import type { CallOutcome } from './messages.js';
 import type { PrefixBlock } from './prefix-blocks.js';
 
-/** How often an end is written before it is given up. */
+/** Maximum number of attempts to write the outcome of a request to the replicas. */
 export const outcomeWriteAttempts = 20;
 
-/** What a request asks for when it waits for a server. */
+/** A request for a server, with the constraints of its placement. */
 export interface PlacementRequest {
   readonly kind: RouteKind;
   readonly path: string;
-  /** The prompt in parts that a server may have in its prefix cache; empty where it is not known. */
+  /** The prompt as blocks that a server may have in its prefix cache; empty if the prompt is not known. */
   readonly promptParts: readonly PrefixBlock[];
-  /** The pool that served the request's predecessor; empty without one. */
+  /** The pool that served the preceding turn, which is preferred; empty if there is none. */
   readonly stickyPool: string;
-  /** Ids of servers that are not asked again. */
+  /** Ids of the servers that must not be assigned, since they were tried before. */
   readonly excluded: ReadonlySet<string>;
-  /** How long to wait at most, in ms. */
+  /** Maximum time to wait for a server, in ms. */
   readonly timeoutMs: number;
-  /** Ends the wait. */
+  /** Cancels the wait for a server when aborted. */
   readonly signal: AbortSignal;
 }
 
-/** What the machine needs of the session owner. */
+/** Assigns servers to requests; implemented by the session owner. */
 export interface ServerDispatcher {
   readonly clock: Clock;
-  /** Waits for a server and counts the request there. Rejects with an `AdmissionError` where there is none. */
+  /**
+   * Waits for a server and counts the request as in flight there. Rejects with an `AdmissionError` if no server is
+   * assigned, or with a `RequestCancelledError` if `signal` aborts.
+   */
   place(request: PlacementRequest): Promise<Server>;
-  /** Whether lease, route and state allow a request to be sent to this server now. */
+  /** Whether the read lease, the route and the cluster state allow a request to be sent to this server now. */
   mayRun(server: Server, kind: RouteKind, path: string): boolean;
 }
 
-/** How one interface takes its requests through the machine. An `undefined` outcome means: try another server. */
+/** The hooks by which an interface handles the states of a request. The outcome `undefined`: try another server. */
 export interface Attempts<Result> {
   readonly kind: RouteKind;
   readonly path: string;
   readonly promptParts: readonly PrefixBlock[];
   readonly stickyPool: string;
-  /** On the owner's clock, in ms. */
+  /** Deadline of the request on the owner's clock, in ms; no server is waited for after it. */
   readonly deadline: number;
-  /** Aborted when the caller has gone; ends the wait for a server. */
+  /** Aborted when the caller disconnects; cancels the wait for a server. */
   readonly signal: AbortSignal;
-  /** Whether the request is not to be sent any more on account of its caller. */
+  /** Whether the caller has disconnected and the request must therefore not be sent any more. */
   readonly cancelled: boolean;
-  /** `placing`: why no server is to be waited for. Called before each wait. */
+  /** `placing`: called before each wait for a server; an outcome ends the request without waiting. */
   refuseBeforePlacing(remainingMs: number): CallOutcome | Promise<CallOutcome> | undefined;
-  /** `placing`: no server was assigned. May clear `tried` so that servers are asked again. */
+  /** `placing`: called when no server was assigned. May clear `tried`, so that the same servers are tried again. */
   placementFailed(error: RpcError, tried: Set<string>): Promise<CallOutcome | undefined>;
-  /** `placed`: puts the intent or reservation on a quorum of replicas, unless it is there; an outcome refuses. */
+  /** `placed`: stores the intent or reservation on a quorum of replicas, unless it is there; an outcome refuses it. */
   record(server: Server): Promise<CallOutcome | undefined>;
-  /** `recorded`: the request may not be sent to this server any more. */
+  /** `recorded`: called when the request may no longer be sent to this server. */
   notAllowed(): Promise<CallOutcome | undefined>;
-  /** `recorded`: sends the request. `mayStillRun` is asked again right before the first byte. */
+  /** `recorded`: sends the request. `mayStillRun` is checked again right before the first byte is sent. */
   send(server: Server, mayStillRun: () => boolean): Promise<Result>;
   /** `answered`: stores the result. */
   complete(server: Server, result: Result): Promise<CallOutcome | undefined>;
-  /** The server is left, whatever came of it: it is no longer counted as busy with this request. */
+  /** Called once for each assigned server, whatever the result: the request is no longer in flight there. */
   release(server: Server): void;
 }
 
-/** Where a request stands at one server. */
+/** The state of a request at one server. */
 type StateAtServer<Result> =
   | { readonly phase: 'placed' }
   | { readonly phase: 'recorded' }
   | { readonly phase: 'answered'; readonly result: Result };
 
-/** Runs one request through its states until it has an outcome. */
+/** Runs one request through the states until it has an outcome. */
 export class AttemptMachine<Result> {
   private readonly tried = new Set<string>();
 
@@ -84,7 +88,7 @@
     private readonly attempts: Attempts<Result>,
   ) {}
 
-  /** Resolves with the outcome; rejects only where a hook of the interface rejects. */
+  /** Resolves with the outcome; rejects only if a hook of `Attempts` rejects. */
   async run(): Promise<CallOutcome> {
     const { attempts, dispatcher, tried } = this;
     for (;;) {
@@ -108,7 +112,7 @@
       .catch(toRpcError);
   }
 
-  /** Goes through the states at one server and releases it at the end; `undefined` leads back to `placing`. */
+  /** Runs the states from `placed` on at one server and releases it; `undefined` returns to `placing`. */
   private async runAt(server: Server): Promise<CallOutcome | undefined> {
     const { attempts, dispatcher } = this;
     const mayRun = (): boolean => dispatcher.mayRun(server, attempts.kind, attempts.path);
--- a/packages/session-owner/src/backend.ts
+++ b/packages/session-owner/src/backend.ts
@@ -1,19 +1,20 @@
 /**
- * The servers as the session owner sees them: what can be asked of one, and how that can end. The proxy implements it
- * over HTTP, the simulation in memory. It keeps no state.
+ * The interface by which the session owner sends requests to servers, with their outcomes. The proxy implements it over
+ * HTTP, the simulation in memory. It keeps no state.
  */
 import type { Server } from '@tillerstair/state';
 
-/** A message of a conversation, as a model server gets it. */
+/** A message of a conversation, as it is sent to a model server. */
 export interface ConversationMessage {
   readonly role: 'user' | 'assistant';
   readonly text: string;
 }
 
 /**
- * How a request to a server ended. `never-left`: nothing of it was sent, since the server could not be
- * reached. `declined`: the server, or the owner in the last moment, says that it was not executed. `lost`: nobody knows whether it was executed. `done`: the server's
- * complete answer is there, with its HTTP status.
+ * The result of sending a request to a server. `never-left`: nothing was sent, since the server could not be reached.
+ * `declined`: it was certainly not executed, either because the server said so or because the owner stopped it right
+ * before the first byte. `lost`: it is not known whether it was executed. `done`: the server's complete response has
+ * arrived; `code` is its HTTP status.
  */
 export type BackendOutcome =
   | { readonly kind: 'never-left'; readonly text: string }
@@ -21,7 +22,7 @@
   | { readonly kind: 'lost'; readonly text: string }
   | { readonly kind: 'done'; readonly code: number; readonly body: unknown };
 
-/** The load that a server tells with a response: requests that run and wait, and how many can run. */
+/** The load that a server reports with a response: running and waiting requests, and how many can run at once. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
@@ -31,18 +32,18 @@
 /** Name and value of an HTTP header. */
 export type Header = readonly [name: string, value: string];
 
-/** Status and headers of a server's answer. */
+/** HTTP status and headers of a server's response. */
 export interface ResponseHead {
   readonly status: number;
   readonly headers: readonly Header[];
   /**
-   * Set where the answer has neither a length nor chunks, so that only the end of its connection ends it. Nobody can know
-   * then whether it is complete; it is passed on framed in the same way.
+   * Set if the response has neither a content length nor chunked encoding, so that it ends with its connection. Whether
+   * it is complete cannot be known then; it is forwarded with the same framing.
    */
   readonly untilClose?: true | undefined;
 }
 
-/** A request as the caller sent it; `resume` names the last event that the caller has. */
+/** A request as the caller sent it; `resume` is the id of the last event that the caller received, empty if none. */
 export interface ForwardedRequest {
   readonly attempt: string;
   readonly method: string;
@@ -52,14 +53,14 @@
   readonly resume: string;
 }
 
-/** Where the bytes of a server's answer go, one byte a character (latin1). */
+/** Receives a server's response; in `bytes`, each character of the text is one byte (latin1). */
 export interface ResponseSink {
   head(head: ResponseHead): void;
   bytes(text: string): void;
   load(load: ReportedLoad): void;
 }
 
-/** A turn for a model server; `id` is new for each attempt. */
+/** A turn for a model server; `id` is unique for each attempt, `maxTokens` limits the generated tokens. */
 export interface GenerateRequest {
   readonly id: string;
   readonly messages: readonly ConversationMessage[];
@@ -67,7 +68,7 @@
   readonly requestId: string;
 }
 
-/** A tool call; `key` is its idempotency key, empty where there is none. */
+/** A tool call; `id` is unique for each attempt, `key` is its idempotency key, empty if it has none. */
 export interface ToolCallRequest {
   readonly id: string;
   readonly key: string;
@@ -76,19 +77,19 @@
   readonly requestId: string;
 }
 
-/** What a server responds to a poll: its requests, and whether it drains. */
+/** A server's response to a poll: the number of requests that it runs or queues, and whether it is draining. */
 export interface ServerStatus {
   readonly busy: number;
   readonly draining: boolean;
 }
 
 /**
- * Sends requests to servers. A request is given up when `signal` aborts or after its time, in ms. `mayStillRun` is asked
- * again right before the first byte is sent; if it says no, the outcome is `declined` and nothing was sent. Requests
+ * Sends requests to servers. A request is abandoned when `signal` aborts or after `timeoutMs`. `mayStillRun` is called
+ * right before the first byte is sent; if it returns false, nothing is sent and the outcome is `declined`. Requests
  * resolve with an outcome and never reject.
  */
 export interface Backend {
-  /** Runs a turn; `onChunk` gets its chunks, numbered from 0 without a gap. */
+  /** Runs a turn; `onChunk` receives its chunks, numbered from 0 without gaps. */
   generate(
     server: Server,
     request: GenerateRequest,
@@ -105,7 +106,7 @@
     timeoutMs: number,
     mayStillRun: () => boolean,
   ): Promise<BackendOutcome>;
-  /** Forwards a request unchanged. The outcome is `done` only after the server's complete answer. */
+  /** Forwards a request unchanged. The outcome is `done` only once the server's response is complete. */
   pass(
     server: Server,
     request: ForwardedRequest,
--- a/packages/session-owner/src/collected-response.ts
+++ b/packages/session-owner/src/collected-response.ts
@@ -1,7 +1,7 @@
 import type { BackendOutcome, ReportedLoad, ResponseHead, ResponseSink } from './backend.js';
 import { encodeBody } from './messages.js';
 
-/** A server's answer, collected from its parts so that it can be stored and sent as a whole. */
+/** A server's response, buffered so that it can be stored and returned as one body. */
 export class CollectedResponse implements ResponseSink {
   private received: ResponseHead = { status: 0, headers: [] };
   private readonly parts: Buffer[] = [];
@@ -20,7 +20,7 @@
     this.onLoad(load);
   }
 
-  /** The end with the answer in it, if there is one. */
+  /** The outcome of the request; a `done` outcome gets the buffered response, in base64, as its body. */
   finish(ended: BackendOutcome): BackendOutcome {
     if (ended.kind !== 'done') return ended;
     const { status: code, headers, untilClose } = this.received;
--- a/packages/session-owner/src/event-splitter.ts
+++ b/packages/session-owner/src/event-splitter.ts
@@ -1,7 +1,8 @@
 /**
- * Splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events; text is one byte a character.
+ * Splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events; each character of the text is
+ * one byte (latin1).
  *
- * Owns the bytes behind the last complete event, and what the events so far amount to: their number, data and last id.
+ * Owns the bytes after the last complete event, and the number, data and last id of the complete events.
  */
 
 const lineEnd = /\r?\n/;
@@ -10,48 +11,48 @@
 const fieldValue = (line: string, name: string): string =>
   line.slice(name.length + 1).replace(/^ /, '');
 
-/** Splits a stream of server-sent events into complete events. */
+/** An incremental parser of one stream of server-sent events. */
 export class EventSplitter {
   private remainder = '';
   private events = 0;
   private eventId = '';
   private eventData = '';
-  private withoutId = false;
+  private lastWithoutId = false;
 
-  /** How many events with data were complete. */
+  /** Number of complete events with data. */
   get count(): number {
     return this.events;
   }
 
-  /** The id of the last event that had one; empty before. */
+  /** Id of the last event that had one; empty if none had. */
   get lastId(): string {
     return this.eventId;
   }
 
-  /** The data of all events, a line feed behind each. */
+  /** Data of all complete events, each followed by a line feed. */
   get data(): string {
     return this.eventData;
   }
 
-  /** Whether the last event with data had no id of its own, so that no stream can be resumed behind it. */
+  /** Whether the last event with data had no id of its own, so that the stream cannot be resumed after it. */
   get lastEventHasNoId(): boolean {
-    return this.withoutId;
+    return this.lastWithoutId;
   }
 
-  /** Whether the stream stopped within an event. */
+  /** Whether the stream so far ends within an incomplete event. */
   get endsWithinEvent(): boolean {
     return this.remainder.trim() !== '';
   }
 
-  /** What came behind the last complete event. */
+  /** Bytes after the last complete event. */
   get trailingBytes(): string {
     return this.remainder;
   }
 
-  /** Takes bytes as they came and returns those that complete events. */
+  /** Adds received bytes; returns all buffered bytes up to the end of the last complete event, or an empty text. */
   push(text: string): string {
     this.remainder += text;
-    const end = this.lastEnd();
+    const end = this.lastEventEnd();
     if (end === 0) return '';
     const complete = this.remainder.slice(0, end);
     this.remainder = this.remainder.slice(end);
@@ -59,16 +60,17 @@
     return complete;
   }
 
-  /** Forgets an incomplete event, so that another server may go on behind the last complete one. */
+  /** Discards an incomplete event, so that another server can resume the stream after the last complete one. */
   dropIncompleteEvent(): void {
     this.remainder = '';
   }
 
-  private lastEnd(): number {
+  /** Index after the last blank line, which ends an event; 0 if there is none. */
+  private lastEventEnd(): number {
     const { remainder } = this;
-    for (let at = remainder.lastIndexOf('\n'); at > 0; at = remainder.lastIndexOf('\n', at - 1))
-      if (remainder[at - 1] === '\n' || (remainder[at - 1] === '\r' && remainder[at - 2] === '\n'))
-        return at + 1;
+    for (let i = remainder.lastIndexOf('\n'); i > 0; i = remainder.lastIndexOf('\n', i - 1))
+      if (remainder[i - 1] === '\n' || (remainder[i - 1] === '\r' && remainder[i - 2] === '\n'))
+        return i + 1;
     return 0;
   }
 
@@ -80,7 +82,7 @@
     const ids = lines.filter((line) => line.startsWith('id:'));
     for (const line of ids) this.eventId = fieldValue(line, 'id');
     if (data.length === 0) return;
-    this.withoutId = ids.length === 0;
+    this.lastWithoutId = ids.length === 0;
     this.events++;
     this.eventData += `${data.join('\n')}\n`;
   }
--- a/packages/session-owner/src/operation-attempts.ts
+++ b/packages/session-owner/src/operation-attempts.ts
@@ -1,9 +1,10 @@
 /**
- * A request that is answered as a whole on its way through the `AttemptMachine`: a keyed operation, or one without key.
+ * The `AttemptMachine` hooks of requests with a single, unstreamed response: operations with or without an idempotency
+ * key.
  *
- * A keyed operation's intent is on a quorum of replicas before it is sent. Once sent and lost it goes to another server
- * only where that is harmless: the route says that it is idempotent, or every server involved records keys itself. See
- * `docs/design.md`, "A tool call".
+ * The intent of a keyed operation is on a quorum of replicas before the operation is sent. An operation that was sent
+ * and lost is retried at another server only if running it twice is harmless: the route declares it idempotent, or
+ * every server involved records idempotency keys itself. See `docs/design.md`, "A tool call".
  */
 import type { RouteKind, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
@@ -19,31 +20,31 @@
 const firstServerError = 500;
 const intentWriteAttempts = 1;
 
-/** A request to be run at a server: at most once unless it is idempotent. */
+/** A request that runs at a server: at most once unless it is idempotent. */
 export interface Operation {
   readonly kind: RouteKind;
   readonly path: string;
-  /** The key of its record. */
+  /** The key of its record on the replicas. */
   readonly key: string;
-  /** The digest of what it was asked with; a key stands for one digest. */
+  /** The digest of the request; all requests with the same key must have the same digest. */
   readonly digest: string;
-  /** On the owner's clock, in ms. */
+  /** Deadline of the operation on the owner's clock, in ms. */
   readonly deadline: number;
-  /** How many servers may get it. */
+  /** Maximum number of attempts that reach a server. */
   readonly maxAttempts: number;
-  /** Whether the route says that running it twice is the same as running it once. */
+  /** Whether the route declares that running it twice has the same effect as running it once. */
   readonly idempotent: boolean;
-  /** Sends it to one server. */
+  /** Sends it to one server; `mayStillRun` is checked right before the first byte is sent. */
   send(server: Server, signal: AbortSignal, mayStillRun: () => boolean): Promise<BackendOutcome>;
 }
 
-/** Whether the servers of a pool keep their own record of keys. */
+/** Whether the servers of a pool record idempotency keys themselves; false for a pool that is not configured. */
 const recordsKeys = (owner: OwnerServices, poolName: string): boolean =>
   owner.current?.config?.pools.some(
     ({ name, remembersKeys }) => name === poolName && remembersKeys,
   ) ?? false;
 
-/** Whether every server that the route may choose keeps its own record of keys. */
+/** Whether all pools in which the operation's route can place it record idempotency keys; false without a route. */
 export const routeRecordsKeys = (owner: OwnerServices, operation: Operation): boolean => {
   const route = owner.findRoute(operation.kind, operation.path);
   return (
@@ -52,28 +53,28 @@
   );
 };
 
-/** Where an operation is recorded, and what is known of earlier runs. */
+/** The replicator that records an operation, and whether it may have run before. */
 export interface OperationHistory {
-  /** The slot's replicator; undefined for a request without key, of which nothing is stored. */
+  /** The slot's replicator; undefined for a request without a key, for which nothing is stored. */
   readonly replicator: SlotReplicator | undefined;
-  /** Whether an earlier ownership may have run it. */
+  /** Whether the operation may have run under an earlier ownership of the slot. */
   readonly mayHaveRun: boolean;
 }
 
-/** Takes one operation through its attempts. */
+/** The attempts of one operation. */
 export class OperationAttempts implements Attempts<BackendOutcome> {
   readonly kind: RouteKind;
   readonly path: string;
   readonly promptParts = [];
   readonly stickyPool = '';
   readonly deadline: number;
-  /** A caller that goes ends the wait and the request under way, but does not keep a placed one from being sent. */
+  /** A caller's disconnect cancels the wait for a server and a request in flight; it does not stop a placed one. */
   readonly cancelled = false;
-  /** Whether each server that the newest intent stands for keeps its own record of keys. */
+  /** Whether all servers covered by the newest stored intent record idempotency keys; stored as `recorded`. */
   private allServersRecord = true;
   private intentStored = false;
   private sent = 0;
-  /** How the newest attempt ended that may have run and is to be repeated. */
+  /** The result of the newest attempt that may have run; undefined if none may have. */
   private lost: BackendOutcome | undefined;
   private serverHealthy = true;
 
@@ -89,9 +90,12 @@
   }
 
   refuseBeforePlacing(remainingMs: number): Promise<CallOutcome> | undefined {
-    if (remainingMs <= 0) return this.giveUp('no server came free in time');
+    if (remainingMs <= 0) return this.giveUp('no server became free before the deadline');
     if (this.sent >= this.operation.maxAttempts)
-      return this.giveUp('the servers tried did not run it', retryAfterSeconds.otherAttempt);
+      return this.giveUp(
+        `all ${this.sent} attempts at a server failed`,
+        retryAfterSeconds.otherAttempt,
+      );
     return undefined;
   }
 
@@ -117,7 +121,9 @@
   }
 
   async notAllowed(): Promise<CallOutcome | undefined> {
-    return this.owner.leaseValid ? undefined : this.giveUp('the control link is down');
+    return this.owner.leaseValid
+      ? undefined
+      : this.giveUp('the read lease of this front has expired');
   }
 
   send(server: Server, mayStillRun: () => boolean): Promise<BackendOutcome> {
@@ -149,7 +155,7 @@
     this.owner.releaseServer(server, this.serverHealthy);
   }
 
-  /** Whether what may have run may be sent to another server. */
+  /** Whether an operation that may have run may be sent to another server. */
   private get mayRetry(): boolean {
     const { operation, history } = this;
     const keysRecorded =
@@ -174,11 +180,11 @@
       body,
       recorded: this.allServersRecord,
     };
-    const tries = recordStatus === 'intent' ? intentWriteAttempts : outcomeWriteAttempts;
-    await history.replicator.putWithRetry(operation.key, value, tries);
+    const writeAttempts = recordStatus === 'intent' ? intentWriteAttempts : outcomeWriteAttempts;
+    await history.replicator.putWithRetry(operation.key, value, writeAttempts);
   }
 
-  /** Ends without a result: an operation that never ran becomes void, one that may have run stays unknown. */
+  /** Ends the operation without a result: `void` is stored if it never ran, `unknown` if it may have run. */
   private async giveUp(
     text: string,
     retryAfter: number = retryAfterSeconds.recovery,
@@ -189,7 +195,7 @@
     return refused(status.unavailable, 'no-server', text, retryAfter);
   }
 
-  /** An operation is done only once a quorum of replicas has its result. */
+  /** Stores the result. The outcome is `done` only once a quorum of replicas has it, otherwise `unknown`. */
   private async storeDone(code: number, body: unknown): Promise<CallOutcome> {
     try {
       await this.store('done', code, body);
--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -1,7 +1,7 @@
 /**
- * Placement of requests on servers: the pool by the route's shares, then the server of the pool that the policies rank
- * first (docs/design.md, "Placement"). Invariant: nothing new goes to a server that drains, is unhealthy or is full, or
- * whose pool has no share in the route.
+ * Placement of requests on servers: selects a pool by the route's shares, then the server of the pool that the policies
+ * rank first (docs/design.md, "Placement"). Invariant: no new request is placed on a server that is draining, unhealthy
+ * or full, or whose pool has no share in the route.
  */
 import { slotForKey, weightKey, type Route, type Server, type State } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
@@ -18,24 +18,25 @@
 import { ServerPoller } from './server-poller.js';
 import type { CompiledState } from './compiled-state.js';
 
-/** Equal servers are ordered by a hash into so many values, another one at each front. */
+/** Servers with equal scores are ordered by a hash with this many values, which differs for each front. */
 const tieBreakRange = 1 << 20;
 
-/** What a `Placement` needs. */
+/** Dependencies and limits of a `Placement`. */
 export interface PlacementOptions {
   readonly clock: Clock;
   readonly backend: Backend;
-  /** Applied one after the other. */
+  /** Applied in this order. */
   readonly policies: readonly PlacementPolicy[];
   readonly bounds: ObservationBounds;
+  /** The newest state and configuration; undefined before the first publish. */
   readonly compiledState: () => CompiledState | undefined;
-  /** Requests that this front may have in flight at a server which does not say how many it can run. */
+  /** Maximum number of this front's requests in flight at a server whose own limit is not known. */
   readonly maxInFlightPerServer: () => number;
-  /** The front that places; its zone comes first. */
+  /** The id of this front; servers in its zone are preferred. */
   readonly frontId: string;
 }
 
-/** Picks servers, and observes what comes of it. */
+/** Selects servers for requests and records their load, health and speed. */
 export class Placement {
   private readonly compiledState: () => CompiledState | undefined;
   private readonly policies: readonly PlacementPolicy[];
@@ -57,17 +58,17 @@
     this.poller = new ServerPoller({ clock, backend, bounds, compiledState, observations });
   }
 
-  /** Sets the servers that get nothing new, since the front's own copy of the server list does not offer them. */
+  /** Sets the ids of servers that get no new requests, as this front's copy of the server list does not offer them. */
   setBarred(ids: ReadonlySet<string>): void {
     this.observations.barred = ids;
   }
 
-  /** The server reported its load with a response. */
+  /** Records the load that the server reported with a response. */
   recordReportedLoad(server: Server, load: ReportedLoad): void {
     this.observations.recordReportedLoad(server, load);
   }
 
-  /** Whether a picked server may still be sent a request of the route: looked at right before it is sent. */
+  /** Whether a request of the route may still be sent to a picked server; checked right before it is sent. */
   isAllowed(picked: Server, route: Route): boolean {
     const server = this.compiledState()?.state.servers.get(picked.id);
     if (server?.url !== picked.url || server.pool !== picked.pool) return false;
@@ -75,7 +76,7 @@
     return activeShares(route).some(({ pool }) => pool === server.pool);
   }
 
-  /** Whether any server of the route is, or may soon be, able to run a request, be it full now or not. */
+  /** Whether any server of the route can run requests, or may after its first poll, even if it is full now. */
   hasUsableServer(route: Route, skip: ReadonlySet<string>): boolean {
     const state = this.compiledState()?.state;
     if (!state) return false;
@@ -86,7 +87,12 @@
     );
   }
 
-  /** The server that a request of the route goes to, or undefined if none can run it now. `begin` is then called. */
+  /**
+   * The best server for a request of the route, or undefined if none can run it now. The caller then calls `begin`.
+   *
+   * @param stickyPool - the pool to try first; empty for none
+   * @param skip - ids of servers that must not be picked
+   */
   pick(
     route: Route,
     prompt: readonly PrefixBlock[],
@@ -105,30 +111,30 @@
     return undefined;
   }
 
-  /** A request with this prompt is sent to the server; `end` follows. */
+  /** Records that a request with this prompt goes to the server; `end` must be called once for it. */
   begin(server: Server, prompt: readonly PrefixBlock[]): void {
     this.observations.recordStart(server);
     this.prefixIndex.record(server.id, prompt);
   }
 
-  /** A request that was begun has ended, at some speed if that is known. */
+  /** Records the end of a request, with the speed of its generation if it is known. */
   end(server: Server, isSuccess: boolean, tokensPerSecond?: number): void {
     if (isSuccess) this.observations.recordSuccess(server, tokensPerSecond);
     else this.observations.recordFailure(server);
   }
 
-  /** Failures of a server since its last success. */
+  /** Number of failures of a server since its last success. */
   failuresOf(id: string): number {
     return this.observations.failuresOf(id);
   }
 
-  /** What this front reports to the master of every listed server. */
+  /** The report on every listed server that this front sends to the master. */
   report(): readonly ServerReport[] {
     const servers = this.compiledState()?.state.servers.values() ?? [];
     return [...servers].map((server) => this.observations.reportOf(server));
   }
 
-  /** Polls every listed server, or those alone that never responded before. Never rejects. */
+  /** Polls every listed server, or only those that have never responded to a poll. Never rejects. */
   poll(onlyNew = false): Promise<void> {
     return this.poller.poll(onlyNew);
   }
--- a/packages/session-owner/src/policies.ts
+++ b/packages/session-owner/src/policies.ts
@@ -4,65 +4,72 @@
  */
 import type { Server } from '@tillerstair/state';
 
-/** Whether a server answers: `doubtful` after few failures, or when an unhealthy one may be tried again. */
+/**
+ * Health of a server: `bad` after repeated failures; `doubtful` after fewer, or when a bad server may be tried again;
+ * otherwise `good`.
+ */
 export type ServerHealth = 'good' | 'doubtful' | 'bad';
 
-/** What this front has observed of a server. */
+/** The load and health of a server as this front observes them. */
 export interface ObservedServer {
   /** Requests of this front that are in flight at the server. */
   readonly inFlight: number;
-  /** Requests of all fronts that the server runs or queues, by its own account. */
+  /** Requests of all fronts that the server runs or queues, as reported by the server. */
   readonly requests: number;
-  /** The server drains, or nobody knows that it does not. */
+  /** Whether the server is draining, or must be treated so since its state is not known or it is barred. */
   readonly draining: boolean;
   readonly health: ServerHealth;
 }
 
 /** How the engine of a pool's servers batches requests. */
 interface Engine {
-  /** Requests that run in one batch. */
+  /** Maximum number of requests in one batch. */
   readonly places: number;
+  /** Memory of a batch, in tokens. */
   readonly memoryTokens: number;
+  /** Generated tokens that each event of a streamed response stands for. */
   readonly blockTokens: number;
 }
 
-/** What policies know of the request that is placed, and of the servers. */
+/** The request to be placed, and the facts about servers that policies rank them by. */
 export interface PlacementContext {
-  /** Tokens of the complete prompt; 0 where it is not known. */
+  /** Tokens of the complete prompt; 0 if the prompt is not known. */
   readonly promptTokens: number;
+  /** The load and health of a server. */
   observed(server: Server): ObservedServer;
-  /** The engine of the server's pool; undefined where it does not batch. */
+  /** The engine of the server's pool; undefined if the pool's servers do not batch requests. */
   engine(server: Server): Engine | undefined;
-  /** Whether the server is in this front's own zone, or one of the zones is not known. */
+  /** Whether the server is in the zone of this front; also true if either zone is not known. */
   isNear(server: Server): boolean;
-  /** The share of the prompt's tokens, 0 to 1, that the server should have cached. */
+  /** The estimated share of the prompt's tokens, 0 to 1, that the server has cached. */
   cachedShare(server: Server): number;
-  /** The server's tuned weight; 1 is normal. */
+  /** The server's weight, tuned by the master; 1 is normal. */
   weight(server: Server): number;
 }
 
-/** A server that may be picked; the one with the highest score is. */
+/** A server that may be picked; the candidate with the highest score is picked. */
 export interface Candidate {
   readonly server: Server;
   readonly score: number;
 }
 
-/** Drops candidates, or changes their scores. */
+/** Filters the candidates or adjusts their scores. */
 export type PlacementPolicy = (
   candidates: readonly Candidate[],
   context: PlacementContext,
 ) => readonly Candidate[];
 
-/** The share of its batch's memory, in tokens for each place, that one more request costs those that run. */
+/** Cost that each running request adds to a step, as a share of the batch memory per place, in tokens. */
 const stepShareOfPlace = 1 / 25;
-/** What a request beyond a full batch costs, in steps. */
+/** Cost of each request queued beyond a full batch, in steps. */
 const queuedCost = 8;
-/** What a server in another zone costs, in steps of its batch. */
+/** Cost of a batching server in another zone, in steps. */
 const remoteBatchCost = 1;
-/** What a server in another zone costs where it does not batch, in requests. */
+/** Cost of a server in another zone that does not batch, in requests. */
 const remoteCost = 0.25;
-/** Among servers with as many requests the one with fewer of this front's comes first. */
+/** Extra cost of each request of this front: among servers with equal load, the one with fewer of them ranks first. */
 const inFlightTieBreakCost = 0.1;
+/** Lower bound of a weight when the load cost is divided by it. */
 const minWeight = 0.05;
 const maxWeightBonus = 0.5;
 const defaultAffinityGain = 4;
@@ -70,11 +77,11 @@
 
 const requestsAt = ({ inFlight, requests }: ObservedServer): number => Math.max(inFlight, requests);
 
-/** Drops servers that the operator drains or that drain by themselves. */
+/** Drops servers that the operator drains or that report that they are draining. */
 const excludeDraining: PlacementPolicy = (candidates, context) =>
   candidates.filter(({ server }) => !server.draining && !context.observed(server).draining);
 
-/** Keeps the healthy servers; where there is none, those that are not known to be unhealthy. */
+/** Keeps the healthy servers; if there are none, all that are not `bad`. */
 const preferHealthy: PlacementPolicy = (candidates, context) => {
   const healthy = candidates.filter(
     ({ server }) => context.observed(server).health === 'good' && !server.down,
@@ -83,6 +90,7 @@
   return candidates.filter(({ server }) => context.observed(server).health !== 'bad');
 };
 
+/** Cost of one more request at a batching server, in steps: prefill, running requests, and queued requests. */
 const batchCostOf = (server: Server, engine: Engine, context: PlacementContext): number => {
   const running = requestsAt(context.observed(server));
   const stepTokens = (engine.memoryTokens / engine.places) * stepShareOfPlace;
@@ -92,8 +100,8 @@
 };
 
 /**
- * For servers that batch, where the prompt's size is known: the tokens that the server would have to prefill, against
- * what more there is in its batch.
+ * For batching servers and prompts of known size: subtracts the cost of the tokens that the server would have to
+ * prefill and of the requests that it already runs or queues.
  */
 const batchCost: PlacementPolicy = (candidates, context) =>
   candidates.map((candidate) => {
@@ -104,7 +112,7 @@
     return { server, score: score - batchCostOf(server, engine, context) - remote };
   });
 
-/** For servers that do not batch: `gain` for a prompt of which all is cached. */
+/** For servers that do not batch: adds `gain`, scaled by the cached share of the prompt. */
 const prefixAffinity =
   (gain: number): PlacementPolicy =>
   (candidates, context) =>
@@ -114,7 +122,7 @@
       return { server, score: score + gain * context.cachedShare(server) };
     });
 
-/** Where `batchCost` does not apply: `cost` for each request at the server, the more the lower its weight. */
+/** Where `batchCost` does not apply: subtracts `cost` for each request at the server, divided by its weight. */
 const loadCost =
   (cost: number): PlacementPolicy =>
   (candidates, context) =>
@@ -128,14 +136,14 @@
       return { server, score: score - remote - (cost * requests) / weight };
     });
 
-/** A server that is slow by its tuned weight loses to an equal one. */
+/** Adds a bonus by weight, so that a server that is slow by its tuned weight ranks below an otherwise equal one. */
 const weightBonus: PlacementPolicy = (candidates, context) =>
   candidates.map(({ server, score }) => ({
     server,
     score: score + Math.min(1, context.weight(server)) * maxWeightBonus,
   }));
 
-/** The product's policies in their order; prefix affinity can be switched off by the settings. */
+/** The policies used in production, in order; prefix affinity can be disabled by the settings. */
 export const placementPolicies = (withAffinity: boolean): readonly PlacementPolicy[] => [
   excludeDraining,
   preferHealthy,
--- a/packages/session-owner/src/pool-credit.ts
+++ b/packages/session-owner/src/pool-credit.ts
@@ -1,27 +1,27 @@
 /**
- * The running credit of each pool of a route, which keeps work split by the route's shares
+ * The running credit of each pool of a route, by which requests are distributed according to the route's shares
  * (docs/design.md, "Placement").
  */
 import type { Route } from '@tillerstair/state';
 
-/** A pool that could not be used for long catches up on, or pays back, no more than so many requests. */
+/** Limit of a pool's credit or debt, in requests, that it accumulates while it or the other pools cannot be used. */
 const maxCredit = 8;
 
-/** A pool of a route with its part of the route's work, above 0. */
+/** A pool of a route, with its relative share of the route's requests. */
 export type PoolShare = Route['shares'][number];
 
-/** The pools of a route that get work. */
+/** The pools of a route whose share is above 0. */
 export const activeShares = (route: Route): readonly PoolShare[] =>
   route.shares.filter(({ share }) => share > 0);
 
 const totalOf = (shares: readonly PoolShare[]): number =>
   shares.reduce((total, { share }) => total + share, 0);
 
-/** Credits by route and pool: what a pool was due by its share, less what it got. */
+/** Credits by route and pool, in requests: the number due to the pool by its share, less the number it received. */
 export class PoolCredit {
   private readonly credits = new Map<string, number>();
 
-  /** The route's pools in the order in which they are to be tried: the sticky one first, then by credit. */
+  /** The route's active pools in the order to try them: the sticky pool first, then by descending credit. */
   order(route: Route, stickyPool: string): readonly string[] {
     const shares = activeShares(route);
     const total = totalOf(shares);
@@ -34,7 +34,7 @@
       .map(({ pool }) => pool);
   }
 
-  /** One request goes to a pool: each gets its share of credit, and that one pays. */
+  /** Records that a request goes to a pool: credits each pool with its share and debits the chosen pool by one. */
   charge(route: Route, chosenPool: string): void {
     const shares = activeShares(route);
     const total = totalOf(shares);
--- a/packages/session-owner/src/prefix-blocks.ts
+++ b/packages/session-owner/src/prefix-blocks.ts
@@ -1,12 +1,13 @@
 /**
- * Names of a prompt's prefixes, by which placement knows what a server may have in its prefix cache
- * (docs/design.md, "Placement"). Each name stands for a block of the prompt and all that comes before it.
+ * Identifies the prefixes of a prompt, by which placement estimates what a server has in its prefix cache
+ * (docs/design.md, "Placement"). The name of a block is a hash of the block and of all blocks before it.
  */
 import { createHash } from 'node:crypto';
 import type { ConversationMessage } from './backend.js';
 
-/** A block of a prompt with all before it. */
+/** A block of a prompt, identified by the prefix that ends with it. */
 export interface PrefixBlock {
+  /** Hash of the block and of all blocks before it. */
   readonly name: string;
   /** Tokens of the block alone. */
   readonly tokens: number;
@@ -22,7 +23,7 @@
   return hash.digest('base64url').slice(0, nameLength);
 };
 
-/** The blocks of a prompt whose parts the caller named, each with its tokens. */
+/** The blocks of a prompt from the parts that the caller listed, each with its number of tokens. */
 export const prefixBlocksOfParts = (
   parts: readonly (readonly [id: string, tokens: number])[],
 ): readonly PrefixBlock[] => {
@@ -33,7 +34,7 @@
   });
 };
 
-/** The blocks of a conversation: each message is cut every 256 characters, at 4 characters a token. */
+/** The blocks of a conversation: each message is split every 256 characters; 4 characters count as one token. */
 export const prefixBlocksOfMessages = (
   messages: readonly ConversationMessage[],
 ): readonly PrefixBlock[] => {
@@ -47,6 +48,6 @@
   return blocks;
 };
 
-/** Tokens of a prompt; 0 where it is not known. */
+/** Number of tokens of a prompt; 0 if the prompt is not known. */
 export const countTokens = (prompt: readonly PrefixBlock[]): number =>
   prompt.reduce((tokens, block) => tokens + block.tokens, 0);
--- a/packages/session-owner/src/prefix-index.ts
+++ b/packages/session-owner/src/prefix-index.ts
@@ -1,15 +1,15 @@
-/** Which servers were sent which prefixes of prompts, so that they may have them in their prefix cache. */
+/** Index of the servers to which each prompt prefix was sent, and which may therefore have it in their prefix cache. */
 import type { Server } from '@tillerstair/state';
 import { countTokens, type PrefixBlock } from './prefix-blocks.js';
 
-/** So many blocks are remembered; beyond that the least recently sent ones are dropped. */
+/** Maximum number of indexed blocks; beyond it, the least recently sent blocks are evicted. */
 const maxBlocks = 20_000;
 
-/** The servers by prefix block, in the order in which the blocks were last sent. */
+/** Server ids by prefix block, ordered by the time when each block was last sent. */
 export class PrefixIndex {
   private readonly serversByBlock = new Map<string, ReadonlySet<string>>();
 
-  /** Remembers that a server was sent a prompt. */
+  /** Records that a prompt was sent to a server. */
   record(serverId: string, prompt: readonly PrefixBlock[]): void {
     for (const { name } of prompt) {
       const servers = this.serversByBlock.get(name);
@@ -19,12 +19,12 @@
         servers?.has(serverId) ? servers : new Set([...(servers ?? []), serverId]),
       );
     }
-    this.dropOldest();
+    this.evictOldest();
   }
 
   /**
-   * Tells for each server the share of the prompt's tokens, 0 to 1, that it should have cached. Only an unbroken run of
-   * blocks from the first one on counts.
+   * Returns a function that estimates for a server the share of the prompt's tokens, 0 to 1, that it has cached. Only
+   * an unbroken run of blocks from the first one counts.
    */
   cachedShareOf(prompt: readonly PrefixBlock[]): (server: Server) => number {
     const total = countTokens(prompt);
@@ -39,7 +39,7 @@
     return (server) => (total === 0 ? 0 : (cachedTokens.get(server.id) ?? 0) / total);
   }
 
-  private dropOldest(): void {
+  private evictOldest(): void {
     while (this.serversByBlock.size > maxBlocks) {
       const oldest = this.serversByBlock.keys().next().value;
       if (oldest === undefined) break;
--- a/packages/session-owner/src/server-dispatch.ts
+++ b/packages/session-owner/src/server-dispatch.ts
@@ -1,8 +1,9 @@
 /**
- * Assigns servers to requests: one admission queue for each set of pools that routes share, in front of the placement.
+ * Assigns servers to requests: an admission queue in front of the placement, one for each set of pools. Routes with the
+ * same set of pools share a queue.
  *
- * Owns the queues. A server is assigned only under a valid read lease and only if the newest state has it in a pool of
- * the route; `mayRun` asks both again before anything is sent.
+ * Owns the queues. A server is assigned only under a valid read lease and only if the newest state lists it in a pool
+ * of the route; `mayRun` checks both again before anything is sent.
  */
 import { findRoute, type Route, type RouteKind, type Server } from '@tillerstair/state';
 import { AdmissionError, type Clock } from '@tillerstair/wire';
@@ -11,20 +12,20 @@
 import type { Placement } from './placement.js';
 import type { CompiledState } from './compiled-state.js';
 
-/** How many requests may wait in one queue before there is a configuration. */
+/** Maximum number of waiting requests of each class in a queue if there is no configuration. */
 const defaultQueueLimit = 256;
 
-/** What the dispatch is made from. */
+/** Dependencies of a `ServerDispatch`. */
 export interface ServerDispatchOptions {
   readonly clock: Clock;
   readonly placement: Placement;
-  /** The newest state and configuration. */
+  /** The newest state and configuration; undefined before the first publish. */
   readonly compiledState: () => CompiledState | undefined;
   /** Whether the read lease is valid now. */
   readonly leaseValid: () => boolean;
 }
 
-/** Assigns servers to requests. */
+/** The admission queues of all sets of pools, in front of the placement. */
 export class ServerDispatch implements ServerDispatcher {
   readonly clock: Clock;
   private readonly placement: Placement;
@@ -39,49 +40,52 @@
     this.leaseValid = options.leaseValid;
   }
 
-  /** How many requests wait for a server. */
+  /** Number of requests that wait for a server, in all queues. */
   get waiting(): number {
     return [...this.queues.values()].reduce((sum, queue) => sum + queue.waiting, 0);
   }
 
-  /** The route that takes requests of this kind at this path. */
+  /** The route that matches requests of this kind at this path. */
   findRoute(kind: RouteKind, path: string): Route | undefined {
     const compiledState = this.compiledState();
     return compiledState && findRoute(compiledState.routes, kind, path);
   }
 
-  /** Resolves with a server that counts the request from now on; rejects with an `AdmissionError` where there is none. */
+  /**
+   * Resolves with a server at which the request counts as in flight. Rejects with an `AdmissionError` if there is no
+   * route, no usable server, or no free server in time, and with a `RequestCancelledError` if `signal` aborts.
+   */
   async place(request: PlacementRequest): Promise<Server> {
     const { promptParts, stickyPool, excluded, timeoutMs, signal } = request;
     const route = this.usableRoute(request);
     const pick = (): Server | undefined => {
       if (!this.leaseValid()) return undefined;
-      const now = this.usableRoute(request);
-      const server = this.placement.pick(now, promptParts, stickyPool, excluded);
+      const currentRoute = this.usableRoute(request);
+      const server = this.placement.pick(currentRoute, promptParts, stickyPool, excluded);
       if (server) this.placement.begin(server, promptParts);
       return server;
     };
     return this.queueOf(route).enter({ isUrgent: route.urgent, timeoutMs, signal, pick });
   }
 
-  /** Whether lease, route and state allow a request to be sent to this server now. */
+  /** Whether the read lease, the route and the cluster state allow a request to be sent to this server now. */
   mayRun(server: Server, kind: RouteKind, path: string): boolean {
     const route = this.findRoute(kind, path);
     return this.leaseValid() && route !== undefined && this.placement.isAllowed(server, route);
   }
 
-  /** Ends a request's stay at a server, whose place goes to the next one waiting. */
+  /** Records the end of a request at a server and admits waiting requests. */
   release(server: Server, healthy: boolean, tokensPerSecond?: number): void {
     this.placement.end(server, healthy, tokensPerSecond);
     this.admitWaiting();
   }
 
-  /** Lets waiting requests in where servers are free. */
+  /** Admits waiting requests to free servers. */
   admitWaiting(): void {
     for (const queue of this.queues.values()) queue.admitWaiting();
   }
 
-  /** Lets waiting requests in, and refuses those that would wait beyond their time. */
+  /** Admits waiting requests, and rejects those that are expected to miss their deadline. */
   processQueues(): void {
     for (const queue of this.queues.values()) {
       queue.admitWaiting();
@@ -89,10 +93,11 @@
     }
   }
 
-  /** The route of a request; throws where there is none or none of its servers is usable. */
+  /** The route of a request. Throws an `AdmissionError` if there is no route, or if none of its servers is usable. */
   private usableRoute({ kind, path, excluded }: PlacementRequest): Route {
     const route = this.findRoute(kind, path);
-    if (!route) throw new AdmissionError('no-route', `no route takes ${kind}s at ${path}`);
+    if (!route)
+      throw new AdmissionError('no-route', `no route matches ${kind} requests at ${path}`);
     if (!this.placement.hasUsableServer(route, excluded))
       throw new AdmissionError('no-server', `no server of route ${route.name} is usable`);
     return route;
--- a/packages/session-owner/src/server-observations.ts
+++ b/packages/session-owner/src/server-observations.ts
@@ -1,17 +1,18 @@
 /**
- * What this front has observed of each server: requests in flight, load and draining as polled or reported with a
- * response, failures and speed. What was observed at one address counts for no other.
+ * This front's observations of each server: its requests in flight, its load and draining state as polled or reported
+ * with a response, its failures and its speed. Observations at one address do not apply to a server at another.
  */
 import type { Server } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import type { ReportedLoad, ServerStatus } from './backend.js';
 import type { ObservedServer, ServerHealth } from './policies.js';
 
-/** From so many failures on, with no success between them, a server is unhealthy. */
+/** Number of consecutive failures after which a server is unhealthy. */
 const unhealthyFailures = 3;
-/** The weight of the newest speed in the moving average. */
+/** Weight of the newest speed in the exponential moving average. */
 const speedSmoothing = 0.2;
 
+/** Observations of one server at one address. Times are on the clock, in ms; -Infinity means never. */
 interface Observation {
   readonly url: string;
   readonly inFlight: number;
@@ -38,21 +39,21 @@
   polledAt: -Infinity,
 });
 
-/** How long observations count, in ms. */
+/** Intervals, timeouts and validity periods of observations, in ms. */
 export interface ObservationBounds {
-  /** Servers are polled so often; 0 where none is, and then none needs to have responded. */
+  /** Interval between polls of a server's load; 0 disables polling, and servers need not have responded to a poll. */
   readonly pollIntervalMs: number;
-  /** A poll is given up after so many ms. */
+  /** Timeout of a poll. */
   readonly pollTimeoutMs: number;
-  /** An unhealthy server may be tried again so long after its last failure. */
+  /** Time after its last failure when an unhealthy server may be tried again. */
   readonly retryUnhealthyAfterMs: number;
-  /** A server that did not respond to a poll for so long gets nothing new. */
+  /** Time after its last answered poll when a server gets no new requests. */
   readonly pollValidForMs: number;
-  /** The load that a server reported with a response counts for so long. */
+  /** Time for which the load that a server reported with a response is used. */
   readonly reportedLoadValidForMs: number;
 }
 
-/** What a front reports of a server to the master; a record of the inner wire. `pace` is in tokens a second. */
+/** A front's report on a server to the master, as it is sent between nodes. `pace` is in tokens per second. */
 export interface ServerReport {
   readonly id: string;
   readonly url: string;
@@ -60,10 +61,10 @@
   readonly pace?: number;
 }
 
-/** The observations by server id. */
+/** Observations of all servers, by server id. */
 export class ServerObservations {
   private readonly observations = new Map<string, Observation>();
-  /** Servers that get nothing new, since the front's own copy of the server list does not offer them. */
+  /** Ids of servers that get no new requests, as this front's copy of the server list does not offer them. */
   barred: ReadonlySet<string> = new Set();
 
   constructor(
@@ -71,7 +72,7 @@
     private readonly bounds: ObservationBounds,
   ) {}
 
-  /** What policies see of a server now. */
+  /** The current load and health of a server, as the placement policies use them. */
   observed(server: Server): ObservedServer {
     const observation = this.observationOf(server);
     return {
@@ -87,17 +88,17 @@
     return this.observationOf(server).inFlight;
   }
 
-  /** Failures of a server since its last success. */
+  /** Number of failures of a server since its last success; 0 for a server that is not known. */
   failuresOf(id: string): number {
     return this.observations.get(id)?.failures ?? 0;
   }
 
-  /** Whether a server was polled with success at its present address. */
+  /** Whether a server has responded to a poll at its current address. */
   wasPolled(server: Server): boolean {
     return this.observationOf(server).polledAt > -Infinity;
   }
 
-  /** Whether the server was listed a moment ago, so that its first response to a poll is still to come. */
+  /** Whether the first response to a poll is still pending: the server is polled, not barred, and has not failed. */
   awaitsFirstPoll(server: Server): boolean {
     const { polledAt, failures } = this.observationOf(server);
     return (
@@ -108,12 +109,12 @@
     );
   }
 
-  /** A request is sent to the server. */
+  /** Records that a request goes to the server. */
   recordStart(server: Server): void {
     this.update(server, { inFlight: this.observationOf(server).inFlight + 1 });
   }
 
-  /** A request has ended well, at some speed if that is known. */
+  /** Records that a request succeeded, with the speed of its generation if it is known. */
   recordSuccess(server: Server, tokensPerSecond: number | undefined): void {
     const previous = this.observationOf(server);
     this.update(server, {
@@ -123,7 +124,7 @@
     });
   }
 
-  /** A request has failed. */
+  /** Records that a request failed. */
   recordFailure(server: Server): void {
     const { inFlight, failures } = this.observationOf(server);
     this.update(server, {
@@ -133,7 +134,7 @@
     });
   }
 
-  /** The server responded to a poll that was sent at `polledAt`. */
+  /** Records the server's response to a poll that was sent at `polledAt`. */
   recordPoll(server: Server, status: ServerStatus, polledAt: number): void {
     this.update(server, {
       polledRequests: status.busy,
@@ -143,7 +144,7 @@
     });
   }
 
-  /** The server did not respond to a poll. */
+  /** Records that the server did not respond to a poll. */
   recordPollFailure(server: Server): void {
     this.update(server, {
       failures: this.observationOf(server).failures + 1,
@@ -151,18 +152,18 @@
     });
   }
 
-  /** The server reported its load with a response. */
+  /** Records the load that the server reported with a response. */
   recordReportedLoad(server: Server, reportedLoad: ReportedLoad): void {
     this.update(server, { reportedLoad, reportedAt: this.clock.now() });
   }
 
-  /** Forgets the servers that are not listed any more. */
+  /** Discards the observations of servers that are no longer listed. */
   retain(listed: ReadonlyMap<string, Server>): void {
     for (const id of [...this.observations.keys()])
       if (!listed.has(id)) this.observations.delete(id);
   }
 
-  /** What this front reports of a server. */
+  /** This front's report on a server. */
   reportOf(server: Server): ServerReport {
     const { failures, tokensPerSecond } = this.observationOf(server);
     return {
@@ -189,7 +190,10 @@
     return sinceFailureMs > this.bounds.retryUnhealthyAfterMs ? 'doubtful' : 'bad';
   }
 
-  /** A server that drains tells so when it is polled: without a fresh response nobody knows that it does not. */
+  /**
+   * Whether the last answered poll is too old. A server reports draining in its response to a poll, so without a recent
+   * response it must be treated as draining.
+   */
   private isStale({ polledAt }: Observation): boolean {
     const { pollIntervalMs, pollValidForMs } = this.bounds;
     return pollIntervalMs > 0 && this.clock.now() - polledAt > pollValidForMs;
--- a/packages/session-owner/src/server-poller.ts
+++ b/packages/session-owner/src/server-poller.ts
@@ -1,20 +1,21 @@
-/** Polling of all listed servers for their load and whether they drain. */
+/** Polls all listed servers for their load and their draining state. */
 import type { Server } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import type { Backend } from './backend.js';
 import type { ObservationBounds, ServerObservations } from './server-observations.js';
 import type { CompiledState } from './compiled-state.js';
 
-/** What a `ServerPoller` needs. */
+/** Dependencies of a `ServerPoller`. */
 export interface ServerPollerOptions {
   readonly clock: Clock;
   readonly backend: Backend;
   readonly bounds: ObservationBounds;
+  /** The newest state and configuration; undefined before the first publish. */
   readonly compiledState: () => CompiledState | undefined;
   readonly observations: ServerObservations;
 }
 
-/** Polls the listed servers and records what they respond. */
+/** Polls the listed servers and records their responses as observations. */
 export class ServerPoller {
   private readonly clock: Clock;
   private readonly backend: Backend;
@@ -30,7 +31,10 @@
     this.observations = options.observations;
   }
 
-  /** Resolves when every server, or every one that never responded before, has responded or failed. Never rejects. */
+  /**
+   * Polls every listed server, or only those that have never responded. Resolves once each has responded or failed;
+   * never rejects.
+   */
   async poll(onlyNew: boolean): Promise<void> {
     const state = this.compiledState()?.state;
     if (!state) return;
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -1,8 +1,8 @@
 /**
- * A streamed request of a pass route on its way through the `AttemptMachine`.
+ * The `AttemptMachine` hooks of streamed requests on pass routes.
  *
- * All attempts share one reservation of the tokens that the caller named. A request that was sent goes to another server
- * only where that one declined it, or where the stream can be resumed behind its last event.
+ * All attempts share one reservation of the number of tokens that the caller stated. A request that was sent goes to
+ * another server only if the first one declined it, or if the stream can be resumed after its last event.
  */
 import type { Config, Server } from '@tillerstair/state';
 import { toRpcError, type RpcError } from '@tillerstair/wire';
@@ -28,31 +28,35 @@
 import { StreamRelay } from './stream-relay.js';
 import { isSuccess, StreamedResponse } from './streamed-response.js';
 
-/** How a pass route has its streamed requests served. */
+/** The settings of a pass route for its streamed requests. */
 export interface StreamRules {
+  /** Maximum number of attempts that reach a server. */
   readonly tries: number;
+  /** Time limit of a request with all its attempts, in ms. */
   readonly deadlineMs: number;
+  /** Whether a lost stream may be resumed at another server. */
   readonly resumable: boolean;
-  /** How long a turn can be gone on from, in ms; 0 where turns are not kept. */
+  /** Time for which a turn can be continued by a later one, in ms; 0 if turns are not stored. */
   readonly turnRetentionMs: number;
 }
 
-/** A streamed request whose history has been looked up. */
+/** A streamed request together with the history that it continues. */
 export interface StreamJob {
   readonly request: PassRequest;
   readonly rules: StreamRules;
   readonly config: Config;
-  /** The slot's replicator; undefined where any front may serve the request and nothing of it is stored. */
+  /** The slot's replicator; undefined if any front may serve the request and nothing is stored for it. */
   readonly replicator: SlotReplicator | undefined;
-  /** The key of the turn's record. */
+  /** The key of the turn's record on the replicas. */
   readonly key: string;
-  /** What the server gets: the whole conversation. */
+  /** The request body for the server: the complete conversation. */
   readonly body: Uint8Array;
   readonly emit: EmitChunk;
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
 }
 
-/** Takes one streamed request through its attempts. */
+/** The attempts of one streamed request. */
 export class StreamAttempts implements Attempts<BackendOutcome> {
   readonly kind = 'pass';
   readonly path: string;
@@ -64,11 +68,11 @@
   private readonly relay: StreamRelay;
   private readonly reservation: PassTurn;
   private reserved = false;
-  /** Attempts that reached a server. */
+  /** Number of attempts that reached a server. */
   private attemptsSent = 0;
-  /** Why the newest attempt that was lost was lost; empty if none was. */
+  /** Why the newest lost attempt was lost; empty if none was. */
   private lossReason = '';
-  /** Tokens that have been generated. */
+  /** Number of generated tokens. */
   private cost = 0;
   private serverHealthy = true;
 
@@ -105,7 +109,7 @@
         refused(
           status.unavailable,
           'no-server',
-          'the servers tried did not run it',
+          `all ${this.attemptsSent} attempts at a server failed`,
           retryAfterSeconds.otherAttempt,
         ),
       );
@@ -130,10 +134,11 @@
   }
 
   async notAllowed(): Promise<CallOutcome | undefined> {
-    if (this.cancelled) return this.giveUp(callerDisconnected('the caller is gone'));
+    if (this.cancelled)
+      return this.giveUp(callerDisconnected('the caller disconnected before the request was sent'));
     return this.owner.leaseValid
       ? undefined
-      : this.giveUp(leaseExpired('the control link is down'));
+      : this.giveUp(leaseExpired('the read lease of this front has expired'));
   }
 
   async send(server: Server, mayStillRun: () => boolean): Promise<BackendOutcome> {
@@ -143,8 +148,8 @@
       this.owner.reportLoad(server, load);
     });
     const resume = events.lastId === '' ? request.resume : events.lastId;
-    const stopServer = (): void => response.cancel();
-    const ended = await withAbortListener(signal, stopServer, () =>
+    const cancelResponse = (): void => response.cancel();
+    const ended = await withAbortListener(signal, cancelResponse, () =>
       this.owner.backend.pass(
         server,
         { ...request, body, resume },
@@ -178,7 +183,7 @@
     this.owner.releaseServer(server, this.serverHealthy);
   }
 
-  /** Whether this request, not yet reserved, would take its program beyond the budget that the caller named. */
+  /** Whether the reservation is still to be made and would exceed the program's budget, which the caller stated. */
   private get exceedsBudget(): boolean {
     const { replicator, request } = this.job;
     if (this.reserved || !replicator || request.budget === null) return false;
@@ -186,10 +191,12 @@
     return reserved + request.most > request.budget;
   }
 
+  /** Whether successful turns are stored, so that later turns can continue them. */
   private get retainsTurns(): boolean {
     return this.job.rules.turnRetentionMs > 0;
   }
 
+  /** Number of tokens in the events so far, by the engine of the server's pool; one per event without an engine. */
   private generatedTokens(server: Server): number {
     const pool = this.job.config.pools.find(({ name }) => name === server.pool);
     return this.relay.events.count * (pool?.engine?.blockTokens ?? 1);
@@ -202,7 +209,7 @@
       : Promise.resolve();
   }
 
-  /** Ends without a result: a reservation that never ran becomes void, a stream that was lost stays unknown. */
+  /** Ends without a result: the reservation becomes `void`, or `failed` if a stream was lost, with unknown outcome. */
   private async giveUp(refusal: CallOutcome): Promise<CallOutcome> {
     const lost = this.lossReason !== '';
     if (this.reserved)
@@ -215,8 +222,9 @@
   }
 
   /**
-   * Resumes a stream that was lost, or ends it. Whether the caller is still there, attempts and time are over is looked at
-   * before the next request is sent anyway; it is asked here so that the caller hears without waiting for a server.
+   * Returns undefined if a lost stream can be resumed at another server, otherwise ends it. The caller's connection,
+   * the number of attempts and the deadline are checked before the next request is sent anyway; they are checked here
+   * as well so that the caller gets the outcome without waiting for a server.
    */
   private resumeOrFail(text: string): CallOutcome | undefined {
     const { rules } = this.job;
@@ -230,14 +238,15 @@
       this.relay.events.dropIncompleteEvent();
       return undefined;
     }
-    // The caller hears at once; that the record says `reserved` until the write is through changes nothing for it.
+    // Not awaited: the caller gets the outcome immediately, and it makes no difference to the caller that the record
+    // is `reserved` until the write completes.
     void this.store({ ...this.reservation, status: 'failed', cost: this.cost }).catch(
       () => undefined,
     );
     return unknown(text, 'broken-off');
   }
 
-  /** A turn that can be gone on from is done only once a quorum of replicas has it. */
+  /** Stores the result. The outcome of a turn that can be continued is `done` only once a quorum of replicas has it. */
   private async storeEnd(code: number): Promise<CallOutcome> {
     const { request } = this.job;
     const succeeded = isSuccess(code);
--- a/packages/session-owner/src/stream-relay.ts
+++ b/packages/session-owner/src/stream-relay.ts
@@ -1,15 +1,16 @@
 /**
- * Passes a server's streamed answer on to the caller, over several attempts where the stream is resumed.
+ * Relays a server's streamed response to the caller, over several attempts if the stream is resumed.
  *
- * Owns what the caller has got: whether a head, how many chunks, and up to which event. The caller gets one head and
- * only whole events, so that another server can go on behind the last one.
+ * Owns the record of what was sent to the caller: the head, the number of chunks, and the last event. The caller
+ * receives one head and only complete events, so that another server can continue after the last one.
  */
 import type { ResponseHead } from './backend.js';
 import { EventSplitter } from './event-splitter.js';
 import type { EmitChunk } from './messages.js';
 
-/** What the caller of one streamed request has got so far. */
+/** The response of one streamed request, as sent to the caller so far. */
 export class StreamRelay {
+  /** The events of the response; it buffers an incomplete one. */
   readonly events = new EventSplitter();
   private emittedChunks = 0;
   private headEmitted = false;
@@ -17,35 +18,35 @@
 
   constructor(private readonly emit: EmitChunk) {}
 
-  /** How many chunks the caller has got, the head included. */
+  /** Number of chunks sent to the caller, including the head. */
   get chunks(): number {
     return this.emittedChunks;
   }
 
-  /** Whether another server can go on where this one ended without repeating or losing anything. */
+  /** Whether another server can continue the stream without repeating or losing data. */
   get resumable(): boolean {
     return !this.events.lastEventHasNoId && !this.emittedBytesOutsideEvents;
   }
 
-  /** Whether the caller has got the head of an answer. */
+  /** Whether the head of a response was sent to the caller. */
   get hasHead(): boolean {
     return this.headEmitted;
   }
 
-  /** Sends the head, and all chunks behind it belong to that answer. */
+  /** Sends the head as the first chunk; all later chunks belong to its response. */
   emitHead(head: ResponseHead): void {
     this.headEmitted = true;
     this.emitText(JSON.stringify(head));
   }
 
-  /** Sends bytes; of a stream of events only what completes events. */
+  /** Sends bytes; in a stream of events, only complete events are sent. */
   emitBytes(text: string, insideEvents: boolean): void {
     if (!insideEvents) this.emittedBytesOutsideEvents = true;
     const complete = insideEvents ? this.events.push(text) : text;
     if (complete !== '') this.emitText(complete);
   }
 
-  /** Sends one chunk as it is. */
+  /** Sends one chunk unchanged. */
   emitText(text: string): void {
     this.emit(this.emittedChunks++, text);
   }
--- a/packages/session-owner/src/streamed-response.ts
+++ b/packages/session-owner/src/streamed-response.ts
@@ -3,7 +3,7 @@
 
 const ok = 200;
 
-/** Whether a status says that the request succeeded. */
+/** Whether an HTTP status is a success, 200 to 299. */
 export const isSuccess = (status: number): boolean => status >= 200 && status < 300;
 
 const isEventStream = (head: ResponseHead): boolean =>
@@ -12,8 +12,8 @@
   );
 
 /**
- * One server's answer. The first answer's head goes to the caller, that of a failure only with the whole answer; a later
- * answer must continue the stream of events.
+ * One server's response to a streamed request. The head of the first response is sent to the caller; if it is an error,
+ * only once the response is complete. A later response must continue the stream of events, with status 200.
  */
 export class StreamedResponse implements ResponseSink {
   private readonly isFirst: boolean;
@@ -29,12 +29,12 @@
     this.isFirst = !relay.hasHead;
   }
 
-  /** Aborted once nothing more of the answer is of use. */
+  /** Aborted once the rest of the response is no longer needed. */
   get abortSignal(): AbortSignal {
     return this.stop.signal;
   }
 
-  /** The caller is gone: nothing more is passed on. */
+  /** Stops relaying the response, since the caller has disconnected. */
   cancel(): void {
     this.stop.abort();
   }
@@ -58,16 +58,15 @@
     this.onLoad(load);
   }
 
-  /** What the end of the answer means for the caller, with what is still to be passed on. */
+  /** Sends the remaining bytes to the caller; the outcome is `lost` if the response is cut off or cannot be used. */
   finish(ended: BackendOutcome): BackendOutcome {
     if (ended.kind !== 'done') return ended;
     if (this.stop.signal.aborted)
-      return { kind: 'lost', text: 'the caller is gone or the stream could not go on' };
+      return { kind: 'lost', text: 'the caller disconnected, or the stream could not be resumed' };
     if (this.failure) this.emitFailure(this.failure.head, this.failure.body);
     else if (this.hasEvents) {
       const { events } = this.relay;
-      if (events.endsWithinEvent)
-        return { kind: 'lost', text: 'the stream stopped within an event' };
+      if (events.endsWithinEvent) return { kind: 'lost', text: 'the stream ended within an event' };
       if (events.trailingBytes !== '') this.relay.emitText(events.trailingBytes);
     }
     return { ...ended, code: this.status };
--- a/packages/session-owner/src/streams.ts
+++ b/packages/session-owner/src/streams.ts
@@ -1,8 +1,9 @@
 /**
- * Streamed requests of pass routes: an attempt is named by its caller and runs at most once.
+ * Streamed requests of pass routes: the caller names each attempt, and an attempt runs at most once.
  *
- * Owns the attempts that are running here, by the key of their record. Turns that can be gone on from are in the slot's
- * replicas; one that went before under another program is copied there, and its tokens are not counted again.
+ * Owns the set of running attempts, by the keys of their records. Turns that can be continued are stored on the
+ * replicas of the slot. If a request continues a turn of another program, that turn is copied to the program of the
+ * request with a cost of 0, so that its tokens are not counted again.
  */
 import type { Config, Route } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
@@ -29,20 +30,22 @@
   streamTurnKey,
 } from './stream-records.js';
 
-/** A turn that a request goes on from. */
+/** An earlier turn that a request continues. */
 interface Ancestor {
   readonly attempt: string;
   readonly turn: PassTurn;
-  /** Whether this program's record of it is here. */
+  /** Whether the turn is stored under the program of the request. */
   readonly isLocal: boolean;
 }
 
-/** One streamed request, with its route and its record's place. */
+/** One streamed request, with the settings of its route and the location of its record. */
 interface StreamLookup {
   readonly request: PassRequest;
   readonly rules: StreamRules;
   readonly config: Config;
+  /** The slot's replicator; undefined if any front may serve the request and nothing is stored for it. */
   readonly replicator: SlotReplicator | undefined;
+  /** The key of the turn's record on the replicas. */
   readonly key: string;
   readonly emit: EmitChunk;
   readonly signal: AbortSignal;
@@ -52,14 +55,17 @@
 
 const noHistory: History = { ancestors: [] };
 
-/** Serves streamed requests: those of the slots that this front owns, and those that need no owner. */
+/** Serves streamed requests: those of slots that this front owns, and those that any front may serve. */
 export class Streams {
   private readonly running = new Set<string>();
   private readonly pending = new PendingReservations();
 
   constructor(private readonly owner: OwnerServices) {}
 
-  /** Runs one attempt. Rejects with an `OwnershipError` where the route or the slot is not served here. */
+  /**
+   * Runs one attempt. Rejects with an `UnavailableError` without a read lease, and with an `OwnershipError` if this
+   * front does not serve the route or the slot.
+   */
   async runStream(
     request: PassRequest,
     emit: EmitChunk,
@@ -73,15 +79,19 @@
     const replicator = this.replicatorOf(request, route);
     const key = streamTurnKey(streamProgram(request), request.attempt);
     if (this.running.has(key))
-      return refused(status.conflict, 'running', 'this attempt is in progress');
+      return refused(
+        status.conflict,
+        'running',
+        `attempt ${request.attempt} is already in progress`,
+      );
     this.running.add(key);
-    const leave = replicator?.enter();
+    const leaveSlot = replicator?.enter();
     try {
       return await this.runAttempt({ request, rules, config, replicator, key, emit, signal });
     } catch (error) {
       return outcomeOfError(toRpcError(error));
     } finally {
-      leave?.();
+      leaveSlot?.();
       this.running.delete(key);
     }
   }
@@ -95,9 +105,9 @@
     const { request, replicator, key } = lookup;
     const stored = replicator?.get(key);
     if (stored !== undefined) {
-      const old = PassTurn.safeParse(stored);
-      if (!old.success || old.data.status !== 'void')
-        return unknown('this attempt was in progress before; it is not run again');
+      const earlier = PassTurn.safeParse(stored);
+      if (!earlier.success || earlier.data.status !== 'void')
+        return unknown(`attempt ${request.attempt} was started before and is not run again`);
     }
     const history = await this.readHistory(lookup);
     if ('refusal' in history) return history.refusal;
@@ -114,7 +124,7 @@
     return new AttemptMachine(this.owner, new StreamAttempts(this.owner, this.pending, job)).run();
   }
 
-  /** Stores turns of other programs under this one, so that its next request finds them here. */
+  /** Stores turns of other programs under the request's program, so that its next request finds them in its slot. */
   private async copyAncestors(
     replicator: SlotReplicator,
     request: PassRequest,
@@ -131,29 +141,29 @@
     );
   }
 
-  /** The turns that a request goes on from, oldest first. */
+  /** The turns that a request continues, oldest first; or the refusal if one of them cannot be continued. */
   private async readHistory({ request, rules, replicator }: StreamLookup): Promise<History> {
     if (rules.turnRetentionMs === 0 || request.after === '' || !replicator) return noHistory;
     const program = streamProgram(request);
     const newestFirst: Ancestor[] = [];
     const found = new Map<string, PassTurn>();
-    for (let at = request.after; at !== '';) {
-      const local = PassTurn.safeParse(replicator.get(streamTurnKey(program, at)));
-      const turn = local.success ? local.data : found.get(at);
+    for (let attempt = request.after; attempt !== '';) {
+      const local = PassTurn.safeParse(replicator.get(streamTurnKey(program, attempt)));
+      const turn = local.success ? local.data : found.get(attempt);
       if (!turn) {
-        const refusal = await this.findInOtherPrograms(at, found);
+        const refusal = await this.findInOtherPrograms(attempt, found);
         if (refusal) return { refusal };
         continue;
       }
-      const refusal = refuseAncestor(at, turn);
+      const refusal = refuseAncestor(attempt, turn);
       if (refusal) return { refusal };
-      newestFirst.push({ attempt: at, turn, isLocal: local.success });
-      at = turn.after;
+      newestFirst.push({ attempt, turn, isLocal: local.success });
+      attempt = turn.after;
     }
     return { ancestors: newestFirst.reverse() };
   }
 
-  /** Adds a turn of any program, and those it goes on from, to `found`. */
+  /** Searches the replicas for a turn of any program; adds it and the turns that it continues to `found`. */
   private async findInOtherPrograms(
     attempt: string,
     found: Map<string, PassTurn>,
@@ -162,18 +172,19 @@
     if (turns.length === 0)
       return refused(status.notFound, 'missing-turn', `no such turn: ${attempt}`);
     for (const { attempt: name, turn } of turns) found.set(decodeKeyPart(name), turn);
-    // `findTurn` never resolves with others alone; without this line a fault there would make the caller loop for ever.
+    // `findTurn` never resolves without the turn itself; without this check a fault there would cause an endless loop.
     if (!found.has(attempt))
       return refused(
         status.unavailable,
         'unavailable',
-        'the history cannot be read just now',
+        `the history of turn ${attempt} cannot be read at present`,
         retryAfterSeconds.capacity,
       );
     return undefined;
   }
 }
 
+/** The refusal of a request that continues this turn; undefined if the turn is done. */
 const refuseAncestor = (attempt: string, turn: PassTurn): CallOutcome | undefined => {
   switch (turn.status) {
     case 'done':
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -305,7 +305,7 @@
   };
   const outcome = await rig.finish(call(rig));
   assert.is(brief(outcome), 'refused 503 no-server');
-  assert.is(outcome.text, 'the control link is down');
+  assert.is(outcome.text, 'the read lease of this front has expired');
   assert.is(rig.sent.length, 0);
 });
 
