--- a/tests/src/session-owner/admission-bounds.test.ts
+++ b/tests/src/session-owner/admission-bounds.test.ts
@@ -1,4 +1,4 @@
-/** Waiting for a server is bounded in number and in time, and nobody who waits is overtaken from outside. */
+/** The number and the time of waiting requests are bounded, and no later request overtakes a waiting one. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { AdmissionQueue } from '@tillerstair/session-owner';
@@ -7,15 +7,17 @@
 
 const admission = suite('bounds of the admission queue');
 
-/** A queue before servers that become free when the test says so. */
+/** An admission queue for servers that become free when the test releases them. */
 class QueueFixture {
   readonly clock = new SimClock();
   readonly queue: AdmissionQueue<string>;
+  /** Names of requests that have ended, in order, with the error code of those that were rejected. */
   readonly ended: string[] = [];
+  /** Number of free servers. */
   free = 0;
 
-  constructor(mostWaiting: number) {
-    this.queue = new AdmissionQueue<string>(this.clock, () => mostWaiting);
+  constructor(maxWaiting: number) {
+    this.queue = new AdmissionQueue<string>(this.clock, () => maxWaiting);
   }
 
   enter(
@@ -32,7 +34,7 @@
     );
   }
 
-  /** One server becomes free after some time. */
+  /** Lets `afterMs` elapse, then frees one server. */
   async release(afterMs: number): Promise<void> {
     await this.clock.run(afterMs);
     this.free++;
@@ -41,7 +43,7 @@
   }
 }
 
-admission('no more wait than the bound says, each class by itself', async () => {
+admission('the number of waiting requests is bounded for each class separately', async () => {
   const fixture = new QueueFixture(2);
   for (const name of ['a', 'b', 'c']) fixture.enter(name);
   fixture.enter('urgent', 1000, undefined, true);
@@ -50,7 +52,7 @@
   assert.is(fixture.queue.waiting, 3);
 });
 
-admission('nobody waits longer than its time', async () => {
+admission('a request waits no longer than its timeout', async () => {
   const fixture = new QueueFixture(10);
   fixture.enter('a', 200);
   await fixture.clock.run(199);
@@ -60,23 +62,23 @@
   assert.is(fixture.queue.waiting, 0);
 });
 
-admission('a request that would wait longer than its time is refused at once', async () => {
+admission('a request whose estimated wait exceeds its timeout is refused immediately', async () => {
   const fixture = new QueueFixture(10);
   for (const name of ['a', 'b', 'c']) fixture.enter(name, 10_000);
   await fixture.release(300);
-  fixture.enter('hasty', 500);
-  fixture.enter('patient', 2000);
+  fixture.enter('short-timeout', 500);
+  fixture.enter('long-timeout', 2000);
   await fixture.clock.runReadyTasks();
-  assert.equal(fixture.ended, ['a', 'hasty queue-timeout']);
+  assert.equal(fixture.ended, ['a', 'short-timeout queue-timeout']);
   assert.is(fixture.queue.waiting, 3);
 });
 
-admission('the first in line is not refused by an estimate', async () => {
+admission('the first request in the queue is not refused by an estimate', async () => {
   const fixture = new QueueFixture(10);
   for (const name of ['a', 'b']) fixture.enter(name, 10_000);
   await fixture.release(300);
   await fixture.release(300);
-  fixture.enter('hasty', 10);
+  fixture.enter('short-timeout', 10);
   await fixture.clock.runReadyTasks();
   assert.equal(fixture.ended, ['a', 'b']);
   assert.is(fixture.queue.waiting, 1);
@@ -86,7 +88,7 @@
 });
 
 admission(
-  'a review refuses those whose turn cannot come in time, but never the first',
+  'requests that are expected to miss their deadline are rejected, but never the first',
   async () => {
     const fixture = new QueueFixture(10);
     for (const name of ['a', 'b']) fixture.enter(name, 100_000);
@@ -101,7 +103,7 @@
   },
 );
 
-admission('who comes later does not overtake those who wait', async () => {
+admission('a later request does not overtake a waiting one', async () => {
   const fixture = new QueueFixture(10);
   fixture.enter('a');
   fixture.free = 1;
@@ -110,11 +112,11 @@
   assert.equal(fixture.ended, ['a']);
 });
 
-admission('a caller that leaves gives its place up', async () => {
+admission('a request leaves the queue when its caller disconnects', async () => {
   const fixture = new QueueFixture(1);
-  const leaving = createAbortController();
-  fixture.enter('a', 1000, leaving.signal);
-  leaving.abort();
+  const caller = createAbortController();
+  fixture.enter('a', 1000, caller.signal);
+  caller.abort();
   await fixture.clock.runReadyTasks();
   assert.equal(fixture.ended, ['a gone']);
   assert.is(fixture.queue.waiting, 0);
@@ -123,9 +125,9 @@
   assert.equal(fixture.ended, ['a gone', 'b']);
 });
 
-admission('a pick that fails ends only its own request', async () => {
+admission('an error of pick rejects only its own request', async () => {
   const fixture = new QueueFixture(10);
-  const refuse = (): string => {
+  const failingPick = (): string => {
     throw new RpcError('no-server', 'none');
   };
   const codeOf = (work: Promise<string>): Promise<string> =>
@@ -134,7 +136,7 @@
     isUrgent: false,
     timeoutMs: 1000,
     signal: createAbortController().signal,
-    pick: refuse,
+    pick: failingPick,
   };
   assert.is(await codeOf(fixture.queue.enter(request)), 'no-server');
   fixture.enter('a');
--- a/tests/src/session-owner/batch-placement.test.ts
+++ b/tests/src/session-owner/batch-placement.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Placement on servers whose engine runs requests in batches and caches prompt prefixes. Server `w` is warm: it has
+ * cached the prompt; `c` is cold. Server `n` is in the zone of the front, `f` in another one.
+ */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Incarnation, seededRng, SimClock, SimServers } from '@tillerstair/sim';
@@ -42,29 +46,31 @@
   ],
 });
 const routes = checkConfig(text).config?.routes ?? [];
-const talk = routes.at(0);
-const plain = routes.at(1);
-if (!talk || !plain) throw new Error('no routes');
-const perPlace = 100000 / places / 25;
+const talkRoute = routes.at(0);
+const plainRoute = routes.at(1);
+if (!talkRoute || !plainRoute) throw new Error('the test configuration lacks a route');
+/** Tokens that one running request costs at a server: the batch memory per place, divided by 25. */
+const tokensPerRequest = 100000 / places / 25;
 
-const server = (id: string, pool: string, ownPlaces = 0): Server => ({
+const makeServer = (id: string, pool: string, serverPlaces = 0): Server => ({
   id,
   pool,
   url: `http://127.0.0.1:1/${id}`,
   draining: false,
   down: false,
   zone: '',
-  places: ownPlaces,
+  places: serverPlaces,
 });
 
-const placing = (servers: readonly Server[], zone = '') => {
+/** A placement at front `f`, without polls, over the given servers. */
+const createPlacement = (servers: readonly Server[], zone = '') => {
   const clock = new SimClock();
-  const me = { id: 'f', kind: 'front' as const, addr: '', http: '', zone, data: '', name: '' };
+  const front = { id: 'f', kind: 'front' as const, addr: '', http: '', zone, data: '', name: '' };
   const state: State = servers.reduce<State>(
-    (s, v) => reduceState(s, { kind: 'server', server: v }),
+    (reduced, server) => reduceState(reduced, { kind: 'server', server }),
     {
       ...bootstrapState('x', [], 8),
-      nodes: new Map([['f', me]]),
+      nodes: new Map([['f', front]]),
       config: {
         version: 1,
         text,
@@ -74,8 +80,8 @@
       },
     },
   );
-  const table = compileState(state, undefined);
-  const sims = new SimServers(clock, seededRng(1));
+  const compiledState = compileState(state, undefined);
+  const simServers = new SimServers(clock, seededRng(1));
   const bounds = {
     pollIntervalMs: 0,
     pollTimeoutMs: 250,
@@ -85,73 +91,81 @@
   };
   const placement = new Placement({
     clock,
-    backend: sims.backend(new Incarnation()),
+    backend: simServers.backend(new Incarnation()),
     policies: placementPolicies(true),
     bounds,
-    compiledState: () => table,
+    compiledState: () => compiledState,
     maxInFlightPerServer: () => 16,
     frontId: 'f',
   });
-  return { clock, placement, at: (id: string) => state.servers.get(id) ?? server(id, 'none') };
+  return {
+    clock,
+    placement,
+    at: (id: string) => state.servers.get(id) ?? makeServer(id, 'none'),
+  };
 };
-const big = (...ids: readonly string[]) => placing(ids.map((id) => server(id, 'big')));
+const createBatchPlacement = (...ids: readonly string[]) =>
+  createPlacement(ids.map((id) => makeServer(id, 'big')));
 const prompt = (tokens: number, name = 'a'): readonly PrefixBlock[] =>
   prefixBlocksOfParts([[name, tokens]]);
 
 batches(
-  'a warm server is kept to until what runs there outweighs the tokens to be read anew',
+  'a server that cached the prompt is preferred until its running requests cost more than prefilling elsewhere',
   () => {
-    for (const [tokens, stays] of [
+    for (const [requestCosts, requestsAtWarm] of [
       [0.5, 1],
       [1.5, 2],
       [2.5, 3],
       [50, places],
     ] as const) {
-      const { placement, at } = big('w', 'c');
-      const parts = prompt(tokens * perPlace);
-      placement.begin(at('w'), parts);
-      const got: string[] = [];
-      while (got.length < places && placement.pick(talk, parts, '', new Set())?.id === 'w') {
-        got.push('w');
-        placement.begin(at('w'), parts);
+      const { placement, at: serverById } = createBatchPlacement('w', 'c');
+      const parts = prompt(requestCosts * tokensPerRequest);
+      placement.begin(serverById('w'), parts);
+      const picked: string[] = [];
+      while (
+        picked.length < places &&
+        placement.pick(talkRoute, parts, '', new Set())?.id === 'w'
+      ) {
+        picked.push('w');
+        placement.begin(serverById('w'), parts);
       }
-      assert.is(got.length + 1, stays, `${tokens}`);
-      assert.is(placement.pick(talk, parts, '', new Set())?.id, 'c');
+      assert.is(picked.length + 1, requestsAtWarm, `${requestCosts}`);
+      assert.is(placement.pick(talkRoute, parts, '', new Set())?.id, 'c');
     }
   },
 );
 
-batches('only what is held from the first part on counts as warm', () => {
-  const { placement, at } = big('w', 'c');
+batches('only cached parts in an unbroken run from the first one count', () => {
+  const { placement, at: serverById } = createBatchPlacement('w', 'c');
   placement.begin(
-    at('w'),
+    serverById('w'),
     prefixBlocksOfParts([
-      ['a', 5 * perPlace],
-      ['b', 5 * perPlace],
+      ['a', 5 * tokensPerRequest],
+      ['b', 5 * tokensPerRequest],
     ]),
   );
-  placement.begin(at('c'), []);
-  placement.begin(at('c'), []);
+  placement.begin(serverById('c'), []);
+  placement.begin(serverById('c'), []);
   assert.is(
     placement.pick(
-      talk,
+      talkRoute,
       prefixBlocksOfParts([
-        ['a', 5 * perPlace],
-        ['x', perPlace],
+        ['a', 5 * tokensPerRequest],
+        ['x', tokensPerRequest],
       ]),
       '',
       new Set(),
     )?.id,
     'w',
   );
-  placement.end(at('c'), true);
-  placement.end(at('c'), true);
+  placement.end(serverById('c'), true);
+  placement.end(serverById('c'), true);
   assert.is(
     placement.pick(
-      talk,
+      talkRoute,
       prefixBlocksOfParts([
-        ['x', perPlace],
-        ['b', 5 * perPlace],
+        ['x', tokensPerRequest],
+        ['b', 5 * tokensPerRequest],
       ]),
       '',
       new Set(),
@@ -161,70 +175,76 @@
 });
 
 batches(
-  'a server in the own zone comes first, unless one far off holds more than a place is worth',
+  'a server in the zone of the front is preferred unless a remote one has cached more than one request costs',
   () => {
-    const zoned: readonly Server[] = [
-      { ...server('n', 'big'), zone: 'Here' },
-      { ...server('f', 'big'), zone: 'there' },
+    const servers: readonly Server[] = [
+      { ...makeServer('n', 'big'), zone: 'Here' },
+      { ...makeServer('f', 'big'), zone: 'there' },
     ];
-    const { placement, at } = placing(zoned, 'here');
-    assert.is(placement.pick(talk, prompt(perPlace, 'x'), '', new Set())?.id, 'n');
-    for (const [tokens, id] of [
+    const { placement, at: serverById } = createPlacement(servers, 'here');
+    assert.is(placement.pick(talkRoute, prompt(tokensPerRequest, 'x'), '', new Set())?.id, 'n');
+    for (const [requestCosts, id] of [
       [0.5, 'n'],
       [1.5, 'f'],
     ] as const) {
-      const parts = prompt(tokens * perPlace, `t${tokens}`);
-      placement.begin(at('f'), parts);
-      placement.end(at('f'), true);
-      assert.is(placement.pick(talk, parts, '', new Set())?.id, id);
+      const parts = prompt(requestCosts * tokensPerRequest, `t${requestCosts}`);
+      placement.begin(serverById('f'), parts);
+      placement.end(serverById('f'), true);
+      assert.is(placement.pick(talkRoute, parts, '', new Set())?.id, id);
     }
   },
 );
 
-batches('no more than its places are given to a server, whatever it holds', () => {
-  const { placement, at } = big('w');
-  const parts = prompt(50 * perPlace);
+batches('a server gets no more requests than it has places, whatever it has cached', () => {
+  const { placement, at: serverById } = createBatchPlacement('w');
+  const parts = prompt(50 * tokensPerRequest);
   for (let i = 0; i < places; i++) {
-    assert.is(placement.pick(talk, parts, '', new Set())?.id, 'w');
-    placement.begin(at('w'), parts);
+    assert.is(placement.pick(talkRoute, parts, '', new Set())?.id, 'w');
+    placement.begin(serverById('w'), parts);
   }
-  assert.is(placement.pick(talk, parts, '', new Set()), undefined);
-  placement.end(at('w'), true);
-  assert.is(placement.pick(talk, parts, '', new Set())?.id, 'w');
+  assert.is(placement.pick(talkRoute, parts, '', new Set()), undefined);
+  placement.end(serverById('w'), true);
+  assert.is(placement.pick(talkRoute, parts, '', new Set())?.id, 'w');
 });
 
-batches('places that the list tells of a server bound it where its pool has no engine', () => {
-  const { placement, at } = placing([server('p', 'plain', 2), server('q', 'plain', 1)]);
-  const got: string[] = [];
+batches('the places in the server list bound a server whose pool has no engine', () => {
+  const { placement, at: serverById } = createPlacement([
+    makeServer('p', 'plain', 2),
+    makeServer('q', 'plain', 1),
+  ]);
+  const picked: string[] = [];
   for (let i = 0; i < 3; i++) {
-    const s = placement.pick(plain, [], '', new Set());
-    got.push(s?.id ?? 'none');
-    if (s) placement.begin(at(s.id), []);
+    const server = placement.pick(plainRoute, [], '', new Set());
+    picked.push(server?.id ?? 'none');
+    if (server) placement.begin(serverById(server.id), []);
   }
-  assert.equal(got.sort(), ['p', 'p', 'q']);
-  assert.is(placement.pick(plain, [], '', new Set()), undefined);
+  assert.equal(picked.sort(), ['p', 'p', 'q']);
+  assert.is(placement.pick(plainRoute, [], '', new Set()), undefined);
 });
 
-batches("a server's own word of its load counts for a while, then no more", async () => {
-  const { clock, placement, at } = big('a', 'b');
-  const parts = prompt(perPlace / 10);
-  const first = placement.pick(talk, parts, '', new Set())?.id ?? '';
+batches('the load that a server reported with a response counts until it expires', async () => {
+  const { clock, placement, at: serverById } = createBatchPlacement('a', 'b');
+  const parts = prompt(tokensPerRequest / 10);
+  const first = placement.pick(talkRoute, parts, '', new Set())?.id ?? '';
   const second = first === 'a' ? 'b' : 'a';
-  placement.recordReportedLoad(at(first), { running: 2, waiting: 1, places });
-  assert.is(placement.pick(talk, parts, '', new Set())?.id, second);
+  placement.recordReportedLoad(serverById(first), { running: 2, waiting: 1, places });
+  assert.is(placement.pick(talkRoute, parts, '', new Set())?.id, second);
   await clock.run(499);
-  assert.is(placement.pick(talk, parts, '', new Set())?.id, second);
+  assert.is(placement.pick(talkRoute, parts, '', new Set())?.id, second);
   await clock.run(2);
-  assert.is(placement.pick(talk, parts, '', new Set())?.id, first);
+  assert.is(placement.pick(talkRoute, parts, '', new Set())?.id, first);
 });
 
-batches('a prompt of unknown size goes where least runs', () => {
-  const { placement, at } = big('a', 'b');
-  placement.begin(at('a'), []);
-  assert.is(placement.pick(talk, [], '', new Set())?.id, 'b');
-  placement.begin(at('b'), []);
-  placement.begin(at('b'), []);
-  assert.is(placement.pick(talk, [], '', new Set())?.id, 'a');
-});
+batches(
+  'a request with a prompt of unknown size goes to the server with the fewest requests',
+  () => {
+    const { placement, at: serverById } = createBatchPlacement('a', 'b');
+    placement.begin(serverById('a'), []);
+    assert.is(placement.pick(talkRoute, [], '', new Set())?.id, 'b');
+    placement.begin(serverById('b'), []);
+    placement.begin(serverById('b'), []);
+    assert.is(placement.pick(talkRoute, [], '', new Set())?.id, 'a');
+  },
+);
 
 batches.run();
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -1,4 +1,4 @@
-/** A keyed operation is never run twice, and what is reported of it is what is known of it. */
+/** A keyed operation never runs twice, and its reported outcome agrees with what is known about its execution. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { opKeyOf, OpValue, encodeBody } from '@tillerstair/session-owner';
@@ -15,21 +15,27 @@
 import { configuration, host } from '../support/session-owner-state.js';
 
 const operations = suite('keyed operations');
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
+/** The key of the record of an operation with the idempotency key `k`. */
 const key = opKeyOf('t', 'k');
 
-const call = (rig: SessionOwnerRig, change: { path?: string; key?: string; body?: string } = {}) =>
-  rig.owner.calls.runCall(
+/** Runs a tool call with the key `k`. */
+const call = (
+  fixture: SessionOwnerRig,
+  change: { path?: string; key?: string; body?: string } = {},
+) =>
+  fixture.owner.calls.runCall(
     { tenant: 't', path: '/act', key: 'k', body: '1', requestId: '', ...change },
-    never,
+    neverAborted,
   );
 
+/** Runs a request of a pass route with the key `k`. */
 const pass = (
-  rig: SessionOwnerRig,
+  fixture: SessionOwnerRig,
   change: { path?: string; key?: string; body?: string; left?: number } = {},
-  stop = never,
+  signal = neverAborted,
 ) =>
-  rig.owner.calls.runPass(
+  fixture.owner.calls.runPass(
     {
       tenant: 't',
       host,
@@ -48,350 +54,344 @@
       ...change,
       body: encodeBody(Buffer.from(change.body ?? 'b')),
     },
-    stop,
+    signal,
   );
 
-operations('a call without a route is refused', async () => {
-  const rig = await SessionOwnerRig.opened();
-  assert.is(brief(await rig.finish(call(rig, { path: '/none' }))), 'refused 404 no-route');
-  assert.is(await codeOf(() => rig.finish(pass(rig, { path: '/none/' }))), 'route-unknown');
+operations('a path without a route is refused', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  assert.is(brief(await fixture.finish(call(fixture, { path: '/none' }))), 'refused 404 no-route');
+  assert.is(await codeOf(() => fixture.finish(pass(fixture, { path: '/none/' }))), 'route-unknown');
 });
 
-operations('an acting call and a keyed pass need a key', async () => {
-  const rig = await SessionOwnerRig.opened();
-  assert.is(brief(await rig.finish(call(rig, { key: '' }))), 'refused 400 no-key');
-  assert.is(brief(await rig.finish(pass(rig, { key: '' }))), 'refused 400 no-key');
-  assert.is(rig.sent.length, 0);
-  assert.is(brief(await rig.finish(call(rig, { key: '', path: '/look' }))), 'done 200');
+operations('an acting call and a request of a keyed pass route require a key', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  assert.is(brief(await fixture.finish(call(fixture, { key: '' }))), 'refused 400 no-key');
+  assert.is(brief(await fixture.finish(pass(fixture, { key: '' }))), 'refused 400 no-key');
+  assert.is(fixture.sent.length, 0);
+  assert.is(brief(await fixture.finish(call(fixture, { key: '', path: '/look' }))), 'done 200');
 });
 
 operations('the intent is on a quorum before the operation is sent', async () => {
-  const rig = await SessionOwnerRig.opened();
-  assert.is(brief(await rig.finish(call(rig))), 'done 200');
-  const sentAt = rig.trail.findIndex((line) => line.startsWith('send'));
-  const before = rig.trail.slice(0, sentAt).filter((line) => line === `put ${key} intent`);
-  assert.ok(before.length >= 2, rig.trail.join(', '));
-  assert.is(statusOf(rig.stored(key)), 'done');
+  const fixture = await SessionOwnerRig.opened();
+  assert.is(brief(await fixture.finish(call(fixture))), 'done 200');
+  const sentAt = fixture.trail.findIndex((line) => line.startsWith('send'));
+  const before = fixture.trail.slice(0, sentAt).filter((line) => line === `put ${key} intent`);
+  assert.ok(before.length >= 2, fixture.trail.join(', '));
+  assert.is(statusOf(fixture.stored(key)), 'done');
 });
 
 operations('without a quorum for the intent nothing is sent', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.down.add('a').add('b');
-  assert.is(brief(await rig.finish(call(rig))), 'refused 503 unavailable');
-  assert.is(rig.sent.length, 0);
+  const fixture = await SessionOwnerRig.opened();
+  fixture.down.add('a').add('b');
+  assert.is(brief(await fixture.finish(call(fixture))), 'refused 503 unavailable');
+  assert.is(fixture.sent.length, 0);
 });
 
 operations('an operation that is done is answered from its record', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.reply = () => ({ ended: { kind: 'done', code: 201, body: 'first' } });
-  const first = await rig.finish(call(rig));
-  const second = await rig.finish(call(rig));
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = () => ({ ended: { kind: 'done', code: 201, body: 'first' } });
+  const first = await fixture.finish(call(fixture));
+  const second = await fixture.finish(call(fixture));
   assert.equal(second, first);
-  assert.is(rig.sent.length, 1);
+  assert.is(fixture.sent.length, 1);
 });
 
-operations('a key used with another body is refused, at work and afterwards', async () => {
-  const rig = await SessionOwnerRig.opened();
+operations('a key used with another body is refused, in progress and afterwards', async () => {
+  const fixture = await SessionOwnerRig.opened();
   const server = gate();
-  rig.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
-  const first = call(rig);
-  await rig.clock.run(10);
-  assert.is(brief(await rig.finish(call(rig, { body: '2' }))), 'refused 422 other-body');
+  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
+  const first = call(fixture);
+  await fixture.clock.run(10);
+  assert.is(brief(await fixture.finish(call(fixture, { body: '2' }))), 'refused 422 other-body');
   server.open();
-  assert.is(brief(await rig.finish(first)), 'done 200');
-  assert.is(brief(await rig.finish(call(rig, { body: '2' }))), 'refused 422 other-body');
-  assert.is(rig.sent.length, 1);
+  assert.is(brief(await fixture.finish(first)), 'done 200');
+  assert.is(brief(await fixture.finish(call(fixture, { body: '2' }))), 'refused 422 other-body');
+  assert.is(fixture.sent.length, 1);
 });
 
-operations(
-  'a second request for a key at work shares its outcome, or hears that it runs',
-  async () => {
-    const rig = await SessionOwnerRig.opened();
-    const server = gate();
-    rig.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
-    const first = pass(rig);
-    await rig.clock.run(10);
-    const joined = pass(rig);
-    const before = rig.clock.now();
-    assert.is(brief(await rig.finish(pass(rig, { left: 50 }))), 'refused 409 running');
-    assert.is(rig.clock.now() - before, 50);
-    server.open();
-    assert.equal(await rig.finish(joined), await rig.finish(first));
-    assert.is(rig.sent.length, 1);
-  },
-);
-
-operations('an operation of an earlier ownership is not run again', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.reply = () => ({ ended: { kind: 'lost', text: 'cut' }, after: new Promise<void>(() => 0) });
-  void call(rig);
-  await rig.clock.run(10);
-  assert.is(statusOf(rig.stored(key)), 'intent');
-  const later = await SessionOwnerRig.opened();
-  later.store(key, rig.stored(key));
-  await later.ownAgain();
-  assert.is(brief(await later.finish(call(later))), 'unknown 504 unknown');
-  assert.is(later.sent.length, 0);
+operations('a second request with a key in progress shares its outcome or is refused', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  const server = gate();
+  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
+  const first = pass(fixture);
+  await fixture.clock.run(10);
+  const joined = pass(fixture);
+  const startedAt = fixture.clock.now();
+  assert.is(brief(await fixture.finish(pass(fixture, { left: 50 }))), 'refused 409 running');
+  assert.is(fixture.clock.now() - startedAt, 50);
+  server.open();
+  assert.equal(await fixture.finish(joined), await fixture.finish(first));
+  assert.is(fixture.sent.length, 1);
 });
 
-operations(
-  'an operation of an earlier ownership runs again only where servers record keys',
-  async () => {
-    for (const [recorded, pools, expected] of [
-      [true, ['memo'], 'done 200'],
-      [false, ['memo'], 'unknown 504 unknown'],
-      [true, ['memo', 'shop'], 'unknown 504 unknown'],
-    ] as const) {
-      const rig = await SessionOwnerRig.opened();
-      const request = { path: '/recorded/' };
-      rig.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 } });
-      await rig.finish(pass(rig, request));
-      const stored = rig.stored(key);
-      if (stored === null || typeof stored !== 'object') throw new Error('nothing stored');
-      rig.store(key, { ...stored, status: 'intent', recorded });
-      rig.configure({
-        ...configuration,
-        routes: configuration.routes.map((route) =>
-          route.name === 'pass-recorded'
-            ? { ...route, shares: pools.map((pool) => ({ pool, share: 1 })) }
-            : route,
-        ),
-      });
-      await rig.ownAgain();
-      const before = rig.sent.length;
-      assert.is(brief(await rig.finish(pass(rig, request))), expected);
-      assert.is(rig.sent.length - before, expected === 'done 200' ? 1 : 0);
-    }
-  },
-);
+operations('an operation started under an earlier ownership is not run again', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = () => ({
+    ended: { kind: 'lost', text: 'cut' },
+    after: new Promise<void>(() => 0),
+  });
+  void call(fixture);
+  await fixture.clock.run(10);
+  assert.is(statusOf(fixture.stored(key)), 'intent');
+  const next = await SessionOwnerRig.opened();
+  next.store(key, fixture.stored(key));
+  await next.ownAgain();
+  assert.is(brief(await next.finish(call(next))), 'unknown 504 unknown');
+  assert.is(next.sent.length, 0);
+});
 
-operations(
-  'an operation that may have run is not called void when no server takes it',
-  async () => {
-    const rig = await SessionOwnerRig.opened();
+operations('an operation of an earlier ownership reruns only if servers record keys', async () => {
+  for (const [recorded, pools, expected] of [
+    [true, ['memo'], 'done 200'],
+    [false, ['memo'], 'unknown 504 unknown'],
+    [true, ['memo', 'shop'], 'unknown 504 unknown'],
+  ] as const) {
+    const fixture = await SessionOwnerRig.opened();
     const request = { path: '/recorded/' };
-    await rig.finish(pass(rig, request));
-    const stored = rig.stored(key);
-    if (stored === null || typeof stored !== 'object') throw new Error('nothing stored');
-    rig.store(key, { ...stored, status: 'intent', recorded: true });
-    await rig.ownAgain();
-    rig.reply = () => declinedReply;
-    assert.is((await rig.finish(pass(rig, request))).outcome, 'refused');
-    assert.is(statusOf(rig.stored(key)), 'unknown');
-    const fresh = { path: '/recorded/', key: 'fresh' };
-    assert.is((await rig.finish(pass(rig, fresh))).outcome, 'refused');
-    assert.is(statusOf(rig.stored(opKeyOf('t', 'fresh'))), 'void');
-  },
-);
+    fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 } });
+    await fixture.finish(pass(fixture, request));
+    const stored = fixture.stored(key);
+    if (stored === null || typeof stored !== 'object') throw new Error('no stored record');
+    fixture.store(key, { ...stored, status: 'intent', recorded });
+    fixture.configure({
+      ...configuration,
+      routes: configuration.routes.map((route) =>
+        route.name === 'pass-recorded'
+          ? { ...route, shares: pools.map((pool) => ({ pool, share: 1 })) }
+          : route,
+      ),
+    });
+    await fixture.ownAgain();
+    const sentBefore = fixture.sent.length;
+    assert.is(brief(await fixture.finish(pass(fixture, request))), expected);
+    assert.is(fixture.sent.length - sentBefore, expected === 'done 200' ? 1 : 0);
+  }
+});
 
-operations('lost on the way it is unknown, and is not sent to another server', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.reply = () => lostReply;
-  assert.is(brief(await rig.finish(call(rig))), 'unknown 504 unknown');
-  assert.is(rig.sent.length, 1);
-  assert.is(statusOf(rig.stored(key)), 'unknown');
-  assert.is(brief(await rig.finish(call(rig))), 'unknown 504 unknown');
-  assert.is(rig.sent.length, 1);
+operations('an operation that may have run is not stored as void if it is declined', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  const request = { path: '/recorded/' };
+  await fixture.finish(pass(fixture, request));
+  const stored = fixture.stored(key);
+  if (stored === null || typeof stored !== 'object') throw new Error('no stored record');
+  fixture.store(key, { ...stored, status: 'intent', recorded: true });
+  await fixture.ownAgain();
+  fixture.reply = () => declinedReply;
+  assert.is((await fixture.finish(pass(fixture, request))).outcome, 'refused');
+  assert.is(statusOf(fixture.stored(key)), 'unknown');
+  const fresh = { path: '/recorded/', key: 'fresh' };
+  assert.is((await fixture.finish(pass(fixture, fresh))).outcome, 'refused');
+  assert.is(statusOf(fixture.stored(opKeyOf('t', 'fresh'))), 'void');
 });
 
-operations('lost, a repeatable request and one of recorded keys go to another server', async () => {
+operations('a lost operation is unknown and is not sent to another server', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = () => lostReply;
+  assert.is(brief(await fixture.finish(call(fixture))), 'unknown 504 unknown');
+  assert.is(fixture.sent.length, 1);
+  assert.is(statusOf(fixture.stored(key)), 'unknown');
+  assert.is(brief(await fixture.finish(call(fixture))), 'unknown 504 unknown');
+  assert.is(fixture.sent.length, 1);
+});
+
+operations('a lost request is retried if it is repeatable or servers record keys', async () => {
   for (const path of ['/again/', '/recorded/']) {
-    const rig = await SessionOwnerRig.opened();
-    rig.reply = (n) => (n === 0 ? lostReply : { ended: { kind: 'done', code: 200, body: 1 } });
-    assert.is((await rig.finish(pass(rig, { path }))).outcome, 'done');
-    assert.is(new Set(rig.sent.map((sent) => sent.server)).size, 2);
+    const fixture = await SessionOwnerRig.opened();
+    fixture.reply = (n) => (n === 0 ? lostReply : { ended: { kind: 'done', code: 200, body: 1 } });
+    assert.is((await fixture.finish(pass(fixture, { path }))).outcome, 'done');
+    assert.is(new Set(fixture.sent.map((sent) => sent.server)).size, 2);
   }
 });
 
-operations(
-  'lost at a server without record it is not repeated, whatever the route names since',
-  async () => {
-    const rig = await SessionOwnerRig.opened();
-    rig.reply = () => {
-      rig.configure({
-        ...configuration,
-        routes: configuration.routes.map((route) =>
-          route.name === 'pass-keyed' ? { ...route, shares: [{ pool: 'memo', share: 1 }] } : route,
-        ),
-      });
-      return lostReply;
-    };
-    assert.is(brief(await rig.finish(pass(rig))), 'unknown 504 unknown');
-    assert.is(rig.sent.length, 1);
-  },
-);
+operations('loss at a server without key records is final even if the route changes', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = () => {
+    fixture.configure({
+      ...configuration,
+      routes: configuration.routes.map((route) =>
+        route.name === 'pass-keyed' ? { ...route, shares: [{ pool: 'memo', share: 1 }] } : route,
+      ),
+    });
+    return lostReply;
+  };
+  assert.is(brief(await fixture.finish(pass(fixture))), 'unknown 504 unknown');
+  assert.is(fixture.sent.length, 1);
+});
 
-operations('no more attempts are made than the route allows', async () => {
+operations('attempts are limited by the route', async () => {
   for (const [path, reply, expected] of [
     ['/again/', lostReply, 'unknown 504 unknown'],
     ['/keyed/', declinedReply, 'refused 503 no-server'],
   ] as const) {
-    const rig = await SessionOwnerRig.opened();
-    rig.configure({
+    const fixture = await SessionOwnerRig.opened();
+    fixture.configure({
       ...configuration,
       routes: configuration.routes.map((route) =>
         'pass' in route ? { ...route, pass: { ...route.pass, tries: 1 } } : route,
       ),
     });
-    rig.reply = () => reply;
-    assert.is(brief(await rig.finish(pass(rig, { path }))), expected);
-    assert.is(rig.sent.length, 1);
+    fixture.reply = () => reply;
+    assert.is(brief(await fixture.finish(pass(fixture, { path }))), expected);
+    assert.is(fixture.sent.length, 1);
   }
 });
 
-operations('lost, it is not tried again for a caller that is gone', async () => {
-  const rig = await SessionOwnerRig.opened();
+operations('a lost request is not retried if its caller has disconnected', async () => {
+  const fixture = await SessionOwnerRig.opened();
   const caller = new AbortController();
-  rig.reply = () => {
+  fixture.reply = () => {
     caller.abort();
     return lostReply;
   };
-  assert.is((await rig.finish(pass(rig, { path: '/again/' }, caller.signal))).outcome, 'unknown');
-  assert.is(rig.sent.length, 1);
+  assert.is(
+    (await fixture.finish(pass(fixture, { path: '/again/' }, caller.signal))).outcome,
+    'unknown',
+  );
+  assert.is(fixture.sent.length, 1);
 });
 
-operations('lost once, it stays unknown when the time is over or no server is there', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.reply = () => {
-    rig.removeServers('k1', 'k2');
+operations('once lost, an operation stays unknown if no other server is available', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = () => {
+    fixture.removeServers('k1', 'k2');
     return lostReply;
   };
-  const outcome = await rig.finish(pass(rig, { path: '/recorded/' }));
+  const outcome = await fixture.finish(pass(fixture, { path: '/recorded/' }));
   assert.is(brief(outcome), 'unknown 504 unknown');
 });
 
-operations('a server error is final but for a repeatable request', async () => {
-  for (const [path, sends] of [
+operations('a server error is final unless the request is repeatable', async () => {
+  for (const [path, attempts] of [
     ['/again/', 2],
     ['/recorded/', 1],
     ['/keyed/', 1],
   ] as const) {
-    const rig = await SessionOwnerRig.opened();
-    rig.reply = () => ({
+    const fixture = await SessionOwnerRig.opened();
+    fixture.reply = () => ({
       ...lostReply,
       status: 500,
       bytes: [],
       ended: { kind: 'done', code: 500, body: 1 },
     });
-    assert.is(brief(await rig.finish(pass(rig, { path }))), 'done 500');
-    assert.is(rig.sent.length, sends, path);
+    assert.is(brief(await fixture.finish(pass(fixture, { path }))), 'done 500');
+    assert.is(fixture.sent.length, attempts, path);
   }
 });
 
-operations('done but not on a quorum it is unknown', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.onPut = (_, status) => status !== 'done';
-  assert.is(brief(await rig.finish(call(rig))), 'unknown 504 unknown');
-  assert.is(rig.sent.length, 1);
+operations('an operation that ran but whose result is not on a quorum is unknown', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.onPut = (_, status) => status !== 'done';
+  assert.is(brief(await fixture.finish(call(fixture))), 'unknown 504 unknown');
+  assert.is(fixture.sent.length, 1);
 });
 
-operations('a server that may not be used any more gets nothing', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.onPut = () => {
-    rig.changeServer('s1', { draining: true });
-    rig.changeServer('s2', { draining: true });
+operations('servers that start draining while the intent is written get no request', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.onPut = () => {
+    fixture.changeServer('s1', { draining: true });
+    fixture.changeServer('s2', { draining: true });
     return true;
   };
-  assert.is((await rig.finish(call(rig))).outcome, 'refused');
-  assert.is(rig.sent.length, 0);
-  assert.is(statusOf(rig.stored(key)), 'void');
+  assert.is((await fixture.finish(call(fixture))).outcome, 'refused');
+  assert.is(fixture.sent.length, 0);
+  assert.is(statusOf(fixture.stored(key)), 'void');
 });
 
-operations('an owner whose read lease ran out sends nothing', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.onPut = () => {
-    rig.leaseMs = 0;
+operations('an owner whose read lease expired sends nothing', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.onPut = () => {
+    fixture.leaseMs = 0;
     return true;
   };
-  const outcome = await rig.finish(call(rig));
+  const outcome = await fixture.finish(call(fixture));
   assert.is(brief(outcome), 'refused 503 no-server');
   assert.is(outcome.text, 'the read lease of this front has expired');
-  assert.is(rig.sent.length, 0);
+  assert.is(fixture.sent.length, 0);
 });
 
-operations('whether it may go is asked again just before the first byte', async () => {
+operations('the preconditions are checked again right before the first byte', async () => {
   for (const path of ['/act', '/keyed/']) {
-    const rig = await SessionOwnerRig.opened();
-    rig.beforeSend = () => {
-      rig.leaseMs = 0;
+    const fixture = await SessionOwnerRig.opened();
+    fixture.beforeSend = () => {
+      fixture.leaseMs = 0;
     };
-    const work = path === '/act' ? call(rig) : pass(rig, { path });
-    assert.is((await rig.finish(work)).outcome, 'refused');
-    assert.is(rig.sent.length, 0);
+    const running = path === '/act' ? call(fixture) : pass(fixture, { path });
+    assert.is((await fixture.finish(running)).outcome, 'refused');
+    assert.is(fixture.sent.length, 0);
   }
 });
 
-operations(
-  'the intent is written anew before it goes to a server that records no keys',
-  async () => {
-    const rig = await SessionOwnerRig.opened();
-    rig.configure({
-      ...configuration,
-      routes: configuration.routes.map((route) =>
-        route.name === 'pass-recorded'
-          ? {
-              ...route,
-              shares: [
-                { pool: 'memo', share: 1000 },
-                { pool: 'shop', share: 1 },
-              ],
-            }
-          : route,
-      ),
-    });
-    rig.removeServers('k2');
-    rig.reply = (n) => (n === 0 ? declinedReply : lostReply);
-    const recordedWhenSent: boolean[] = [];
-    const reply = rig.reply;
-    rig.reply = (n, sent) => {
-      recordedWhenSent.push(OpValue.parse(rig.stored(key)).recorded);
-      return reply(n, sent);
-    };
-    assert.is((await rig.finish(pass(rig, { path: '/recorded/' }))).outcome, 'unknown');
-    assert.is(rig.sent[0]?.server, 'k1');
-    assert.equal(recordedWhenSent, [true, false]);
-  },
-);
+operations('the intent is stored again for a server that does not record keys', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.configure({
+    ...configuration,
+    routes: configuration.routes.map((route) =>
+      route.name === 'pass-recorded'
+        ? {
+            ...route,
+            shares: [
+              { pool: 'memo', share: 1000 },
+              { pool: 'shop', share: 1 },
+            ],
+          }
+        : route,
+    ),
+  });
+  fixture.removeServers('k2');
+  fixture.reply = (n) => (n === 0 ? declinedReply : lostReply);
+  const recordedWhenSent: boolean[] = [];
+  const reply = fixture.reply;
+  fixture.reply = (n, sent) => {
+    recordedWhenSent.push(OpValue.parse(fixture.stored(key)).recorded);
+    return reply(n, sent);
+  };
+  assert.is((await fixture.finish(pass(fixture, { path: '/recorded/' }))).outcome, 'unknown');
+  assert.is(fixture.sent[0]?.server, 'k1');
+  assert.equal(recordedWhenSent, [true, false]);
+});
 
-operations('a slot is not released while one of its operations is under way', async () => {
-  const rig = await SessionOwnerRig.opened();
+operations('a slot is not released while one of its operations is in progress', async () => {
+  const fixture = await SessionOwnerRig.opened();
   const server = gate();
-  rig.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
-  const work = call(rig);
-  await rig.clock.run(10);
-  rig.changeSlot({ transferTarget: 'f2' });
-  assert.equal(rig.owner.releases(), []);
+  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
+  const running = call(fixture);
+  await fixture.clock.run(10);
+  fixture.changeSlot({ transferTarget: 'f2' });
+  assert.equal(fixture.owner.releases(), []);
   server.open();
-  await rig.finish(work);
-  assert.equal(rig.owner.releases(), [[0, 1]]);
-  assert.is(await codeOf(() => rig.finish(call(rig, { key: 'next' }))), 'taking-over');
+  await fixture.finish(running);
+  assert.equal(fixture.owner.releases(), [[0, 1]]);
+  assert.is(await codeOf(() => fixture.finish(call(fixture, { key: 'next' }))), 'taking-over');
 });
 
-operations('a request that waits in line longer than it may is refused as not run', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.removeServers('s2');
-  rig.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
+operations('a request that exceeds its timeout in the queue is refused as not run', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.removeServers('s2');
+  fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
   const server = gate();
-  rig.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
-  const busy = call(rig);
-  await rig.clock.run(10);
-  const outcome = await rig.finish(pass(rig, { key: 'next', left: 300 }));
+  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
+  const running = call(fixture);
+  await fixture.clock.run(10);
+  const outcome = await fixture.finish(pass(fixture, { key: 'next', left: 300 }));
   assert.is(brief(outcome), 'refused 503 queue-timeout');
-  assert.is(brief(await rig.finish(pass(rig, { key: 'late', left: 0 }))), 'refused 503 no-server');
+  assert.is(
+    brief(await fixture.finish(pass(fixture, { key: 'late', left: 0 }))),
+    'refused 503 no-server',
+  );
   server.open();
-  await rig.finish(busy);
-  assert.is(rig.sent.length, 1);
+  await fixture.finish(running);
+  assert.is(fixture.sent.length, 1);
 });
 
-operations('a server is free for the next request, whatever became of the one before', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.removeServers('s2');
-  rig.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
+operations('a server is free for the next request whatever the previous outcome', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.removeServers('s2');
+  fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
   const replies = [declinedReply, lostReply, wholeReply];
-  rig.reply = (n) => replies[n] ?? wholeReply;
+  fixture.reply = (n) => replies[n] ?? wholeReply;
   const outcomes = [];
   for (const name of ['first', 'second', 'third', 'fourth'])
-    outcomes.push((await rig.finish(call(rig, { key: name }))).outcome);
+    outcomes.push((await fixture.finish(call(fixture, { key: name }))).outcome);
   assert.equal(outcomes, ['refused', 'unknown', 'done', 'done']);
 });
 
--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -1,10 +1,13 @@
-/** An owner serves only with a state, a configuration and a read lease, and only the slots that it owns and takes. */
+/**
+ * A session owner serves only with a state, a configuration and a read lease, and only slots that it owns, that are
+ * open and for which it accepts requests.
+ */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PassTurn } from '@tillerstair/session-owner';
 import { codeOf, SessionOwnerRig } from '../support/session-owner-rig.js';
 
-const readiness = suite('what an owner may serve');
+const readiness = suite('readiness of the session owner');
 
 const turn = (change: Partial<PassTurn> = {}): PassTurn => ({
   t: 'pass',
@@ -16,140 +19,149 @@
   ...change,
 });
 
-readiness('nothing is served without a state, a configuration and a read lease', async () => {
-  const rig = new SessionOwnerRig();
-  assert.is(await codeOf(() => rig.owner.requireLease()), 'not-ready');
-  assert.is(await codeOf(() => rig.owner.slotFor('p/x')), 'not-ready');
-  assert.is(await codeOf(() => rig.owner.findTurn('r0')), 'not-ready');
-  rig.owner.renewLease(rig.clock.now());
-  assert.is(await codeOf(() => rig.owner.requireLease()), 'not-ready');
-  rig.change({ config: undefined });
-  assert.is(await codeOf(() => rig.owner.requireLease()), 'not-ready');
-  const opened = await SessionOwnerRig.opened();
-  assert.is(await codeOf(() => opened.owner.requireLease()), 'no error');
-  opened.leaseMs = 0;
-  assert.is(await codeOf(() => opened.owner.requireLease()), 'not-ready');
+readiness('no request is served without a state, a configuration and a read lease', async () => {
+  const fixture = new SessionOwnerRig();
+  assert.is(await codeOf(() => fixture.owner.requireLease()), 'not-ready');
+  assert.is(await codeOf(() => fixture.owner.slotFor('p/x')), 'not-ready');
+  assert.is(await codeOf(() => fixture.owner.findTurn('r0')), 'not-ready');
+  fixture.owner.renewLease(fixture.clock.now());
+  assert.is(await codeOf(() => fixture.owner.requireLease()), 'not-ready');
+  fixture.change({ config: undefined });
+  assert.is(await codeOf(() => fixture.owner.requireLease()), 'not-ready');
+  const served = await SessionOwnerRig.opened();
+  assert.is(await codeOf(() => served.owner.requireLease()), 'no error');
+  served.leaseMs = 0;
+  assert.is(await codeOf(() => served.owner.requireLease()), 'not-ready');
 });
 
-readiness('readiness says what is missing', async () => {
-  const rig = await SessionOwnerRig.opened();
-  assert.is(rig.owner.readiness().ready, true);
-  rig.change({ retiring: new Map([['f1', '']]) });
-  assert.equal(rig.owner.readiness(), { ready: false, why: 'being drained' });
-  rig.change({ nodes: new Map([...rig.current.nodes].filter(([id]) => id !== 'f1')) });
-  assert.equal(rig.owner.readiness(), { ready: false, why: 'not listed in the cluster state' });
-  rig.leaseMs = 0;
-  assert.equal(rig.owner.readiness(), {
+readiness('readiness gives the reason why the owner is not ready', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  assert.is(fixture.owner.readiness().ready, true);
+  fixture.change({ retiring: new Map([['f1', '']]) });
+  assert.equal(fixture.owner.readiness(), { ready: false, why: 'being drained' });
+  fixture.change({ nodes: new Map([...fixture.current.nodes].filter(([id]) => id !== 'f1')) });
+  assert.equal(fixture.owner.readiness(), { ready: false, why: 'not listed in the cluster state' });
+  fixture.leaseMs = 0;
+  assert.equal(fixture.owner.readiness(), {
     ready: false,
     why: 'the control link is down and its read lease ran out',
   });
-  const bare = new SessionOwnerRig();
-  assert.equal(bare.owner.readiness(), { ready: false, why: 'no committed state yet' });
-  bare.change({ config: undefined });
-  assert.equal(bare.owner.readiness(), { ready: false, why: 'no configuration yet' });
+  const withoutState = new SessionOwnerRig();
+  assert.equal(withoutState.owner.readiness(), { ready: false, why: 'no committed state yet' });
+  withoutState.change({ config: undefined });
+  assert.equal(withoutState.owner.readiness(), { ready: false, why: 'no configuration yet' });
 });
 
-readiness('a slot is served by its owner alone, once it is open and until it closes', async () => {
-  const rig = new SessionOwnerRig();
-  rig.down.add('a').add('b');
-  rig.change({});
-  await rig.clock.run(100);
-  assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
-  rig.down.clear();
-  await rig.slotOpen();
-  rig.owner.stopAccepting();
-  assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
-  const other = await SessionOwnerRig.opened();
-  other.changeSlot({ owner: 'f2', ownershipEpoch: 2, ownedSinceEpoch: 2 });
-  assert.is(await codeOf(() => other.owner.replicator('p/x')), 'not-owner');
-});
+readiness(
+  'a slot is served only by its owner, from when it is open until the owner stops accepting requests',
+  async () => {
+    const fixture = new SessionOwnerRig();
+    fixture.down.add('a').add('b');
+    fixture.change({});
+    await fixture.clock.run(100);
+    assert.is(await codeOf(() => fixture.owner.replicator('p/x')), 'taking-over');
+    fixture.down.clear();
+    await fixture.slotOpen();
+    fixture.owner.stopAccepting();
+    assert.is(await codeOf(() => fixture.owner.replicator('p/x')), 'taking-over');
+    const other = await SessionOwnerRig.opened();
+    other.changeSlot({ owner: 'f2', ownershipEpoch: 2, ownedSinceEpoch: 2 });
+    assert.is(await codeOf(() => other.owner.replicator('p/x')), 'not-owner');
+  },
+);
 
-readiness('an ownership that comes back begins with what the stores have', async () => {
-  const rig = await SessionOwnerRig.opened();
-  const before = rig.owner.replicator('p/x');
-  rig.changeSlot({ ownershipEpoch: 2 });
-  await rig.slotOpen();
-  assert.is(rig.owner.replicator('p/x'), before);
-  rig.changeSlot({ ownershipEpoch: 4, ownedSinceEpoch: 4 });
-  await rig.slotOpen();
-  assert.is.not(rig.owner.replicator('p/x'), before);
-  assert.is(before.isOpen, false);
+readiness('an owner that lost a slot and regains it opens it again from the stores', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  const replicator = fixture.owner.replicator('p/x');
+  fixture.changeSlot({ ownershipEpoch: 2 });
+  await fixture.slotOpen();
+  assert.is(fixture.owner.replicator('p/x'), replicator);
+  fixture.changeSlot({ ownershipEpoch: 4, ownedSinceEpoch: 4 });
+  await fixture.slotOpen();
+  assert.is.not(fixture.owner.replicator('p/x'), replicator);
+  assert.is(replicator.isOpen, false);
 });
 
-readiness('a lease is never moved back by an older renewal', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.owner.renewLease(-100000);
-  assert.is(rig.owner.leaseValid, true);
+readiness('an older renewal does not shorten the lease', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.owner.renewLease(-100000);
+  assert.is(fixture.owner.leaseValid, true);
 });
 
-readiness('who watches a front hears when it leaves the cluster', async () => {
-  const rig = await SessionOwnerRig.opened();
-  const watch = rig.owner.watch('a');
-  rig.change({});
+readiness('the watch of a node is aborted when the node leaves the cluster', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  const watch = fixture.owner.watch('a');
+  fixture.change({});
   assert.is(watch.lost.aborted, false);
-  rig.change({ nodes: new Map([...rig.current.nodes].filter(([id]) => id !== 'a')) });
+  fixture.change({ nodes: new Map([...fixture.current.nodes].filter(([id]) => id !== 'a')) });
   assert.is(watch.lost.aborted, true);
 });
 
-readiness('a server may run only with lease, route and its place in the state', async () => {
-  const rig = await SessionOwnerRig.opened();
-  const server = rig.current.servers.get('m1');
-  if (!server) throw new Error('no server');
-  assert.is(rig.owner.mayRun(server, 'turn', '/chat'), true);
-  assert.is(rig.owner.mayRun(server, 'turn', '/none'), false);
-  assert.is(rig.owner.mayRun(server, 'call', '/act'), false);
-  rig.leaseMs = 0;
-  assert.is(rig.owner.mayRun(server, 'turn', '/chat'), false);
-  rig.leaseMs = 60000;
-  rig.changeServer('m1', { draining: true });
-  assert.is(rig.owner.mayRun(server, 'turn', '/chat'), false);
-});
+readiness(
+  'a request may run at a server only with a lease, a route and a listed server that is not draining',
+  async () => {
+    const fixture = await SessionOwnerRig.opened();
+    const server = fixture.current.servers.get('m1');
+    if (!server) throw new Error('server m1 is not listed');
+    assert.is(fixture.owner.mayRun(server, 'turn', '/chat'), true);
+    assert.is(fixture.owner.mayRun(server, 'turn', '/none'), false);
+    assert.is(fixture.owner.mayRun(server, 'call', '/act'), false);
+    fixture.leaseMs = 0;
+    assert.is(fixture.owner.mayRun(server, 'turn', '/chat'), false);
+    fixture.leaseMs = 60000;
+    fixture.changeServer('m1', { draining: true });
+    assert.is(fixture.owner.mayRun(server, 'turn', '/chat'), false);
+  },
+);
 
-readiness('no server is picked without a read lease or once none is usable', async () => {
-  const rig = await SessionOwnerRig.opened();
-  const never = new AbortController().signal;
+readiness('no server is assigned without a read lease or without a usable server', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  const neverAborted = new AbortController().signal;
   const place = () =>
-    rig.owner.place({
+    fixture.owner.place({
       kind: 'turn',
       path: '/chat',
       promptParts: [],
       stickyPool: '',
       excluded: new Set(),
       timeoutMs: 300,
-      signal: never,
+      signal: neverAborted,
     });
-  rig.leaseMs = 0;
-  assert.is(await codeOf(() => rig.finish(place())), 'queue-timeout');
-  rig.leaseMs = 60000;
-  assert.is(await codeOf(() => rig.finish(place())), 'no error');
-  rig.removeServers('m1', 'm2');
-  assert.is(await codeOf(() => rig.finish(place())), 'no-server');
+  fixture.leaseMs = 0;
+  assert.is(await codeOf(() => fixture.finish(place())), 'queue-timeout');
+  fixture.leaseMs = 60000;
+  assert.is(await codeOf(() => fixture.finish(place())), 'no error');
+  fixture.removeServers('m1', 'm2');
+  assert.is(await codeOf(() => fixture.finish(place())), 'no-server');
 });
 
-readiness('a turn is missing only if no write quorum can hold it', async () => {
-  const rig = await SessionOwnerRig.opened();
-  assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
-  rig.down.add('c');
-  assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
-  rig.down.add('b');
-  assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r0'))), 'unavailable');
-  rig.store('p/x-q/t/r0', turn());
-  const found = await rig.finish(rig.owner.findTurn('r0'));
+readiness('a turn is reported missing only if no write quorum can have stored it', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  assert.equal(await fixture.finish(fixture.owner.findTurn('r0')), []);
+  fixture.down.add('c');
+  assert.equal(await fixture.finish(fixture.owner.findTurn('r0')), []);
+  fixture.down.add('b');
+  assert.is(await codeOf(() => fixture.finish(fixture.owner.findTurn('r0'))), 'unavailable');
+  fixture.store('p/x-q/t/r0', turn());
+  const found = await fixture.finish(fixture.owner.findTurn('r0'));
   assert.equal(
-    found.map(({ attempt, turn: value }) => [attempt, value]),
+    found.map(({ attempt, turn: foundTurn }) => [attempt, foundTurn]),
     [['r0', turn()]],
   );
-  rig.changeSlot({ replicas: [] });
-  assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r1'))), 'unavailable');
+  fixture.changeSlot({ replicas: [] });
+  assert.is(await codeOf(() => fixture.finish(fixture.owner.findTurn('r1'))), 'unavailable');
 });
 
-readiness('a turn that is only reserved has not finished; a newer failure has', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.store('p/x-q/t/r0', turn({ status: 'reserved' }));
-  assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r0'))), 'not-finished');
-  rig.store('p/x-q/t/r0', turn({ status: 'failed' }), ['a']);
-  rig.raise('p/x-q/t/r0', 'a');
-  assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
-});
+readiness(
+  'a reserved turn has not finished; a newer failed record of it means that there is no turn',
+  async () => {
+    const fixture = await SessionOwnerRig.opened();
+    fixture.store('p/x-q/t/r0', turn({ status: 'reserved' }));
+    assert.is(await codeOf(() => fixture.finish(fixture.owner.findTurn('r0'))), 'not-finished');
+    fixture.store('p/x-q/t/r0', turn({ status: 'failed' }), ['a']);
+    fixture.raise('p/x-q/t/r0', 'a');
+    assert.equal(await fixture.finish(fixture.owner.findTurn('r0')), []);
+  },
+);
 
 readiness.run();
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -1,3 +1,4 @@
+/** Placement by shares, weights and prefix affinity; admission by class; servers that one front or all cannot reach. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { tunedWeights } from '@tillerstair/control';
@@ -21,7 +22,7 @@
 import { createAbortController, RpcError } from '@tillerstair/wire';
 import { five, recordsOf, worldUp } from '../support/world-helpers.js';
 
-const place = suite('placement, lines and weights');
+const placementSuite = suite('placement, admission and weights');
 
 const text = JSON.stringify({
   base: 0,
@@ -41,12 +42,13 @@
   ],
 });
 const route = checkConfig(text).config?.routes[0];
-if (!route) throw new Error('no route');
+if (!route) throw new Error('the test configuration has no route');
 
-const stateWith = (ids: readonly (readonly [string, string])[]): State =>
-  ids.reduce<State>(
-    (s, [id, pool]) =>
-      reduceState(s, {
+/** A cluster state with a server for each id and pool. */
+const stateWith = (servers: readonly (readonly [string, string])[]): State =>
+  servers.reduce<State>(
+    (state, [id, pool]) =>
+      reduceState(state, {
         kind: 'server',
         server: {
           id,
@@ -70,7 +72,7 @@
     },
   );
 
-const six = [
+const sixServers = [
   ['n1', 'new'],
   ['n2', 'new'],
   ['n3', 'new'],
@@ -79,9 +81,9 @@
   ['o3', 'old'],
 ] as const;
 
-const placing = (s: State, affinity = true) => {
+const createPlacement = (state: State, withAffinity = true) => {
   const clock = new SimClock();
-  const table = compileState(s, undefined);
+  const compiledState = compileState(state, undefined);
   const servers = new SimServers(clock, seededRng(1));
   const bounds = {
     pollIntervalMs: 250,
@@ -95,130 +97,146 @@
     placement: new Placement({
       clock,
       backend: servers.backend(new Incarnation()),
-      policies: placementPolicies(affinity),
+      policies: placementPolicies(withAffinity),
       bounds,
-      compiledState: () => table,
+      compiledState: () => compiledState,
       maxInFlightPerServer: () => 16,
       frontId: '',
     }),
   };
 };
 
-place('shares are kept to within rounding, whatever the weights say', () => {
-  const weights = new Map(six.map(([id, pool]) => [weightKey(pool, id), id === 'n1' ? 0.1 : 1]));
-  const { placement } = placing(reduceState(stateWith(six), { kind: 'weights', weights }));
-  const count = new Map<string, number>();
+placementSuite('pools get their shares to within rounding, whatever the weights', () => {
+  const weights = new Map(
+    sixServers.map(([id, pool]) => [weightKey(pool, id), id === 'n1' ? 0.1 : 1]),
+  );
+  const { placement } = createPlacement(
+    reduceState(stateWith(sixServers), { kind: 'weights', weights }),
+  );
+  const picksByPool = new Map<string, number>();
   for (let i = 0; i < 1000; i++) {
-    const s = placement.pick(route, [], '', new Set());
-    if (!s) throw new Error('nothing picked');
-    placement.begin(s, []);
-    placement.end(s, true);
-    count.set(s.pool, (count.get(s.pool) ?? 0) + 1);
+    const server = placement.pick(route, [], '', new Set());
+    if (!server) throw new Error('no server was picked');
+    placement.begin(server, []);
+    placement.end(server, true);
+    picksByPool.set(server.pool, (picksByPool.get(server.pool) ?? 0) + 1);
   }
-  assert.ok(Math.abs((count.get('new') ?? 0) - 700) <= 1, `${count.get('new') ?? 0} of 1000`);
+  assert.ok(
+    Math.abs((picksByPool.get('new') ?? 0) - 700) <= 1,
+    `${picksByPool.get('new') ?? 0} of 1000`,
+  );
 });
 
-place('turns that follow stay in their pool and the shares still come out', () => {
-  const { placement } = placing(stateWith(six));
+placementSuite('turns stay in the pool of the preceding turn and the shares are still kept', () => {
+  const { placement } = createPlacement(stateWith(sixServers));
   let inNew = 0;
-  const sticky: string[] = [];
+  const pools: string[] = [];
   for (let i = 0; i < 2000; i++) {
-    const stay = i % 2 ? (sticky[i - 1] ?? '') : '';
-    const s = placement.pick(route, [], stay, new Set());
-    if (!s) throw new Error('nothing picked');
-    if (stay) assert.is(s.pool, stay);
-    sticky.push(s.pool);
-    if (s.pool === 'new') inNew++;
+    const stickyPool = i % 2 ? (pools[i - 1] ?? '') : '';
+    const server = placement.pick(route, [], stickyPool, new Set());
+    if (!server) throw new Error('no server was picked');
+    if (stickyPool) assert.is(server.pool, stickyPool);
+    pools.push(server.pool);
+    if (server.pool === 'new') inNew++;
   }
   assert.ok(Math.abs(inNew - 1400) <= 20, `${inNew} of 2000`);
 });
 
-place('a slow server gets less, a busy warm one loses to an idle cold one', () => {
-  const s = stateWith([
-    ['n1', 'new'],
-    ['n2', 'new'],
-    ['n3', 'new'],
-  ]);
-  const slow = reduceState(s, {
-    kind: 'weights',
-    weights: new Map([[weightKey('new', 'n1'), 0.25]]),
-  });
-  const { placement } = placing(slow);
-  const count = new Map<string, number>();
-  for (let i = 0; i < 30; i++) {
-    const got = placement.pick(route, [], '', new Set());
-    if (!got) throw new Error('nothing picked');
-    placement.begin(got, []);
-    count.set(got.id, (count.get(got.id) ?? 0) + 1);
-  }
-  assert.ok((count.get('n1') ?? 0) < (count.get('n2') ?? 0) / 2, JSON.stringify([...count]));
-  const warm = placing(s).placement;
-  const prefix = prefixBlocksOfMessages([{ role: 'user', text: 'x'.repeat(2000) }]);
-  const first = warm.pick(route, prefix, '', new Set());
-  if (!first) throw new Error('nothing picked');
-  warm.begin(first, prefix);
-  assert.is(warm.pick(route, prefix, '', new Set())?.id, first.id);
-  for (let i = 0; i < 8; i++) warm.begin(first, prefix);
-  assert.is.not(warm.pick(route, prefix, '', new Set())?.id, first.id);
-});
+placementSuite(
+  'a slow server gets fewer requests, and an idle cold one is preferred to a busy warm one',
+  () => {
+    const state = stateWith([
+      ['n1', 'new'],
+      ['n2', 'new'],
+      ['n3', 'new'],
+    ]);
+    const stateWithSlow = reduceState(state, {
+      kind: 'weights',
+      weights: new Map([[weightKey('new', 'n1'), 0.25]]),
+    });
+    const { placement } = createPlacement(stateWithSlow);
+    const picksByServer = new Map<string, number>();
+    for (let i = 0; i < 30; i++) {
+      const server = placement.pick(route, [], '', new Set());
+      if (!server) throw new Error('no server was picked');
+      placement.begin(server, []);
+      picksByServer.set(server.id, (picksByServer.get(server.id) ?? 0) + 1);
+    }
+    assert.ok(
+      (picksByServer.get('n1') ?? 0) < (picksByServer.get('n2') ?? 0) / 2,
+      JSON.stringify([...picksByServer]),
+    );
+    const withPrefix = createPlacement(state).placement;
+    const prefix = prefixBlocksOfMessages([{ role: 'user', text: 'x'.repeat(2000) }]);
+    const warmServer = withPrefix.pick(route, prefix, '', new Set());
+    if (!warmServer) throw new Error('no server was picked');
+    withPrefix.begin(warmServer, prefix);
+    assert.is(withPrefix.pick(route, prefix, '', new Set())?.id, warmServer.id);
+    for (let i = 0; i < 8; i++) withPrefix.begin(warmServer, prefix);
+    assert.is.not(withPrefix.pick(route, prefix, '', new Set())?.id, warmServer.id);
+  },
+);
 
-place('leaving, removed and moved servers are not allowed any more after a pick', () => {
-  const s = stateWith(six);
-  const before = s.servers.get('n1');
-  if (!before) throw new Error('no server');
-  assert.is(placing(s).placement.isAllowed(before, route), true);
-  assert.is(
-    placing(reduceState(s, { kind: 'server-mark', id: 'n1', draining: true })).placement.isAllowed(
-      before,
-      route,
-    ),
-    false,
-  );
-  assert.is(
-    placing(reduceState(s, { kind: 'server-removed', id: 'n1' })).placement.isAllowed(
-      before,
-      route,
-    ),
-    false,
-  );
-  assert.is(
-    placing(
-      reduceState(s, { kind: 'server', server: { ...before, pool: 'other' } }),
-    ).placement.isAllowed(before, route),
-    false,
-  );
-});
+placementSuite(
+  'a picked server that drains, is removed or changes its pool is no longer allowed',
+  () => {
+    const state = stateWith(sixServers);
+    const picked = state.servers.get('n1');
+    if (!picked) throw new Error('server n1 is not listed');
+    assert.is(createPlacement(state).placement.isAllowed(picked, route), true);
+    assert.is(
+      createPlacement(
+        reduceState(state, { kind: 'server-mark', id: 'n1', draining: true }),
+      ).placement.isAllowed(picked, route),
+      false,
+    );
+    assert.is(
+      createPlacement(reduceState(state, { kind: 'server-removed', id: 'n1' })).placement.isAllowed(
+        picked,
+        route,
+      ),
+      false,
+    );
+    assert.is(
+      createPlacement(
+        reduceState(state, { kind: 'server', server: { ...picked, pool: 'other' } }),
+      ).placement.isAllowed(picked, route),
+      false,
+    );
+  },
+);
 
-place('weights move by steps towards what servers do, and stay put when nothing changes', () => {
-  let s = stateWith(six);
-  const paces = new Map(six.map(([id]) => [id, id === 'n1' ? 50 : 200]));
+placementSuite('weights approach the speeds of servers in steps and then stay constant', () => {
+  let state = stateWith(sixServers);
+  const tokensPerSecond = new Map(sixServers.map(([id]) => [id, id === 'n1' ? 50 : 200]));
   let steps = 0;
   for (; steps < 60; steps++) {
-    const next = tunedWeights(s, paces);
-    const old = s.weights.get(weightKey('new', 'n1')) ?? 1;
-    assert.ok(Math.abs((next.get(weightKey('new', 'n1')) ?? 1) - old) <= 0.3);
-    if ([...next].every(([k, w]) => s.weights.get(k) === w)) break;
-    s = reduceState(s, { kind: 'weights', weights: next });
+    const weights = tunedWeights(state, tokensPerSecond);
+    const previous = state.weights.get(weightKey('new', 'n1')) ?? 1;
+    assert.ok(Math.abs((weights.get(weightKey('new', 'n1')) ?? 1) - previous) <= 0.3);
+    if ([...weights].every(([key, weight]) => state.weights.get(key) === weight)) break;
+    state = reduceState(state, { kind: 'weights', weights });
   }
-  assert.ok(steps < 60, 'never settles');
-  assert.ok(Math.abs((s.weights.get(weightKey('new', 'n1')) ?? 1) - 0.25) <= 0.06);
-  assert.is(s.weights.get(weightKey('new', 'n2')), 1);
-  assert.equal(tunedWeights(s, new Map()), s.weights);
+  assert.ok(steps < 60, 'the weights do not converge');
+  assert.ok(Math.abs((state.weights.get(weightKey('new', 'n1')) ?? 1) - 0.25) <= 0.06);
+  assert.is(state.weights.get(weightKey('new', 'n2')), 1);
+  assert.equal(tunedWeights(state, new Map()), state.weights);
 });
 
-place(
-  'urgent goes first, ordinary is not starved, the line is bounded, the late and the gone leave',
+placementSuite(
+  'urgent requests go first without starving ordinary ones; overdue and abandoned requests leave the bounded queue',
   async () => {
     const clock = new SimClock();
     const admissionQueue = new AdmissionQueue<string>(clock, () => 12);
     let free = 0;
     const pick = (): string | undefined => (free > 0 ? (free--, 'server') : undefined);
-    const order: string[] = [];
+    const ended: string[] = [];
     const never = createAbortController().signal;
     const enter = (name: string, isUrgent: boolean, timeoutMs = 1000, signal = never) =>
       admissionQueue.enter({ isUrgent, timeoutMs, signal, pick }).then(
-        () => order.push(name),
-        (e: unknown) => order.push(`${name} ${e instanceof RpcError ? e.code : 'other'}`),
+        () => ended.push(name),
+        (error: unknown) =>
+          ended.push(`${name} ${error instanceof RpcError ? error.code : 'other'}`),
       );
     for (let i = 0; i < 10; i++) {
       void enter('o', false);
@@ -230,75 +248,85 @@
       admissionQueue.admitWaiting();
       await clock.runReadyTasks();
     }
-    assert.equal(order.join(''), 'uuuuouuuuo');
-    const gone = new AbortController();
-    void enter('g', false, 1000, gone.signal);
+    assert.equal(ended.join(''), 'uuuuouuuuo');
+    const caller = new AbortController();
+    void enter('g', false, 1000, caller.signal);
     for (let i = 0; i < 10; i++) void enter('f', false);
     await clock.runReadyTasks();
-    assert.ok(order.some((x) => x === 'f queue-full'));
-    gone.abort();
+    assert.ok(ended.some((entry) => entry === 'f queue-full'));
+    caller.abort();
     await clock.runReadyTasks();
-    assert.ok(order.includes('g gone'));
+    assert.ok(ended.includes('g gone'));
     await clock.run(1100);
-    assert.ok(order.includes('f queue-timeout'));
+    assert.ok(ended.includes('f queue-timeout'));
     assert.is(admissionQueue.waiting, 0);
   },
 );
 
-place(
-  'a server that fails for one front only stays in use by the others; one silent to all is soon down for all',
+placementSuite(
+  'a server that fails for one front stays in use by the others; one that fails for all is soon marked down',
   async () => {
-    const w = await worldUp(91, five);
-    const ps = await w.clock.finish(
+    const cluster = await worldUp(91, five);
+    const programs = await cluster.clock.finish(
       'programs',
-      Promise.all(w.of('front').map((m) => w.program(900, m))),
+      Promise.all(cluster.of('front').map((front) => cluster.program(900, front))),
       20000,
     );
-    const down = (): boolean => w.committed?.servers.get('m1')?.down ?? false;
-    w.servers.cutFronts.add('front-0>m1');
-    const from = w.clock.now();
-    let i = 0;
-    const offer = async (ms: number): Promise<void> => {
-      const going: Promise<unknown>[] = [];
-      for (const end = w.clock.now() + ms; w.clock.now() < end;) {
-        ps.forEach((p, n) =>
-          going.push(w.turn(p.program, null, `s #${i++}`, `s${i}`, w.of('front')[n])),
+    const isDown = (): boolean => cluster.committed?.servers.get('m1')?.down ?? false;
+    cluster.servers.cutFronts.add('front-0>m1');
+    const from = cluster.clock.now();
+    let turns = 0;
+    const sendTurns = async (durationMs: number): Promise<void> => {
+      const pending: Promise<unknown>[] = [];
+      for (const end = cluster.clock.now() + durationMs; cluster.clock.now() < end;) {
+        programs.forEach((created, index) =>
+          pending.push(
+            cluster.turn(
+              created.program,
+              null,
+              `s #${turns++}`,
+              `s${turns}`,
+              cluster.of('front')[index],
+            ),
+          ),
         );
-        await w.clock.run(150);
+        await cluster.clock.run(150);
         assert.ok(
-          w.clock.now() < from + 1500 || !down(),
-          'one front alone takes no server from all',
+          cluster.clock.now() < from + 1500 || !isDown(),
+          'failures at one front do not mark a server down for all',
         );
       }
-      await w.clock.finish('turns', Promise.all(going), 60000);
+      await cluster.clock.finish('turns', Promise.all(pending), 60000);
     };
-    await offer(6000);
+    await sendTurns(6000);
     assert.ok(
-      w.servers.executed.filter((r) => r.server === 'm1' && r.began > from + 1500).length > 10,
+      cluster.servers.executed.filter(
+        (execution) => execution.server === 'm1' && execution.began > from + 1500,
+      ).length > 10,
     );
     assert.equal(
-      w.reported.filter((t) => t.reported !== 'done').map((t) => t.errorCode),
+      cluster.reported.filter((reply) => reply.reported !== 'done').map((reply) => reply.errorCode),
       [],
     );
-    w.servers.set('m1', { refuses: true });
-    const took = await w.clock.until('down', down, 10000);
-    assert.ok(took < 3000, `${took} ms`);
-    w.servers.set('m1', { refuses: false });
-    w.servers.cutFronts.clear();
-    assert.ok((await w.clock.until('up', () => !down(), 10000)) < 3000);
+    cluster.servers.set('m1', { refuses: true });
+    const elapsedMs = await cluster.clock.until('down', isDown, 10000);
+    assert.ok(elapsedMs < 3000, `${elapsedMs} ms`);
+    cluster.servers.set('m1', { refuses: false });
+    cluster.servers.cutFronts.clear();
+    assert.ok((await cluster.clock.until('up', () => !isDown(), 10000)) < 3000);
   },
 );
 
-place(
-  "work is split by the operator's shares while weights are tuned and the master changes",
+placementSuite(
+  'pools get the shares that the operator set while weights are tuned and the master changes',
   async () => {
-    const w = await worldUp(92, five);
+    const cluster = await worldUp(92, five);
     for (const [id, pool] of [
       ['m3', 'models'],
       ['n1', 'others'],
       ['n2', 'others'],
     ])
-      await w.operate(
+      await cluster.operate(
         'PUT',
         `/v1/servers/${id}`,
         JSON.stringify({ pool, url: 'http://127.0.0.1:1' }),
@@ -310,47 +338,47 @@
       { pool: 'models', share: 3 },
       { pool: 'others', share: 1 },
     ];
-    const routes = config?.routes.map((l) => (l.name === 'chat' ? { ...l, shares } : l));
+    const routes = config?.routes.map((r) => (r.name === 'chat' ? { ...r, shares } : r));
     assert.is(
-      (await w.operate('PUT', '/v1/config', JSON.stringify({ ...config, routes }))).status,
+      (await cluster.operate('PUT', '/v1/config', JSON.stringify({ ...config, routes }))).status,
       200,
     );
-    w.servers.set('m1', { slow: 4 });
-    await w.clock.run(1000);
-    const ps = await w.clock.finish(
+    cluster.servers.set('m1', { slow: 4 });
+    await cluster.clock.run(1000);
+    const programs = await cluster.clock.finish(
       'programs',
-      Promise.all(Array.from({ length: 60 }, () => w.program(900))),
+      Promise.all(Array.from({ length: 60 }, () => cluster.program(900))),
       20000,
     );
-    const from = w.clock.now();
-    const going: Promise<unknown>[] = [];
-    const weightOfFirst = (): number => w.committed?.weights.get(weightKey('models', 'm1')) ?? 1;
-    let least = 1;
+    const from = cluster.clock.now();
+    const pending: Promise<unknown>[] = [];
+    const slowWeight = (): number => cluster.committed?.weights.get(weightKey('models', 'm1')) ?? 1;
+    let lowestWeight = 1;
     for (let i = 0; i < 900; i++) {
-      const p = ps.at(i % ps.length);
-      if (p) going.push(w.turn(p.program, null, `w #${i}`, `w${i}`));
-      if (i === 450) w.master?.kill();
-      least = Math.min(least, weightOfFirst());
-      await w.clock.run(20);
+      const created = programs.at(i % programs.length);
+      if (created) pending.push(cluster.turn(created.program, null, `w #${i}`, `w${i}`));
+      if (i === 450) cluster.master?.kill();
+      lowestWeight = Math.min(lowestWeight, slowWeight());
+      await cluster.clock.run(20);
     }
-    await w.clock.finish('turns', Promise.all(going), 60000);
-    assert.ok(least < 0.6, `weight ${least}`);
-    const row = {
+    await cluster.clock.finish('turns', Promise.all(pending), 60000);
+    assert.ok(lowestWeight < 0.6, `lowest weight of the slow server: ${lowestWeight}`);
+    const sharesRecord = {
       kind: 'generate' as const,
       from,
-      to: w.clock.now(),
+      to: cluster.clock.now(),
       shares: [
         ['models', 3],
         ['others', 1],
       ] as const,
       rounding: 12,
     };
-    const outcome = checkRecords(recordsOf(w, { shares: [row] })).find((v) =>
-      v.rule.includes('shares'),
+    const outcome = checkRecords(recordsOf(cluster, { shares: [sharesRecord] })).find(
+      (ruleResult) => ruleResult.rule.includes('shares'),
     );
     assert.equal(outcome?.breaches, []);
     assert.ok((outcome?.checked ?? 0) >= 2);
   },
 );
 
-place.run();
+placementSuite.run();
--- a/tests/src/session-owner/streamed-turns.test.ts
+++ b/tests/src/session-owner/streamed-turns.test.ts
@@ -1,4 +1,7 @@
-/** A streamed request is reserved before it is sent, and goes on at another server only where nothing can be told twice. */
+/**
+ * A streamed request is reserved before it is sent, and it is resumed at another server only if no part of the stream
+ * can be repeated.
+ */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { encodeBody, PassTurn, type PassRequest } from '@tillerstair/session-owner';
@@ -14,11 +17,13 @@
 import { configuration, host } from '../support/session-owner-state.js';
 
 const streams = suite('streamed turns');
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
+/** The key of the turn that `run` stores by default. */
 const key = 'p/x-p/t/r1';
 
-const run = (rig: SessionOwnerRig, change: Partial<PassRequest> = {}, stop = never) =>
-  rig.owner.streams.runStream(
+/** Runs a streamed request of program `p`. */
+const run = (fixture: SessionOwnerRig, change: Partial<PassRequest> = {}, signal = neverAborted) =>
+  fixture.owner.streams.runStream(
     {
       tenant: 't',
       host,
@@ -37,13 +42,15 @@
       ...change,
       body: encodeBody(Buffer.from(change.body ?? 'in;')),
     },
-    rig.emit,
-    stop,
+    fixture.emit,
+    signal,
   );
 
-const turnAt = (rig: SessionOwnerRig, at = key): PassTurn => PassTurn.parse(rig.stored(at));
+const storedTurn = (fixture: SessionOwnerRig, turnKey = key): PassTurn =>
+  PassTurn.parse(fixture.stored(turnKey));
 
-const stored = (change: Partial<PassTurn> = {}): PassTurn => ({
+/** A finished turn with the given changes. */
+const doneTurn = (change: Partial<PassTurn> = {}): PassTurn => ({
   t: 'pass',
   status: 'done',
   after: '',
@@ -53,275 +60,312 @@
   ...change,
 });
 
-streams('a path without a route is another error than a refusal', async () => {
-  const rig = await SessionOwnerRig.opened();
-  assert.is(await codeOf(() => run(rig, { path: '/none/' })), 'route-unknown');
+streams('a path without a route is an error, not a refusal', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  assert.is(await codeOf(() => run(fixture, { path: '/none/' })), 'route-unknown');
 });
 
 streams('the reservation is on a quorum before the request is sent', async () => {
-  const rig = await SessionOwnerRig.opened();
-  assert.is(brief(await rig.finish(run(rig))), 'done 200');
-  const sentAt = rig.trail.findIndex((line) => line.startsWith('send'));
-  const before = rig.trail.slice(0, sentAt).filter((line) => line === `put ${key} reserved`);
-  assert.ok(before.length >= 2, rig.trail.join(', '));
-  assert.is(turnAt(rig).status, 'done');
-  assert.is(turnAt(rig).output, 'one\n');
+  const fixture = await SessionOwnerRig.opened();
+  assert.is(brief(await fixture.finish(run(fixture))), 'done 200');
+  const sentAt = fixture.trail.findIndex((line) => line.startsWith('send'));
+  const before = fixture.trail.slice(0, sentAt).filter((line) => line === `put ${key} reserved`);
+  assert.ok(before.length >= 2, fixture.trail.join(', '));
+  assert.is(storedTurn(fixture).status, 'done');
+  assert.is(storedTurn(fixture).output, 'one\n');
 });
 
-streams('without a quorum for the reservation nothing is sent, nor counted for ever', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.onPut = () => false;
-  assert.is(brief(await rig.finish(run(rig, { budget: 15 }))), 'refused 503 unavailable');
-  assert.is(rig.sent.length, 0);
-  rig.onPut = () => true;
-  assert.is(brief(await rig.finish(run(rig, { budget: 15, attempt: 'r2' }))), 'done 200');
-});
+streams(
+  'without a quorum for the reservation no request is sent, and the reservation does not stay counted',
+  async () => {
+    const fixture = await SessionOwnerRig.opened();
+    fixture.onPut = () => false;
+    assert.is(brief(await fixture.finish(run(fixture, { budget: 15 }))), 'refused 503 unavailable');
+    assert.is(fixture.sent.length, 0);
+    fixture.onPut = () => true;
+    assert.is(brief(await fixture.finish(run(fixture, { budget: 15, attempt: 'r2' }))), 'done 200');
+  },
+);
 
-streams('a kept turn is done only once it is on a quorum', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.onPut = (_, status) => status !== 'done';
-  assert.is(brief(await rig.finish(run(rig))), 'unknown 504 unknown');
+streams('a retained turn is done only once it is on a quorum', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.onPut = (_, status) => status !== 'done';
+  assert.is(brief(await fixture.finish(run(fixture))), 'unknown 504 unknown');
 });
 
-streams('an attempt that is under way, or was before, is not run again', async () => {
-  const rig = await SessionOwnerRig.opened();
+streams('an attempt that is in progress, or was started before, is not run again', async () => {
+  const fixture = await SessionOwnerRig.opened();
   const server = gate();
-  rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const first = run(rig);
-  await rig.clock.run(10);
-  assert.is(brief(await rig.finish(run(rig))), 'refused 409 running');
+  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  const first = run(fixture);
+  await fixture.clock.run(10);
+  assert.is(brief(await fixture.finish(run(fixture))), 'refused 409 running');
   server.open();
-  await rig.finish(first);
-  assert.is(brief(await rig.finish(run(rig))), 'unknown 504 unknown');
+  await fixture.finish(first);
+  assert.is(brief(await fixture.finish(run(fixture))), 'unknown 504 unknown');
   for (const [status, expected] of [
     ['reserved', 'unknown 504 unknown'],
     ['failed', 'unknown 504 unknown'],
     ['void', 'done 200'],
   ] as const) {
     const later = await SessionOwnerRig.opened();
-    later.store(key, stored({ status }));
+    later.store(key, doneTurn({ status }));
     await later.ownAgain();
     assert.is(brief(await later.finish(run(later))), expected, status);
   }
-  assert.is(rig.sent.length, 1);
+  assert.is(fixture.sent.length, 1);
 });
 
-streams('what it goes on from must be there, readable, finished and whole', async () => {
-  for (const [status, expected] of [
-    ['reserved', 'refused 503 not-finished'],
-    ['failed', 'refused 404 missing-turn'],
-    ['void', 'refused 404 missing-turn'],
-    ['done', 'done 200'],
-  ] as const) {
-    const rig = await SessionOwnerRig.opened();
-    rig.store('p/x-p/t/r0', stored({ status }));
-    await rig.ownAgain();
-    assert.is(brief(await rig.finish(run(rig, { after: 'r0' }))), expected, status);
-    if (status === 'done') assert.is(rig.sent[0]?.body, 'before;said\nin;');
-    else assert.is(rig.sent.length, 0);
-  }
-  const rig = await SessionOwnerRig.opened();
-  assert.is(brief(await rig.finish(run(rig, { after: 'r0' }))), 'refused 404 missing-turn');
-  rig.store('p/x-q/t/r9', stored());
-  assert.is(brief(await rig.finish(run(rig, { after: 'r0' }))), 'refused 404 missing-turn');
-});
+streams(
+  'the turn that a request continues must exist, be finished and have completed',
+  async () => {
+    for (const [status, expected] of [
+      ['reserved', 'refused 503 not-finished'],
+      ['failed', 'refused 404 missing-turn'],
+      ['void', 'refused 404 missing-turn'],
+      ['done', 'done 200'],
+    ] as const) {
+      const fixture = await SessionOwnerRig.opened();
+      fixture.store('p/x-p/t/r0', doneTurn({ status }));
+      await fixture.ownAgain();
+      assert.is(brief(await fixture.finish(run(fixture, { after: 'r0' }))), expected, status);
+      if (status === 'done') assert.is(fixture.sent[0]?.body, 'before;said\nin;');
+      else assert.is(fixture.sent.length, 0);
+    }
+    const fixture = await SessionOwnerRig.opened();
+    assert.is(
+      brief(await fixture.finish(run(fixture, { after: 'r0' }))),
+      'refused 404 missing-turn',
+    );
+    fixture.store('p/x-q/t/r9', doneTurn());
+    assert.is(
+      brief(await fixture.finish(run(fixture, { after: 'r0' }))),
+      'refused 404 missing-turn',
+    );
+  },
+);
 
-streams("another program's turn is copied into this one's and costs it nothing", async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.store('p/x-q/t/r0', stored({ cost: 40 }));
-  assert.is(brief(await rig.finish(run(rig, { after: 'r0', budget: 12 }))), 'done 200');
-  assert.equal(turnAt(rig, 'p/x-p/t/r0'), stored({ cost: 0 }));
-  assert.is(rig.sent[0]?.body, 'before;said\nin;');
-});
+streams(
+  'a turn of another program is copied to the program of the request at no cost',
+  async () => {
+    const fixture = await SessionOwnerRig.opened();
+    fixture.store('p/x-q/t/r0', doneTurn({ cost: 40 }));
+    assert.is(brief(await fixture.finish(run(fixture, { after: 'r0', budget: 12 }))), 'done 200');
+    assert.equal(storedTurn(fixture, 'p/x-p/t/r0'), doneTurn({ cost: 0 }));
+    assert.is(fixture.sent[0]?.body, 'before;said\nin;');
+  },
+);
 
-streams('no request is reserved beyond its budget', async () => {
-  const rig = await SessionOwnerRig.opened();
-  assert.is(brief(await rig.finish(run(rig, { budget: 9 }))), 'refused 402 budget-spent');
-  assert.is(brief(await rig.finish(run(rig, { budget: 10 }))), 'done 200');
-  const cost = turnAt(rig).cost;
+streams('no reservation exceeds the budget of the program', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  assert.is(brief(await fixture.finish(run(fixture, { budget: 9 }))), 'refused 402 budget-spent');
+  assert.is(brief(await fixture.finish(run(fixture, { budget: 10 }))), 'done 200');
+  const cost = storedTurn(fixture).cost;
   assert.ok(cost > 0);
-  const second = { attempt: 'r2', budget: 10 + cost - 1 };
-  assert.is(brief(await rig.finish(run(rig, second))), 'refused 402 budget-spent');
-  assert.is(rig.sent.length, 1);
+  const overBudget = { attempt: 'r2', budget: 10 + cost - 1 };
+  assert.is(brief(await fixture.finish(run(fixture, overBudget))), 'refused 402 budget-spent');
+  assert.is(fixture.sent.length, 1);
 });
 
 streams('a reservation that is being written counts against the budget', async () => {
-  const rig = await SessionOwnerRig.opened();
-  const works = [run(rig, { budget: 10 }), run(rig, { budget: 10, attempt: 'r2' })];
+  const fixture = await SessionOwnerRig.opened();
+  const runs = [run(fixture, { budget: 10 }), run(fixture, { budget: 10, attempt: 'r2' })];
   const outcomes = [];
-  for (const work of works) outcomes.push(brief(await rig.finish(work)));
+  for (const result of runs) outcomes.push(brief(await fixture.finish(result)));
   assert.equal(outcomes.sort(), ['done 200', 'refused 402 budget-spent']);
 });
 
-streams('a request that waited in line looks at the budget again', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.removeServers('m2');
-  rig.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
+streams('the budget is checked again after a request has waited for a server', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.removeServers('m2');
+  fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
   const server = gate();
-  rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const works = [run(rig, { program: 'q' })];
-  await rig.clock.run(10);
-  works.push(run(rig, { budget: 10 }), run(rig, { budget: 10, attempt: 'r2' }));
-  await rig.clock.run(10);
+  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  const runs = [run(fixture, { program: 'q' })];
+  await fixture.clock.run(10);
+  runs.push(run(fixture, { budget: 10 }), run(fixture, { budget: 10, attempt: 'r2' }));
+  await fixture.clock.run(10);
   server.open();
   const outcomes = [];
-  for (const work of works) outcomes.push(brief(await rig.finish(work)));
+  for (const result of runs) outcomes.push(brief(await fixture.finish(result)));
   assert.equal(outcomes, ['done 200', 'done 200', 'refused 402 budget-spent']);
-  assert.is(rig.sent.length, 2);
+  assert.is(fixture.sent.length, 2);
 });
 
-streams('no more attempts are made than the route allows, nor any after the time', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.reply = () => declinedReply;
-  assert.is(brief(await rig.finish(run(rig, { path: '/flow/' }))), 'refused 503 no-server');
-  assert.is(rig.sent.length, 1);
-  assert.is(statusOf(rig.stored(key)), 'void');
-  assert.is(turnAt(rig).cost, 0);
-  const late = { attempt: 'r2', left: 0 };
-  assert.is(brief(await rig.finish(run(rig, late))), 'refused 503 queue-timeout');
-  assert.is(rig.sent.length, 1);
+streams('attempts are limited by the route and by the deadline', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = () => declinedReply;
+  assert.is(brief(await fixture.finish(run(fixture, { path: '/flow/' }))), 'refused 503 no-server');
+  assert.is(fixture.sent.length, 1);
+  assert.is(statusOf(fixture.stored(key)), 'void');
+  assert.is(storedTurn(fixture).cost, 0);
+  const expired = { attempt: 'r2', left: 0 };
+  assert.is(brief(await fixture.finish(run(fixture, expired))), 'refused 503 queue-timeout');
+  assert.is(fixture.sent.length, 1);
 });
 
-streams('a caller that goes while the reservation is written gets nothing run', async () => {
-  const rig = await SessionOwnerRig.opened();
+streams('nothing is sent if the caller disconnects while the reservation is written', async () => {
+  const fixture = await SessionOwnerRig.opened();
   const caller = new AbortController();
-  rig.onPut = () => {
+  fixture.onPut = () => {
     caller.abort();
     return true;
   };
-  assert.is(brief(await rig.finish(run(rig, {}, caller.signal))), 'refused 503 gone');
-  assert.is(rig.sent.length, 0);
-  assert.is(statusOf(rig.stored(key)), 'void');
+  assert.is(brief(await fixture.finish(run(fixture, {}, caller.signal))), 'refused 503 gone');
+  assert.is(fixture.sent.length, 0);
+  assert.is(statusOf(fixture.stored(key)), 'void');
 });
 
-streams('an owner whose read lease ran out sends nothing', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.onPut = () => {
-    rig.leaseMs = 0;
+streams('an owner whose read lease expired sends nothing', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.onPut = () => {
+    fixture.leaseMs = 0;
     return true;
   };
-  assert.is(brief(await rig.finish(run(rig))), 'refused 503 not-ready');
-  assert.is(rig.sent.length, 0);
+  assert.is(brief(await fixture.finish(run(fixture))), 'refused 503 not-ready');
+  assert.is(fixture.sent.length, 0);
 });
 
-streams('a server that drains meanwhile gets nothing', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.removeServers('m2');
-  rig.onPut = (_, status) => {
-    if (status === 'reserved') rig.changeServer('m1', { draining: true });
-    return true;
-  };
-  assert.is(brief(await rig.finish(run(rig))), 'refused 503 no-server');
-  assert.is(rig.sent.length, 0);
-});
+streams(
+  'a server that starts draining while the reservation is written gets no request',
+  async () => {
+    const fixture = await SessionOwnerRig.opened();
+    fixture.removeServers('m2');
+    fixture.onPut = (_, status) => {
+      if (status === 'reserved') fixture.changeServer('m1', { draining: true });
+      return true;
+    };
+    assert.is(brief(await fixture.finish(run(fixture))), 'refused 503 no-server');
+    assert.is(fixture.sent.length, 0);
+  },
+);
 
-streams('whether it may go is asked again just before the first byte', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.beforeSend = () => {
-    rig.leaseMs = 0;
+streams('the preconditions are checked again right before the first byte', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.beforeSend = () => {
+    fixture.leaseMs = 0;
   };
-  assert.is((await rig.finish(run(rig))).outcome, 'refused');
-  assert.is(rig.sent.length, 0);
+  assert.is((await fixture.finish(run(fixture))).outcome, 'refused');
+  assert.is(fixture.sent.length, 0);
 });
 
-/** Two events, the second torn, then the connection is lost. */
-const torn = {
+/** One complete event and an incomplete one, then the connection is lost. */
+const cutOff = {
   bytes: ['id: 1\ndata: one\n\n', 'id: 2\ndata: tw'],
   ended: { kind: 'lost', text: 'cut' },
 } as const;
 
-streams('a resumable stream goes on behind its last whole event', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.reply = (n) => (n === 0 ? torn : { ...wholeReply, bytes: ['id: 2\ndata: two\n\n'] });
-  assert.is(brief(await rig.finish(run(rig, { path: '/live/' }))), 'done 200');
-  assert.is(rig.sent[1]?.resume, '1');
-  assert.is(rig.emitted.slice(1).join(''), 'id: 1\ndata: one\n\nid: 2\ndata: two\n\n');
+streams('a resumable stream continues after its last complete event', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = (n) => (n === 0 ? cutOff : { ...wholeReply, bytes: ['id: 2\ndata: two\n\n'] });
+  assert.is(brief(await fixture.finish(run(fixture, { path: '/live/' }))), 'done 200');
+  assert.is(fixture.sent[1]?.resume, '1');
+  assert.is(fixture.emitted.slice(1).join(''), 'id: 1\ndata: one\n\nid: 2\ndata: two\n\n');
 });
 
 streams('a stream that cannot be resumed is not sent again', async () => {
   for (const [path, reply] of [
-    ['/turn/', torn],
-    ['/live/', { ...torn, bytes: ['data: one\n\n'] }],
-    ['/live/', { ...torn, contentType: 'text/plain', bytes: ['one'] }],
+    ['/turn/', cutOff],
+    ['/live/', { ...cutOff, bytes: ['data: one\n\n'] }],
+    ['/live/', { ...cutOff, contentType: 'text/plain', bytes: ['one'] }],
   ] as const) {
-    const rig = await SessionOwnerRig.opened();
-    rig.reply = (n) => (n === 0 ? reply : wholeReply);
-    assert.is(brief(await rig.finish(run(rig, { path }))), 'unknown 504 broken-off');
-    assert.is(rig.sent.length, 1);
-    assert.is(statusOf(rig.stored(key)), 'failed');
+    const fixture = await SessionOwnerRig.opened();
+    fixture.reply = (n) => (n === 0 ? reply : wholeReply);
+    assert.is(brief(await fixture.finish(run(fixture, { path }))), 'unknown 504 broken-off');
+    assert.is(fixture.sent.length, 1);
+    assert.is(statusOf(fixture.stored(key)), 'failed');
   }
 });
 
-streams('a lost stream is not resumed beyond attempts, time and caller', async () => {
-  const attempts = await SessionOwnerRig.opened();
-  attempts.reply = () => torn;
-  assert.is(
-    brief(await attempts.finish(run(attempts, { path: '/live/' }))),
-    'unknown 504 broken-off',
-  );
-  assert.is(attempts.sent.length, 2);
-  const left = await SessionOwnerRig.opened();
-  const caller = new AbortController();
-  left.reply = () => {
-    caller.abort();
-    return torn;
-  };
-  assert.is(
-    brief(await left.finish(run(left, { path: '/live/' }, caller.signal))),
-    'unknown 504 broken-off',
-  );
-  assert.is(left.sent.length, 1);
-});
+streams(
+  'a lost stream is not resumed beyond the allowed attempts or after its caller disconnected',
+  async () => {
+    const withoutAttempts = await SessionOwnerRig.opened();
+    withoutAttempts.reply = () => cutOff;
+    assert.is(
+      brief(await withoutAttempts.finish(run(withoutAttempts, { path: '/live/' }))),
+      'unknown 504 broken-off',
+    );
+    assert.is(withoutAttempts.sent.length, 2);
+    const withoutCaller = await SessionOwnerRig.opened();
+    const caller = new AbortController();
+    withoutCaller.reply = () => {
+      caller.abort();
+      return cutOff;
+    };
+    assert.is(
+      brief(await withoutCaller.finish(run(withoutCaller, { path: '/live/' }, caller.signal))),
+      'unknown 504 broken-off',
+    );
+    assert.is(withoutCaller.sent.length, 1);
+  },
+);
 
-streams('a resumed stream that is no stream of events, or an error, breaks off', async () => {
-  for (const reply of [
-    { ...wholeReply, contentType: 'text/plain', bytes: ['two'] },
-    { ...wholeReply, status: 500 },
-  ]) {
-    const rig = await SessionOwnerRig.opened();
-    rig.reply = (n) => (n === 0 ? torn : reply);
-    assert.is(brief(await rig.finish(run(rig, { path: '/live/' }))), 'unknown 504 broken-off');
-    assert.is(rig.emitted.slice(1).join(''), 'id: 1\ndata: one\n\n');
-  }
-});
+streams(
+  'the stream breaks off if the response of the resuming server is an error or not a stream of events',
+  async () => {
+    for (const reply of [
+      { ...wholeReply, contentType: 'text/plain', bytes: ['two'] },
+      { ...wholeReply, status: 500 },
+    ]) {
+      const fixture = await SessionOwnerRig.opened();
+      fixture.reply = (n) => (n === 0 ? cutOff : reply);
+      assert.is(
+        brief(await fixture.finish(run(fixture, { path: '/live/' }))),
+        'unknown 504 broken-off',
+      );
+      assert.is(fixture.emitted.slice(1).join(''), 'id: 1\ndata: one\n\n');
+    }
+  },
+);
 
-streams('a stream that stops within an event has broken off', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.reply = () => ({ ...torn, ended: { kind: 'done', code: 200, body: 0 } });
-  assert.is(brief(await rig.finish(run(rig))), 'unknown 504 broken-off');
+streams('a stream that ends within an event has broken off', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = () => ({ ...cutOff, ended: { kind: 'done', code: 200, body: 0 } });
+  assert.is(brief(await fixture.finish(run(fixture))), 'unknown 504 broken-off');
 });
 
-streams('an error of the server is passed on and no turn is kept of it', async () => {
-  const rig = await SessionOwnerRig.opened();
-  rig.reply = () => ({ ...wholeReply, status: 500, ended: { kind: 'done', code: 500, body: 0 } });
-  assert.is(brief(await rig.finish(run(rig))), 'done 200');
-  await rig.clock.run(1000);
-  assert.is(turnAt(rig).status, 'failed');
-  assert.is(turnAt(rig).output, '');
+streams('an error response of the server is forwarded, and its turn is not retained', async () => {
+  const fixture = await SessionOwnerRig.opened();
+  fixture.reply = () => ({
+    ...wholeReply,
+    status: 500,
+    ended: { kind: 'done', code: 500, body: 0 },
+  });
+  assert.is(brief(await fixture.finish(run(fixture))), 'done 200');
+  await fixture.clock.run(1000);
+  assert.is(storedTurn(fixture).status, 'failed');
+  assert.is(storedTurn(fixture).output, '');
 });
 
-streams('a slot is not released while one of its streams is under way', async () => {
-  const rig = await SessionOwnerRig.opened();
+streams('a slot is not released while one of its streams is in progress', async () => {
+  const fixture = await SessionOwnerRig.opened();
   const server = gate();
-  rig.reply = () => ({ ...wholeReply, after: server.opened });
-  const work = run(rig);
-  await rig.clock.run(10);
-  rig.changeSlot({ transferTarget: 'f2' });
-  assert.equal(rig.owner.releases(), []);
+  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  const running = run(fixture);
+  await fixture.clock.run(10);
+  fixture.changeSlot({ transferTarget: 'f2' });
+  assert.equal(fixture.owner.releases(), []);
   server.open();
-  await rig.finish(work);
-  assert.equal(rig.owner.releases(), [[0, 1]]);
+  await fixture.finish(running);
+  assert.equal(fixture.owner.releases(), [[0, 1]]);
 });
 
-streams('a caller that goes stops the server, and the turn has broken off', async () => {
-  const rig = await SessionOwnerRig.opened();
-  const caller = new AbortController();
-  rig.reply = (_, sent) => {
-    caller.abort();
-    assert.is(sent.stop.aborted, true);
-    return wholeReply;
-  };
-  assert.is(brief(await rig.finish(run(rig, {}, caller.signal))), 'unknown 504 broken-off');
-});
+streams(
+  'the disconnect of the caller aborts the request at the server, and the turn has broken off',
+  async () => {
+    const fixture = await SessionOwnerRig.opened();
+    const caller = new AbortController();
+    fixture.reply = (_, sent) => {
+      caller.abort();
+      assert.is(sent.stop.aborted, true);
+      return wholeReply;
+    };
+    assert.is(
+      brief(await fixture.finish(run(fixture, {}, caller.signal))),
+      'unknown 504 broken-off',
+    );
+  },
+);
 
 streams.run();
--- a/tests/src/support/placement-fixture.ts
+++ b/tests/src/support/placement-fixture.ts
@@ -1,4 +1,4 @@
-/** Placement over a list of servers whose load and draining a test sets, in simulated time. */
+/** A placement in simulated time, with servers whose load and draining state the test sets. */
 import {
   placementPolicies,
   Placement,
@@ -37,6 +37,7 @@
   ],
 });
 
+/** A server of pool `first` that is neither draining nor down, with the given changes. */
 export const makeServer = (id: string, change: Partial<Server> = {}): Server => ({
   id,
   pool: 'first',
@@ -48,28 +49,34 @@
   ...change,
 });
 
+/** Interval between polls, in ms. */
 export const pollIntervalMs = 100;
+/** Time for which a polled or reported load is valid, in ms. */
 export const loadValidForMs = 400;
+/** Time after its last failure when an unhealthy server may be tried again, in ms. */
 export const retryAfterMs = 1000;
+/** Maximum number of requests in flight at a server. */
 export const maxInFlightPerServer = 2;
 
-const unused = (): never => {
-  throw new Error('a placement test sends nothing');
+const unexpectedRequest = (): never => {
+  throw new Error('a placement test must not send a request');
 };
 
+/** A `Placement` over servers that reply to polls as the test says. */
 export class PlacementFixture {
   readonly clock = new SimClock();
-  /** Asked servers, in order, and what each says; one that is not here fails. */
+  /** Ids of the polled servers, in order. */
   readonly polledServerIds: string[] = [];
+  /** Replies to polls by server id; a poll of any other server fails. */
   readonly statuses = new Map<string, ServerStatus>();
   readonly placement: Placement;
   readonly route: Route;
   private state: State;
 
-  constructor(servers: readonly Server[], poll: number = pollIntervalMs) {
+  constructor(servers: readonly Server[], intervalMs: number = pollIntervalMs) {
     const { config } = checkConfig(configText);
     const route = config?.routes[0];
-    if (!route) throw new Error('no route');
+    if (!route) throw new Error('the test configuration has no route');
     this.route = route;
     this.state = {
       ...bootstrapState('test', [], 1),
@@ -83,13 +90,15 @@
     };
     for (const server of servers) this.list(server);
     const backend: Backend = {
-      generate: unused,
-      act: unused,
-      pass: unused,
+      generate: unexpectedRequest,
+      act: unexpectedRequest,
+      pass: unexpectedRequest,
       load: (server) => {
         this.polledServerIds.push(server.id);
-        const load = this.statuses.get(server.id);
-        return load ? Promise.resolve(load) : Promise.reject(new Error('no reply'));
+        const status = this.statuses.get(server.id);
+        return status
+          ? Promise.resolve(status)
+          : Promise.reject(new Error(`server ${server.id} does not reply`));
       },
     };
     this.placement = new Placement({
@@ -97,7 +106,7 @@
       backend,
       policies: placementPolicies(true),
       bounds: {
-        pollIntervalMs: poll,
+        pollIntervalMs: intervalMs,
         pollTimeoutMs: 50,
         retryUnhealthyAfterMs: retryAfterMs,
         pollValidForMs: loadValidForMs,
@@ -109,7 +118,7 @@
     });
   }
 
-  /** All servers are idle and have just said so. */
+  /** A fixture whose servers have all just replied to a poll that they are idle. */
   static async createPolled(servers: readonly Server[]): Promise<PlacementFixture> {
     const fixture = new PlacementFixture(servers);
     for (const { id } of servers) fixture.statuses.set(id, { busy: 0, draining: false });
@@ -117,6 +126,7 @@
     return fixture;
   }
 
+  /** Adds a server to the cluster state, or replaces the one with its id. */
   list(server: Server): void {
     this.state = reduceState(this.state, { kind: 'server', server });
   }
@@ -125,6 +135,7 @@
     this.state = reduceState(this.state, { kind: 'server-removed', id });
   }
 
+  /** The id of the server that is picked for a request without a prompt. */
   pick(skip: readonly string[] = []): string | undefined {
     return this.placement.pick(this.route, [], '', new Set(skip))?.id;
   }
@@ -133,7 +144,8 @@
     return this.placement.hasUsableServer(this.route, new Set(skip));
   }
 
+  /** Records consecutive failures of requests to a server. */
   recordFailures(server: Server, times: number): void {
-    for (let n = 0; n < times; n++) this.placement.end(server, false);
+    for (let i = 0; i < times; i++) this.placement.end(server, false);
   }
 }
