--- a/packages/session-owner/src/operation-attempts.ts
+++ b/packages/session-owner/src/operation-attempts.ts
@@ -68,7 +68,7 @@
   readonly promptParts = [];
   readonly stickyPool = '';
   readonly deadline: number;
-  /** A caller's disconnect cancels the wait for a server and a request in flight; it does not stop a placed one. */
+  /** A disconnect cancels the wait for a server and a request in flight; a placed operation is sent nevertheless. */
   readonly cancelled = false;
   /** Whether all servers covered by the newest stored intent record idempotency keys; stored as `recorded`. */
   private allServersRecord = true;
@@ -184,7 +184,10 @@
     await history.replicator.putWithRetry(operation.key, value, writeAttempts);
   }
 
-  /** Ends the operation without a result: `void` is stored if it never ran, `unknown` if it may have run. */
+  /**
+   * Ends the operation without a result. If an attempt was lost, the outcome is unknown; otherwise it is a refusal, and
+   * a stored intent becomes `unknown` if an earlier ownership may have run the operation, else `void`.
+   */
   private async giveUp(
     text: string,
     retryAfter: number = retryAfterSeconds.recovery,
--- a/packages/session-owner/src/stream-attempts.ts
+++ b/packages/session-owner/src/stream-attempts.ts
@@ -171,7 +171,7 @@
         return undefined;
       case 'done':
         this.cost = this.generatedTokens(server);
-        return this.storeEnd(ended.code);
+        return this.storeOutcome(ended.code);
       case 'lost':
         this.cost = this.generatedTokens(server);
         this.lossReason = ended.text;
@@ -247,7 +247,7 @@
   }
 
   /** Stores the result. The outcome of a turn that can be continued is `done` only once a quorum of replicas has it. */
-  private async storeEnd(code: number): Promise<CallOutcome> {
+  private async storeOutcome(code: number): Promise<CallOutcome> {
     const { request } = this.job;
     const succeeded = isSuccess(code);
     const mustBeStored = this.retainsTurns && succeeded;
--- a/tests/src/session-owner/server-eligibility.test.ts
+++ b/tests/src/session-owner/server-eligibility.test.ts
@@ -12,47 +12,47 @@
 
 const eligibility = suite('eligibility of servers');
 
-const a = makeServer('a');
-const b = makeServer('b');
+const serverA = makeServer('a');
+const serverB = makeServer('b');
 
 /** Asserts that server `a` gets no new request: it is not picked, not usable, and not allowed after a pick. */
 const assertIneligible = (fixture: PlacementFixture): void => {
   assert.is(fixture.pick(), undefined);
   assert.is(fixture.hasUsableServer(), false);
-  assert.is(fixture.placement.isAllowed(a, fixture.route), false);
+  assert.is(fixture.placement.isAllowed(serverA, fixture.route), false);
 };
 
 eligibility('a healthy server that replied to a poll gets requests', async () => {
-  const fixture = await PlacementFixture.createPolled([a]);
+  const fixture = await PlacementFixture.createPolled([serverA]);
   assert.is(fixture.pick(), 'a');
   assert.is(fixture.hasUsableServer(), true);
-  assert.is(fixture.placement.isAllowed(a, fixture.route), true);
+  assert.is(fixture.placement.isAllowed(serverA, fixture.route), true);
 });
 
 eligibility('a server that the operator drains gets no new requests', async () => {
-  const fixture = await PlacementFixture.createPolled([a]);
+  const fixture = await PlacementFixture.createPolled([serverA]);
   fixture.list(makeServer('a', { draining: true }));
   assertIneligible(fixture);
 });
 
 eligibility('a server that reports draining gets no new requests', async () => {
-  const fixture = await PlacementFixture.createPolled([a]);
+  const fixture = await PlacementFixture.createPolled([serverA]);
   fixture.statuses.set('a', { busy: 0, draining: true });
   await fixture.placement.poll();
   assertIneligible(fixture);
 });
 
 eligibility('a barred server gets no new requests', async () => {
-  const fixture = await PlacementFixture.createPolled([a]);
+  const fixture = await PlacementFixture.createPolled([serverA]);
   fixture.placement.setBarred(new Set(['a']));
   assertIneligible(fixture);
-  const unpolled = new PlacementFixture([a]);
+  const unpolled = new PlacementFixture([serverA]);
   unpolled.placement.setBarred(new Set(['a']));
   assertIneligible(unpolled);
 });
 
 eligibility('a server whose last poll reply is too old gets no new requests', async () => {
-  const fixture = await PlacementFixture.createPolled([a]);
+  const fixture = await PlacementFixture.createPolled([serverA]);
   await fixture.clock.run(loadValidForMs);
   assert.is(fixture.pick(), 'a');
   await fixture.clock.run(1);
@@ -62,16 +62,16 @@
 eligibility(
   'a server that was never polled gets no requests, but its route is not refused yet',
   () => {
-    const fixture = new PlacementFixture([a]);
+    const fixture = new PlacementFixture([serverA]);
     assert.is(fixture.pick(), undefined);
     assert.is(fixture.hasUsableServer(), true);
-    fixture.recordFailures(a, 1);
+    fixture.recordFailures(serverA, 1);
     assert.is(fixture.hasUsableServer(), false);
   },
 );
 
 eligibility('servers need not have replied to a poll if polling is disabled', async () => {
-  const fixture = new PlacementFixture([a], 0);
+  const fixture = new PlacementFixture([serverA], 0);
   await fixture.placement.poll();
   assert.is(fixture.pick(), 'a');
   assert.equal(fixture.polledServerIds, []);
@@ -80,10 +80,10 @@
 eligibility(
   'a server that failed three times gets no requests and is tried again later',
   async () => {
-    const fixture = new PlacementFixture([a], 0);
-    fixture.recordFailures(a, 2);
+    const fixture = new PlacementFixture([serverA], 0);
+    fixture.recordFailures(serverA, 2);
     assert.is(fixture.pick(), 'a');
-    fixture.recordFailures(a, 1);
+    fixture.recordFailures(serverA, 1);
     assert.is(fixture.pick(), undefined);
     assert.is(fixture.hasUsableServer(), false);
     await fixture.clock.run(retryAfterMs);
@@ -97,72 +97,72 @@
 eligibility(
   'a server that failed, or is down for all fronts, is picked only if no server is healthy',
   async () => {
-    const fixture = await PlacementFixture.createPolled([a, b]);
-    fixture.recordFailures(a, 1);
+    const fixture = await PlacementFixture.createPolled([serverA, serverB]);
+    fixture.recordFailures(serverA, 1);
     assert.is(fixture.pick(), 'b');
-    fixture.placement.begin(b, []);
+    fixture.placement.begin(serverB, []);
     assert.is(fixture.pick(), 'b');
-    const down = await PlacementFixture.createPolled([makeServer('a', { down: true }), b]);
-    down.placement.begin(b, []);
+    const down = await PlacementFixture.createPolled([makeServer('a', { down: true }), serverB]);
+    down.placement.begin(serverB, []);
     assert.is(down.pick(), 'b');
     assert.is(down.pick(['b']), 'a');
   },
 );
 
 eligibility('a full server gets no more requests', async () => {
-  const fixture = await PlacementFixture.createPolled([a]);
+  const fixture = await PlacementFixture.createPolled([serverA]);
   for (let i = 0; i < maxInFlightPerServer; i++) {
     assert.is(fixture.pick(), 'a');
-    fixture.placement.begin(a, []);
+    fixture.placement.begin(serverA, []);
   }
   assert.is(fixture.pick(), undefined);
-  fixture.placement.end(a, true);
+  fixture.placement.end(serverA, true);
   assert.is(fixture.pick(), 'a');
 });
 
 eligibility('skipped servers and pools without a share get no requests', async () => {
   const unshared = makeServer('u', { pool: 'unshared' });
-  const fixture = await PlacementFixture.createPolled([a, unshared]);
+  const fixture = await PlacementFixture.createPolled([serverA, unshared]);
   assert.is(fixture.pick(['a']), undefined);
   assert.is(fixture.hasUsableServer(['a']), false);
   assert.is(fixture.placement.isAllowed(unshared, fixture.route), false);
-  assert.is(fixture.placement.isAllowed(a, fixture.route), true);
+  assert.is(fixture.placement.isAllowed(serverA, fixture.route), true);
 });
 
 eligibility(
   'a server that was removed or changed its address or pool after the pick is not allowed',
   async () => {
     for (const change of [{ url: 'http://127.0.0.1:2/a' }, { pool: 'second' }]) {
-      const fixture = await PlacementFixture.createPolled([a]);
+      const fixture = await PlacementFixture.createPolled([serverA]);
       fixture.list(makeServer('a', change));
       await fixture.placement.poll();
-      assert.is(fixture.placement.isAllowed(a, fixture.route), false);
+      assert.is(fixture.placement.isAllowed(serverA, fixture.route), false);
     }
-    const fixture = await PlacementFixture.createPolled([a]);
+    const fixture = await PlacementFixture.createPolled([serverA]);
     fixture.remove('a');
-    assert.is(fixture.placement.isAllowed(a, fixture.route), false);
+    assert.is(fixture.placement.isAllowed(serverA, fixture.route), false);
   },
 );
 
 eligibility(
   'observations of a server do not apply to another address with the same id',
   async () => {
-    const fixture = await PlacementFixture.createPolled([a]);
+    const fixture = await PlacementFixture.createPolled([serverA]);
     fixture.list(makeServer('a', { url: 'http://127.0.0.1:2/a' }));
     assert.is(fixture.pick(), undefined);
-    fixture.recordFailures(a, 3);
+    fixture.recordFailures(serverA, 3);
     fixture.remove('a');
     await fixture.placement.poll();
     assert.is(fixture.placement.failuresOf('a'), 0);
-    fixture.list(a);
+    fixture.list(serverA);
     await fixture.placement.poll();
     assert.is(fixture.pick(), 'a');
   },
 );
 
 eligibility('a poll of new servers polls no others', async () => {
-  const fixture = await PlacementFixture.createPolled([a]);
-  fixture.list(b);
+  const fixture = await PlacementFixture.createPolled([serverA]);
+  fixture.list(serverB);
   fixture.statuses.set('b', { busy: 0, draining: false });
   await fixture.clock.run(pollIntervalMs);
   await fixture.placement.poll(true);
@@ -170,19 +170,19 @@
 });
 
 eligibility('a server is reported unhealthy from its third failure on', () => {
-  const fixture = new PlacementFixture([a], 0);
-  fixture.recordFailures(a, 2);
+  const fixture = new PlacementFixture([serverA], 0);
+  fixture.recordFailures(serverA, 2);
   assert.equal(
     fixture.placement.report().map(({ id, ok }) => [id, ok]),
     [['a', true]],
   );
-  fixture.recordFailures(a, 1);
+  fixture.recordFailures(serverA, 1);
   assert.is(fixture.placement.report()[0]?.ok, false);
 });
 
 eligibility('the credit of a pool that could not be used is bounded', async () => {
   const second = makeServer('s', { pool: 'second', draining: true });
-  const fixture = await PlacementFixture.createPolled([a, second]);
+  const fixture = await PlacementFixture.createPolled([serverA, second]);
   for (let i = 0; i < 100; i++) assert.is(fixture.pick(), 'a');
   fixture.list(makeServer('s', { pool: 'second' }));
   const picked = Array.from({ length: 40 }, () => fixture.pick());
@@ -192,27 +192,33 @@
 eligibility(
   'the least recently sent prefixes are evicted beyond the size of the index',
   async () => {
-    const fixture = await PlacementFixture.createPolled([a, b]);
+    const fixture = await PlacementFixture.createPolled([serverA, serverB]);
     const prefix = (index: number) => [{ name: `p${index}`, tokens: 64 }];
-    fixture.placement.begin(b, prefix(0));
-    fixture.placement.end(b, true);
+    fixture.placement.begin(serverB, prefix(0));
+    fixture.placement.end(serverB, true);
     const pick = (index: number) =>
       fixture.placement.pick(fixture.route, prefix(index), '', new Set())?.id;
     const pickedWithoutPrefix = pick(-1);
     const pickedWithPrefix = pick(0);
     assert.is(pickedWithPrefix, 'b');
     const otherBlocks = Array.from({ length: 20_000 }, (_, index) => prefix(index + 1)).flat();
-    fixture.placement.begin(pickedWithoutPrefix === 'a' ? b : a, otherBlocks.slice(0, 19_999));
-    fixture.placement.end(pickedWithoutPrefix === 'a' ? b : a, true);
+    fixture.placement.begin(
+      pickedWithoutPrefix === 'a' ? serverB : serverA,
+      otherBlocks.slice(0, 19_999),
+    );
+    fixture.placement.end(pickedWithoutPrefix === 'a' ? serverB : serverA, true);
     assert.is(pick(0), 'b');
-    fixture.placement.begin(pickedWithoutPrefix === 'a' ? b : a, otherBlocks.slice(19_999));
-    fixture.placement.end(pickedWithoutPrefix === 'a' ? b : a, true);
+    fixture.placement.begin(
+      pickedWithoutPrefix === 'a' ? serverB : serverA,
+      otherBlocks.slice(19_999),
+    );
+    fixture.placement.end(pickedWithoutPrefix === 'a' ? serverB : serverA, true);
     assert.is(pick(0), pickedWithoutPrefix);
   },
 );
 
 eligibility('a cached block does not count after a block that is not cached', async () => {
-  const fixture = await PlacementFixture.createPolled([a, b]);
+  const fixture = await PlacementFixture.createPolled([serverA, serverB]);
   const blocks = [
     { name: 'p0', tokens: 10 },
     { name: 'p1', tokens: 10 },
@@ -221,7 +227,7 @@
   const sentBlocks = blocks.filter(({ name }) => name !== 'p1');
   const pick = (prompt: typeof blocks) =>
     fixture.placement.pick(fixture.route, prompt, '', new Set())?.id;
-  fixture.placement.begin(b, sentBlocks);
+  fixture.placement.begin(serverB, sentBlocks);
   assert.is(pick(sentBlocks), 'b');
   assert.is(pick(blocks), 'a');
 });
--- a/tests/src/session-owner/stream-events.test.ts
+++ b/tests/src/session-owner/stream-events.test.ts
@@ -66,11 +66,11 @@
 events('a stream split at any byte gives the same events', () => {
   for (let seed = 1; seed <= 40; seed++) {
     const { text, data, lastId, count } = randomStream(seededRng(seed));
-    for (let at = 0; at <= text.length; at++)
+    for (let offset = 0; offset <= text.length; offset++)
       assert.equal(
-        split([text.slice(0, at), text.slice(at)]),
+        split([text.slice(0, offset), text.slice(offset)]),
         { passed: text, count, lastId, data, endsWithinEvent: false },
-        `seed ${seed}, byte ${at}`,
+        `seed ${seed}, byte ${offset}`,
       );
     assert.equal(
       split(text.split('')),
@@ -94,12 +94,12 @@
 events('an event that is cut at any byte is not passed on', () => {
   const complete = 'id: 7\ndata: seven\n\n';
   const next = 'id: 8\ndata: eight\n\n';
-  for (let at = 1; at < next.length; at++) {
-    const result = split([complete, next.slice(0, at)]);
+  for (let offset = 1; offset < next.length; offset++) {
+    const result = split([complete, next.slice(0, offset)]);
     assert.equal(
       result,
       { passed: complete, count: 1, lastId: '7', data: 'seven\n', endsWithinEvent: true },
-      `byte ${at}`,
+      `byte ${offset}`,
     );
   }
 });
