--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -15,7 +15,7 @@
 } from '@tillerstair/journal';
 import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
-import { openJournal } from './journal-rig.js';
+import { openJournal } from './journal-fixture.js';
 
 /** The records of one line of a store's log, as far as the tests look into them. */
 const LogRecords = z.array(
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -7,18 +7,27 @@
 import { FolderDisk, encodeFrame } from '@tillerstair/journal';
 import { Incarnation } from '@tillerstair/sim';
 import { openStoreDisk } from '@tillerstair/store';
-import { at, longAt, openJournal, type Rig, rig, finish, item, keysOf } from './journal-rig.js';
+import {
+  stateAt,
+  rewriteMinBytes,
+  openJournal,
+  type JournalFixture,
+  createFixture,
+  outcomeOf,
+  item,
+  keysOf,
+} from './journal-fixture.js';
 
 const damage = suite('journals damaged or cut off in a rewrite');
 
-const diffs = async (r: Rig, versions: number): Promise<void> => {
+const diffs = async (r: JournalFixture, versions: number): Promise<void> => {
   const electionStore = await r.electionStore();
   await r.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
   for (let v = 1; v <= versions; v++)
-    await r.clock.finish('accept', electionStore.accept(at(3, v)), 1000);
+    await r.clock.finish('accept', electionStore.accept(stateAt(3, v)), 1000);
 };
 
-const linesOf = async (r: Rig): Promise<readonly string[]> => {
+const linesOf = async (r: JournalFixture): Promise<readonly string[]> => {
   const file = await r.clock.finish(
     'open',
     r.platter.disk(r.clock, new Incarnation()).open('zen.log'),
@@ -29,7 +38,7 @@
   return Buffer.concat(chunks).toString('utf8').split('\n').slice(0, -1);
 };
 
-const store = async (r: Rig, lines: readonly string[]): Promise<void> => {
+const store = async (r: JournalFixture, lines: readonly string[]): Promise<void> => {
   const file = await r.clock.finish(
     'open',
     r.platter.disk(r.clock, new Incarnation()).open('zen.log'),
@@ -45,12 +54,12 @@
 damage(
   'a log with a record missing anywhere before its last starts a new member, and says so once',
   async () => {
-    const r = rig(1);
+    const r = createFixture(1);
     await diffs(r, 6);
     const lines = await linesOf(r);
     assert.is(lines.length, 8);
     for (let gone = 0; gone < lines.length - 1; gone++) {
-      r.said.length = 0;
+      r.warnings.length = 0;
       r.platter.wipe();
       await store(
         r,
@@ -66,7 +75,7 @@
         [`fresh-${gone}`, 0, undefined],
         `without record ${gone}`,
       );
-      assert.is(r.said.filter((t) => t.includes('starting as a new member')).length, 1);
+      assert.is(r.warnings.filter((t) => t.includes('starting as a new member')).length, 1);
       assert.ok(r.platter.list().includes('zen.log.damaged'));
       r.platter.powerLoss();
       assert.is(
@@ -78,7 +87,7 @@
 );
 
 damage('records in another order, twice, or damaged start a new member', async () => {
-  const r = rig(1);
+  const r = createFixture(1);
   await diffs(r, 5);
   const lines = await linesOf(r);
   const [id = '', recordVote = '', full = '', ...rest] = lines;
@@ -127,16 +136,16 @@
   async () => {
     let lostAt = 0;
     for (let step = -1; step < 12; step++) {
-      const r = rig(step + 1);
+      const r = createFixture(step + 1);
       let ids = 0;
       const open = (life: Incarnation) =>
         openStoreDisk({
           disk: r.platter.disk(r.clock, life),
           clock: r.clock,
-          timings: r.pace,
+          timings: r.timings,
           freshId: () => `s-${++ids}`,
-          rewriteMinBytes: longAt,
-          limits: { rewriteMinBytes: longAt, retentionMs: 1e9, maxHints: 10 },
+          rewriteMinBytes: rewriteMinBytes,
+          limits: { rewriteMinBytes: rewriteMinBytes, retentionMs: 1e9, maxHints: 10 },
         });
       const first = await r.clock.finish('open', open(new Incarnation()), 1000);
       for (let n = 0; n < 4; n++)
@@ -168,7 +177,7 @@
     const left = new Set<string>();
     for (let seed = 0; seed < 4; seed++)
       for (let step = 0; step < 70; step++) {
-        const r = rig(step * 7 + seed);
+        const r = createFixture(step * 7 + seed);
         const life = new Incarnation();
         const electionStore = await r.electionStore(life, 'me', 4000);
         await r.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
@@ -178,7 +187,7 @@
         let acked = 0;
         let most = 0;
         for (let v = 1; v <= 30; v++) {
-          void electionStore.accept(at(3, v)).then(
+          void electionStore.accept(stateAt(3, v)).then(
             () => {
               acked = v;
             },
@@ -194,13 +203,13 @@
         r.platter.crashAtStep = -1;
         for (const name of r.platter.list()) left.add(name);
         const again = await r.electionStore(new Incarnation(), 'fresh');
-        assert.is(again.persisted.id, 'me', `seed ${seed}, step ${step}: ${r.said.join()}`);
+        assert.is(again.persisted.id, 'me', `seed ${seed}, step ${step}: ${r.warnings.join()}`);
         assert.equal([again.persisted.term, again.persisted.votedFor], [3, 'a']);
         assert.ok(
           (again.persisted.accepted?.version ?? 0) >= acked,
           `seed ${seed}, step ${step}: ${acked} was acknowledged, ${again.persisted.accepted?.version ?? 0} is held`,
         );
-        await r.clock.finish('goes on', again.accept(at(3, 31)), 1000);
+        await r.clock.finish('goes on', again.accept(stateAt(3, 31)), 1000);
       }
     assert.ok(rewrites > 20, `${rewrites} rewrites`);
     assert.ok(left.has('zen.log.next'), 'a leftover of a rewrite was met');
@@ -210,7 +219,7 @@
 damage(
   'a rewrite under a full disk fails nothing that was synced, and leaves no half file in the way',
   async () => {
-    const r = rig(3);
+    const r = createFixture(3);
     const electionStore = await r.electionStore(new Incarnation(), 'me', 2000);
     await r.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
     let v = 0;
@@ -219,7 +228,7 @@
       if (v === 20) r.platter.full = true;
       if (v === 30) r.platter.full = false;
       if (v === 30) await r.clock.run(1000);
-      await finish(r, electionStore.accept(at(3, v)));
+      await outcomeOf(r, electionStore.accept(stateAt(3, v)));
     }
     assert.is(electionStore.writable, true);
     r.platter.powerLoss();
--- a/tests/src/journal/journal-rig.ts
+++ b/tests/src/journal/journal-fixture.ts
@@ -18,48 +18,52 @@
 
 const bootstrapped = bootstrapState('x', peers, 8);
 
-export const at = (term: number, version: number): State => ({ ...bootstrapped, term, version });
+export const stateAt = (term: number, version: number): State => ({
+  ...bootstrapped,
+  term,
+  version,
+});
 
-export const longAt = 1 << 20;
+export const rewriteMinBytes = 1 << 20;
 
-export interface Rig {
+export interface JournalFixture {
   readonly clock: SimClock;
   readonly platter: SimPlatter;
-  readonly said: string[];
-  readonly pace: JournalTimings;
+  readonly warnings: string[];
+  readonly timings: JournalTimings;
   electionStore(life?: Incarnation, id?: string, rewriteAt?: number): Promise<DiskElectionStore>;
   replicaStore(life?: Incarnation, rewriteAt?: number): Promise<ReplicaStore>;
 }
 
-export const rig = (seed: number): Rig => {
+export const createFixture = (seed: number): JournalFixture => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(seed));
-  const said: string[] = [];
-  const pace = {
+  const warnings: string[] = [];
+  const timings = {
     clock,
     syncTimeoutMs: 1500,
     retryIntervalMs: 250,
-    log: { ...silentLogger, warn: (text: string) => void said.push(text) },
+    log: { ...silentLogger, warn: (text: string) => void warnings.push(text) },
   };
   return {
     clock,
     platter,
-    said,
-    pace,
-    electionStore: (life = new Incarnation(), id = 'me', rewriteAt = longAt) =>
+    warnings,
+    timings,
+    electionStore: (life = new Incarnation(), id = 'me', rewriteAt = rewriteMinBytes) =>
       clock.finish(
         'keep',
-        DiskElectionStore.open(platter.disk(clock, life), () => id, rewriteAt, pace),
+        DiskElectionStore.open(platter.disk(clock, life), () => id, rewriteAt, timings),
         60000,
       ),
-    replicaStore: (life = new Incarnation(), rewriteAt = longAt) =>
+    replicaStore: (life = new Incarnation(), rewriteAt = rewriteMinBytes) =>
       clock.finish(
         'replica store',
         ReplicaStore.open(
           platter.disk(clock, life),
           clock,
           { rewriteMinBytes: rewriteAt, retentionMs: 1e9, maxHints: 10 },
-          pace,
+          timings,
         ),
         60000,
       ),
@@ -72,7 +76,7 @@
     (e: unknown) => (e instanceof Error && 'code' in e ? String(e.code) : String(e)),
   );
 
-export const finish = (r: Rig, work: Promise<unknown>): Promise<string> =>
+export const outcomeOf = (r: JournalFixture, work: Promise<unknown>): Promise<string> =>
   r.clock.finish('work', outcome(work), 5000);
 
 export const item = (n: number) => ({ key: `o/t/${n}`, ownershipEpoch: 1, seq: n + 1, value: n });
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -6,7 +6,7 @@
 import { FolderDisk, FolderInUseError, JournalDamagedError } from '@tillerstair/journal';
 import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
-import { openJournal } from './journal-rig.js';
+import { openJournal } from './journal-fixture.js';
 
 const journal = suite('journal and disk');
 
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -8,7 +8,7 @@
   type Disk,
 } from '@tillerstair/journal';
 import { Incarnation } from '@tillerstair/sim';
-import { finish, rig, type Rig } from './journal-rig.js';
+import { outcomeOf, createFixture, type JournalFixture } from './journal-fixture.js';
 
 const refusals = suite('refused writes of a journal');
 
@@ -19,12 +19,12 @@
 
 /** Opens a log whose owner holds what it was handed, and whose file is written anew from that. */
 const open = async (
-  r: Rig,
+  r: JournalFixture,
   disk: Disk = r.platter.disk(r.clock, new Incarnation()),
 ): Promise<Opened> => {
   const opened = await r.clock.finish(
     'open',
-    Journal.open(disk, 'a.log', r.pace, (journal) => {
+    Journal.open(disk, 'a.log', r.timings, (journal) => {
       const records: unknown[] = [];
       return { journal, records, restore: (record: unknown) => void records.push(record) };
     }),
@@ -34,9 +34,13 @@
   return opened;
 };
 
-const append = (r: Rig, { journal, records }: Opened, record: unknown): Promise<string> => {
+const append = (
+  r: JournalFixture,
+  { journal, records }: Opened,
+  record: unknown,
+): Promise<string> => {
   records.push(record);
-  return finish(r, journal.append(record));
+  return outcomeOf(r, journal.append(record));
 };
 
 const executedOf = (work: Promise<unknown>): Promise<string> =>
@@ -45,7 +49,7 @@
     (e: unknown) => (e instanceof JournalUnavailableError ? e.executed : 'another error'),
   );
 
-const recordsOnDisk = async (r: Rig): Promise<readonly unknown[]> => {
+const recordsOnDisk = async (r: JournalFixture): Promise<readonly unknown[]> => {
   r.platter.powerLoss();
   return (await open(r)).records;
 };
@@ -53,7 +57,7 @@
 refusals(
   'of a failed write it is unknown whether it was executed, the next ones are not',
   async () => {
-    const r = rig(1);
+    const r = createFixture(1);
     const opened = await open(r);
     r.platter.failSyncs = true;
     const first = await r.clock.finish('first', executedOf(opened.journal.append(1)), 5000);
@@ -65,7 +69,7 @@
 );
 
 refusals('a torn tail is cut off, so that later appends stand on lines of their own', async () => {
-  const r = rig(1);
+  const r = createFixture(1);
   const opened = await open(r);
   assert.is(await append(r, opened, 1), 'done');
   const file = await r.clock.finish(
@@ -82,7 +86,7 @@
 });
 
 refusals('a write that ends after its bound counts for nobody', async () => {
-  const r = rig(1);
+  const r = createFixture(1);
   const opened = await open(r);
   r.platter.stalled = true;
   const late = executedOf(opened.journal.append(1));
@@ -96,7 +100,7 @@
 refusals(
   'a record that waited behind an overlong write is written anew before any other',
   async () => {
-    const r = rig(1);
+    const r = createFixture(1);
     const opened = await open(r);
     r.platter.stalled = true;
     const first = append(r, opened, 1);
@@ -113,7 +117,7 @@
 refusals(
   'a rewrite is not begun while another is under way, or while nothing is taken',
   async () => {
-    const r = rig(1);
+    const r = createFixture(1);
     const opened = await open(r);
     assert.is(await append(r, opened, 1), 'done');
     let snapshots = 0;
@@ -135,10 +139,10 @@
 );
 
 refusals('a rewrite that waited for a write that failed is not made', async () => {
-  const r = rig(1);
+  const r = createFixture(1);
   const journal = await r.clock.finish(
     'open',
-    Journal.open(r.platter.disk(r.clock, new Incarnation()), 'a.log', r.pace, (opened) => ({
+    Journal.open(r.platter.disk(r.clock, new Incarnation()), 'a.log', r.timings, (opened) => ({
       opened,
       restore: () => undefined,
     })),
@@ -146,7 +150,7 @@
   );
   let snapshots = 0;
   r.platter.stalled = true;
-  const first = finish(r, journal.opened.append(1));
+  const first = outcomeOf(r, journal.opened.append(1));
   await r.clock.run(10);
   const rewritten = journal.opened.rewrite(() => {
     snapshots++;
@@ -161,7 +165,7 @@
 });
 
 refusals('only a disk that takes no bytes is waited for', async () => {
-  const r = rig(1);
+  const r = createFixture(1);
   let attempts = 0;
   const failing = (code: string) => async (): Promise<number> => {
     attempts++;
@@ -172,14 +176,14 @@
   assert.is(
     await r.clock.finish(
       'full',
-      retryTransientDiskErrors(r.pace, 'a.log', failing('ENOSPC')),
+      retryTransientDiskErrors(r.timings, 'a.log', failing('ENOSPC')),
       5000,
     ),
     3,
   );
   attempts = 0;
-  const denied = retryTransientDiskErrors(r.pace, 'a.log', failing('EACCES'));
-  assert.is(await finish(r, denied), 'EACCES');
+  const denied = retryTransientDiskErrors(r.timings, 'a.log', failing('EACCES'));
+  assert.is(await outcomeOf(r, denied), 'EACCES');
   assert.is(attempts, 1);
 });
 
--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -3,15 +3,15 @@
 import * as assert from 'uvu/assert';
 import { opKeyOf, OpValue, encodeBody } from '@tillerstair/session-owner';
 import {
-  brief,
+  textOf,
   codeOf,
   declinedReply,
   gate,
   lostReply,
-  SessionOwnerRig,
+  SessionOwnerFixture,
   statusOf,
-  wholeReply,
-} from '../support/session-owner-rig.js';
+  fullReply,
+} from '../support/session-owner-fixture.js';
 import { configuration, host } from '../support/session-owner-state.js';
 
 const operations = suite('keyed operations');
@@ -21,7 +21,7 @@
 
 /** Runs a tool call with the key `k`. */
 const call = (
-  fixture: SessionOwnerRig,
+  fixture: SessionOwnerFixture,
   change: { path?: string; key?: string; body?: string } = {},
 ) =>
   fixture.owner.calls.runCall(
@@ -31,7 +31,7 @@
 
 /** Runs a request of a pass route with the key `k`. */
 const pass = (
-  fixture: SessionOwnerRig,
+  fixture: SessionOwnerFixture,
   change: { path?: string; key?: string; body?: string; left?: number } = {},
   signal = neverAborted,
 ) =>
@@ -58,22 +58,22 @@
   );
 
 operations('a path without a route is refused', async () => {
-  const fixture = await SessionOwnerRig.opened();
-  assert.is(brief(await fixture.finish(call(fixture, { path: '/none' }))), 'refused 404 no-route');
+  const fixture = await SessionOwnerFixture.opened();
+  assert.is(textOf(await fixture.finish(call(fixture, { path: '/none' }))), 'refused 404 no-route');
   assert.is(await codeOf(() => fixture.finish(pass(fixture, { path: '/none/' }))), 'route-unknown');
 });
 
 operations('an acting call and a request of a keyed pass route require a key', async () => {
-  const fixture = await SessionOwnerRig.opened();
-  assert.is(brief(await fixture.finish(call(fixture, { key: '' }))), 'refused 400 no-key');
-  assert.is(brief(await fixture.finish(pass(fixture, { key: '' }))), 'refused 400 no-key');
+  const fixture = await SessionOwnerFixture.opened();
+  assert.is(textOf(await fixture.finish(call(fixture, { key: '' }))), 'refused 400 no-key');
+  assert.is(textOf(await fixture.finish(pass(fixture, { key: '' }))), 'refused 400 no-key');
   assert.is(fixture.sent.length, 0);
-  assert.is(brief(await fixture.finish(call(fixture, { key: '', path: '/look' }))), 'done 200');
+  assert.is(textOf(await fixture.finish(call(fixture, { key: '', path: '/look' }))), 'done 200');
 });
 
 operations('the intent is on a quorum before the operation is sent', async () => {
-  const fixture = await SessionOwnerRig.opened();
-  assert.is(brief(await fixture.finish(call(fixture))), 'done 200');
+  const fixture = await SessionOwnerFixture.opened();
+  assert.is(textOf(await fixture.finish(call(fixture))), 'done 200');
   const sentAt = fixture.events.findIndex((line) => line.startsWith('send'));
   const before = fixture.events.slice(0, sentAt).filter((line) => line === `put ${key} intent`);
   assert.ok(before.length >= 2, fixture.events.join(', '));
@@ -81,14 +81,14 @@
 });
 
 operations('without a quorum for the intent nothing is sent', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.down.add('a').add('b');
-  assert.is(brief(await fixture.finish(call(fixture))), 'refused 503 unavailable');
+  assert.is(textOf(await fixture.finish(call(fixture))), 'refused 503 unavailable');
   assert.is(fixture.sent.length, 0);
 });
 
 operations('an operation that is done is answered from its record', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.reply = () => ({ ended: { kind: 'done', code: 201, body: 'first' } });
   const first = await fixture.finish(call(fixture));
   const second = await fixture.finish(call(fixture));
@@ -97,27 +97,27 @@
 });
 
 operations('a key used with another body is refused, in progress and afterwards', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   const server = gate();
   fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
   const first = call(fixture);
   await fixture.clock.run(10);
-  assert.is(brief(await fixture.finish(call(fixture, { body: '2' }))), 'refused 422 other-body');
+  assert.is(textOf(await fixture.finish(call(fixture, { body: '2' }))), 'refused 422 other-body');
   server.open();
-  assert.is(brief(await fixture.finish(first)), 'done 200');
-  assert.is(brief(await fixture.finish(call(fixture, { body: '2' }))), 'refused 422 other-body');
+  assert.is(textOf(await fixture.finish(first)), 'done 200');
+  assert.is(textOf(await fixture.finish(call(fixture, { body: '2' }))), 'refused 422 other-body');
   assert.is(fixture.sent.length, 1);
 });
 
 operations('a second request with a key in progress shares its outcome or is refused', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   const server = gate();
   fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
   const first = pass(fixture);
   await fixture.clock.run(10);
   const joined = pass(fixture);
   const startedAt = fixture.clock.now();
-  assert.is(brief(await fixture.finish(pass(fixture, { left: 50 }))), 'refused 409 running');
+  assert.is(textOf(await fixture.finish(pass(fixture, { left: 50 }))), 'refused 409 running');
   assert.is(fixture.clock.now() - startedAt, 50);
   server.open();
   assert.equal(await fixture.finish(joined), await fixture.finish(first));
@@ -125,7 +125,7 @@
 });
 
 operations('an operation started under an earlier ownership is not run again', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.reply = () => ({
     ended: { kind: 'lost', text: 'cut' },
     after: new Promise<void>(() => 0),
@@ -133,10 +133,10 @@
   void call(fixture);
   await fixture.clock.run(10);
   assert.is(statusOf(fixture.stored(key)), 'intent');
-  const next = await SessionOwnerRig.opened();
+  const next = await SessionOwnerFixture.opened();
   next.store(key, fixture.stored(key));
   await next.transferAwayAndBack();
-  assert.is(brief(await next.finish(call(next))), 'unknown 504 unknown');
+  assert.is(textOf(await next.finish(call(next))), 'unknown 504 unknown');
   assert.is(next.sent.length, 0);
 });
 
@@ -146,7 +146,7 @@
     [false, ['memo'], 'unknown 504 unknown'],
     [true, ['memo', 'shop'], 'unknown 504 unknown'],
   ] as const) {
-    const fixture = await SessionOwnerRig.opened();
+    const fixture = await SessionOwnerFixture.opened();
     const request = { path: '/recorded/' };
     fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 } });
     await fixture.finish(pass(fixture, request));
@@ -163,13 +163,13 @@
     });
     await fixture.transferAwayAndBack();
     const sentBefore = fixture.sent.length;
-    assert.is(brief(await fixture.finish(pass(fixture, request))), expected);
+    assert.is(textOf(await fixture.finish(pass(fixture, request))), expected);
     assert.is(fixture.sent.length - sentBefore, expected === 'done 200' ? 1 : 0);
   }
 });
 
 operations('an operation that may have run is not stored as void if it is declined', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   const request = { path: '/recorded/' };
   await fixture.finish(pass(fixture, request));
   const stored = fixture.stored(key);
@@ -185,18 +185,18 @@
 });
 
 operations('a lost operation is unknown and is not sent to another server', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.reply = () => lostReply;
-  assert.is(brief(await fixture.finish(call(fixture))), 'unknown 504 unknown');
+  assert.is(textOf(await fixture.finish(call(fixture))), 'unknown 504 unknown');
   assert.is(fixture.sent.length, 1);
   assert.is(statusOf(fixture.stored(key)), 'unknown');
-  assert.is(brief(await fixture.finish(call(fixture))), 'unknown 504 unknown');
+  assert.is(textOf(await fixture.finish(call(fixture))), 'unknown 504 unknown');
   assert.is(fixture.sent.length, 1);
 });
 
 operations('a lost request is retried if it is repeatable or servers record keys', async () => {
   for (const path of ['/again/', '/recorded/']) {
-    const fixture = await SessionOwnerRig.opened();
+    const fixture = await SessionOwnerFixture.opened();
     fixture.reply = (n) => (n === 0 ? lostReply : { ended: { kind: 'done', code: 200, body: 1 } });
     assert.is((await fixture.finish(pass(fixture, { path }))).outcome, 'done');
     assert.is(new Set(fixture.sent.map((sent) => sent.server)).size, 2);
@@ -204,7 +204,7 @@
 });
 
 operations('loss at a server without key records is final even if the route changes', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.reply = () => {
     fixture.configure({
       ...configuration,
@@ -214,7 +214,7 @@
     });
     return lostReply;
   };
-  assert.is(brief(await fixture.finish(pass(fixture))), 'unknown 504 unknown');
+  assert.is(textOf(await fixture.finish(pass(fixture))), 'unknown 504 unknown');
   assert.is(fixture.sent.length, 1);
 });
 
@@ -223,7 +223,7 @@
     ['/again/', lostReply, 'unknown 504 unknown'],
     ['/keyed/', declinedReply, 'refused 503 no-server'],
   ] as const) {
-    const fixture = await SessionOwnerRig.opened();
+    const fixture = await SessionOwnerFixture.opened();
     fixture.configure({
       ...configuration,
       routes: configuration.routes.map((route) =>
@@ -231,13 +231,13 @@
       ),
     });
     fixture.reply = () => reply;
-    assert.is(brief(await fixture.finish(pass(fixture, { path }))), expected);
+    assert.is(textOf(await fixture.finish(pass(fixture, { path }))), expected);
     assert.is(fixture.sent.length, 1);
   }
 });
 
 operations('a lost request is not retried if its caller has disconnected', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   const caller = new AbortController();
   fixture.reply = () => {
     caller.abort();
@@ -251,13 +251,13 @@
 });
 
 operations('once lost, an operation stays unknown if no other server is available', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.reply = () => {
     fixture.removeServers('k1', 'k2');
     return lostReply;
   };
   const outcome = await fixture.finish(pass(fixture, { path: '/recorded/' }));
-  assert.is(brief(outcome), 'unknown 504 unknown');
+  assert.is(textOf(outcome), 'unknown 504 unknown');
 });
 
 operations('a server error is final unless the request is repeatable', async () => {
@@ -266,27 +266,27 @@
     ['/recorded/', 1],
     ['/keyed/', 1],
   ] as const) {
-    const fixture = await SessionOwnerRig.opened();
+    const fixture = await SessionOwnerFixture.opened();
     fixture.reply = () => ({
       ...lostReply,
       status: 500,
       bytes: [],
       ended: { kind: 'done', code: 500, body: 1 },
     });
-    assert.is(brief(await fixture.finish(pass(fixture, { path }))), 'done 500');
+    assert.is(textOf(await fixture.finish(pass(fixture, { path }))), 'done 500');
     assert.is(fixture.sent.length, attempts, path);
   }
 });
 
 operations('an operation that ran but whose result is not on a quorum is unknown', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.onPut = (_, status) => status !== 'done';
-  assert.is(brief(await fixture.finish(call(fixture))), 'unknown 504 unknown');
+  assert.is(textOf(await fixture.finish(call(fixture))), 'unknown 504 unknown');
   assert.is(fixture.sent.length, 1);
 });
 
 operations('servers that start draining while the intent is written get no request', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.onPut = () => {
     fixture.changeServer('s1', { draining: true });
     fixture.changeServer('s2', { draining: true });
@@ -298,20 +298,20 @@
 });
 
 operations('an owner whose read lease expired sends nothing', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.onPut = () => {
     fixture.leaseMs = 0;
     return true;
   };
   const outcome = await fixture.finish(call(fixture));
-  assert.is(brief(outcome), 'refused 503 no-server');
+  assert.is(textOf(outcome), 'refused 503 no-server');
   assert.is(outcome.text, 'the read lease of this front has expired');
   assert.is(fixture.sent.length, 0);
 });
 
 operations('the preconditions are checked again right before the first byte', async () => {
   for (const path of ['/act', '/keyed/']) {
-    const fixture = await SessionOwnerRig.opened();
+    const fixture = await SessionOwnerFixture.opened();
     fixture.beforeSend = () => {
       fixture.leaseMs = 0;
     };
@@ -322,7 +322,7 @@
 });
 
 operations('the intent is stored again for a server that does not record keys', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.configure({
     ...configuration,
     routes: configuration.routes.map((route) =>
@@ -351,7 +351,7 @@
 });
 
 operations('a slot is not released while one of its operations is in progress', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   const server = gate();
   fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
   const running = call(fixture);
@@ -365,7 +365,7 @@
 });
 
 operations('a request that exceeds its timeout in the queue is refused as not run', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.removeServers('s2');
   fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
   const server = gate();
@@ -373,9 +373,9 @@
   const running = call(fixture);
   await fixture.clock.run(10);
   const outcome = await fixture.finish(pass(fixture, { key: 'next', left: 300 }));
-  assert.is(brief(outcome), 'refused 503 queue-timeout');
+  assert.is(textOf(outcome), 'refused 503 queue-timeout');
   assert.is(
-    brief(await fixture.finish(pass(fixture, { key: 'late', left: 0 }))),
+    textOf(await fixture.finish(pass(fixture, { key: 'late', left: 0 }))),
     'refused 503 no-server',
   );
   server.open();
@@ -384,11 +384,11 @@
 });
 
 operations('a server is free for the next request whatever the previous outcome', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.removeServers('s2');
   fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
-  const replies = [declinedReply, lostReply, wholeReply];
-  fixture.reply = (n) => replies[n] ?? wholeReply;
+  const replies = [declinedReply, lostReply, fullReply];
+  fixture.reply = (n) => replies[n] ?? fullReply;
   const outcomes = [];
   for (const name of ['first', 'second', 'third', 'fourth'])
     outcomes.push((await fixture.finish(call(fixture, { key: name }))).outcome);
--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -5,7 +5,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PassTurn } from '@tillerstair/session-owner';
-import { codeOf, SessionOwnerRig } from '../support/session-owner-rig.js';
+import { codeOf, SessionOwnerFixture } from '../support/session-owner-fixture.js';
 
 const readiness = suite('readiness of the session owner');
 
@@ -20,7 +20,7 @@
 });
 
 readiness('no request is served without a state, a configuration and a read lease', async () => {
-  const fixture = new SessionOwnerRig();
+  const fixture = new SessionOwnerFixture();
   assert.is(await codeOf(() => fixture.owner.requireLease()), 'not-ready');
   assert.is(await codeOf(() => fixture.owner.slotFor('p/x')), 'not-ready');
   assert.is(await codeOf(() => fixture.owner.findTurn('r0')), 'not-ready');
@@ -28,14 +28,14 @@
   assert.is(await codeOf(() => fixture.owner.requireLease()), 'not-ready');
   fixture.change({ config: undefined });
   assert.is(await codeOf(() => fixture.owner.requireLease()), 'not-ready');
-  const served = await SessionOwnerRig.opened();
+  const served = await SessionOwnerFixture.opened();
   assert.is(await codeOf(() => served.owner.requireLease()), 'no error');
   served.leaseMs = 0;
   assert.is(await codeOf(() => served.owner.requireLease()), 'not-ready');
 });
 
 readiness('readiness gives the reason why the owner is not ready', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   assert.is(fixture.owner.readiness().ready, true);
   fixture.change({ retiring: new Map([['f1', '']]) });
   assert.equal(fixture.owner.readiness(), { ready: false, why: 'being drained' });
@@ -46,7 +46,7 @@
     ready: false,
     why: 'the control link is down and its read lease ran out',
   });
-  const withoutState = new SessionOwnerRig();
+  const withoutState = new SessionOwnerFixture();
   assert.equal(withoutState.owner.readiness(), { ready: false, why: 'no committed state yet' });
   withoutState.change({ config: undefined });
   assert.equal(withoutState.owner.readiness(), { ready: false, why: 'no configuration yet' });
@@ -55,7 +55,7 @@
 readiness(
   'a slot is served only by its owner, from when it is open until the owner stops accepting requests',
   async () => {
-    const fixture = new SessionOwnerRig();
+    const fixture = new SessionOwnerFixture();
     fixture.down.add('a').add('b');
     fixture.change({});
     await fixture.clock.run(100);
@@ -64,14 +64,14 @@
     await fixture.waitForSlotOpen();
     fixture.owner.stopAccepting();
     assert.is(await codeOf(() => fixture.owner.replicator('p/x')), 'taking-over');
-    const other = await SessionOwnerRig.opened();
+    const other = await SessionOwnerFixture.opened();
     other.changeSlot({ owner: 'f2', ownershipEpoch: 2, ownedSinceEpoch: 2 });
     assert.is(await codeOf(() => other.owner.replicator('p/x')), 'not-owner');
   },
 );
 
 readiness('an owner that lost a slot and regains it opens it again from the stores', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   const replicator = fixture.owner.replicator('p/x');
   fixture.changeSlot({ ownershipEpoch: 2 });
   await fixture.waitForSlotOpen();
@@ -83,13 +83,13 @@
 });
 
 readiness('an older renewal does not shorten the lease', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   fixture.owner.renewLease(-100000);
   assert.is(fixture.owner.leaseValid, true);
 });
 
 readiness('the watch of a node is aborted when the node leaves the cluster', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   const watch = fixture.owner.watch('a');
   fixture.change({});
   assert.is(watch.lost.aborted, false);
@@ -100,7 +100,7 @@
 readiness(
   'a request may run at a server only with a lease, a route and a listed server that is not draining',
   async () => {
-    const fixture = await SessionOwnerRig.opened();
+    const fixture = await SessionOwnerFixture.opened();
     const server = fixture.current.servers.get('m1');
     if (!server) throw new Error('server m1 is not listed');
     assert.is(fixture.owner.mayRun(server, 'turn', '/chat'), true);
@@ -115,7 +115,7 @@
 );
 
 readiness('no server is assigned without a read lease or without a usable server', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   const neverAborted = new AbortController().signal;
   const place = () =>
     fixture.owner.place({
@@ -136,7 +136,7 @@
 });
 
 readiness('a turn is reported missing only if no write quorum can have stored it', async () => {
-  const fixture = await SessionOwnerRig.opened();
+  const fixture = await SessionOwnerFixture.opened();
   assert.equal(await fixture.finish(fixture.owner.findTurn('r0')), []);
   fixture.down.add('c');
   assert.equal(await fixture.finish(fixture.owner.findTurn('r0')), []);
@@ -155,7 +155,7 @@
 readiness(
   'a reserved turn has not finished; a newer failed record of it means that there is no turn',
   async () => {
-    const fixture = await SessionOwnerRig.opened();
+    const fixture = await SessionOwnerFixture.opened();
     fixture.store('p/x-q/t/r0', turn({ status: 'reserved' }));
     assert.is(await codeOf(() => fixture.finish(fixture.owner.findTurn('r0'))), 'not-finished');
     fixture.store('p/x-q/t/r0', turn({ status: 'failed' }), ['a']);
--- a/tests/src/session-owner/programs.test.ts
+++ b/tests/src/session-owner/programs.test.ts
@@ -1,7 +1,7 @@
 /** Programs are visible to their tenant only; a program or turn counts as missing only if a quorum does not have it. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { brief, gate, SessionOwnerRig, wholeReply } from '../support/session-owner-rig.js';
+import { textOf, gate, SessionOwnerFixture, fullReply } from '../support/session-owner-fixture.js';
 import {
   readHistory,
   runTurn,
@@ -16,11 +16,11 @@
   const fixture = await withProgram();
   const other = { tenant: 'other' };
   assert.is(
-    brief(await fixture.finish(fixture.owner.turns.createProgram({ tenant: 'other', pid: 'p1' }))),
+    textOf(await fixture.finish(fixture.owner.turns.createProgram({ tenant: 'other', pid: 'p1' }))),
     'refused 404 missing',
   );
-  assert.is(brief(await fixture.finish(runTurn(fixture, other))), 'refused 404 missing');
-  assert.is(brief(await fixture.finish(readHistory(fixture, other))), 'refused 404 missing');
+  assert.is(textOf(await fixture.finish(runTurn(fixture, other))), 'refused 404 missing');
+  assert.is(textOf(await fixture.finish(readHistory(fixture, other))), 'refused 404 missing');
   assert.is(fixture.sent.length, 0);
 });
 
@@ -32,7 +32,7 @@
     ['t', 'p1', 'done 201'],
   ] as const)
     assert.is(
-      brief(
+      textOf(
         await fixture.finish(fixture.owner.turns.createProgram({ tenant, pid: 'p1~1', parent })),
       ),
       expected,
@@ -60,11 +60,11 @@
 programs(
   'a program that replicas store but the owner has not loaded is unavailable, not missing',
   async () => {
-    const fixture = await SessionOwnerRig.opened();
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 404 missing');
+    const fixture = await SessionOwnerFixture.opened();
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'refused 404 missing');
     fixture.store('p/p1', { t: 'program', tenant: 't', budget: 50, parent: null });
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 unavailable');
-    assert.is(brief(await fixture.finish(readHistory(fixture))), 'refused 503 unavailable');
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'refused 503 unavailable');
+    assert.is(textOf(await fixture.finish(readHistory(fixture))), 'refused 503 unavailable');
     assert.is(fixture.sent.length, 0);
   },
 );
@@ -72,29 +72,29 @@
 programs('the history distinguishes running, missing and unreadable turns', async () => {
   const fixture = await withProgram();
   const server = gate();
-  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  fixture.reply = () => ({ ...fullReply, after: server.opened });
   const runningTurn = runTurn(fixture);
   await fixture.clock.run(10);
   assert.is(
-    brief(await fixture.finish(readHistory(fixture, { turn: turnId }))),
+    textOf(await fixture.finish(readHistory(fixture, { turn: turnId }))),
     'refused 409 running',
   );
   server.open();
   await fixture.finish(runningTurn);
-  assert.is(brief(await fixture.finish(readHistory(fixture, { turn: turnId }))), 'done 200');
+  assert.is(textOf(await fixture.finish(readHistory(fixture, { turn: turnId }))), 'done 200');
   assert.is(
-    brief(await fixture.finish(readHistory(fixture, { turn: 't-none' }))),
+    textOf(await fixture.finish(readHistory(fixture, { turn: 't-none' }))),
     'refused 404 missing',
   );
   fixture.store('p/p1/t/t-late', turnValue(fixture));
   assert.is(
-    brief(await fixture.finish(readHistory(fixture, { turn: 't-late' }))),
+    textOf(await fixture.finish(readHistory(fixture, { turn: 't-late' }))),
     'refused 503 unavailable',
   );
   fixture.store('p/p1/t/t-void', { ...turnValue(fixture), status: 'void' });
   await fixture.transferAwayAndBack();
   assert.is(
-    brief(await fixture.finish(readHistory(fixture, { turn: 't-void' }))),
+    textOf(await fixture.finish(readHistory(fixture, { turn: 't-void' }))),
     'refused 404 missing',
   );
 });
--- a/tests/src/session-owner/turns.test.ts
+++ b/tests/src/session-owner/turns.test.ts
@@ -2,14 +2,14 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  brief,
+  textOf,
   codeOf,
   declinedReply,
   gate,
   lostReply,
   statusOf,
-  wholeReply,
-} from '../support/session-owner-rig.js';
+  fullReply,
+} from '../support/session-owner-fixture.js';
 import { configuration } from '../support/session-owner-state.js';
 import {
   readHistory,
@@ -24,7 +24,7 @@
 
 turns('a quorum stores the reservation before the turn is sent', async () => {
   const fixture = await withProgram();
-  assert.is(brief(await fixture.finish(runTurn(fixture))), 'done 200');
+  assert.is(textOf(await fixture.finish(runTurn(fixture))), 'done 200');
   const sentAt = fixture.events.findIndex((line) => line.startsWith('send'));
   const before = fixture.events
     .slice(0, sentAt)
@@ -40,13 +40,13 @@
     const fixture = await withProgram(10);
     fixture.onPut = () => false;
     assert.is(
-      brief(await fixture.finish(runTurn(fixture, { maxTokens: 8 }))),
+      textOf(await fixture.finish(runTurn(fixture, { maxTokens: 8 }))),
       'refused 503 unavailable',
     );
     assert.is(fixture.sent.length, 0);
     fixture.onPut = () => true;
     assert.is(
-      brief(await fixture.finish(runTurn(fixture, { maxTokens: 8, key: 'other' }))),
+      textOf(await fixture.finish(runTurn(fixture, { maxTokens: 8, key: 'other' }))),
       'done 200',
     );
     assert.is(fixture.sent[0]?.maxTokens, 8);
@@ -56,20 +56,20 @@
 turns('a turn is done only once a quorum stores it', async () => {
   const fixture = await withProgram();
   fixture.onPut = (_, status) => status !== 'done';
-  assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 unknown');
+  assert.is(textOf(await fixture.finish(runTurn(fixture))), 'unknown 504 unknown');
 });
 
 turns('access to the program is also checked for a caller that joins a running turn', async () => {
   const fixture = await withProgram();
   const server = gate();
-  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  fixture.reply = () => ({ ...fullReply, after: server.opened });
   const first = runTurn(fixture);
   await fixture.clock.run(10);
   const otherTenant = runTurn(fixture, { tenant: 'other' });
   const joined = runTurn(fixture);
   server.open();
-  assert.is(brief(await fixture.finish(first)), 'done 200');
-  assert.is(brief(await fixture.finish(otherTenant)), 'refused 404 missing');
+  assert.is(textOf(await fixture.finish(first)), 'done 200');
+  assert.is(textOf(await fixture.finish(otherTenant)), 'refused 404 missing');
   assert.equal(await fixture.finish(joined), await fixture.finish(runTurn(fixture)));
   assert.is(fixture.sent.length, 1);
 });
@@ -87,7 +87,7 @@
   const fixture = await withProgram();
   await fixture.finish(runTurn(fixture));
   assert.is(
-    brief(await fixture.finish(runTurn(fixture, { words: 'else' }))),
+    textOf(await fixture.finish(runTurn(fixture, { words: 'else' }))),
     'refused 422 other-body',
   );
   assert.is(fixture.sent.length, 1);
@@ -98,16 +98,16 @@
   async () => {
     const fixture = await withProgram();
     fixture.reply = () => lostReply;
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
     assert.is(statusOf(fixture.stored(turnKey)), 'failed');
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
     assert.is(
-      brief(await fixture.finish(readHistory(fixture, { turn: turnId }))),
+      textOf(await fixture.finish(readHistory(fixture, { turn: turnId }))),
       'unknown 504 broken-off',
     );
     fixture.store(turnKey, { ...turnValue(fixture), status: 'reserved' });
     await fixture.transferAwayAndBack();
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
     assert.is(fixture.sent.length, 1);
   },
 );
@@ -115,7 +115,7 @@
 turns('a turn without a route is refused', async () => {
   const fixture = await withProgram();
   assert.is(
-    brief(await fixture.finish(runTurn(fixture, { path: '/none' }))),
+    textOf(await fixture.finish(runTurn(fixture, { path: '/none' }))),
     'refused 404 no-route',
   );
 });
@@ -123,7 +123,7 @@
 turns('the turn that a turn follows must exist and have finished', async () => {
   const fixture = await withProgram();
   assert.is(
-    brief(await fixture.finish(runTurn(fixture, { after: 't-none' }))),
+    textOf(await fixture.finish(runTurn(fixture, { after: 't-none' }))),
     'refused 404 missing-turn',
   );
   const previousTurn = {
@@ -136,7 +136,7 @@
   };
   fixture.store('p/p1/t/t-late', { ...previousTurn, status: 'done', cost: 0, chunks: [] });
   assert.is(
-    brief(await fixture.finish(runTurn(fixture, { after: 't-late' }))),
+    textOf(await fixture.finish(runTurn(fixture, { after: 't-late' }))),
     'refused 503 unavailable',
   );
   for (const [status, expected] of [
@@ -148,7 +148,7 @@
     fixture.store(`p/p1/t/t-${status}`, { ...previousTurn, status, cost: 0, chunks: ['said'] });
     await fixture.transferAwayAndBack();
     const outcome = await fixture.finish(runTurn(fixture, { after: `t-${status}`, key: status }));
-    assert.is(brief(outcome), expected);
+    assert.is(textOf(outcome), expected);
   }
   assert.equal(
     fixture.sent.map((sent) => sent.messages),
@@ -166,10 +166,10 @@
   'no turn is reserved beyond the budget, and the last turn is limited to the tokens that remain',
   async () => {
     const fixture = await withProgram(5);
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'done 200');
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'done 200');
     assert.is(fixture.sent[0]?.maxTokens, 5);
     fixture.reply = () => ({
-      ...wholeReply,
+      ...fullReply,
       chunks: [
         [0, 'x'],
         [1, 'y'],
@@ -179,7 +179,7 @@
     await fixture.finish(runTurn(fixture, { key: 'second' }));
     assert.is(fixture.sent[1]?.maxTokens, 2);
     assert.is(
-      brief(await fixture.finish(runTurn(fixture, { key: 'third' }))),
+      textOf(await fixture.finish(runTurn(fixture, { key: 'third' }))),
       'refused 402 budget-spent',
     );
     assert.is(fixture.sent.length, 2);
@@ -189,7 +189,7 @@
 turns('a reservation that is being written counts against the budget', async () => {
   const fixture = await withProgram(8);
   const [first, second] = [runTurn(fixture), runTurn(fixture, { key: 'second' })];
-  const outcomes = [brief(await fixture.finish(first)), brief(await fixture.finish(second))];
+  const outcomes = [textOf(await fixture.finish(first)), textOf(await fixture.finish(second))];
   assert.equal(outcomes.sort(), ['done 200', 'refused 402 budget-spent']);
   assert.is(fixture.sent.length, 1);
 });
@@ -212,7 +212,7 @@
   server.open();
   const outcomes = [];
   for (const work of [occupyingTurn, second, third])
-    outcomes.push(brief(await fixture.finish(work)));
+    outcomes.push(textOf(await fixture.finish(work)));
   assert.equal(outcomes, ['done 200', 'done 200', 'refused 402 budget-spent']);
   assert.is(fixture.sent.length, 2);
 });
@@ -223,11 +223,11 @@
     const fixture = await withProgram();
     fixture.reply = () => declinedReply;
     fixture.removeServers('m2');
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 no-server');
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'refused 503 no-server');
     assert.is(statusOf(fixture.stored(turnKey)), 'void');
     assert.is(turnValue(fixture).cost, 0);
-    fixture.reply = () => wholeReply;
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'done 200');
+    fixture.reply = () => fullReply;
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'done 200');
   },
 );
 
@@ -237,7 +237,7 @@
     const fixture = await withProgram();
     const putAt: number[] = [];
     fixture.reply = (index) => {
-      if (index > 0) return wholeReply;
+      if (index > 0) return fullReply;
       const lateReply = gate();
       fixture.clock.after(2100, lateReply.open);
       return { ...declinedReply, after: lateReply.opened };
@@ -246,7 +246,7 @@
       putAt.push(fixture.clock.now());
       return true;
     };
-    assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 queue-timeout');
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'refused 503 queue-timeout');
     assert.is(fixture.sent.length, 1);
   },
 );
@@ -258,7 +258,7 @@
     caller.abort();
     return true;
   };
-  assert.is(brief(await fixture.finish(runTurn(fixture, {}, caller.signal))), 'refused 503 gone');
+  assert.is(textOf(await fixture.finish(runTurn(fixture, {}, caller.signal))), 'refused 503 gone');
   assert.is(fixture.sent.length, 0);
   assert.is(statusOf(fixture.stored(turnKey)), 'void');
 });
@@ -269,7 +269,7 @@
     fixture.leaseMs = 0;
     return true;
   };
-  assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 not-ready');
+  assert.is(textOf(await fixture.finish(runTurn(fixture))), 'refused 503 not-ready');
   assert.is(fixture.sent.length, 0);
 });
 
@@ -280,7 +280,7 @@
     if (status === 'reserved') fixture.changeServer('m1', { draining: true });
     return true;
   };
-  assert.is(brief(await fixture.finish(runTurn(fixture))), 'refused 503 no-server');
+  assert.is(textOf(await fixture.finish(runTurn(fixture))), 'refused 503 no-server');
   assert.is(fixture.sent.length, 0);
 });
 
@@ -295,12 +295,12 @@
 
 turns('a declined turn is sent to another server; a lost one is not', async () => {
   const declined = await withProgram();
-  declined.reply = (index) => (index === 0 ? declinedReply : wholeReply);
-  assert.is(brief(await declined.finish(runTurn(declined))), 'done 200');
+  declined.reply = (index) => (index === 0 ? declinedReply : fullReply);
+  assert.is(textOf(await declined.finish(runTurn(declined))), 'done 200');
   assert.is(new Set(declined.sent.map((sent) => sent.server)).size, 2);
   const lost = await withProgram();
-  lost.reply = (index) => (index === 0 ? lostReply : wholeReply);
-  assert.is(brief(await lost.finish(runTurn(lost))), 'unknown 504 broken-off');
+  lost.reply = (index) => (index === 0 ? lostReply : fullReply);
+  assert.is(textOf(await lost.finish(runTurn(lost))), 'unknown 504 broken-off');
   assert.is(lost.sent.length, 1);
 });
 
@@ -309,14 +309,14 @@
   async () => {
     for (const reply of [
       {
-        ...wholeReply,
+        ...fullReply,
         chunks: [
           [0, 'x'],
           [2, 'z'],
           [1, 'y'],
         ] as const,
       },
-      { ...wholeReply, chunks: [[0, 'x']] as const },
+      { ...fullReply, chunks: [[0, 'x']] as const },
       {
         chunks: Array.from({ length: 9 }, (_, index) => [index, 'x'] as const),
         ended: { kind: 'done', code: 200, body: 8 } as const,
@@ -324,7 +324,7 @@
     ]) {
       const fixture = await withProgram();
       fixture.reply = () => reply;
-      assert.is(brief(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
+      assert.is(textOf(await fixture.finish(runTurn(fixture))), 'unknown 504 broken-off');
       assert.is(statusOf(fixture.stored(turnKey)), 'failed');
       assert.ok(fixture.emitted.length <= 8);
     }
@@ -337,10 +337,10 @@
   fixture.reply = (_, sent) => {
     caller.abort();
     assert.is(sent.stop.aborted, true);
-    return wholeReply;
+    return fullReply;
   };
   assert.is(
-    brief(await fixture.finish(runTurn(fixture, {}, caller.signal))),
+    textOf(await fixture.finish(runTurn(fixture, {}, caller.signal))),
     'unknown 504 broken-off',
   );
 });
@@ -348,7 +348,7 @@
 turns('a slot is not released while one of its turns is in flight', async () => {
   const fixture = await withProgram();
   const server = gate();
-  fixture.reply = () => ({ ...wholeReply, after: server.opened });
+  fixture.reply = () => ({ ...fullReply, after: server.opened });
   const runningTurn = runTurn(fixture);
   await fixture.clock.run(10);
   fixture.changeSlot({ transferTarget: 'f2' });
--- a/tests/src/store/emptying-stores.test.ts
+++ b/tests/src/store/emptying-stores.test.ts
@@ -5,15 +5,15 @@
 import type { World, Machine } from '@tillerstair/sim';
 import { configText, servers, worldUp } from '../support/world-helpers.js';
 import {
-  twoLosses,
-  oneLoss,
+  twoLossCluster,
+  oneLossCluster,
   storeIdOf,
-  wipe,
-  whole,
-  work,
-  assertKept,
-  ownersAnew,
-} from '../support/replica-world.js';
+  loseDisk,
+  isFullyReplicated,
+  runWorkload,
+  assertWorkloadPreserved,
+  restartFronts,
+} from '../support/replica-cluster.js';
 
 const emptying = suite('emptying of stores');
 
@@ -36,16 +36,16 @@
   'a store told to be emptied, and wiped with another right after it is done, loses nothing',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, oneLoss);
-      await work(w, 'r');
+      const w = await worldUp(seed, oneLossCluster);
+      await runWorkload(w, 'r');
       const old = w.at('store-1');
       assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
       await untilRetired(w, old, 6000);
-      wipe(old);
-      wipe(w.of('store').find((m) => m !== old));
-      await ownersAnew(w);
+      loseDisk(old);
+      loseDisk(w.of('store').find((m) => m !== old));
+      await restartFronts(w);
       await w.clock.run(2000);
-      await assertKept(w, 'r');
+      await assertWorkloadPreserved(w, 'r');
     }
   },
 );
@@ -55,12 +55,12 @@
   async () => {
     for (const seed of seeds)
       for (const after of [0, 200, 600]) {
-        const w = await worldUp(seed, { ...oneLoss, stores: 5 });
-        await work(w, 'l');
+        const w = await worldUp(seed, { ...oneLossCluster, stores: 5 });
+        await runWorkload(w, 'l');
         const old = w.at('store-1');
         assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
         await w.clock.run(after);
-        wipe(w.at('store-2'));
+        loseDisk(w.at('store-2'));
         await untilRetired(w, old, 30000);
         const dead = new Set(
           w
@@ -72,11 +72,11 @@
           w.committed?.slots.every((s) => s.replicas.filter((id) => dead.has(id)).length === 3),
           'told done before the lost replicas were replaced',
         );
-        wipe(old);
-        wipe(w.at('store-3'));
-        await ownersAnew(w);
+        loseDisk(old);
+        loseDisk(w.at('store-3'));
+        await restartFronts(w);
         await w.clock.run(2000);
-        await assertKept(w, 'l');
+        await assertWorkloadPreserved(w, 'l');
       }
   },
 );
@@ -84,11 +84,11 @@
 emptying(
   'a store that dies while it is emptied is replaced like a lost one; emptying again is the same',
   async () => {
-    const w = await worldUp(78, oneLoss);
-    await work(w, 'd');
+    const w = await worldUp(78, oneLossCluster);
+    await runWorkload(w, 'd');
     const old = w.at('store-1');
     assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
-    wipe(old);
+    loseDisk(old);
     assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
     assert.is(await retired(w, old), false);
     await untilRetired(w, old, 20000);
@@ -99,7 +99,7 @@
       w.committed &&
         allSlotsFullyReplicated(w.committed, (id) => w.committed?.nodes.has(id) ?? false),
     );
-    await assertKept(w, 'd');
+    await assertWorkloadPreserved(w, 'd');
   },
 );
 
@@ -107,24 +107,24 @@
   'a store that loses its disk while it is emptied stays out of use and ends as done',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, oneLoss);
-      await work(w, 'x');
+      const w = await worldUp(seed, oneLossCluster);
+      await runWorkload(w, 'x');
       const old = w.at('store-1');
       assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
-      wipe(old);
+      loseDisk(old);
       old.start();
       await w.clock.until('back', () => w.committed?.nodes.has(storeIdOf(old)) ?? false, 10000);
       await untilRetired(w, old, 20000);
       assert.not(w.committed?.slots.some((s) => s.replicas.includes(storeIdOf(old))));
       assert.is((await w.operate('DELETE', `/v1/stores/${old.name}/empty`)).status, 200);
       assert.is(w.drained.size, 0);
-      await assertKept(w, 'x');
+      await assertWorkloadPreserved(w, 'x');
     }
   },
 );
 
 emptying('with two losses to bear a store is emptied only where five others stay', async () => {
-  const w = await worldUp(79, { ...twoLosses, stores: 5 });
+  const w = await worldUp(79, { ...twoLossCluster, stores: 5 });
   const refused = await w.operate('POST', '/v1/stores/store-0/empty');
   assert.is(refused.status, 409);
   w.add('store').start();
@@ -137,7 +137,7 @@
   assert.is(w.committed?.servers.size, servers.length);
   assert.is((await w.operate('POST', '/v1/stores/store-number-0/empty')).status, 200);
   await untilRetired(w, w.at('store-0'), 10000);
-  assert.ok(whole(w));
+  assert.ok(isFullyReplicated(w));
 });
 
 emptying.run();
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -11,8 +11,8 @@
   small,
   worldUp,
 } from '../support/world-helpers.js';
-import { turns } from '../support/repair-turns.js';
-import { storeIdOf } from '../support/replica-world.js';
+import { runTurns } from '../support/run-turns.js';
+import { storeIdOf } from '../support/replica-cluster.js';
 
 const repair = suite('moves and growth');
 
@@ -62,7 +62,7 @@
   async () => {
     const w = await worldUp(seeds[0] ?? 1, small);
     const p = await w.clock.finish('program', w.program(900), 10000);
-    await turns(w, p.program, 0, 3);
+    await runTurns(w, p.program, 0, 3);
     const refused = await w.operate('POST', '/v1/stores/store-0/empty');
     assert.is(refused.status, 409);
     assert.match(JSON.stringify(refused.body), 'only 2 other stores would stay');
@@ -91,7 +91,7 @@
     const status = await w.operate('GET', '/v1/status');
     assert.match(JSON.stringify(status.body), '"slotsHeld":0');
     w.at('store-0').kill();
-    await turns(w, p.program, 3, 2);
+    await runTurns(w, p.program, 3, 2);
     for (const t of w.reported.filter((x) => x.kind === 'turn'))
       assert.is((await w.clock.finish('fetch', w.fetch(p.program, t.turn), 30000)).text, t.text);
     assertNoBreach(recordsOf(w));
@@ -140,7 +140,7 @@
     const slow = w.of('store')[seed % 3];
     slow.platter.delay = 2500;
     const t0 = w.clock.now();
-    await turns(w, p.program, 0, 6);
+    await runTurns(w, p.program, 0, 6);
     assert.ok(w.clock.now() - t0 < 6000, `${w.clock.now() - t0} ms for six turns`);
     assertNoBreach(recordsOf(w));
   }
@@ -162,7 +162,7 @@
   );
   for (let n = 0; n < 3; n++) {
     await w.clock.run(1200000);
-    await turns(w, q.program, 100 + n, 1);
+    await runTurns(w, q.program, 100 + n, 1);
   }
   await w.clock.run(900000);
   const gone = await w.clock.finish('fetch', w.fetch(p.program, t.turn), 10000);
@@ -327,7 +327,7 @@
     const from = w.clock.now();
     const id = w.at('store-1').store?.id ?? 'none';
     const empty = (): boolean => isNoReplica(w, id);
-    for (let i = 0; !empty() && i < 30; i++) await turns(w, p.program, i, 1);
+    for (let i = 0; !empty() && i < 30; i++) await runTurns(w, p.program, i, 1);
     await w.clock.until('emptied', empty, 6000);
     assert.ok(w.clock.now() - from < 6000, `${w.clock.now() - from} ms`);
     const held = w
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -11,7 +11,7 @@
   small,
   worldUp,
 } from '../support/world-helpers.js';
-import { turns } from '../support/repair-turns.js';
+import { runTurns } from '../support/run-turns.js';
 
 const refill = suite('refill of stores and controls');
 
@@ -41,7 +41,7 @@
       const [a, b, c] = w.of('store');
       a.kill('power');
       await w.clock.run(4000);
-      await turns(w, p.program, 0, 5);
+      await runTurns(w, p.program, 0, 5);
       const hints = [b, c].reduce((n, m) => n + (m.replicaStore?.counts().hints ?? 0), 0);
       assert.ok(hints >= 5, `${hints} hints`);
       a.start();
@@ -61,7 +61,7 @@
   for (const seed of seeds) {
     const w = await worldUp(seed, small);
     const p = await w.clock.finish('program', w.program(900), 10000);
-    await turns(w, p.program, 0, 4);
+    await runTurns(w, p.program, 0, 4);
     const [a, b] = w.of('store');
     a.kill('power');
     a.platter.wipe();
@@ -146,7 +146,7 @@
   for (const seed of seeds) {
     const w = await worldUp(seed, small);
     const p = await w.clock.finish('program', w.program(900), 10000);
-    await turns(w, p.program, 0, 2);
+    await runTurns(w, p.program, 0, 2);
     for (const m of w.of('store').slice(0, 2)) {
       m.kill('power');
       m.platter.wipe();
@@ -226,7 +226,7 @@
       const [a, b, c] = w.of('store');
       a.kill('power');
       await w.clock.run(1500);
-      await turns(w, p.program, 0, 5);
+      await runTurns(w, p.program, 0, 5);
       assert.equal(
         [b, c].map((m) => m.replicaStore?.counts().hints),
         [0, 0],
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -13,32 +13,32 @@
 } from '@tillerstair/state';
 import { worldUp } from '../support/world-helpers.js';
 import {
-  twoLosses,
-  oneLoss,
+  twoLossCluster,
+  oneLossCluster,
   storeIdOf,
-  wipe,
-  whole,
-  work,
-  assertKept,
-  ownersAnew,
-} from '../support/replica-world.js';
+  loseDisk,
+  isFullyReplicated,
+  runWorkload,
+  assertWorkloadPreserved,
+  restartFronts,
+} from '../support/replica-cluster.js';
 
 const replicas = suite('replicas');
 
 const seeds = [71, 72, 73];
 
 replicas('replicas and quorum follow the losses to bear, and stand in the state', async () => {
-  const w = await worldUp(70, twoLosses);
+  const w = await worldUp(70, twoLossCluster);
   assert.equal(w.committed?.replication, { replicas: 5, quorum: 3 });
   assert.ok(w.committed?.slots.every((s) => s.replicas.length === 5));
   assert.equal(w.of('store')[0]?.store?.zen.applied?.replication, { replicas: 5, quorum: 3 });
-  const plain = await worldUp(70, oneLoss);
+  const plain = await worldUp(70, oneLossCluster);
   assert.equal(plain.committed?.replication, { replicas: 3, quorum: 2 });
 });
 
 replicas('two losses to bear: a write that only two stores hold does not count', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, { ...twoLosses, stores: 5 });
+    const w = await worldUp(seed, { ...twoLossCluster, stores: 5 });
     const p = await w.clock.finish('program', w.program(900), 10000);
     const data = w.of('front').map((m) => `${m.addr}/data`);
     w.net.cutBoth(
@@ -57,27 +57,27 @@
   'two losses to bear: two stores wiped right after acknowledged writes lose nothing and run nothing twice',
   async () => {
     for (const seed of [...seeds, 74, 75, 76]) {
-      const w = await worldUp(seed, twoLosses);
-      await work(w, 'w');
+      const w = await worldUp(seed, twoLossCluster);
+      await runWorkload(w, 'w');
       const a = Math.floor(w.rng() * 7);
       const b = (a + 1 + Math.floor(w.rng() * 6)) % 7;
       const lost = [w.of('store')[a], w.of('store')[b]];
       const ids = lost.map(storeIdOf);
-      for (const m of lost) wipe(m);
-      await ownersAnew(w);
+      for (const m of lost) loseDisk(m);
+      await restartFronts(w);
       for (const m of lost) m.start();
       const from = w.clock.now();
-      await w.clock.until('whole again', () => whole(w, ids), 20000);
+      await w.clock.until('whole again', () => isFullyReplicated(w, ids), 20000);
       assert.ok(w.clock.now() - from < 4800, `${Math.round(w.clock.now() - from)} ms`);
-      await assertKept(w, 'w');
+      await assertWorkloadPreserved(w, 'w');
       for (const m of w
         .of('store')
         .filter((x) => !lost.includes(x))
         .slice(0, 2))
-        wipe(m);
-      await ownersAnew(w);
+        loseDisk(m);
+      await restartFronts(w);
       await w.clock.run(2000);
-      await assertKept(w, 'w');
+      await assertWorkloadPreserved(w, 'w');
     }
   },
 );
@@ -126,28 +126,28 @@
   'a store that is missing at the first start does not keep the others from serving, and is taken in later',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, { ...twoLosses, stores: 4 });
+      const w = await worldUp(seed, { ...twoLossCluster, stores: 4 });
       assert.ok(w.committed?.slots.every((s) => s.replicas.length === 4));
-      await work(w, 'm');
+      await runWorkload(w, 'm');
       w.add('store').start();
-      await w.clock.until('whole', () => whole(w), 10000);
-      for (const m of w.of('store').slice(0, 2)) wipe(m);
-      await ownersAnew(w);
+      await w.clock.until('whole', () => isFullyReplicated(w), 10000);
+      for (const m of w.of('store').slice(0, 2)) loseDisk(m);
+      await restartFronts(w);
       await w.clock.run(2000);
-      await assertKept(w, 'm');
+      await assertWorkloadPreserved(w, 'm');
     }
   },
 );
 
 replicas('fewer stores than the quorum are never served from', async () => {
-  const w = await worldUp(77, { ...twoLosses, stores: 2 }).catch(() => undefined);
+  const w = await worldUp(77, { ...twoLossCluster, stores: 2 }).catch(() => undefined);
   assert.is(w, undefined);
 });
 
 replicas(
   'the margin tells how many more losses are borne, and nothing without a majority',
   async () => {
-    const w = await worldUp(80, twoLosses);
+    const w = await worldUp(80, twoLossCluster);
     const margin = async () => MarginReport.parse((await w.operate('GET', '/v1/margin')).body);
     const before = await margin();
     assert.equal(before.voters, { voting: 5, live: 5, changing: false, margin: 2 });
@@ -158,7 +158,7 @@
       'slots: 8, 5 replicas each, writes on 3: 2 more losses are borne',
     ]);
     const lost = storeIdOf(w.at('store-2'));
-    wipe(w.at('store-2'));
+    loseDisk(w.at('store-2'));
     w.of('control')
       .find((m) => m !== w.master)
       ?.kill('power');
@@ -168,7 +168,7 @@
     assert.not(isMarginFull(after));
     const held = w.committed?.slots.filter((s) => s.replicas.length === 5).length ?? 0;
     assert.ok(marginLines(after).length > 2 && marginLines(after).length <= 2 + held);
-    await w.clock.until('whole again', () => whole(w, [lost]), 20000);
+    await w.clock.until('whole again', () => isFullyReplicated(w, [lost]), 20000);
     assert.is((await margin()).leastSlotMargin, 2);
     for (const m of w.of('control')) if (m !== w.master) m.kill('power');
     assert.is((await w.operate('GET', '/v1/margin')).status, 503);
@@ -177,8 +177,8 @@
 
 replicas('a filler that is gone for good is replaced by another one', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, { ...oneLoss, stores: 3 });
-    await work(w, 'f');
+    const w = await worldUp(seed, { ...oneLossCluster, stores: 3 });
+    await runWorkload(w, 'f');
     const filler = w.add('store');
     filler.platter.delay = 400;
     filler.start();
@@ -189,19 +189,19 @@
     );
     const lost = w.at('store-0');
     const lostId = storeIdOf(lost);
-    wipe(lost);
+    loseDisk(lost);
     await w.clock.until(
       'filling',
       () => w.committed?.slots.some((s) => s.joiningReplicas.includes(storeIdOf(filler))) ?? false,
       10000,
     );
-    wipe(filler);
+    loseDisk(filler);
     w.add('store').start();
-    await w.clock.until('whole', () => whole(w, [lostId]), 10000);
-    wipe(w.at('store-1'));
-    await ownersAnew(w);
+    await w.clock.until('whole', () => isFullyReplicated(w, [lostId]), 10000);
+    loseDisk(w.at('store-1'));
+    await restartFronts(w);
     await w.clock.run(2000);
-    await assertKept(w, 'f');
+    await assertWorkloadPreserved(w, 'f');
   }
 });
 
@@ -214,12 +214,12 @@
       [1500, 12],
       [4000, 12],
     ] as const) {
-      const w = await worldUp(81, { ...oneLoss, stores: 3, slots: 64 });
-      await work(w, 'a');
+      const w = await worldUp(81, { ...oneLossCluster, stores: 3, slots: 64 });
+      await runWorkload(w, 'a');
       for (const m of w.of('store')) m.platter.delay = delay;
       const old = w.at('store-0');
       const lostId = storeIdOf(old);
-      wipe(old);
+      loseDisk(old);
       w.net.cutBoth(
         [old.addr],
         w.machines.map((m) => m.addr),
@@ -229,15 +229,15 @@
       fresh.platter.delay = delay;
       fresh.start();
       const from = w.clock.now();
-      await w.clock.until('whole', () => whole(w, [lostId]), 20000);
+      await w.clock.until('whole', () => isFullyReplicated(w, [lostId]), 20000);
       assert.ok(
         w.clock.now() - from <= halfCatchUp,
         `${after} ms after the loss, disk ${delay} ms: ${Math.round(w.clock.now() - from)} ms`,
       );
-      wipe(w.at('store-1'));
-      await ownersAnew(w);
+      loseDisk(w.at('store-1'));
+      await restartFronts(w);
       await w.clock.run(2000);
-      await assertKept(w, 'a');
+      await assertWorkloadPreserved(w, 'a');
     }
   },
 );
@@ -245,7 +245,7 @@
 replicas(
   'a try that nobody knows is called unknown while every slot has enough replies, and not with fewer',
   async () => {
-    const w = await worldUp(82, { ...twoLosses, stores: 5 });
+    const w = await worldUp(82, { ...twoLossCluster, stores: 5 });
     const owner = w.of('front')[0]?.front?.owner;
     const look = () =>
       w.clock.finish(
--- a/tests/src/support/replica-world.ts
+++ b/tests/src/support/replica-cluster.ts
@@ -10,7 +10,7 @@
   failureTimeout: 1800,
 };
 
-export const twoLosses: WorldSizes = {
+export const twoLossCluster: WorldSizes = {
   controls: 5,
   stores: 7,
   fronts: 2,
@@ -18,17 +18,17 @@
   outer: siteBounds,
 };
 
-export const oneLoss: WorldSizes = { controls: 3, stores: 4, fronts: 2, outer: siteBounds };
+export const oneLossCluster: WorldSizes = { controls: 3, stores: 4, fronts: 2, outer: siteBounds };
 
 export const storeIdOf = (m: Machine | undefined): string => m?.store?.id ?? 'none';
 
-export const wipe = (m: Machine | undefined): void => {
+export const loseDisk = (m: Machine | undefined): void => {
   m?.kill('power');
   m?.platter.wipe();
 };
 
 /** All replicas are there, and none of them on the stores `lost`. */
-export const whole = (w: World, lost: readonly string[] = []): boolean => {
+export const isFullyReplicated = (w: World, lost: readonly string[] = []): boolean => {
   const s = w.committed;
   return (
     s !== undefined &&
@@ -43,7 +43,7 @@
 };
 
 /** Runs turns and calls for a while; resolves with the programs once all were answered. */
-export const work = async (w: World, tag: string): Promise<readonly string[]> => {
+export const runWorkload = async (w: World, tag: string): Promise<readonly string[]> => {
   const programs = await w.clock.finish(
     'programs',
     Promise.all(Array.from({ length: 12 }, () => w.program(900))),
@@ -64,7 +64,7 @@
   return programs.map((p) => p.program);
 };
 
-export const assertKept = async (w: World, tag: string): Promise<void> => {
+export const assertWorkloadPreserved = async (w: World, tag: string): Promise<void> => {
   for (const t of w.reported.filter((x) => x.kind === 'turn' && x.reported === 'done'))
     assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
   for (let i = 0; i < 12; i++) {
@@ -74,7 +74,7 @@
   assertNoBreach(recordsOf(w));
 };
 
-export const ownersAnew = async (w: World): Promise<void> => {
+export const restartFronts = async (w: World): Promise<void> => {
   for (const m of w.of('front')) m.kill();
   w.start(w.of('front'));
   await w.clock.until(
--- a/tests/src/support/repair-turns.ts
+++ b/tests/src/support/run-turns.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { World } from '@tillerstair/sim';
 
-export const turns = async (
+export const runTurns = async (
   w: World,
   program: string,
   from: number,
--- a/tests/src/support/session-owner-rig.ts
+++ b/tests/src/support/session-owner-fixture.ts
@@ -68,7 +68,7 @@
 }
 
 /** A complete response: three chunks of a turn, or one event of a stream. */
-export const wholeReply: ServerReply = {
+export const fullReply: ServerReply = {
   ended: { kind: 'done', code: 200, body: 3 },
   chunks: [
     [0, 'x'],
@@ -83,7 +83,7 @@
 export const declinedReply: ServerReply = { ended: { kind: 'declined', text: 'no' } };
 
 /** An outcome as text: outcome, HTTP status and error code. */
-export const brief = (outcome: CallOutcome): string =>
+export const textOf = (outcome: CallOutcome): string =>
   `${outcome.outcome} ${outcome.status} ${outcome.errorCode ?? ''}`.trim();
 
 /** The code of the `RpcError` that `work` ends with; "no error" without one. */
@@ -111,7 +111,7 @@
 });
 
 /** A session owner of one slot in simulated time, with scripted stores and servers. */
-export class SessionOwnerRig {
+export class SessionOwnerFixture {
   readonly clock = new SimClock();
   readonly owner: SessionOwner;
   readonly stores = new Map<string, Map<string, StoredItem>>(
@@ -126,7 +126,7 @@
   /** Called before a store syncs a value; returns false to make the store reject the write. */
   onPut: (key: string, status: string) => boolean = () => true;
   /** The response to each request that reaches a server; `index` counts the requests from 0. */
-  reply: (index: number, sent: SentRequest) => ServerReply = () => wholeReply;
+  reply: (index: number, sent: SentRequest) => ServerReply = () => fullReply;
   /** When set, called before the first byte is sent, after which `mayStillRun` decides, as in the real client. */
   beforeSend: (() => void) | undefined;
   leaseMs = 60000;
@@ -177,8 +177,8 @@
   }
 
   /** Creates an owner with a valid lease whose slot is open. */
-  static async opened(): Promise<SessionOwnerRig> {
-    const fixture = new SessionOwnerRig();
+  static async opened(): Promise<SessionOwnerFixture> {
+    const fixture = new SessionOwnerFixture();
     fixture.change({});
     fixture.owner.renewLease(fixture.clock.now());
     await fixture.waitForSlotOpen();
--- a/tests/src/support/session-owner-state.ts
+++ b/tests/src/support/session-owner-state.ts
@@ -1,4 +1,4 @@
-/** The initial cluster state and configuration of a `SessionOwnerRig`. */
+/** The initial cluster state and configuration of a `SessionOwnerFixture`. */
 import {
   checkConfig,
   configDigest,
--- a/tests/src/support/session-owner-turns.ts
+++ b/tests/src/support/session-owner-turns.ts
@@ -1,6 +1,6 @@
-/** Requests for programs and turns of the product's own interface, sent to the owner of a `SessionOwnerRig`. */
+/** Requests for programs and turns of the product's own interface, sent to the owner of a `SessionOwnerFixture`. */
 import { turnIdOf, TurnValue } from '@tillerstair/session-owner';
-import { SessionOwnerRig } from './session-owner-rig.js';
+import { SessionOwnerFixture } from './session-owner-fixture.js';
 
 const neverAborted = new AbortController().signal;
 /** The id of the turn that `runTurn` requests by default. */
@@ -21,7 +21,7 @@
 
 /** Requests a turn, by default of program p1. */
 export const runTurn = (
-  fixture: SessionOwnerRig,
+  fixture: SessionOwnerFixture,
   overrides: TurnOverrides = {},
   signal: AbortSignal = neverAborted,
 ) =>
@@ -42,17 +42,17 @@
 
 /** Reads program p1 or one of its turns. */
 export const readHistory = (
-  fixture: SessionOwnerRig,
+  fixture: SessionOwnerFixture,
   overrides: { tenant?: string; turn?: string } = {},
 ) => fixture.owner.turns.readHistory({ tenant: 't', pid: 'p1', ...overrides });
 
 /** Creates an owner with program p1 of tenant t; `budget` is in tokens. */
-export const withProgram = async (budget = 50): Promise<SessionOwnerRig> => {
-  const fixture = await SessionOwnerRig.opened();
+export const withProgram = async (budget = 50): Promise<SessionOwnerFixture> => {
+  const fixture = await SessionOwnerFixture.opened();
   await fixture.finish(fixture.owner.turns.createProgram({ tenant: 't', pid: 'p1', budget }));
   return fixture;
 };
 
 /** The record of a turn, as a quorum of stores has it. */
-export const turnValue = (fixture: SessionOwnerRig, key = turnKey): TurnValue =>
+export const turnValue = (fixture: SessionOwnerFixture, key = turnKey): TurnValue =>
   TurnValue.parse(fixture.stored(key));
