--- a/packages/journal/src/digest.ts
+++ b/packages/journal/src/digest.ts
@@ -1,23 +1,23 @@
-/** Length and checksum of a file's bytes, to compare what was written with what is read back. */
+/** Length and checksum of a file, to compare the bytes that were written with those read back. */
 import { crc32 } from 'node:zlib';
 
-/** Length and checksum of bytes that arrive in chunks. */
+/** Length in bytes and CRC-32 of data that is added in chunks. */
 export class Digest {
   private length = 0;
   private checksum = 0;
 
-  /** The number of bytes so far. */
+  /** Total length of the chunks added so far, in bytes. */
   get bytes(): number {
     return this.length;
   }
 
-  /** Adds the next chunk, which may be overwritten afterwards. */
+  /** Adds the next chunk; the caller may reuse its buffer afterwards. */
   add(chunk: Buffer): void {
     this.length += chunk.length;
     this.checksum = crc32(chunk, this.checksum);
   }
 
-  /** Passes chunks on unchanged and adds each of them. */
+  /** Yields the chunks unchanged and adds each one to the digest. */
   *through(chunks: Iterable<Buffer>): Generator<Buffer> {
     for (const chunk of chunks) {
       this.add(chunk);
@@ -25,6 +25,7 @@
     }
   }
 
+  /** Whether both lengths and both checksums are equal. */
   equals(other: Digest): boolean {
     return this.length === other.length && this.checksum === other.checksum;
   }
--- a/packages/journal/src/disk.ts
+++ b/packages/journal/src/disk.ts
@@ -1,23 +1,26 @@
-/** The files of a data folder as a journal needs them; a real folder and the simulated disk both implement it. */
+/** The file operations that a journal uses; implemented by a real data folder and by the simulated disk. */
 
-/** One append-only file. An error of any operation leaves open what of it reached the disk. */
+/** One append-only file. A failed operation may have reached the disk completely, in part or not at all. */
 export interface DiskFile {
-  /** The bytes of the file from its start. A chunk is valid only until the next one is requested. */
+  /** Reads the file from its start. A chunk is valid only until the next one is requested. */
   chunks(): AsyncIterable<Buffer>;
   append(bytes: Buffer): Promise<void>;
   /** Resolves when all appended bytes are on disk. */
   sync(): Promise<void>;
-  /** Cuts the file to a size in bytes and syncs it. */
+  /** Truncates the file to `sizeBytes` and syncs it. */
   truncate(sizeBytes: number): Promise<void>;
-  /** Replaces the content; until all chunks are synced the old content stays under the file's name. */
+  /** Replaces the content atomically: the old content stays under the file's name until all chunks are synced. */
   replace(chunks: Iterable<Buffer>): Promise<void>;
   close(): Promise<void>;
 }
 
-/** A folder of such files. */
+/** A data folder, whose files are opened by name. */
 export interface Disk {
-  /** Opens a file, which is created if there is none. */
+  /** Opens a file, or creates it if it does not exist. */
   open(name: string): Promise<DiskFile>;
-  /** Renames a file that cannot be used to `NAME.damaged`, so that a new one can be opened under its name. */
+  /**
+   * Renames a damaged file to `NAME.damaged`, so that a new one can be opened under its name; no error if it is
+   * missing.
+   */
   setAside(name: string): Promise<void>;
 }
--- a/packages/journal/src/errors.ts
+++ b/packages/journal/src/errors.ts
@@ -1,19 +1,19 @@
-/** Errors of data folders and journals, and which of them pass by themselves. */
+/** Errors of data folders and journals, and which system errors are transient. */
 import { UnavailableError, type ExecutionStatus } from '@tillerstair/wire';
 
-/** A data folder is locked by a process that still runs. */
+/** The data folder is locked by a running process. */
 export class FolderInUseError extends Error {
   override readonly name = 'FolderInUseError';
 }
 
-/** A log has valid records behind a damaged one, so it was not merely torn by a loss of power. */
+/** A log has valid records after a damaged one, which a power loss during an append cannot cause. */
 export class JournalDamagedError extends Error {
   override readonly name = 'JournalDamagedError';
 }
 
 /**
- * A record is not known to be on disk. `executed` is `no` for one that was refused before it was written, and `unknown`
- * for one whose write failed or took too long.
+ * A record was not confirmed to be on disk. `executed` is `no` if it was rejected before it was written, and `unknown`
+ * if its write failed or timed out.
  */
 export class JournalUnavailableError extends UnavailableError {
   override readonly name = 'JournalUnavailableError';
@@ -25,14 +25,16 @@
 
 const transientErrorCodes: ReadonlySet<string> = new Set(['ENOSPC', 'EDQUOT', 'EIO']);
 
-/** The code of a system error, as in `ENOENT`; empty for any other error. */
+/** The code of a system error, for example `ENOENT`; empty for any other error. */
 export const systemErrorCode = (error: unknown): string =>
   error instanceof Error && 'code' in error ? String(error.code) : '';
 
-/** Whether an error says that the disk accepts no bytes at present, which may pass by itself. */
+/**
+ * Whether a disk error is transient: the disk is full, the quota is exceeded, or I/O fails (`ENOSPC`, `EDQUOT`, `EIO`).
+ */
 export const isTransientDiskError = (error: unknown): boolean =>
   transientErrorCodes.has(systemErrorCode(error));
 
-/** The message of an error, or the text of anything else that was thrown. */
+/** The message of an error, or any other thrown value as a string. */
 export const errorText = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
--- a/packages/journal/src/folder-disk.ts
+++ b/packages/journal/src/folder-disk.ts
@@ -1,4 +1,4 @@
-/** A data folder of the host, locked by one process at a time. */
+/** A data folder in the host's file system, locked by one process at a time. */
 import { constants } from 'node:fs';
 import { mkdir, open, rename, unlink, type FileHandle } from 'node:fs/promises';
 import { dirname, join, resolve } from 'node:path';
@@ -9,10 +9,10 @@
 
 const lockRetryMs = 250;
 const readChunkBytes = 1 << 20;
-const appendToEmptied =
+const truncateForAppend =
   constants.O_RDWR | constants.O_CREAT | constants.O_TRUNC | constants.O_APPEND;
 
-/** Where the replacement of a file is written; what a loss of power leaves there is of no use. */
+/** Path at which the replacement of a file is written; one left behind by a power loss is incomplete and is deleted. */
 const replacementPath = (path: string): string => `${path}.next`;
 
 const syncFolder = async (folder: string): Promise<void> => {
@@ -24,17 +24,17 @@
   }
 };
 
-/** Creates a folder and syncs the names of all that had to be created for it. */
+/** Creates a folder and its missing parents, and syncs the directory entry of each folder that was created. */
 const createFolder = async (folder: string): Promise<void> => {
   const topmost = await mkdir(folder, { recursive: true });
   if (topmost === undefined) return;
-  for (let at = folder; at.length >= topmost.length; at = dirname(at))
-    await syncFolder(dirname(at));
+  for (let created = folder; created.length >= topmost.length; created = dirname(created))
+    await syncFolder(dirname(created));
 };
 
 const removeIfPresent = (path: string): Promise<void> => unlink(path).catch(() => undefined);
 
-/** Reads a file through one buffer that is used for all its chunks. */
+/** Reads a file in chunks that share one buffer. */
 async function* readChunks(path: string): AsyncGenerator<Buffer> {
   const file = await open(path, constants.O_RDONLY);
   try {
@@ -49,7 +49,7 @@
   }
 }
 
-/** One file of the folder, open for appending. */
+/** One file of a data folder, open for appending. */
 class FolderFile implements DiskFile {
   constructor(
     private readonly folder: string,
@@ -74,23 +74,23 @@
     await this.handle.sync();
   }
 
-  /** Writes a file beside this one, syncs it, and renames it; the folder is synced so that the name stays. */
+  /** Writes and syncs a temporary file, renames it to this file, and syncs the folder to make the rename durable. */
   async replace(chunks: Iterable<Buffer>): Promise<void> {
     const nextPath = replacementPath(this.path);
-    const next = await open(nextPath, appendToEmptied);
+    const nextHandle = await open(nextPath, truncateForAppend);
     try {
-      for (const chunk of chunks) await next.appendFile(chunk);
-      await next.sync();
+      for (const chunk of chunks) await nextHandle.appendFile(chunk);
+      await nextHandle.sync();
       await rename(nextPath, this.path);
       await syncFolder(this.folder);
     } catch (error) {
-      await next.close().catch(() => undefined);
+      await nextHandle.close().catch(() => undefined);
       await removeIfPresent(nextPath);
       throw error;
     }
-    const replaced = this.handle;
-    this.handle = next;
-    await replaced.close();
+    const previousHandle = this.handle;
+    this.handle = nextHandle;
+    await previousHandle.close();
   }
 
   close(): Promise<void> {
@@ -98,7 +98,7 @@
   }
 }
 
-/** A data folder that this process has locked; `release` gives it up. */
+/** A data folder that this process has locked until it calls `release`. */
 export class FolderDisk implements Disk {
   private constructor(
     private readonly folder: string,
@@ -106,9 +106,9 @@
   ) {}
 
   /**
-   * Creates and locks a data folder. Waits for as long as the disk is full, since the lock file needs a few bytes.
+   * Creates and locks a data folder. Retries while the disk is full, since the lock file needs a few bytes.
    *
-   * @throws FolderInUseError if another process that runs holds the folder.
+   * @throws FolderInUseError if another running process has locked the folder.
    */
   static async acquire(path: string, clock: Clock = hostClock): Promise<FolderDisk> {
     const folder = resolve(path);
@@ -125,7 +125,7 @@
     }
   }
 
-  /** Removes the lock. Files that were opened stay open; closing them is up to whoever opened them. */
+  /** Removes the lock file. Opened files stay open; the caller that opened them closes them. */
   async release(): Promise<void> {
     await releaseLock(this.lockPath);
   }
--- a/packages/journal/src/folder-lock.ts
+++ b/packages/journal/src/folder-lock.ts
@@ -1,19 +1,19 @@
 /**
- * The lock file of a data folder: the id and the start time of the process that holds it.
+ * The lock file of a data folder: the id and the start time of the process that holds the lock.
  *
- * A process id alone is used again after a restart of the machine, so a lock counts only while a process runs under its
- * id that started at its time.
+ * A process id may be reused, for example after a reboot, so a lock is held only while a process with its id and its
+ * start time is running.
  */
 import { readFile, unlink, writeFile } from 'node:fs/promises';
 import { FolderInUseError, isTransientDiskError } from './errors.js';
 
 const endedProcessStates: ReadonlySet<string> = new Set(['Z', 'X']);
 
-/** Fields of `/proc/PID/stat` behind the command's closing parenthesis (proc(5): fields 3 and 22). */
+/** Indices of fields of `/proc/PID/stat` after the command's closing parenthesis (fields 3 and 22 in proc(5)). */
 const stateField = 0;
 const startTimeField = 19;
 
-/** The first attempt may meet the lock of a process that ended; the second one finds it removed. */
+/** The first attempt may find and remove a stale lock; the second one then creates the lock file. */
 const maxLockAttempts = 2;
 
 const isAlive = (pid: number): boolean => {
@@ -25,7 +25,7 @@
   }
 };
 
-/** When a process started, or '' if it has ended or cannot be seen. */
+/** The start time of a process as `/proc` states it; empty if the process has ended or cannot be inspected. */
 const startTimeOf = async (pid: number): Promise<string> => {
   try {
     const text = await readFile(`/proc/${pid}/stat`, 'utf8');
@@ -36,7 +36,7 @@
   }
 };
 
-/** The process that holds a lock, or 0 where none does: a lock that names no start time binds nobody. */
+/** The id of the running process that holds a lock; 0 if there is none, or if the lock file states no start time. */
 const holderOf = async (lockPath: string): Promise<number> => {
   const text = await readFile(lockPath, 'utf8').catch(() => '');
   const [pidText = '0', startTime = ''] = text.split(' ');
@@ -45,14 +45,14 @@
   return (await startTimeOf(pid)) === startTime ? pid : 0;
 };
 
-/** Removes the lock file, if it is there. */
+/** Removes the lock file if it exists; errors are ignored. */
 export const releaseLock = (lockPath: string): Promise<void> =>
   unlink(lockPath).catch(() => undefined);
 
 /**
  * Creates the lock file for this process.
  *
- * @throws FolderInUseError if a running process holds it; a transient disk error where the disk is full.
+ * @throws FolderInUseError if a running process holds the lock; the system error if the disk is full or fails.
  */
 export const acquireLock = async (lockPath: string, folder: string): Promise<void> => {
   const lockText = `${process.pid} ${await startTimeOf(process.pid)}`;
--- a/packages/journal/src/frames.ts
+++ b/packages/journal/src/frames.ts
@@ -1,25 +1,25 @@
 /**
- * How records are stored in a log: one line for each batch, which is a checksum in hexadecimal digits, a space, and a
- * JSON array. A batch is on disk completely or not at all.
+ * The format of a log: one line per batch of records, consisting of a CRC-32 in hexadecimal digits, a space, and a JSON
+ * array. The checksum makes a batch either readable as a whole or not at all.
  */
 import { crc32 } from 'node:zlib';
 
 const space = 32;
 const checksumDigits = 8;
 
-/** Bytes that are passed to the disk at once when a complete file is written. */
+/** Minimum size, in bytes, of the chunks in which a complete file is written. */
 const writeChunkBytes = 256 << 10;
 
 const checksumOf = (bytes: Buffer | string): string =>
   crc32(bytes).toString(16).padStart(checksumDigits, '0');
 
-/** The line of a batch of records, with its line feed. */
+/** Encodes a batch of records as a line that includes its line feed. */
 export const encodeFrame = (records: readonly unknown[]): Buffer => {
   const json = JSON.stringify(records);
   return Buffer.from(`${checksumOf(json)} ${json}\n`);
 };
 
-/** The records of a line without its line feed, or undefined if it is damaged or torn. */
+/** Decodes a line, given without its line feed; undefined if the line is damaged or torn. */
 export const decodeFrame = (line: Buffer): readonly unknown[] | undefined => {
   if (line[checksumDigits] !== space) return undefined;
   const json = line.subarray(checksumDigits + 1);
@@ -28,7 +28,7 @@
   return Array.isArray(batch) ? batch : undefined;
 };
 
-/** Encodes records one by one as they are requested, several frames to a chunk. */
+/** Lazily encodes each record as a frame of its own and groups the frames into chunks. */
 export function* frameChunks(records: Iterable<unknown>): Generator<Buffer> {
   let frames: Buffer[] = [];
   let bytes = 0;
--- a/packages/journal/src/index.ts
+++ b/packages/journal/src/index.ts
@@ -1,4 +1,4 @@
-/** Logs on disk: records that are acknowledged once they are synced, in a data folder that one process has locked. */
+/** Append-only logs on disk whose records are acknowledged once synced, in a data folder locked by one process. */
 export * from './digest.js';
 export * from './disk.js';
 export * from './errors.js';
--- a/packages/journal/src/journal.ts
+++ b/packages/journal/src/journal.ts
@@ -1,10 +1,10 @@
 /**
- * A log of records that are acknowledged once they are synced, and that is rewritten after a failed write.
+ * A log whose records are acknowledged once they are synced, and which is rewritten after a failed write.
  *
- * State: the pending appends and what is known of the file. The records themselves are with the journal's owner.
- * Invariants: one write is under way at a time; an append resolves only when its record is on disk; after a failed or
- * overlong write nothing is accepted until the file has been rewritten from the owner's records and read back
- * (docs/design.md, "Disk").
+ * State: the pending appends, and the size and health of the file. The journal's owner holds the records themselves.
+ * Invariants: at most one write is in flight; an append resolves only when its record is on disk; after a write that
+ * failed or timed out, appends are rejected until the file has been rewritten from the owner's records and read back,
+ * or until the late write has succeeded and the file lacks no record (docs/design.md, "Disk").
  */
 import { delay, TaskQueue, toTimerMs, type TimerHandle } from '@tillerstair/wire';
 import { Digest } from './digest.js';
@@ -14,6 +14,7 @@
 import { LogScanner } from './log-scanner.js';
 import { retryTransientDiskErrors, type JournalTimings } from './timings.js';
 
+/** An append whose caller waits for its record to be synced. */
 interface PendingAppend {
   readonly record: unknown;
   resolve(): void;
@@ -21,33 +22,33 @@
 }
 
 /**
- * Returns all records that the owner holds at the moment of the call. They are encoded over several turns of the event
- * loop, so what it returns must not change afterwards; it may be iterated more than once.
+ * Returns all records that the owner holds at the moment of the call. The records are encoded over several turns of the
+ * event loop, so the returned iterable must not change afterwards; it may be iterated more than once.
  */
 export type JournalSnapshot = () => Iterable<unknown>;
 
-/** Whoever holds in memory what a journal holds on disk. */
+/** Holds in memory the records that a journal stores on disk. */
 export interface JournalOwner {
-  /** Applies the next record while the journal is opened. An error that it throws ends the opening. */
+  /** Applies the next record while the journal is opened. If it throws, opening the journal fails with that error. */
   restore(record: unknown): void;
 }
 
 /**
- * The last share of a write's time limit runs on a timer of its own. When the whole process was paused the first timer is
- * overdue at once, but a write that the disk did not delay still gets this share to end in.
+ * The last fraction of a write's timeout, which runs on a second timer. If the whole process was paused, the first
+ * timer fires as soon as it resumes; a write that the disk did not delay can still complete within this fraction.
  */
-const finalTimeoutShare = 0.2;
+const finalTimeoutFraction = 0.2;
 
-/** Bytes of a complete file that may be written in the time limit of one sync. */
+/** A rewrite's timeout grows by one sync timeout for each of this many bytes of the file. */
 const rewriteBytesPerSyncTimeout = 4 << 20;
 
-/** A log is rewritten once it is longer than this many times its size after the last rewrite. */
+/** A log is due for a rewrite once it exceeds its size after the last rewrite by this factor. */
 const rewriteGrowthFactor = 2;
 
-/** A recovery attempt that took long is followed by a pause of this many times its duration... */
+/** After a failed recovery attempt the delay is at least its duration times this factor, ... */
 const retryDurationFactor = 2;
 
-/** ...but of no more than this many retry intervals. */
+/** ... and at most this many retry intervals. */
 const maxRetryFactor = 4;
 
 const scanFile = async (file: DiskFile, scanner: LogScanner): Promise<void> => {
@@ -60,18 +61,18 @@
   return digest;
 };
 
-/** The pause after a recovery attempt that failed. */
+/** The delay after a failed recovery attempt that took `attemptMs`, in ms. */
 const retryDelayMs = (retryIntervalMs: number, attemptMs: number): number => {
-  const wanted = Math.max(retryIntervalMs, retryDurationFactor * attemptMs);
-  return toTimerMs(Math.min(wanted, maxRetryFactor * retryIntervalMs));
+  const uncappedMs = Math.max(retryIntervalMs, retryDurationFactor * attemptMs);
+  return toTimerMs(Math.min(uncappedMs, maxRetryFactor * retryIntervalMs));
 };
 
-/** One log on disk; see the module's comment for what it guarantees. */
+/** One log on disk, with the guarantees that the comment of this module lists. */
 export class Journal {
   private pending: PendingAppend[] = [];
-  /** Why nothing is accepted at present. */
+  /** Why appends are rejected; undefined while the journal is writable. */
   private failure: string | undefined;
-  /** Whether the owner holds records that no write, ended or under way, has put on disk. */
+  /** Whether the owner holds records that were rejected while pending, so that no write includes them. */
   private fileLacksRecords = false;
   private snapshot: JournalSnapshot | undefined;
   private rewriting = false;
@@ -88,10 +89,10 @@
   ) {}
 
   /**
-   * Opens a journal and passes each record to its owner as it is read. Each attempt begins with a new owner; one that
-   * was passed some of the records before the disk failed is dropped.
+   * Opens a journal and passes each record to its owner as it is read. Retries while the disk is full or fails, each
+   * time with a new owner: the previous one may have received only some of the records.
    *
-   * @throws JournalDamagedError if a valid record follows a damaged one, or what the owner throws.
+   * @throws JournalDamagedError if a valid record follows a damaged one; any error that the owner throws.
    */
   static open<Owner extends JournalOwner>(
     disk: Disk,
@@ -126,40 +127,40 @@
     return this.bytes;
   }
 
-  /** How many appends were synced; those that arrived together count once. */
+  /** The number of successful syncs of appended batches. */
   get syncCount(): number {
     return this.syncs;
   }
 
-  /** Whether records are accepted: not from a failed or overlong write until the file is known to be complete again. */
+  /** Whether appends are accepted; false from a write that failed or timed out until the file is complete again. */
   get writable(): boolean {
     return this.failure === undefined;
   }
 
   /**
-   * To be called before the owner changes what it holds.
+   * Checks that an append would be accepted; the owner calls this before it changes its records.
    *
-   * @throws JournalUnavailableError (not executed) if a record would be refused.
+   * @throws JournalUnavailableError with `executed` no, if the journal is not writable.
    */
   requireWritable(): void {
     if (this.failure !== undefined)
       throw new JournalUnavailableError(this.name, this.failure, 'no');
   }
 
-  /** Sets what the complete file can be rewritten from: in effect, all records that were ever passed to `append`. */
+  /** Sets the source of recovery rewrites, which must reproduce the effect of all records ever passed to `append`. */
   recoverFrom(snapshot: JournalSnapshot): void {
     this.snapshot = snapshot;
   }
 
-  /** Whether the log is longer than `minBytes` and has grown enough since its last rewrite. */
+  /** Whether the log exceeds `minBytes` and has grown enough since its last rewrite. */
   needsRewrite(minBytes: number): boolean {
     return this.bytes > minBytes && this.bytes > rewriteGrowthFactor * this.bytesAfterRewrite;
   }
 
   /**
-   * Resolves when the record is on disk. Appends that arrive while a write is under way share the next sync.
+   * Resolves when the record is on disk. Appends that arrive while a write is in flight share the next sync.
    *
-   * @throws JournalUnavailableError: with `executed` unknown, the record may be on disk or not.
+   * @throws JournalUnavailableError; if its `executed` is unknown, the record may or may not be on disk.
    */
   append(record: unknown): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -182,16 +183,16 @@
     });
   }
 
-  /** Rewrites the file from what its owner holds, which contains all records that were appended so far. */
+  /** Compacts the file to the owner's snapshot, which must include all records appended so far. */
   async rewrite(snapshot: JournalSnapshot): Promise<void> {
     if (this.rewriting || !this.writable) return;
     this.rewriting = true;
     await this.writes
       .run(async () => {
         if (!this.writable) return;
-        const waiting = this.pending;
+        const batch = this.pending;
         this.pending = [];
-        await this.write(waiting, this.rewriteTimeoutMs(), () => this.replaceFile(snapshot()));
+        await this.write(batch, this.rewriteTimeoutMs(), () => this.replaceFile(snapshot()));
       })
       .finally(() => {
         this.rewriting = false;
@@ -210,14 +211,17 @@
     return written;
   }
 
-  /** Runs one write; whoever waits for it is answered within the limit. The next one starts only when this one has ended. */
+  /**
+   * Runs one write and settles its appends within `timeoutMs`. A late write is still awaited before the next one
+   * starts.
+   */
   private async write(
     batch: readonly PendingAppend[],
     timeoutMs: number,
     operation: () => Promise<unknown>,
   ): Promise<void> {
     const timeout = this.startTimeout(timeoutMs, () =>
-      this.refuse(batch, `a write lasts over ${Math.round(timeoutMs)} ms`),
+      this.rejectAppends(batch, `a write took longer than ${Math.round(timeoutMs)} ms`),
     );
     try {
       await operation();
@@ -227,33 +231,35 @@
       else this.resume();
     } catch (error) {
       timeout.stop();
-      this.refuse(batch, errorText(error));
+      this.rejectAppends(batch, errorText(error));
       await this.recover();
     }
   }
 
   private startTimeout(timeoutMs: number, onTimeout: () => void): TimerHandle {
     const { clock } = this.timings;
-    let timer = clock.after(toTimerMs(timeoutMs * (1 - finalTimeoutShare)), () => {
-      timer = clock.after(toTimerMs(timeoutMs * finalTimeoutShare), onTimeout);
+    let timer = clock.after(toTimerMs(timeoutMs * (1 - finalTimeoutFraction)), () => {
+      timer = clock.after(toTimerMs(timeoutMs * finalTimeoutFraction), onTimeout);
     });
     return { stop: () => timer.stop() };
   }
 
-  private refuse(batch: readonly PendingAppend[], reason: string): void {
+  /** Marks the journal as not writable, and rejects the appends of a batch and all pending ones. */
+  private rejectAppends(batch: readonly PendingAppend[], reason: string): void {
     if (this.writable) this.timings.log?.warn(`${this.name} cannot be written: ${reason}.`);
     this.failure ??= reason;
     if (this.pending.length > 0) this.fileLacksRecords = true;
     const error = new JournalUnavailableError(this.name, reason, 'unknown');
-    const refused = [...batch, ...this.pending];
+    const rejected = [...batch, ...this.pending];
     this.pending = [];
-    for (const append of refused) append.reject(error);
+    for (const append of rejected) append.reject(error);
   }
 
   /**
-   * After a failed write nobody knows what the file holds: its pages may have been dropped, or may reach the disk later.
-   * So it is not appended to again; a new one takes its place, made of all that its owner holds and read back. The
-   * snapshot is taken once, since the owner's records do not change before the journal accepts more.
+   * Replaces the file with a snapshot of the owner's records and reads it back, until that succeeds or the journal is
+   * closed. After a failed write the content of the old file is unknown: the kernel may have dropped its dirty pages,
+   * or may write them later. So it is not appended to again. The snapshot is taken once, since the owner's records do
+   * not change while the journal rejects appends.
    */
   private async recover(): Promise<void> {
     const { snapshot } = this;
@@ -284,7 +290,7 @@
     this.timings.log?.info(`${this.name} is complete and writable again.`);
   }
 
-  /** Ends a recovery under way and closes the file once the write under way has ended. */
+  /** Stops a running recovery, and closes the file after the write in flight has ended. */
   async close(): Promise<void> {
     this.closing.abort();
     await this.writes.run(() => this.file.close());
--- a/packages/journal/src/log-scanner.ts
+++ b/packages/journal/src/log-scanner.ts
@@ -1,15 +1,15 @@
 /**
- * Reads the records of a log. A loss of power may tear the last batch, which is then not counted; a damaged batch with
- * valid ones behind it cannot come from that, so it is an error.
+ * Reads the records of a log. A power loss may tear the last batch, which is then ignored; it cannot cause a damaged
+ * batch that is followed by a valid one, so that is an error.
  */
 import { JournalDamagedError } from './errors.js';
 import { decodeFrame } from './frames.js';
 
 const newline = 10;
 
-/** Passes each valid record of a log on, from chunks of any size. Holds one line at most. */
+/** Parses a log from chunks of any size and passes each valid record to a callback. Buffers at most one line. */
 export class LogScanner {
-  /** Copies of the parts of a line whose end has not arrived. */
+  /** Copies of the parts of a line whose line feed has not arrived. */
   private parts: Buffer[] = [];
   private lineStart = 0;
   private length = 0;
@@ -21,27 +21,27 @@
   ) {}
 
   /**
-   * Adds the next bytes of the file; the chunk may be overwritten afterwards.
+   * Adds the next chunk of the file; the caller may reuse its buffer afterwards.
    *
    * @throws JournalDamagedError if a valid batch follows a damaged one.
    */
   add(chunk: Buffer): void {
-    let at = 0;
-    for (let end = chunk.indexOf(newline); end >= 0; end = chunk.indexOf(newline, at)) {
-      this.readLine(this.completeLine(chunk.subarray(at, end)));
-      at = end + 1;
-      this.lineStart = this.length + at;
+    let offset = 0;
+    for (let end = chunk.indexOf(newline); end >= 0; end = chunk.indexOf(newline, offset)) {
+      this.readLine(this.completeLine(chunk.subarray(offset, end)));
+      offset = end + 1;
+      this.lineStart = this.length + offset;
     }
-    if (at < chunk.length) this.parts.push(Buffer.from(chunk.subarray(at)));
+    if (offset < chunk.length) this.parts.push(Buffer.from(chunk.subarray(offset)));
     this.length += chunk.length;
   }
 
-  /** The number of bytes so far. */
+  /** Total length of the chunks added so far, in bytes. */
   get totalBytes(): number {
     return this.length;
   }
 
-  /** Once all bytes were added: where the valid records end. */
+  /** Length of the valid part of the log, in bytes; final once all chunks were added. */
   get validBytes(): number {
     return this.tornAt ?? this.lineStart;
   }
@@ -61,7 +61,7 @@
     }
     if (this.tornAt !== undefined)
       throw new JournalDamagedError(
-        `${this.name}: the record at byte ${this.tornAt} is damaged and valid ones follow it`,
+        `${this.name}: the record at byte ${this.tornAt} is damaged, but valid records follow it`,
       );
     for (const record of batch) this.onRecord(record);
   }
--- a/packages/journal/src/timings.ts
+++ b/packages/journal/src/timings.ts
@@ -1,25 +1,25 @@
-/** The time limits of writes to disk, and retries of what a full disk refused. */
+/** Timeouts of disk writes, and retries of operations that failed with a transient disk error. */
 import { delay, hostClock, type Clock, type Logger } from '@tillerstair/wire';
 import { errorText, isTransientDiskError } from './errors.js';
 
-/** Time limits of one journal, in ms. */
+/** Timeouts and retry intervals of one journal, in ms, and the clock that they refer to. */
 export interface JournalTimings {
   readonly clock: Clock;
-  /** How long a write may last before those who wait for it are answered that it failed. */
+  /** Timeout of a write, after which its appends are rejected; the write itself may still end. */
   readonly syncTimeoutMs: number;
-  /** The pause between two attempts to rewrite a file after a failure. */
+  /** Minimum delay between two attempts at a failed operation. */
   readonly retryIntervalMs: number;
   readonly log?: Logger;
 }
 
-/** Used where nobody states other limits. */
+/** Timings on the host's clock, for journals that are opened without any. */
 export const defaultTimings: JournalTimings = {
   clock: hostClock,
   syncTimeoutMs: 1500,
   retryIntervalMs: 250,
 };
 
-/** Repeats an operation for as long as the disk accepts no bytes; any other error is thrown at once. */
+/** Repeats an operation while it fails with a transient disk error, without limit; rethrows any other error. */
 export const retryTransientDiskErrors = async <T>(
   timings: JournalTimings,
   fileName: string,
@@ -30,7 +30,8 @@
       return await operation();
     } catch (error) {
       if (!isTransientDiskError(error)) throw error;
-      if (attempt === 0) timings.log?.warn(`${fileName} waits for the disk: ${errorText(error)}.`);
+      if (attempt === 0)
+        timings.log?.warn(`${fileName}: waiting for the disk: ${errorText(error)}.`);
       await delay(timings.clock, timings.retryIntervalMs);
     }
   }
--- a/packages/store/src/hint-table.ts
+++ b/packages/store/src/hint-table.ts
@@ -1,7 +1,7 @@
-/** The hints that a store keeps for others, by number. */
+/** Pending hints for hinted handoff: the items that a store keeps on behalf of unreachable stores, by hint number. */
 import type { Hint } from './replica-records.js';
 
-/** Hints in memory; numbers are never used twice. */
+/** The pending hints, in memory. Hint numbers are never reused. */
 export class HintTable {
   private readonly hints = new Map<number, Hint>();
   private lastNumber = 0;
@@ -10,7 +10,7 @@
     return this.hints.size;
   }
 
-  /** The number of a hint that is about to be added. */
+  /** Allocates the number of a hint that is about to be added. */
   nextNumber(): number {
     return ++this.lastNumber;
   }
@@ -20,8 +20,8 @@
     this.lastNumber = Math.max(this.lastNumber, hint.n);
   }
 
-  remove(n: number): void {
-    this.hints.delete(n);
+  remove(hintNumber: number): void {
+    this.hints.delete(hintNumber);
   }
 
   /** The hints for one store, oldest first. */
@@ -31,7 +31,7 @@
       .sort((left, right) => left.n - right.n);
   }
 
-  /** The ids of the stores that there are hints for. */
+  /** The ids of the stores that pending hints are for. */
   targets(): ReadonlySet<string> {
     return new Set([...this.hints.values()].map((hint) => hint.to));
   }
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** The store: replicas of slots on disk, the requests of their owners, and the filling and moving of replicas. */
+/** The store: replicas of slots on disk, the requests of slot owners, and the refill and handoff of replicas. */
 export * from './open-store-disk.js';
 export * from './replica-records.js';
 export * from './replica-store.js';
--- a/packages/store/src/maintenance.ts
+++ b/packages/store/src/maintenance.ts
@@ -1,6 +1,6 @@
 /**
- * What a store does by itself twice a heartbeat: it hands hints off to the stores that they are for, and drops items that
- * expired or whose slots moved to other stores.
+ * Background maintenance of a store, which runs twice per heartbeat interval: it hands hints off to their target
+ * stores, and drops items that expired or whose slots are assigned to other stores.
  */
 import {
   compiledConfig,
@@ -14,13 +14,13 @@
 import type { Hint } from './replica-records.js';
 import type { ReplicaStore } from './replica-store.js';
 
-/** Rounds of maintenance in a heartbeat interval. */
+/** Maintenance rounds per heartbeat interval. */
 const roundsPerHeartbeat = 2;
 
-/** Given to `dropReassignedSlots` for a slot that is not to be dropped. */
+/** Returned to `dropReassignedSlots` for a slot that must be kept; lower than any ownership epoch. */
 const notReassigned = -1;
 
-/** What maintenance works with. */
+/** Settings of the maintenance of one store, and the components that it uses. */
 export interface MaintenanceOptions {
   readonly storeId: string;
   readonly replicaStore: ReplicaStore;
@@ -28,16 +28,17 @@
   readonly clock: Clock;
   readonly bounds: Pick<ZenBounds, 'heartbeatInterval' | 'failureTimeout'>;
   readonly log: Logger;
-  /** The state that the node applied last. */
+  /** The cluster state that the node has applied; undefined before the first one. */
   readonly appliedState: () => State | undefined;
-  /** The state that it applies, or applied last. */
+  /** The newest cluster state, which the node has applied or is applying. */
   readonly latestState: () => State | undefined;
 }
 
-/** Runs the rounds of maintenance of one store until it is stopped. */
+/** Runs the maintenance rounds of one store. */
 export class Maintenance {
   constructor(private readonly options: MaintenanceOptions) {}
 
+  /** Runs maintenance rounds until `stopped` is aborted. An error ends the current round only. */
   async run(stopped: AbortSignal): Promise<void> {
     const { clock, bounds, replicaStore, log, appliedState } = this.options;
     while (!stopped.aborted) {
@@ -49,12 +50,12 @@
         await replicaStore.dropExpired(turnRetentionLimitMs(compiledConfig(state.config)));
         await replicaStore.dropReassignedSlots((slot) => this.reassignedAt(slot));
       } catch (error) {
-        log.warn(`Maintenance stopped: ${toRpcError(error).message}.`);
+        log.warn(`Maintenance round failed: ${toRpcError(error).message}.`);
       }
     }
   }
 
-  /** The ownership epoch at which the latest state assigns a slot to other stores, or -1 if it does not. */
+  /** The ownership epoch at which the latest state assigns a slot to other stores; -1 if it does not. */
   private reassignedAt(slotNumber: number): number {
     const slot = this.options.latestState()?.slots[slotNumber];
     return slot && slot.replicas.length > 0 && !replicasToWrite(slot).includes(this.options.storeId)
@@ -62,7 +63,10 @@
       : notReassigned;
   }
 
-  /** Hands hints off. Those for a store that is unavailable but still a replica are kept. */
+  /**
+   * Hands hints off to their target stores. Hints for a replica that is not a member of the cluster at present are
+   * kept; hints for a store that is no longer a replica of their slot are dropped.
+   */
   private async handOffHints(state: State): Promise<void> {
     const { replicaStore, log } = this.options;
     for (const storeId of replicaStore.hintTargets()) {
@@ -77,10 +81,12 @@
         await replicaStore.removeHint(hint.n);
         count++;
       }
-      if (count > 0) log.info(`Handed off ${count} hints to ${member?.addr ?? storeId}.`);
+      if (count > 0)
+        log.info(`Handed off or dropped ${count} hints for ${member?.addr ?? storeId}.`);
     }
   }
 
+  /** Sends one hint to its target store; false if that failed. */
   private async handOff(hint: Hint, member: Member): Promise<boolean> {
     const { transport, bounds, log } = this.options;
     const body = { slot: hint.slot, items: hint.items };
@@ -88,11 +94,13 @@
       await transport.call(member.addr, 'store/hand', body, { timeoutMs: bounds.failureTimeout });
       return true;
     } catch (error) {
-      log.debug(`Handing off to ${member.addr} failed: ${toRpcError(error).message}.`);
+      log.debug(
+        `Handing off a hint for slot ${hint.slot} to ${member.addr} failed: ${toRpcError(error).message}.`,
+      );
       return false;
     }
   }
 }
 
-/** A signal that is looked at again after an await, which the compiler takes for unchanged. */
+/** Reads `aborted` again after an await; the compiler would otherwise assume that it is still false. */
 const isAborted = (signal: AbortSignal): boolean => signal.aborted;
--- a/packages/store/src/open-store-disk.ts
+++ b/packages/store/src/open-store-disk.ts
@@ -1,4 +1,4 @@
-/** Opens what a store has on disk: its identity and its state of the cluster, and its replicas. */
+/** Opens the logs of a store: the election log, which holds its id and the cluster state, and the replica log. */
 import {
   errorText,
   isTransientDiskError,
@@ -11,27 +11,27 @@
 import { replicaStoreLog } from './replica-records.js';
 import { ReplicaStore, type ReplicaStoreLimits } from './replica-store.js';
 
-/** Where a store's disk is, and how it is written. */
+/** The disk of a store, and the timings and limits of its logs. */
 export interface StoreDiskOptions {
   readonly disk: Disk;
   readonly clock: Clock;
   readonly timings: JournalTimings;
   readonly limits: ReplicaStoreLimits;
-  /** Makes the id of a store whose disk holds none. */
+  /** Generates the id of a store whose disk holds none. */
   readonly freshId: () => string;
-  /** The size in bytes below which the log of votes and states is not rewritten. */
+  /** Size below which the election log is not rewritten, in bytes. */
   readonly rewriteMinBytes: number;
 }
 
-/** What a store has on disk. */
+/** The opened logs of a store. */
 export interface StoreDisk {
   readonly electionStore: DiskElectionStore;
   readonly replicaStore: ReplicaStore;
 }
 
 /**
- * Opens both logs. A damaged log of replicas is renamed, and the store starts as one that lost its disk. Its identity is
- * given up first: a store that goes on under the old one would count as a replica of what it no longer has.
+ * Opens both logs. A damaged replica log is renamed, and the store starts as a new one with empty replicas. Its id is
+ * retired first: under the old id the store would still count as a replica of slots whose items it no longer has.
  */
 export const openStoreDisk = async (options: StoreDiskOptions): Promise<StoreDisk> => {
   const { disk, clock, timings, limits, freshId, rewriteMinBytes } = options;
@@ -43,7 +43,7 @@
   try {
     return { electionStore, replicaStore: await openReplicaStore() };
   } catch (error) {
-    // Opening waits such errors out by itself; should one come through, it says nothing of the log.
+    // Opening a log retries transient errors; one that is thrown all the same does not mean that the log is damaged.
     if (isTransientDiskError(error)) throw error;
     timings.log?.warn(
       `${replicaStoreLog} is damaged (${errorText(error)}): kept as ${replicaStoreLog}.damaged, starting as a new store.`,
--- a/packages/store/src/replica-records.ts
+++ b/packages/store/src/replica-records.ts
@@ -1,14 +1,14 @@
 /**
- * The records of a store's log of replicas (`store.log`). Their keys are those on disk and are kept as they are; logs of
- * earlier versions are read by them (tests/fixtures).
+ * The records of a store's replica log (`store.log`). Their keys are part of the format on disk and must not change:
+ * logs of earlier versions are read with these schemas (tests/fixtures).
  */
 import { z } from 'zod';
 import { Item } from '@tillerstair/state';
 
-/** The file that holds a store's replicas. */
+/** File name of a store's replica log. */
 export const replicaStoreLog = 'store.log';
 
-/** One change of a store's replicas or hints. `n` numbers the hints. */
+/** Schema of one change of a store's replicas or hints. `n` is the number of a hint. */
 export const ReplicaRecord = z.discriminatedUnion('t', [
   z.object({
     t: z.literal('put'),
@@ -30,24 +30,27 @@
 /** One change of a store's replicas or hints. */
 export type ReplicaRecord = z.infer<typeof ReplicaRecord>;
 
-/** Items that are kept for a store that could not be reached, until they have been handed off to it. */
+/** Items kept on behalf of an unreachable store until they are handed off to it. */
 export interface Hint {
-  /** Its number, unique within this store. */
+  /** Number of the hint, unique within the store that keeps it. */
   readonly n: number;
-  /** The id of the store that it is for. */
+  /** Id of the store that the hint is for. */
   readonly to: string;
   readonly slot: number;
   readonly items: readonly Item[];
 }
 
-/** The replica of one slot at one moment. */
+/** A point-in-time copy of the replica of one slot. */
 export interface SlotSnapshot {
   readonly slot: number;
   readonly fenceEpoch: number;
   readonly items: readonly Item[];
 }
 
-/** The records that a log is rewritten with. Items were checked when they were put, so they need no ownership epoch. */
+/**
+ * The records of a rewritten log. Items passed the fence when they were first written, so they are written with
+ * ownership epoch 0, which leaves the fence unchanged.
+ */
 export function* snapshotRecords(
   slots: readonly SlotSnapshot[],
   hints: readonly Hint[],
--- a/packages/store/src/replica-refill.ts
+++ b/packages/store/src/replica-refill.ts
@@ -1,8 +1,9 @@
 /**
  * Fills the slots that this store joins as a replica (docs/design.md, "Changing a replica").
  *
- * A slot is pulled from a quorum of its replicas, each fenced at the ownership epoch of the state in which this store
- * joins. Only once all that is synced the master is notified, which makes the change under the next ownership epoch.
+ * A slot is pulled from a quorum of its replicas, each of them fenced at the ownership epoch of the state in which this
+ * store joins. Once all pulled items are synced, the master is notified, which commits the change of replicas under the
+ * next ownership epoch.
  */
 import pLimit from 'p-limit';
 import { fetchPages, type Member, type State } from '@tillerstair/state';
@@ -17,17 +18,17 @@
 import type { ZenBounds } from '@tillerstair/zen';
 import type { ReplicaStore } from './replica-store.js';
 
-/** Slots that are pulled at once. */
+/** Limit of slots that are filled concurrently. */
 const maxConcurrentSlots = 8;
 
-/** How often in a heartbeat interval the state is searched for slots to fill, if no new one comes earlier. */
+/** Searches of the cluster state for slots to fill, per heartbeat interval; a new state is searched immediately. */
 const searchesPerHeartbeat = 2;
 
-/** Attempts to fill a slot, and pages of it that are pulled, in a heartbeat interval. */
+/** Limits of the attempts to fill a slot, and of the pages pulled per source, in one heartbeat interval. */
 const attemptsPerHeartbeat = 16;
 const pagesPerHeartbeat = 16;
 
-/** What filling slots works with. */
+/** Settings of the refill of one store, and the components that it uses. */
 export interface ReplicaRefillOptions {
   readonly storeId: string;
   readonly replicaStore: ReplicaStore;
@@ -35,17 +36,19 @@
   readonly clock: Clock;
   readonly bounds: Pick<ZenBounds, 'heartbeatInterval' | 'failureTimeout'>;
   readonly log: Logger;
+  /** The newest cluster state, which the node has applied or is applying. */
   readonly latestState: () => State | undefined;
+  /** The master that the node follows; undefined if it knows none. */
   readonly currentMaster: () => Member | undefined;
 }
 
-/** One slot as a state names it, to be filled at its ownership epoch. */
+/** A slot that this store joins as a replica, at the ownership epoch of the state that says so. */
 interface JoiningSlot {
   readonly number: number;
   readonly ownershipEpoch: number;
 }
 
-/** Fills slots of one store until it is stopped. Owns which slot is being filled, and at which ownership epoch. */
+/** Fills the slots that one store joins. Tracks the ownership epoch at which the filling of each slot was started. */
 export class ReplicaRefill {
   private readonly limitConcurrency = pLimit(maxConcurrentSlots);
   private readonly startedEpochs = new Map<number, number>();
@@ -53,11 +56,12 @@
 
   constructor(private readonly options: ReplicaRefillOptions) {}
 
-  /** Looks at the latest state at once. */
+  /** Searches the latest state immediately instead of at the next interval. */
   wake(): void {
     this.stopWaiting();
   }
 
+  /** Searches the latest state for slots to fill until `stopped` is aborted. */
   async run(stopped: AbortSignal): Promise<void> {
     const { clock, bounds, latestState, storeId } = this.options;
     while (!stopped.aborted) {
@@ -73,7 +77,7 @@
     }
   }
 
-  /** Tries to fill a slot until that succeeds or the slot is at another ownership epoch. */
+  /** Retries filling a slot until it succeeds, the slot's ownership epoch changes, or the store is stopped. */
   private async fillUntilComplete(joining: JoiningSlot, stopped: AbortSignal): Promise<void> {
     const { clock, bounds, log, latestState } = this.options;
     while (!stopped.aborted) {
@@ -84,12 +88,15 @@
         await this.limitConcurrency(() => this.fill(state, joining, slot.replicas, stopped));
         return;
       } catch (error) {
-        log.debug(`Refill of slot ${joining.number} waits: ${toRpcError(error).message}.`);
+        log.debug(
+          `Refill of slot ${joining.number} failed, will retry: ${toRpcError(error).message}.`,
+        );
       }
       await delay(clock, bounds.heartbeatInterval / attemptsPerHeartbeat, stopped);
     }
   }
 
+  /** Pulls a slot from a quorum of its replicas and reports it to the master as filled. */
   private async fill(
     state: State,
     joining: JoiningSlot,
@@ -107,10 +114,14 @@
     if (pulled < quorum)
       throw new UnavailableError(
         'unavailable',
-        `${pulled} of ${quorum} replicas that are needed reply`,
+        `slot ${joining.number} was pulled from ${pulled} replicas of a quorum of ${quorum}`,
       );
     const master = currentMaster();
-    if (!master) throw new UnavailableError('unavailable', 'no master is known');
+    if (!master)
+      throw new UnavailableError(
+        'unavailable',
+        `no master is known to report slot ${joining.number} to`,
+      );
     await transport.call(
       master.addr,
       'control/filled',
@@ -119,7 +130,7 @@
     );
   }
 
-  /** Pulls all pages of a slot from one replica and stores them; says whether that succeeded. */
+  /** Pulls all pages of a slot from one replica and stores their items; false if that failed. */
   private async pullFrom(
     member: Member,
     { number, ownershipEpoch }: JoiningSlot,
--- a/packages/store/src/replica-store.ts
+++ b/packages/store/src/replica-store.ts
@@ -1,9 +1,9 @@
 /**
  * A store's replicas and hints, in memory and on disk (`store.log`).
  *
- * It owns the replica of each slot, the index of turns, the hints and the journal behind them. Invariants: a request
- * below a slot's fence is refused; whatever was acknowledged is on disk (docs/design.md, "Slots, owners, ownership
- * epochs" and "Disk").
+ * State: the replica of each slot, the turn index, the hints, and the journal that stores them. Invariants: a request
+ * with an ownership epoch below the slot's fence is rejected; an acknowledged write is on disk (docs/design.md, "Slots,
+ * owners, ownership epochs" and "Disk").
  */
 import { z } from 'zod';
 import {
@@ -20,19 +20,20 @@
 import { SlotReplica } from './slot-replica.js';
 import { TurnIndex, type ItemLocation } from './turn-index.js';
 
-/** The part of a turn's value that names the turn it continues. */
-const ContinuedTurn = z.object({ after: z.string() });
+/** The field of a turn's value that names the preceding turn. */
+const TurnLink = z.object({ after: z.string() });
 
-/** The limits of what a store stores. */
+/** Size and retention limits of a store. */
 export interface ReplicaStoreLimits {
-  /** The size in bytes below which the log is not rewritten. */
+  /** Size below which the replica log is not rewritten, in bytes. */
   readonly rewriteMinBytes: number;
-  /** How long items stay that nobody writes or fences, in ms. */
+  /** Time after which items that are neither written nor fenced expire, in ms. */
   readonly retentionMs: number;
+  /** Maximum number of pending hints for all other stores together. */
   readonly maxHints: number;
 }
 
-/** How much a store holds; served as `/v1/counts`. */
+/** Counts of a store's items, hints and slots, and the size of its replica log in bytes; served as `/v1/counts`. */
 export interface ReplicaStoreCounts {
   readonly items: number;
   readonly hints: number;
@@ -40,7 +41,9 @@
   readonly slots: number;
 }
 
-/** The replicas and hints of one store. Writes reject with `JournalUnavailableError` while the disk takes none. */
+/**
+ * The replicas and hints of one store. Writes reject with `JournalUnavailableError` while the journal is not writable.
+ */
 export class ReplicaStore implements JournalOwner {
   private readonly slots = new Map<number, SlotReplica>();
   private readonly turns = new TurnIndex();
@@ -54,7 +57,11 @@
     journal.recoverFrom(() => this.snapshot());
   }
 
-  /** @throws JournalDamagedError, or ZodError for a record of an unknown form. */
+  /**
+   * Opens the replica log and restores its records.
+   *
+   * @throws JournalDamagedError; ZodError for a record that matches no schema.
+   */
   static async open(
     disk: Disk,
     clock: Clock,
@@ -69,12 +76,15 @@
     );
   }
 
-  /** Applies a record that was read from the log. */
+  /** Applies a record that was read from the log. @throws ZodError for a record that matches no schema. */
   restore(record: unknown): void {
     this.apply(ReplicaRecord.parse(record));
   }
 
-  /** Whether the disk accepts writes; without it they are refused at once and the other replicas carry them. */
+  /**
+   * Whether the journal accepts writes. While it does not, writes are rejected immediately, and owners use other
+   * replicas.
+   */
   get writable(): boolean {
     return this.journal.writable;
   }
@@ -119,8 +129,9 @@
   }
 
   /**
-   * Memory changes before the disk does. A record whose append failed may be on disk, so it stays in memory: an item may
-   * be stored without being acknowledged, and a fence too many refuses no more than an acknowledged one would.
+   * Applies a record in memory, then appends it to the log. A record whose append failed may still be on disk, so it
+   * stays in memory. That is safe: an item may be stored without being acknowledged, and an unacknowledged fence
+   * rejects the same requests as an acknowledged one.
    */
   private async append(record: ReplicaRecord): Promise<void> {
     this.journal.requireWritable();
@@ -130,13 +141,16 @@
       void this.journal.rewrite(() => this.snapshot()).catch(() => undefined);
   }
 
-  /** All that is stored now: references are copied at once, the records are created as they are written. */
+  /**
+   * A snapshot of all slots and hints: item references are copied immediately, records are created during iteration.
+   */
   private snapshot(): Iterable<ReplicaRecord> {
     const slots = [...this.slots.values()].map((replica) => replica.snapshot());
     const hints = this.hints.all();
     return { [Symbol.iterator]: () => snapshotRecords(slots, hints) };
   }
 
+  /** The replica of a slot. @throws ReplicaError (`stale-epoch`) for an ownership epoch below the fence. */
   private replicaAtEpoch(slot: number, ownershipEpoch: number): SlotReplica {
     const replica = this.replicaOf(slot);
     replica.requireCurrentEpoch(ownershipEpoch);
@@ -146,7 +160,7 @@
   /**
    * Writes an owner's items; resolves when they are on disk.
    *
-   * @throws ReplicaError (`stale-epoch`) below the fence.
+   * @throws ReplicaError (`stale-epoch`) for an ownership epoch below the fence; JournalUnavailableError.
    */
   async write(slot: number, ownershipEpoch: number, items: readonly Item[]): Promise<void> {
     this.replicaAtEpoch(slot, ownershipEpoch);
@@ -154,10 +168,11 @@
   }
 
   /**
-   * Fences a slot and returns a page of its items: lower ownership epochs are refused from the moment it resolves. All
-   * pages of one fence belong together; only the first request, with `after` empty, writes.
+   * Fences a slot and returns a page of its items. Once it resolves, requests with lower ownership epochs are rejected.
+   * The first page is requested with an empty `after`; only that request writes the fence, the following ones read
+   * pages.
    *
-   * @throws ReplicaError (`stale-epoch`, `page-gone`).
+   * @throws ReplicaError (`stale-epoch`, `page-gone`); JournalUnavailableError.
    */
   async fence(slot: number, ownershipEpoch: number, after: string): Promise<ItemPage> {
     const replica = this.replicaAtEpoch(slot, ownershipEpoch);
@@ -169,17 +184,17 @@
     return replica.page(after);
   }
 
-  /** Resolves once all that is in memory now is on disk: a fence of epoch 0 changes nothing, but is synced. */
+  /** Resolves once all records applied so far are on disk. Appends a fence of epoch 0, which changes nothing. */
   waitForSync(): Promise<void> {
     return this.journal.append({ t: 'fence', slot: 0, ownershipEpoch: 0 });
   }
 
-  /** @throws ReplicaError (`stale-epoch`) below the fence. */
+  /** Reads one item; null if it is missing. @throws ReplicaError (`stale-epoch`) for an epoch below the fence. */
   read(slot: number, ownershipEpoch: number, key: string): Item | null {
     return this.replicaAtEpoch(slot, ownershipEpoch).get(key) ?? null;
   }
 
-  /** The turn of that name and, behind it, those that it continues, as far as they are stored here; the newest first. */
+  /** The turn of that name followed by the turns before it, newest first, as far as this store holds them. */
   findTurns(turn: string): readonly Item[] {
     const found: Item[] = [];
     let location = this.turns.find(turn);
@@ -187,8 +202,8 @@
       const item = this.itemAt(location);
       if (!item || found.includes(item)) break;
       found.push(item);
-      const continued = ContinuedTurn.safeParse(item.value);
-      location = continued.success ? this.turns.findByName(continued.data.after) : undefined;
+      const link = TurnLink.safeParse(item.value);
+      location = link.success ? this.turns.findByName(link.data.after) : undefined;
     }
     return found;
   }
@@ -198,8 +213,8 @@
   }
 
   /**
-   * A page of a slot's items for a replica that is being filled. The slot has to be fenced first, or a write of an
-   * earlier owner could count after it was pulled.
+   * A page of a slot's items for a replica that is being filled. The slot must be fenced first; otherwise a write of an
+   * earlier owner could be acknowledged after the page was read.
    *
    * @throws ReplicaError (`not-fenced`, `page-gone`).
    */
@@ -209,7 +224,7 @@
     return replica.page(after);
   }
 
-  /** Stores items that counted earlier, from a hint or another replica; resolves when they, or newer ones, are on disk. */
+  /** Stores items of a hint or another replica, whatever the fence; resolves when they, or newer ones, are on disk. */
   async acceptHandoff(slot: number, items: readonly Item[]): Promise<void> {
     const replica = this.replicaOf(slot);
     const newItems = items.filter((item) => replica.isNew(item));
@@ -218,12 +233,15 @@
     else await this.waitForSync();
   }
 
-  /** Keeps items for a store that cannot be reached. Throws `ReplicaError` (`hints-full`) if there are too many. */
+  /** Keeps items for an unreachable store. @throws ReplicaError (`hints-full`) if `maxHints` is reached. */
   async addHint(storeId: string, slot: number, items: readonly Item[]): Promise<void> {
     if (this.hints.size >= this.limits.maxHints)
-      throw new ReplicaError('hints-full', `${this.hints.size} hints are stored already`);
-    const n = this.hints.nextNumber();
-    await this.append({ t: 'hint', n, to: storeId, slot, items: [...items] });
+      throw new ReplicaError(
+        'hints-full',
+        `the limit of hints is reached: ${this.hints.size} are stored`,
+      );
+    const hintNumber = this.hints.nextNumber();
+    await this.append({ t: 'hint', n: hintNumber, to: storeId, slot, items: [...items] });
   }
 
   /** The hints for one store, oldest first. */
@@ -231,17 +249,20 @@
     return this.hints.forStore(storeId);
   }
 
-  /** The ids of the stores that there are hints for. */
+  /** The ids of the stores that pending hints are for. */
   hintTargets(): ReadonlySet<string> {
     return this.hints.targets();
   }
 
-  /** Drops a hint that was handed off, or that nobody needs any more. */
-  async removeHint(n: number): Promise<void> {
-    await this.append({ t: 'transferred', n });
+  /** Drops a hint that was handed off or is no longer needed. */
+  async removeHint(hintNumber: number): Promise<void> {
+    await this.append({ t: 'transferred', n: hintNumber });
   }
 
-  /** Drops the groups of items that nobody touched for the retention, or for `minRetentionMs` if that is longer. */
+  /**
+   * Drops the groups of items that were neither written nor fenced for the retention time, or for `minRetentionMs` if
+   * that is longer. Returns the number of groups dropped.
+   */
   async dropExpired(minRetentionMs = 0): Promise<number> {
     const now = this.clock.now();
     const retentionMs = Math.max(this.limits.retentionMs, minRetentionMs);
@@ -256,8 +277,8 @@
   }
 
   /**
-   * Drops slots that the state assigns to other stores. `reassignedAt` gives the ownership epoch of that state, or -1; a
-   * slot that was fenced later is needed by a newer state than this one.
+   * Drops the items of slots that the state assigns to other stores. `reassignedAt` returns the slot's ownership epoch
+   * in that state, or -1 to keep the slot. A slot with a later fence is kept: a newer state needs it.
    */
   async dropReassignedSlots(reassignedAt: (slot: number) => number): Promise<void> {
     for (const [slot, replica] of this.slots)
@@ -265,6 +286,7 @@
         await this.append({ t: 'drop', slot, groups: [...replica.allGroups()] });
   }
 
+  /** The current counts and size of this store. */
   counts(): ReplicaStoreCounts {
     let items = 0;
     for (const replica of this.slots.values()) items += replica.itemCount;
--- a/packages/store/src/slot-replica.ts
+++ b/packages/store/src/slot-replica.ts
@@ -1,8 +1,8 @@
 /**
- * This store's replica of one slot: its items, and the ownership epoch that it is fenced at (docs/design.md, "Slots,
- * owners, ownership epochs").
+ * A store's replica of one slot: the items, and the ownership epoch at which the slot is fenced (docs/design.md,
+ * "Slots, owners, ownership epochs").
  *
- * Invariants: the fence never goes back; an item is replaced by a newer one only.
+ * Invariants: the fence is never lowered; an item is only replaced by a newer one.
  */
 import {
   isNewerItem,
@@ -14,19 +14,21 @@
 import { ReplicaError } from '@tillerstair/wire';
 import type { SlotSnapshot } from './replica-records.js';
 
-/** A page ends once it is over half of the largest one, so that one more item rarely exceeds that. */
+/**
+ * A page is closed once it exceeds half of the maximum size, so that its last item rarely takes it over the maximum.
+ */
 const pageEndsAtBytes = maxPageBytes / 2;
 
-/** One slot's items in the order in which they first came, in memory. */
+/** The items of one slot in memory, in the order in which their keys were first stored. */
 export class SlotReplica {
   private epoch = 0;
   private readonly items = new Map<string, Item>();
-  /** When each group of items was last written or fenced, in ms of this process's clock. */
+  /** Time of the last write or fence of each group of items, in ms of this process's clock. */
   private readonly touchedAt = new Map<string, number>();
 
   constructor(readonly slot: number) {}
 
-  /** The ownership epoch below which requests are refused. */
+  /** The ownership epoch below which requests are rejected. */
   get fenceEpoch(): number {
     return this.epoch;
   }
@@ -35,17 +37,17 @@
     return this.items.size;
   }
 
-  /** Raises the fence; a lower ownership epoch changes nothing. */
+  /** Raises the fence; a lower ownership epoch has no effect. */
   raiseFence(ownershipEpoch: number): void {
     this.epoch = Math.max(this.epoch, ownershipEpoch);
   }
 
-  /** Starts the retention of everything anew, as a new owner has to be able to read it. */
+  /** Restarts the retention time of all items, since a new owner must be able to read them. */
   touchAll(now: number): void {
     for (const group of this.touchedAt.keys()) this.touchedAt.set(group, now);
   }
 
-  /** Stores an item unless one as new is there. */
+  /** Stores an item unless the stored one is as new, and restarts the retention time of its group. */
   put(item: Item, now: number): void {
     if (this.isNew(item)) this.items.set(item.key, item);
     this.touchedAt.set(recordGroup(item.key), now);
@@ -55,13 +57,13 @@
     return this.items.get(key);
   }
 
-  /** Whether an item is newer than the one of its key, or there is none. */
+  /** Whether an item is newer than the stored one of the same key; true if none is stored. */
   isNew(item: Item): boolean {
     const stored = this.items.get(item.key);
     return !stored || isNewerItem(item, stored);
   }
 
-  /** Removes all items of some groups and returns their keys. */
+  /** Removes all items of the given groups and returns their keys. */
   drop(groups: ReadonlySet<string>): readonly string[] {
     const dropped = [...this.items.keys()].filter((key) => groups.has(recordGroup(key)));
     for (const key of dropped) this.items.delete(key);
@@ -69,7 +71,7 @@
     return dropped;
   }
 
-  /** The groups that nobody wrote or fenced for longer than `retentionMs`. */
+  /** The groups that were neither written nor fenced for longer than `retentionMs`. */
   expiredGroups(now: number, retentionMs: number): readonly string[] {
     return [...this.touchedAt].filter(([, at]) => now - at > retentionMs).map(([group]) => group);
   }
@@ -87,7 +89,7 @@
       );
   }
 
-  /** @throws ReplicaError (`not-fenced`) while the slot is fenced at a lower ownership epoch. */
+  /** @throws ReplicaError (`not-fenced`) if the slot's fence is below the ownership epoch. */
   requireFencedAt(ownershipEpoch: number): void {
     if (this.epoch < ownershipEpoch)
       throw new ReplicaError(
@@ -97,13 +99,16 @@
   }
 
   /**
-   * The items behind the key `after`, or from the first one if it is empty.
+   * The page of items that follow the key `after`, or the first page if it is empty.
    *
-   * @throws ReplicaError (`page-gone`) if that item was dropped meanwhile.
+   * @throws ReplicaError (`page-gone`) if the item of that key was dropped in the meantime.
    */
   page(after: string): ItemPage {
     if (after !== '' && !this.items.has(after))
-      throw new ReplicaError('page-gone', 'the page requested has expired; begin anew');
+      throw new ReplicaError(
+        'page-gone',
+        `slot ${this.slot} no longer has the item before the page; restart from the first page`,
+      );
     const items: Item[] = [];
     let bytes = 0;
     let found = after === '';
@@ -120,7 +125,7 @@
     return { items, next: '' };
   }
 
-  /** The replica as it is now; later changes do not alter it. */
+  /** A copy of the replica that later changes do not affect. */
   snapshot(): SlotSnapshot {
     return { slot: this.slot, fenceEpoch: this.epoch, items: [...this.items.values()] };
   }
--- a/packages/store/src/start.ts
+++ b/packages/store/src/start.ts
@@ -1,4 +1,4 @@
-/** Starts a store on a real disk and real connections, with its pages for operators. */
+/** Starts a store on the host's disk and network, and serves its pages for operators. */
 import { randomBytes } from 'node:crypto';
 import { FolderDisk } from '@tillerstair/journal';
 import {
@@ -47,9 +47,9 @@
   };
 
 /**
- * Starts a store. A reload takes over bounds and seeds; everything else needs a restart.
+ * Starts a store. A reload applies new bounds and seeds; all other settings need a restart.
  *
- * @throws FolderInUseError if another process has the data folder.
+ * @throws FolderInUseError if another process has locked the data folder.
  */
 export const startStore = async (settings: StoreSettings): Promise<Running<StoreSettings>> => {
   const log = stderrLog('store', settings.log);
--- a/packages/store/src/store-node.ts
+++ b/packages/store/src/store-node.ts
@@ -1,6 +1,6 @@
 /**
- * A store: a member of the cluster that keeps replicas of slots. It joins controls to a cluster's membership (Zen), the
- * requests of owners to its replicas, and two tasks of its own: maintenance and filling slots.
+ * A store: a member of the cluster that holds replicas of slots. It connects the cluster's membership (Zen), the
+ * requests of slot owners to its replicas, and two background tasks: maintenance and the refill of slots.
  */
 import { nodeViewOf, replicasToWrite, type NodeView, type State } from '@tillerstair/state';
 import { createAbortController, type RpcRequest, type Transport } from '@tillerstair/wire';
@@ -10,7 +10,7 @@
 import type { ReplicaStore } from './replica-store.js';
 import { handleStoreRequest, type StoreRequestOptions } from './store-requests.js';
 
-/** What a store needs: its membership's options and its opened replicas. */
+/** Options of a store: those of its cluster membership, and its opened replicas. */
 export interface StoreNodeOptions extends Omit<
   ZenNodeOptions,
   'slots' | 'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead'
@@ -18,7 +18,7 @@
   readonly replicaStore: ReplicaStore;
 }
 
-/** One store. `start` serves its transport, `stop` closes it; the disk is closed by whoever opened it. */
+/** One store. `start` serves its transport, `stop` closes it; the caller that opened the disk closes the disk. */
 export class StoreNode {
   readonly zen: ZenNode;
   private readonly storeId: string;
@@ -76,7 +76,7 @@
     await this.transport.close();
   }
 
-  /** What this store knows of the cluster, for operators. */
+  /** This store's view of the cluster and its number of hints, for operators. */
   nodeView(): NodeView {
     const view = nodeViewOf(
       this.storeId,
@@ -89,13 +89,14 @@
     return { ...view, facts: [...view.facts, ['own hints', String(hints)]] };
   }
 
-  /** Answers a request of another node: `zen/…` by its membership, all others by its replicas. */
+  /** Handles a request of another node: `zen/…` by the cluster membership, all others by the replicas. */
   handle(request: RpcRequest): Promise<unknown> {
     return request.kind.startsWith('zen/')
       ? this.zen.handle(request)
       : handleStoreRequest(request, this.requestOptions);
   }
 
+  /** Whether this store is a replica of a slot; true while it knows no state of the slot. */
   private isReplicaOf(slotNumber: number): boolean {
     const slot = this.latestState?.slots[slotNumber];
     return slot === undefined || replicasToWrite(slot).includes(this.storeId);
--- a/packages/store/src/store-requests.ts
+++ b/packages/store/src/store-requests.ts
@@ -1,4 +1,4 @@
-/** The requests that owners and other stores make to a store; each is parsed here and nowhere else. */
+/** Parses and handles the requests of slot owners and other stores to a store; no other module parses them. */
 import {
   FenceRequest,
   FindTurnRequest,
@@ -10,25 +10,29 @@
 import { ProtocolError, ReplicaError, type RpcRequest } from '@tillerstair/wire';
 import type { ReplicaStore } from './replica-store.js';
 
-/** What requests need beside the replicas. */
+/** The replicas that requests work on, and their assignment to this store. */
 export interface StoreRequestOptions {
   readonly replicaStore: ReplicaStore;
-  /** Whether this store is still a replica of the slot, as far as it knows; items of other slots may have been dropped. */
+  /** Whether this store is a replica of a slot in its latest state; items of other slots may have been dropped. */
   readonly isReplicaOf: (slot: number) => boolean;
 }
 
+/** Finds a turn and those before it. @throws ReplicaError (`moved`) if this store is no replica of one of the slots. */
 const findTurns = async (body: unknown, options: StoreRequestOptions): Promise<unknown> => {
   const { turn, slots } = FindTurnRequest.parse(body);
   if (slots.some((slot) => !options.isReplicaOf(slot)))
-    throw new ReplicaError('moved', 'another store is the replica of one of these slots now');
+    throw new ReplicaError(
+      'moved',
+      'this store is no longer a replica of one of the requested slots',
+    );
   await options.replicaStore.waitForSync();
   return { items: options.replicaStore.findTurns(turn) };
 };
 
 /**
- * Answers one request. A write is answered only when it is on disk.
+ * Handles one request. A write is acknowledged only when it is on disk.
  *
- * @throws ReplicaError, JournalUnavailableError, ProtocolError (`unknown-kind`), or ZodError for a body of another form.
+ * @throws ReplicaError, JournalUnavailableError, ProtocolError (`unknown-kind`), or ZodError for an invalid body.
  */
 export const handleStoreRequest = async (
   { kind, body }: RpcRequest,
