--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -28,81 +28,81 @@
 
 const chunked = suite('journals in chunks');
 
-interface Scanned {
+interface ScanResult {
   readonly records: readonly unknown[];
-  readonly good: number;
-  readonly size: number;
+  readonly validBytes: number;
+  readonly totalBytes: number;
 }
 
 /** Scans bytes cut into chunks of one size, through one buffer that is overwritten by each of them as `FolderDisk` does. */
-const scanIn = (chunkBytes: number, bytes: Buffer): Scanned => {
+const scanInChunks = (chunkBytes: number, bytes: Buffer): ScanResult => {
   const records: unknown[] = [];
   const scanner = new LogScanner('a.log', (record) => void records.push(record));
   const buffer = Buffer.alloc(chunkBytes);
-  for (let at = 0; at < bytes.length; at += chunkBytes) {
-    const length = bytes.copy(buffer, 0, at, at + chunkBytes);
+  for (let offset = 0; offset < bytes.length; offset += chunkBytes) {
+    const length = bytes.copy(buffer, 0, offset, offset + chunkBytes);
     scanner.add(buffer.subarray(0, length));
   }
-  return { records, good: scanner.validBytes, size: scanner.totalBytes };
+  return { records, validBytes: scanner.validBytes, totalBytes: scanner.totalBytes };
 };
 
-const first = [{ n: 1, text: 'añ€😀' }, { n: 2 }];
-const second = [{ n: 3, text: '€'.repeat(40) }];
-const frames = [encodeFrame(first), encodeFrame([{ n: 0 }]), encodeFrame(second)];
-const all = [...first, { n: 0 }, ...second];
-const whole = Buffer.concat(frames);
-const lastAt = whole.length - (frames.at(-1)?.length ?? 0);
+const firstBatch = [{ n: 1, text: 'añ€😀' }, { n: 2 }];
+const lastBatch = [{ n: 3, text: '€'.repeat(40) }];
+const frames = [encodeFrame(firstBatch), encodeFrame([{ n: 0 }]), encodeFrame(lastBatch)];
+const allRecords = [...firstBatch, { n: 0 }, ...lastBatch];
+const logBytes = Buffer.concat(frames);
+const lastFrameStart = logBytes.length - (frames.at(-1)?.length ?? 0);
 
 chunked('records and characters over any border of chunks are read', () => {
-  for (let size = 1; size <= whole.length + 1; size++)
+  for (let size = 1; size <= logBytes.length + 1; size++)
     assert.equal(
-      scanIn(size, whole),
-      { records: all, good: whole.length, size: whole.length },
+      scanInChunks(size, logBytes),
+      { records: allRecords, good: logBytes.length, size: logBytes.length },
       `chunks of ${size}`,
     );
-  assert.equal(scanIn(10, Buffer.alloc(0)), { records: [], good: 0, size: 0 });
+  assert.equal(scanInChunks(10, Buffer.alloc(0)), { records: [], good: 0, size: 0 });
 });
 
 chunked('a tail torn at any byte is told at the same byte, whatever the chunks', () => {
-  const kept = all.slice(0, -1);
-  for (let length = lastAt; length < whole.length; length++)
+  const validRecords = allRecords.slice(0, -1);
+  for (let length = lastFrameStart; length < logBytes.length; length++)
     for (const size of [1, 2, 3, 7, 64, 1000])
       assert.equal(
-        scanIn(size, whole.subarray(0, length)),
-        { records: kept, good: lastAt, size: length },
+        scanInChunks(size, logBytes.subarray(0, length)),
+        { records: validRecords, good: lastFrameStart, size: length },
         `${length} bytes in chunks of ${size}`,
       );
 });
 
 chunked('a tail of several damaged lines is cut at the first of them', () => {
-  const bytes = Buffer.concat([whole, Buffer.from('\n'), Buffer.from('half a line\nanother')]);
+  const bytes = Buffer.concat([logBytes, Buffer.from('\n'), Buffer.from('half a line\nanother')]);
   for (let size = 1; size <= 80; size++)
     assert.equal(
-      scanIn(size, bytes),
-      { records: all, good: whole.length, size: bytes.length },
+      scanInChunks(size, bytes),
+      { records: allRecords, good: logBytes.length, size: bytes.length },
       `chunks of ${size}`,
     );
 });
 
 chunked('damage before a good record is an error that says where, whatever the chunks', () => {
-  const secondAt = frames[0]?.length ?? 0;
-  for (let at = secondAt; at < lastAt; at++) {
-    const bytes = Buffer.from(whole);
-    bytes[at] = (bytes[at] ?? 0) ^ 1;
-    const joinsTheLast = at === lastAt - 1;
+  const secondFrameStart = frames[0]?.length ?? 0;
+  for (let damagedByte = secondFrameStart; damagedByte < lastFrameStart; damagedByte++) {
+    const bytes = Buffer.from(logBytes);
+    bytes[damagedByte] = (bytes[damagedByte] ?? 0) ^ 1;
+    const damagesLineFeed = damagedByte === lastFrameStart - 1;
     for (const size of [1, 2, 5, 64, 1000]) {
-      if (joinsTheLast) {
-        assert.is(scanIn(size, bytes).good, secondAt);
+      if (damagesLineFeed) {
+        assert.is(scanInChunks(size, bytes).validBytes, secondFrameStart);
         continue;
       }
-      let reported: unknown;
+      let thrown: unknown;
       try {
-        scanIn(size, bytes);
-      } catch (e) {
-        reported = e;
+        scanInChunks(size, bytes);
+      } catch (error) {
+        thrown = error;
       }
-      assert.instance(reported, JournalDamagedError, `byte ${at} in chunks of ${size}`);
-      assert.match(String(reported), `at byte ${secondAt} `);
+      assert.instance(thrown, JournalDamagedError, `byte ${damagedByte} in chunks of ${size}`);
+      assert.match(String(thrown), `at byte ${secondFrameStart} `);
     }
   }
 });
@@ -114,20 +114,20 @@
     try {
       const disk = await FolderDisk.acquire(dir);
       const records = [{ n: 1 }, { text: '€'.repeat(1 << 20) }, { n: 2 }];
-      const framed = records.map((r) => encodeFrame([r]));
-      const torn = encodeFrame([{ text: 'é'.repeat(1 << 20) }]).subarray(0, -1);
-      await writeFile(join(dir, 'a.log'), Buffer.concat([...framed, torn]));
-      const { journal, records: held } = await openJournal(disk, 'a.log');
-      assert.equal(held, records);
-      assert.is(journal.sizeBytes, Buffer.concat(framed).length);
+      const encodedFrames = records.map((record) => encodeFrame([record]));
+      const tornFrame = encodeFrame([{ text: 'é'.repeat(1 << 20) }]).subarray(0, -1);
+      await writeFile(join(dir, 'a.log'), Buffer.concat([...encodedFrames, tornFrame]));
+      const { journal, records: restored } = await openJournal(disk, 'a.log');
+      assert.equal(restored, records);
+      assert.is(journal.sizeBytes, Buffer.concat(encodedFrames).length);
       await journal.rewrite(() => [...records, { n: 3 }]);
       await journal.append({ n: 4 });
       const { sizeBytes: size } = journal;
       await journal.close();
-      const again = await openJournal(disk, 'a.log');
-      assert.equal(again.records, [...records, { n: 3 }, { n: 4 }]);
-      assert.is(again.journal.sizeBytes, size);
-      await again.journal.close();
+      const reopened = await openJournal(disk, 'a.log');
+      assert.equal(reopened.records, [...records, { n: 3 }, { n: 4 }]);
+      assert.is(reopened.journal.sizeBytes, size);
+      await reopened.journal.close();
       await disk.release();
     } finally {
       await rm(dir, { recursive: true });
@@ -135,19 +135,19 @@
   },
 );
 
-const bounds = { rewriteMinBytes: 1 << 30, retentionMs: 1e9, maxHints: 10 };
+const limits = { rewriteMinBytes: 1 << 30, retentionMs: 1e9, maxHints: 10 };
 const longText = 'x'.repeat(100 << 10);
-const longItem = (n: number, seq: number) => ({
-  key: `o/t/${n}`,
+const longItem = (index: number, seq: number) => ({
+  key: `o/t/${index}`,
   ownershipEpoch: 1,
   seq,
   value: `${seq} ${longText}`,
 });
-const longItems = 12;
+const longItemCount = 12;
 
 /** A disk that calls `onChunk` after each chunk of the first file that is written anew. */
-const hooked = (disk: Disk, onChunk: (chunk: Buffer) => void): Disk => {
-  let replaced = 0;
+const observeFirstReplace = (disk: Disk, onChunk: (chunk: Buffer) => void): Disk => {
+  let replaceCount = 0;
   return {
     setAside: (name) => disk.setAside(name),
     open: async (name) => {
@@ -160,17 +160,17 @@
       };
       return {
         ...file,
-        replace: (chunks) => file.replace(replaced++ === 0 ? reported(chunks) : chunks),
+        replace: (chunks) => file.replace(replaceCount++ === 0 ? reported(chunks) : chunks),
       };
     },
   };
 };
 
-const held = (replicaStore: ReplicaStore): ReadonlyMap<string, number> => {
+const sequencesOf = (replicaStore: ReplicaStore): ReadonlyMap<string, number> => {
   const seqs = new Map<string, number>();
   for (let after = ''; ;) {
     const page = replicaStore.pull(1, 0, after);
-    for (const i of page.items) seqs.set(i.key, i.seq);
+    for (const item of page.items) seqs.set(item.key, item.seq);
     if (page.next === '') return seqs;
     after = page.next;
   }
@@ -182,47 +182,52 @@
     const clock = new SimClock();
     const platter = new SimPlatter(seededRng(1));
     const chunks: Buffer[] = [];
-    const later: Promise<unknown>[] = [];
-    let onFirst = (): void => undefined;
-    const disk = hooked(platter.disk(clock, new Incarnation()), (chunk) => {
+    const laterWrites: Promise<unknown>[] = [];
+    let onFirstChunk = (): void => undefined;
+    const disk = observeFirstReplace(platter.disk(clock, new Incarnation()), (chunk) => {
       chunks.push(chunk);
-      if (chunks.length === 1) onFirst();
+      if (chunks.length === 1) onFirstChunk();
     });
-    const small = { ...bounds, rewriteMinBytes: 1 << 20 };
-    const replicaStore = await clock.finish('open', ReplicaStore.open(disk, clock, small), 1000);
+    const smallLimits = { ...limits, rewriteMinBytes: 1 << 20 };
+    const replicaStore = await clock.finish(
+      'open',
+      ReplicaStore.open(disk, clock, smallLimits),
+      1000,
+    );
     await clock.finish('hint', replicaStore.addHint('b', 1, [longItem(0, 1)]), 1000);
-    onFirst = () => {
-      later.push(replicaStore.removeHint(1), replicaStore.addHint('c', 1, [longItem(0, 1)]));
-      for (let n = 0; n < longItems; n++) later.push(replicaStore.write(1, 1, [longItem(n, 9)]));
-      later.push(replicaStore.write(1, 1, [longItem(longItems, 9)]));
+    onFirstChunk = () => {
+      laterWrites.push(replicaStore.removeHint(1), replicaStore.addHint('c', 1, [longItem(0, 1)]));
+      for (let i = 0; i < longItemCount; i++)
+        laterWrites.push(replicaStore.write(1, 1, [longItem(i, 9)]));
+      laterWrites.push(replicaStore.write(1, 1, [longItem(longItemCount, 9)]));
     };
-    for (let n = 0; n < longItems; n++)
-      await clock.finish('write', replicaStore.write(1, 1, [longItem(n, 1)]), 1000);
+    for (let i = 0; i < longItemCount; i++)
+      await clock.finish('write', replicaStore.write(1, 1, [longItem(i, 1)]), 1000);
     await clock.run(100);
     assert.ok(chunks.length > 2, `${chunks.length} chunks`);
-    assert.is(later.length, longItems + 3);
+    assert.is(laterWrites.length, longItemCount + 3);
     const lines = Buffer.concat(chunks).toString('utf8').split('\n').slice(0, -1);
-    const written = lines.flatMap((line) => LogRecords.parse(JSON.parse(line.slice(9))));
-    const seqs = written.flatMap((record) =>
+    const writtenRecords = lines.flatMap((line) => LogRecords.parse(JSON.parse(line.slice(9))));
+    const seqs = writtenRecords.flatMap((record) =>
       record.t === 'put' ? (record.items ?? []).slice(0, 1).map((item) => item.seq) : [],
     );
     assert.ok(seqs.length > 5 && seqs.every((seq) => seq === 1), seqs.join());
     assert.equal(
-      written.flatMap((record) => (record.t === 'hint' ? [record.to] : [])),
+      writtenRecords.flatMap((record) => (record.t === 'hint' ? [record.to] : [])),
       ['b'],
     );
-    await clock.finish('later', Promise.all(later), 1000);
+    await clock.finish('later', Promise.all(laterWrites), 1000);
     platter.powerLoss();
-    const again = await clock.finish(
+    const reopened = await clock.finish(
       'again',
-      ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, bounds),
+      ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
       1000,
     );
     assert.equal(
-      [...held(again).values()],
-      Array.from({ length: longItems + 1 }, () => 9),
+      [...sequencesOf(reopened).values()],
+      Array.from({ length: longItemCount + 1 }, () => 9),
     );
-    assert.equal([...again.hintTargets()], ['c']);
+    assert.equal([...reopened.hintTargets()], ['c']);
   },
 );
 
@@ -233,14 +238,14 @@
     for (let step = 0; step < 16; step++) {
       const clock = new SimClock();
       const platter = new SimPlatter(seededRng(step));
-      const life = new Incarnation();
+      const incarnation = new Incarnation();
       const replicaStore = await clock.finish(
         'open',
-        ReplicaStore.open(platter.disk(clock, life), clock, bounds),
+        ReplicaStore.open(platter.disk(clock, incarnation), clock, limits),
         1000,
       );
-      for (let n = 0; n < longItems; n++)
-        await clock.finish('write', replicaStore.write(1, 1, [longItem(n, 1)]), 1000);
+      for (let i = 0; i < longItemCount; i++)
+        await clock.finish('write', replicaStore.write(1, 1, [longItem(i, 1)]), 1000);
       platter.full = true;
       const refused = await clock.finish(
         'refused',
@@ -254,23 +259,23 @@
       await clock.run(2000);
       platter.full = false;
       platter.crashFrom(step, () => {
-        life.dead = true;
+        incarnation.dead = true;
       });
       await clock.run(5000);
-      if (!life.dead) {
+      if (!incarnation.dead) {
         assert.is(replicaStore.writable, true);
         recovered++;
       }
       platter.powerLoss();
       platter.crashAtStep = -1;
-      const again = await clock.finish(
+      const reopened = await clock.finish(
         'again',
-        ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, bounds),
+        ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
         1000,
       );
-      const seqs = held(again);
-      for (let n = 0; n < longItems; n++)
-        assert.ok((seqs.get(`o/t/${n}`) ?? 0) >= 1, `step ${step}: item ${n}`);
+      const seqs = sequencesOf(reopened);
+      for (let i = 0; i < longItemCount; i++)
+        assert.ok((seqs.get(`o/t/${i}`) ?? 0) >= 1, `step ${step}: item ${i}`);
     }
     assert.ok(recovered > 0 && recovered < 16, `${recovered} recoveries`);
   },
@@ -279,14 +284,14 @@
 chunked('a recovery whose file reads back otherwise is tried again', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
-  const pace: JournalTimings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
-  const plain = platter.disk(clock, new Incarnation());
+  const timings: JournalTimings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
+  const simDisk = platter.disk(clock, new Incarnation());
   let badReads = 2;
   let replaced = 0;
   const misreading: Disk = {
-    ...plain,
+    ...simDisk,
     open: async (name) => {
-      const file = await plain.open(name);
+      const file = await simDisk.open(name);
       const chunks = async function* (): AsyncGenerator<Buffer> {
         for await (const chunk of file.chunks()) {
           const copy = Buffer.from(chunk);
@@ -301,7 +306,7 @@
       return { ...file, chunks, replace };
     },
   };
-  const { journal } = await clock.finish('open', openJournal(misreading, 'a.log', pace), 1000);
+  const { journal } = await clock.finish('open', openJournal(misreading, 'a.log', timings), 1000);
   journal.recoverFrom(() => [{ n: 1 }]);
   platter.failSyncs = true;
   await clock.finish(
@@ -320,19 +325,19 @@
 chunked('a read that fails half way is begun anew with a new owner', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
-  const plain = platter.disk(clock, new Incarnation());
+  const simDisk = platter.disk(clock, new Incarnation());
   const { journal } = await clock.finish(
     'open',
-    openJournal(plain, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
+    openJournal(simDisk, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
     1000,
   );
   const records = Array.from({ length: 100 }, (_, n) => ({ n, text: 'x'.repeat(50) }));
   for (const record of records) await clock.finish('append', journal.append(record), 1000);
   let failures = 2;
   const failing: Disk = {
-    ...plain,
+    ...simDisk,
     open: async (name) => {
-      const file = await plain.open(name);
+      const file = await simDisk.open(name);
       const chunks = async function* (): AsyncGenerator<Buffer> {
         let count = 0;
         for await (const chunk of file.chunks()) {
@@ -344,13 +349,13 @@
       return { ...file, chunks };
     },
   };
-  const again = await clock.finish(
+  const reopened = await clock.finish(
     'again',
     openJournal(failing, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
     5000,
   );
   assert.ok(failures <= 0);
-  assert.equal(again.records, records);
+  assert.equal(reopened.records, records);
 });
 
 chunked.run();
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -20,17 +20,17 @@
 
 const damage = suite('journals damaged or cut off in a rewrite');
 
-const diffs = async (r: JournalFixture, versions: number): Promise<void> => {
-  const electionStore = await r.electionStore();
-  await r.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
-  for (let v = 1; v <= versions; v++)
-    await r.clock.finish('accept', electionStore.accept(stateAt(3, v)), 1000);
+const writeVersions = async (fixture: JournalFixture, versions: number): Promise<void> => {
+  const electionStore = await fixture.electionStore();
+  await fixture.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
+  for (let version = 1; version <= versions; version++)
+    await fixture.clock.finish('accept', electionStore.accept(stateAt(3, version)), 1000);
 };
 
-const linesOf = async (r: JournalFixture): Promise<readonly string[]> => {
-  const file = await r.clock.finish(
+const linesOf = async (fixture: JournalFixture): Promise<readonly string[]> => {
+  const file = await fixture.clock.finish(
     'open',
-    r.platter.disk(r.clock, new Incarnation()).open('zen.log'),
+    fixture.platter.disk(fixture.clock, new Incarnation()).open('zen.log'),
     1000,
   );
   const chunks: Buffer[] = [];
@@ -38,15 +38,15 @@
   return Buffer.concat(chunks).toString('utf8').split('\n').slice(0, -1);
 };
 
-const store = async (r: JournalFixture, lines: readonly string[]): Promise<void> => {
-  const file = await r.clock.finish(
+const replaceLog = async (fixture: JournalFixture, lines: readonly string[]): Promise<void> => {
+  const file = await fixture.clock.finish(
     'open',
-    r.platter.disk(r.clock, new Incarnation()).open('zen.log'),
+    fixture.platter.disk(fixture.clock, new Incarnation()).open('zen.log'),
     1000,
   );
-  await r.clock.finish(
+  await fixture.clock.finish(
     'replace',
-    file.replace([Buffer.from(lines.map((l) => `${l}\n`).join(''))]),
+    file.replace([Buffer.from(lines.map((line) => `${line}\n`).join(''))]),
     1000,
   );
 };
@@ -54,79 +54,85 @@
 damage(
   'a log with a record missing anywhere before its last starts a new member, and says so once',
   async () => {
-    const r = createFixture(1);
-    await diffs(r, 6);
-    const lines = await linesOf(r);
+    const fixture = createFixture(1);
+    await writeVersions(fixture, 6);
+    const lines = await linesOf(fixture);
     assert.is(lines.length, 8);
-    for (let gone = 0; gone < lines.length - 1; gone++) {
-      r.warnings.length = 0;
-      r.platter.wipe();
-      await store(
-        r,
-        lines.filter((_, n) => n !== gone),
+    for (let missingIndex = 0; missingIndex < lines.length - 1; missingIndex++) {
+      fixture.warnings.length = 0;
+      fixture.platter.wipe();
+      await replaceLog(
+        fixture,
+        lines.filter((_, index) => index !== missingIndex),
       );
-      const electionStore = await r.electionStore(new Incarnation(), `fresh-${gone}`);
+      const electionStore = await fixture.electionStore(new Incarnation(), `fresh-${missingIndex}`);
       assert.equal(
         [
           electionStore.persisted.id,
           electionStore.persisted.term,
           electionStore.persisted.accepted,
         ],
-        [`fresh-${gone}`, 0, undefined],
-        `without record ${gone}`,
+        [`fresh-${missingIndex}`, 0, undefined],
+        `without record ${missingIndex}`,
       );
-      assert.is(r.warnings.filter((t) => t.includes('starting as a new member')).length, 1);
-      assert.ok(r.platter.list().includes('zen.log.damaged'));
-      r.platter.powerLoss();
       assert.is(
-        (await r.electionStore(new Incarnation(), 'another')).persisted.id,
-        `fresh-${gone}`,
+        fixture.warnings.filter((warning) => warning.includes('starting as a new member')).length,
+        1,
+      );
+      assert.ok(fixture.platter.list().includes('zen.log.damaged'));
+      fixture.platter.powerLoss();
+      assert.is(
+        (await fixture.electionStore(new Incarnation(), 'another')).persisted.id,
+        `fresh-${missingIndex}`,
       );
     }
   },
 );
 
 damage('records in another order, twice, or damaged start a new member', async () => {
-  const r = createFixture(1);
-  await diffs(r, 5);
-  const lines = await linesOf(r);
-  const [id = '', recordVote = '', full = '', ...rest] = lines;
-  const other = encodeFrame([{ t: 'vote', term: 3, to: 'b' }])
+  const fixture = createFixture(1);
+  await writeVersions(fixture, 5);
+  const lines = await linesOf(fixture);
+  const [idLine = '', voteLine = '', stateLine = '', ...diffLines] = lines;
+  const secondVoteLine = encodeFrame([{ t: 'vote', term: 3, to: 'b' }])
     .toString('utf8')
     .trimEnd();
-  const lower = encodeFrame([{ t: 'vote', term: 2, to: 'a' }])
+  const lowerTermLine = encodeFrame([{ t: 'vote', term: 2, to: 'a' }])
     .toString('utf8')
     .trimEnd();
   const cases: readonly (readonly string[])[] = [
-    [id, recordVote, full, ...[...rest].reverse()],
-    [id, recordVote, full, rest[0] ?? '', ...rest],
-    [id, full, ...rest],
-    [...lines, other],
-    [...lines, lower],
-    [id, recordVote, `${full.slice(0, 40)}#${full.slice(41)}`, ...rest],
+    [idLine, voteLine, stateLine, ...[...diffLines].reverse()],
+    [idLine, voteLine, stateLine, diffLines[0] ?? '', ...diffLines],
+    [idLine, stateLine, ...diffLines],
+    [...lines, secondVoteLine],
+    [...lines, lowerTermLine],
+    [idLine, voteLine, `${stateLine.slice(0, 40)}#${stateLine.slice(41)}`, ...diffLines],
     [
-      id,
-      recordVote,
+      idLine,
+      voteLine,
       encodeFrame([{ t: 'what' }])
         .toString('utf8')
         .trimEnd(),
-      full,
-      ...rest,
+      stateLine,
+      ...diffLines,
     ],
   ];
-  for (const [n, lines2] of cases.entries()) {
-    r.platter.wipe();
-    await store(r, lines2);
+  for (const [index, changedLines] of cases.entries()) {
+    fixture.platter.wipe();
+    await replaceLog(fixture, changedLines);
     assert.is(
-      (await r.electionStore(new Incarnation(), 'fresh')).persisted.id,
+      (await fixture.electionStore(new Incarnation(), 'fresh')).persisted.id,
       'fresh',
-      `case ${n}`,
+      `case ${index}`,
     );
   }
-  r.platter.wipe();
-  await store(r, lines);
+  fixture.platter.wipe();
+  await replaceLog(fixture, lines);
   assert.equal(
-    [(await r.electionStore()).persisted.id, (await r.electionStore()).persisted.accepted?.version],
+    [
+      (await fixture.electionStore()).persisted.id,
+      (await fixture.electionStore()).persisted.accepted?.version,
+    ],
     ['me', 5],
   );
 });
@@ -134,39 +140,39 @@
 damage(
   'a store with a damaged log of replicas starts as a new store, whatever step it loses power at',
   async () => {
-    let lostAt = 0;
+    let powerLosses = 0;
     for (let step = -1; step < 12; step++) {
-      const r = createFixture(step + 1);
-      let ids = 0;
-      const open = (life: Incarnation) =>
+      const fixture = createFixture(step + 1);
+      let idCount = 0;
+      const open = (incarnation: Incarnation) =>
         openStoreDisk({
-          disk: r.platter.disk(r.clock, life),
-          clock: r.clock,
-          timings: r.timings,
-          freshId: () => `s-${++ids}`,
+          disk: fixture.platter.disk(fixture.clock, incarnation),
+          clock: fixture.clock,
+          timings: fixture.timings,
+          freshId: () => `s-${++idCount}`,
           rewriteMinBytes: rewriteMinBytes,
           limits: { rewriteMinBytes: rewriteMinBytes, retentionMs: 1e9, maxHints: 10 },
         });
-      const first = await r.clock.finish('open', open(new Incarnation()), 1000);
-      for (let n = 0; n < 4; n++)
-        await r.clock.finish('write', first.replicaStore.write(1, 1, [item(n)]), 1000);
-      r.platter.corrupt('store.log', 30);
-      const life = new Incarnation();
-      r.platter.crashFrom(step, () => {
-        life.dead = true;
+      const first = await fixture.clock.finish('open', open(new Incarnation()), 1000);
+      for (let i = 0; i < 4; i++)
+        await fixture.clock.finish('write', first.replicaStore.write(1, 1, [item(i)]), 1000);
+      fixture.platter.corrupt('store.log', 30);
+      const incarnation = new Incarnation();
+      fixture.platter.crashFrom(step, () => {
+        incarnation.dead = true;
       });
-      const opened = open(life);
-      await r.clock.run(100);
-      if (life.dead) {
-        lostAt++;
-        r.platter.powerLoss();
-        r.platter.crashAtStep = -1;
-      } else await r.clock.finish('opened', opened, 1000);
-      const again = await r.clock.finish('again', open(new Incarnation()), 1000);
-      assert.is.not(again.electionStore.persisted.id, 's-1', `step ${step}`);
-      assert.equal(keysOf(again.replicaStore), []);
+      const opened = open(incarnation);
+      await fixture.clock.run(100);
+      if (incarnation.dead) {
+        powerLosses++;
+        fixture.platter.powerLoss();
+        fixture.platter.crashAtStep = -1;
+      } else await fixture.clock.finish('opened', opened, 1000);
+      const reopened = await fixture.clock.finish('again', open(new Incarnation()), 1000);
+      assert.is.not(reopened.electionStore.persisted.id, 's-1', `step ${step}`);
+      assert.equal(keysOf(reopened.replicaStore), []);
     }
-    assert.ok(lostAt > 4, `${lostAt} losses of power`);
+    assert.ok(powerLosses > 4, `${powerLosses} losses of power`);
   },
 );
 
@@ -174,101 +180,105 @@
   "power lost at every step of a rewrite of the control's log loses nothing acknowledged, each name kept or lost by itself",
   async () => {
     let rewrites = 0;
-    const left = new Set<string>();
+    const filesSeen = new Set<string>();
     for (let seed = 0; seed < 4; seed++)
       for (let step = 0; step < 70; step++) {
-        const r = createFixture(step * 7 + seed);
-        const life = new Incarnation();
-        const electionStore = await r.electionStore(life, 'me', 4000);
-        await r.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
-        r.platter.crashFrom(step, () => {
-          life.dead = true;
+        const fixture = createFixture(step * 7 + seed);
+        const incarnation = new Incarnation();
+        const electionStore = await fixture.electionStore(incarnation, 'me', 4000);
+        await fixture.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
+        fixture.platter.crashFrom(step, () => {
+          incarnation.dead = true;
         });
-        let acked = 0;
-        let most = 0;
-        for (let v = 1; v <= 30; v++) {
-          void electionStore.accept(stateAt(3, v)).then(
+        let acknowledgedVersion = 0;
+        let maxBytes = 0;
+        for (let version = 1; version <= 30; version++) {
+          void electionStore.accept(stateAt(3, version)).then(
             () => {
-              acked = v;
+              acknowledgedVersion = version;
             },
             () => undefined,
           );
-          if (v % 2 === 0) await r.clock.run(0.5);
-          most = Math.max(most, r.platter.bytes('zen.log'));
+          if (version % 2 === 0) await fixture.clock.run(0.5);
+          maxBytes = Math.max(maxBytes, fixture.platter.bytes('zen.log'));
         }
-        await r.clock.run(50);
-        if (r.platter.bytes('zen.log') < most) rewrites++;
-        life.dead = true;
-        r.platter.powerLoss();
-        r.platter.crashAtStep = -1;
-        for (const name of r.platter.list()) left.add(name);
-        const again = await r.electionStore(new Incarnation(), 'fresh');
-        assert.is(again.persisted.id, 'me', `seed ${seed}, step ${step}: ${r.warnings.join()}`);
-        assert.equal([again.persisted.term, again.persisted.votedFor], [3, 'a']);
+        await fixture.clock.run(50);
+        if (fixture.platter.bytes('zen.log') < maxBytes) rewrites++;
+        incarnation.dead = true;
+        fixture.platter.powerLoss();
+        fixture.platter.crashAtStep = -1;
+        for (const name of fixture.platter.list()) filesSeen.add(name);
+        const reopened = await fixture.electionStore(new Incarnation(), 'fresh');
+        assert.is(
+          reopened.persisted.id,
+          'me',
+          `seed ${seed}, step ${step}: ${fixture.warnings.join()}`,
+        );
+        assert.equal([reopened.persisted.term, reopened.persisted.votedFor], [3, 'a']);
         assert.ok(
-          (again.persisted.accepted?.version ?? 0) >= acked,
-          `seed ${seed}, step ${step}: ${acked} was acknowledged, ${again.persisted.accepted?.version ?? 0} is held`,
+          (reopened.persisted.accepted?.version ?? 0) >= acknowledgedVersion,
+          `seed ${seed}, step ${step}: ${acknowledgedVersion} was acknowledged, ${reopened.persisted.accepted?.version ?? 0} is held`,
         );
-        await r.clock.finish('goes on', again.accept(stateAt(3, 31)), 1000);
+        await fixture.clock.finish('goes on', reopened.accept(stateAt(3, 31)), 1000);
       }
     assert.ok(rewrites > 20, `${rewrites} rewrites`);
-    assert.ok(left.has('zen.log.next'), 'a leftover of a rewrite was met');
+    assert.ok(filesSeen.has('zen.log.next'), 'a leftover of a rewrite was met');
   },
 );
 
 damage(
   'a rewrite under a full disk fails nothing that was synced, and leaves no half file in the way',
   async () => {
-    const r = createFixture(3);
-    const electionStore = await r.electionStore(new Incarnation(), 'me', 2000);
-    await r.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
-    let v = 0;
-    while (v < 60) {
-      v++;
-      if (v === 20) r.platter.full = true;
-      if (v === 30) r.platter.full = false;
-      if (v === 30) await r.clock.run(1000);
-      await outcomeOf(r, electionStore.accept(stateAt(3, v)));
+    const fixture = createFixture(3);
+    const electionStore = await fixture.electionStore(new Incarnation(), 'me', 2000);
+    await fixture.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
+    let version = 0;
+    while (version < 60) {
+      version++;
+      if (version === 20) fixture.platter.full = true;
+      if (version === 30) fixture.platter.full = false;
+      if (version === 30) await fixture.clock.run(1000);
+      await outcomeOf(fixture, electionStore.accept(stateAt(3, version)));
     }
     assert.is(electionStore.writable, true);
-    r.platter.powerLoss();
-    assert.is((await r.electionStore()).persisted.accepted?.version, 60);
-    assert.equal(r.platter.list(), ['zen.log']);
+    fixture.platter.powerLoss();
+    assert.is((await fixture.electionStore()).persisted.accepted?.version, 60);
+    assert.equal(fixture.platter.list(), ['zen.log']);
   },
 );
 
-const folder = async (inside: (dir: string) => Promise<void>): Promise<void> => {
+const inFolder = async (use: (dir: string) => Promise<void>): Promise<void> => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-journal-'));
-  await inside(dir).finally(() => rm(dir, { recursive: true }));
+  await use(dir).finally(() => rm(dir, { recursive: true }));
 };
 
 damage(
   'on a real folder: a leftover of a rewrite does no harm, and appends after a rewrite are kept',
   () =>
-    folder(async (dir) => {
-      const data = join(dir, 'made', 'here');
-      const disk = await FolderDisk.acquire(data);
+    inFolder(async (dir) => {
+      const dataFolder = join(dir, 'made', 'here');
+      const disk = await FolderDisk.acquire(dataFolder);
       const { journal } = await openJournal(disk, 'a.log');
-      for (let n = 0; n < 3; n++) await journal.append({ n });
+      for (let i = 0; i < 3; i++) await journal.append({ n: i });
       await writeFile(
-        join(data, 'a.log.next'),
+        join(dataFolder, 'a.log.next'),
         'half a line that is longer than all of the rest of this file will ever be, or so it seems to be',
       );
       const leftover = await openJournal(disk, 'a.log');
       assert.equal(leftover.records, [{ n: 0 }, { n: 1 }, { n: 2 }]);
       await leftover.journal.close();
-      assert.equal((await readdir(data)).sort(), ['a.log', 'lock']);
+      assert.equal((await readdir(dataFolder)).sort(), ['a.log', 'lock']);
       await journal.rewrite(() => [{ n: 2 }]);
       await journal.append({ n: 3 });
       await journal.close();
-      const again = await openJournal(disk, 'a.log');
-      assert.equal(again.records, [{ n: 2 }, { n: 3 }]);
-      await again.journal.close();
-      assert.equal((await readdir(data)).sort(), ['a.log', 'lock']);
+      const reopened = await openJournal(disk, 'a.log');
+      assert.equal(reopened.records, [{ n: 2 }, { n: 3 }]);
+      await reopened.journal.close();
+      assert.equal((await readdir(dataFolder)).sort(), ['a.log', 'lock']);
       await disk.setAside('a.log');
       await disk.setAside('never.log');
-      assert.equal((await readdir(data)).sort(), ['a.log.damaged', 'lock']);
-      assert.match(await readFile(join(data, 'a.log.damaged'), 'utf8'), '"n":3');
+      assert.equal((await readdir(dataFolder)).sort(), ['a.log.damaged', 'lock']);
+      assert.match(await readFile(join(dataFolder, 'a.log.damaged'), 'utf8'), '"n":3');
       await disk.release();
     }),
 );
--- a/tests/src/journal/folder-disk.test.ts
+++ b/tests/src/journal/folder-disk.test.ts
@@ -18,20 +18,20 @@
   }
 };
 
-const isTaken = (folder: string): Promise<boolean> =>
+const isLocked = (folder: string): Promise<boolean> =>
   FolderDisk.acquire(folder).then(
     async (disk) => {
       await disk.release();
       return false;
     },
-    (e: unknown) => {
-      assert.instance(e, FolderInUseError);
+    (error: unknown) => {
+      assert.instance(error, FolderInUseError);
       return true;
     },
   );
 
 /** When a process began, as its lock says it. */
-const startOf = async (pid: number): Promise<string> => {
+const startTimeOf = async (pid: number): Promise<string> => {
   const text = await readFile(`/proc/${pid}/stat`, 'utf8');
   return text.slice(text.lastIndexOf(')') + 2).split(' ')[19] ?? '';
 };
@@ -42,26 +42,26 @@
       stdio: ['pipe', 'ignore', 'ignore'],
     });
     const pid = holder.pid ?? 0;
-    await writeFile(join(folder, 'lock'), `${pid} ${await startOf(pid)}`);
-    assert.is(await isTaken(folder), true);
+    await writeFile(join(folder, 'lock'), `${pid} ${await startTimeOf(pid)}`);
+    assert.is(await isLocked(folder), true);
     const ended = new Promise((done) => holder.once('close', done));
     holder.kill('SIGKILL');
     await ended;
-    assert.is(await isTaken(folder), false);
+    assert.is(await isLocked(folder), false);
   }),
 );
 
 folders('a lock of an earlier process with the same number holds nobody off', () =>
   inFolder(async (folder) => {
     await writeFile(join(folder, 'lock'), `${process.pid} 1`);
-    assert.is(await isTaken(folder), false);
+    assert.is(await isLocked(folder), false);
   }),
 );
 
 folders('a lock that names no start holds nobody off', () =>
   inFolder(async (folder) => {
     await writeFile(join(folder, 'lock'), `${process.pid}`);
-    assert.is(await isTaken(folder), false);
+    assert.is(await isLocked(folder), false);
   }),
 );
 
@@ -76,7 +76,7 @@
     };
     const outcome = await file.replace(failing()).then(
       () => 'replaced',
-      (e: unknown) => String(e),
+      (error: unknown) => String(error),
     );
     assert.is(outcome, 'Error: no more');
     await file.append(Buffer.from('er'));
@@ -109,7 +109,7 @@
     await mkdir(join(folder, 'b.log.damaged'));
     const outcome = await disk.setAside('b.log').then(
       () => 'set aside',
-      (e: unknown) => (e instanceof Error && 'code' in e ? e.code : ''),
+      (error: unknown) => (error instanceof Error && 'code' in error ? error.code : ''),
     );
     assert.is(outcome, 'EISDIR');
     await disk.release();
--- a/tests/src/journal/frames.test.ts
+++ b/tests/src/journal/frames.test.ts
@@ -13,39 +13,40 @@
   return { records, good: scanner.validBytes };
 };
 
-const first = encodeFrame([{ n: 1 }]);
-const nothingAfterFirst = { records: [{ n: 1 }], good: first.length };
+const firstFrame = encodeFrame([{ n: 1 }]);
+const onlyFirstFrame = { records: [{ n: 1 }], good: firstFrame.length };
 
 const checksummed = (json: string, separator = ' '): Buffer =>
   Buffer.from(`${crc32(json).toString(16).padStart(8, '0')}${separator}${json}\n`);
 
 frames('a batch is read as it was written', () => {
-  const both = encodeFrame([{ n: 2 }, { n: 3 }]);
-  assert.equal(scan(first, both), {
+  const twoRecords = encodeFrame([{ n: 2 }, { n: 3 }]);
+  assert.equal(scan(firstFrame, twoRecords), {
     records: [{ n: 1 }, { n: 2 }, { n: 3 }],
-    good: first.length + both.length,
+    good: firstFrame.length + twoRecords.length,
   });
 });
 
 frames('a last line with another checksum ends the log', () => {
   const line = encodeFrame([{ n: 2 }]);
   line[0] = line[0] === 48 ? 49 : 48;
-  assert.equal(scan(first, line), nothingAfterFirst);
+  assert.equal(scan(firstFrame, line), onlyFirstFrame);
 });
 
 frames('a last line without the separator ends the log', () => {
-  assert.equal(scan(first, checksummed('[{"n":2}]', 'x')), nothingAfterFirst);
+  assert.equal(scan(firstFrame, checksummed('[{"n":2}]', 'x')), onlyFirstFrame);
 });
 
 frames('a last line that is not a batch ends the log, also with a right checksum', () => {
   for (const json of ['{"n":2}', '7', 'null', '"text"'])
-    assert.equal(scan(first, checksummed(json)), nothingAfterFirst, json);
+    assert.equal(scan(firstFrame, checksummed(json)), onlyFirstFrame, json);
 });
 
 frames('a good line after a damaged one is damage, not a torn tail', () => {
   assert.throws(
-    () => scan(first, checksummed('{"n":2}'), encodeFrame([{ n: 3 }])),
-    (e: unknown) => e instanceof JournalDamagedError && e.message.includes(`byte ${first.length} `),
+    () => scan(firstFrame, checksummed('{"n":2}'), encodeFrame([{ n: 3 }])),
+    (error: unknown) =>
+      error instanceof JournalDamagedError && error.message.includes(`byte ${firstFrame.length} `),
   );
 });
 
--- a/tests/src/journal/full-and-stalled-disks.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -7,105 +7,109 @@
 const disk = suite('disks that are full or stall');
 const seeds = [1, 2, 3, 4, 5];
 
-type Trouble = 'full' | 'stalled';
+type DiskFault = 'full' | 'stalled';
 
-const masterOf = (w: World): Machine => {
-  const m = w.master;
-  if (!m) throw new Error('a master is needed');
-  return m;
+const masterOf = (cluster: World): Machine => {
+  const machine = cluster.master;
+  if (!machine) throw new Error('a master is needed');
+  return machine;
 };
 
-const change = (w: World, base: number, at?: Machine) =>
-  w.operate('PUT', '/v1/config', configText(base, 'models', 'shop', base), at, 8000);
+const putConfig = (cluster: World, base: number, target?: Machine) =>
+  cluster.operate('PUT', '/v1/config', configText(base, 'models', 'shop', base), target, 8000);
 
-const version = (m: Machine): number => m.control?.zen.applied?.config?.version ?? 0;
+const configVersion = (machine: Machine): number =>
+  machine.control?.zen.applied?.config?.version ?? 0;
 
 /** One change meets the trouble; its answer does not matter, since the master may step down meanwhile. */
-const meet = (w: World, old: Machine): void => {
-  const node = old.control;
+const startConfigChange = (cluster: World, oldMaster: Machine): void => {
+  const node = oldMaster.control;
   if (!node) throw new Error('the control is down');
   void node
     .operate({
       method: 'PUT',
       path: '/v1/config',
-      body: configText(version(old), 'models', 'shop', 9),
+      body: configText(configVersion(oldMaster), 'models', 'shop', 9),
     })
     .catch(() => undefined);
 };
 
-for (const how of ['full', 'stalled'] as const satisfies readonly Trouble[])
+for (const fault of ['full', 'stalled'] as const satisfies readonly DiskFault[])
   disk(
-    `a leader whose disk is ${how} for 6 s is followed by another within the failure timeout, and follows once it is whole`,
+    `a leader whose disk is ${fault} for 6 s is followed by another within the failure timeout, and follows once it is whole`,
     async () => {
       for (const seed of seeds) {
-        const w = await worldUp(seed, small);
-        const old = masterOf(w);
-        const id = old.control?.id;
-        old.platter[how] = true;
-        const since = w.clock.now();
-        meet(w, old);
-        await w.clock.until(
+        const cluster = await worldUp(seed, small);
+        const oldMaster = masterOf(cluster);
+        const oldId = oldMaster.control?.id;
+        oldMaster.platter[fault] = true;
+        const faultAt = cluster.clock.now();
+        startConfigChange(cluster, oldMaster);
+        await cluster.clock.until(
           'another master',
-          () => w.master !== undefined && w.master !== old,
+          () => cluster.master !== undefined && cluster.master !== oldMaster,
           12000,
         );
-        const took = w.clock.now() - since;
-        assert.ok(took < w.bounds.failureTimeout, `seed ${seed}: took ${took}`);
-        const now = masterOf(w);
-        const during = await change(w, version(now), now);
-        assert.is(during.status, 200, `seed ${seed}: ${JSON.stringify(during)}`);
-        assert.is(old.control?.zen.leading, undefined);
-        await w.clock.run(Math.max(0, since + 6000 - w.clock.now()));
-        old.platter[how] = false;
-        const master = masterOf(w);
-        await w.clock.until(
+        const elapsedMs = cluster.clock.now() - faultAt;
+        assert.ok(elapsedMs < cluster.bounds.failureTimeout, `seed ${seed}: took ${elapsedMs}`);
+        const newMaster = masterOf(cluster);
+        const response = await putConfig(cluster, configVersion(newMaster), newMaster);
+        assert.is(response.status, 200, `seed ${seed}: ${JSON.stringify(response)}`);
+        assert.is(oldMaster.control?.zen.leading, undefined);
+        await cluster.clock.run(Math.max(0, faultAt + 6000 - cluster.clock.now()));
+        oldMaster.platter[fault] = false;
+        const master = masterOf(cluster);
+        await cluster.clock.until(
           'the old one to follow',
           () =>
-            old.control?.zen.knownMaster?.id === master.control?.id &&
-            version(old) === version(master),
-          w.bounds.failureTimeout,
+            oldMaster.control?.zen.knownMaster?.id === master.control?.id &&
+            configVersion(oldMaster) === configVersion(master),
+          cluster.bounds.failureTimeout,
         );
-        assert.is((await change(w, version(master))).status, 200);
-        await w.clock.until(
+        assert.is((await putConfig(cluster, configVersion(master))).status, 200);
+        await cluster.clock.until(
           'the newest state',
-          () => w.of('control').every((m) => version(m) === version(master)),
+          () =>
+            cluster
+              .of('control')
+              .every((machine) => configVersion(machine) === configVersion(master)),
           2000,
         );
-        assert.is(old.control?.id, id);
-        assert.ok(old.up, old.startFailed);
-        assert.is(w.masters().length, 1);
+        assert.is(oldMaster.control?.id, oldId);
+        assert.ok(oldMaster.up, oldMaster.startFailed);
+        assert.is(cluster.masters().length, 1);
       }
     },
   );
 
-for (const how of ['full', 'stalled'] as const satisfies readonly Trouble[])
+for (const fault of ['full', 'stalled'] as const satisfies readonly DiskFault[])
   disk(
-    `a follower whose disk is ${how} acknowledges nothing, holds nobody up and is caught up afterwards`,
+    `a follower whose disk is ${fault} acknowledges nothing, holds nobody up and is caught up afterwards`,
     async () => {
       for (const seed of seeds) {
-        const w = await worldUp(seed, small);
-        const master = masterOf(w);
-        const follower = w.of('control').find((m) => m !== master);
+        const cluster = await worldUp(seed, small);
+        const master = masterOf(cluster);
+        const follower = cluster.of('control').find((machine) => machine !== master);
         if (!follower) throw new Error('a follower is needed');
-        follower.platter[how] = true;
-        const before = version(follower);
-        const acked: number[] = [];
-        for (let n = 0; n < 4; n++) {
-          const t0 = w.clock.now();
-          assert.is((await change(w, version(master))).status, 200);
-          acked.push(w.clock.now() - t0);
+        follower.platter[fault] = true;
+        const versionBefore = configVersion(follower);
+        const latenciesMs: number[] = [];
+        for (let i = 0; i < 4; i++) {
+          const startedAt = cluster.clock.now();
+          assert.is((await putConfig(cluster, configVersion(master))).status, 200);
+          latenciesMs.push(cluster.clock.now() - startedAt);
         }
-        assert.ok(Math.max(...acked) < 500, `seed ${seed}: ${acked.join()}`);
-        assert.is(w.master, master);
-        assert.is(version(follower), before);
-        await w.clock.run(4000);
-        follower.platter[how] = false;
-        await w.clock.until(
+        assert.ok(Math.max(...latenciesMs) < 500, `seed ${seed}: ${latenciesMs.join()}`);
+        assert.is(cluster.master, master);
+        assert.is(configVersion(follower), versionBefore);
+        await cluster.clock.run(4000);
+        follower.platter[fault] = false;
+        await cluster.clock.until(
           'caught up',
-          () => version(follower) === version(master),
-          w.bounds.failureTimeout,
+          () => configVersion(follower) === configVersion(master),
+          cluster.bounds.failureTimeout,
         );
-        assert.is(w.master, master);
+        assert.is(cluster.master, master);
       }
     },
   );
@@ -114,37 +118,40 @@
   'two of five controls with full disks change nothing for the operator, and count for no election',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, five);
-      const old = masterOf(w);
-      const other = w.of('control').find((m) => m !== old);
-      if (!other) throw new Error('controls are needed');
-      for (const m of [old, other]) m.platter.full = true;
-      meet(w, old);
-      await w.clock.until(
+      const cluster = await worldUp(seed, five);
+      const oldMaster = masterOf(cluster);
+      const follower = cluster.of('control').find((machine) => machine !== oldMaster);
+      if (!follower) throw new Error('controls are needed');
+      for (const machine of [oldMaster, follower]) machine.platter.full = true;
+      startConfigChange(cluster, oldMaster);
+      await cluster.clock.until(
         'another master',
-        () => w.master !== undefined && w.master !== old,
-        w.bounds.failureTimeout,
+        () => cluster.master !== undefined && cluster.master !== oldMaster,
+        cluster.bounds.failureTimeout,
       );
-      assert.is.not(w.master, other);
-      const now = masterOf(w);
-      assert.is((await change(w, version(now), now)).status, 200);
-      for (const m of [old, other]) m.platter.full = false;
-      await w.clock.until(
+      assert.is.not(cluster.master, follower);
+      const newMaster = masterOf(cluster);
+      assert.is((await putConfig(cluster, configVersion(newMaster), newMaster)).status, 200);
+      for (const machine of [oldMaster, follower]) machine.platter.full = false;
+      await cluster.clock.until(
         'all the same',
-        () => w.of('control').every((m) => version(m) === version(now)),
-        w.bounds.failureTimeout,
+        () =>
+          cluster
+            .of('control')
+            .every((machine) => configVersion(machine) === configVersion(newMaster)),
+        cluster.bounds.failureTimeout,
       );
     }
   },
 );
 
 disk('a control that cannot sync says so in its ping replies, and counts for nothing', async () => {
-  const w = await worldUp(1, small);
-  const follower = w.of('control').find((m) => m !== w.master);
+  const cluster = await worldUp(1, small);
+  const follower = cluster.of('control').find((machine) => machine !== cluster.master);
   const node = follower?.control?.zen;
-  const from = w.master?.control?.zen.knownMaster;
+  const from = cluster.master?.control?.zen.knownMaster;
   if (!follower || !node || !from) throw new Error('a follower is needed');
-  const ask = async () =>
+  const ping = async () =>
     PingResponse.parse(
       await node.handle({
         from: from.addr,
@@ -152,39 +159,42 @@
         body: { from, known: [], clusterId: node.clusterId },
       }),
     );
-  const said = (p: PingResponse) => [p.eligible, p.canWin];
-  assert.equal(said(await ask()), [true, true]);
+  const flagsOf = (response: PingResponse) => [response.eligible, response.canWin];
+  assert.equal(flagsOf(await ping()), [true, true]);
   follower.platter.full = true;
-  assert.is((await change(w, 1)).status, 200);
-  assert.equal(said(await ask()), [false, false]);
+  assert.is((await putConfig(cluster, 1)).status, 200);
+  assert.equal(flagsOf(await ping()), [false, false]);
   follower.platter.full = false;
-  await w.clock.run(1000);
-  assert.equal(said(await ask()), [true, true]);
+  await cluster.clock.run(1000);
+  assert.equal(flagsOf(await ping()), [true, true]);
 });
 
 disk(
   'without a majority of disks nobody leads or is acknowledged, and all goes on once they are whole',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, small);
-      const old = masterOf(w);
-      const full = [
-        old,
-        ...w
+      const cluster = await worldUp(seed, small);
+      const oldMaster = masterOf(cluster);
+      const fullMachines = [
+        oldMaster,
+        ...cluster
           .of('control')
-          .filter((m) => m !== old)
+          .filter((machine) => machine !== oldMaster)
           .slice(0, 1),
       ];
-      for (const m of full) m.platter.full = true;
-      assert.is.not((await change(w, version(old), old)).status, 200);
-      await w.clock.run(6000);
-      assert.is(w.master, undefined);
-      for (const m of full) m.platter.full = false;
-      await w.clock.until('a master', () => w.master !== undefined, 5000);
-      assert.is((await change(w, version(masterOf(w)))).status, 200);
-      await w.clock.until(
+      for (const machine of fullMachines) machine.platter.full = true;
+      assert.is.not((await putConfig(cluster, configVersion(oldMaster), oldMaster)).status, 200);
+      await cluster.clock.run(6000);
+      assert.is(cluster.master, undefined);
+      for (const machine of fullMachines) machine.platter.full = false;
+      await cluster.clock.until('a master', () => cluster.master !== undefined, 5000);
+      assert.is((await putConfig(cluster, configVersion(masterOf(cluster)))).status, 200);
+      await cluster.clock.until(
         'all the same',
-        () => w.of('control').every((m) => version(m) === version(masterOf(w))),
+        () =>
+          cluster
+            .of('control')
+            .every((machine) => configVersion(machine) === configVersion(masterOf(cluster))),
         3000,
       );
     }
@@ -195,25 +205,27 @@
   'a control restarted while its disk is full or just whole again goes on under its id',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, small);
-      const old = masterOf(w);
-      const id = old.control?.id;
-      old.platter.full = true;
-      meet(w, old);
-      await w.clock.run(2000);
-      old.kill(seed % 2 === 0 ? 'power' : 'process');
-      await w.clock.until('another master', () => w.master !== undefined, 9000);
-      assert.is((await change(w, version(masterOf(w)))).status, 200);
-      old.start();
-      await w.clock.run(2000);
-      assert.is(old.startFailed, '');
-      old.platter.full = false;
-      await w.clock.until(
+      const cluster = await worldUp(seed, small);
+      const oldMaster = masterOf(cluster);
+      const oldId = oldMaster.control?.id;
+      oldMaster.platter.full = true;
+      startConfigChange(cluster, oldMaster);
+      await cluster.clock.run(2000);
+      oldMaster.kill(seed % 2 === 0 ? 'power' : 'process');
+      await cluster.clock.until('another master', () => cluster.master !== undefined, 9000);
+      assert.is((await putConfig(cluster, configVersion(masterOf(cluster)))).status, 200);
+      oldMaster.start();
+      await cluster.clock.run(2000);
+      assert.is(oldMaster.startFailed, '');
+      oldMaster.platter.full = false;
+      await cluster.clock.until(
         'caught up',
-        () => old.control !== undefined && version(old) === version(masterOf(w)),
+        () =>
+          oldMaster.control !== undefined &&
+          configVersion(oldMaster) === configVersion(masterOf(cluster)),
         5000,
       );
-      assert.is(old.control?.id, id);
+      assert.is(oldMaster.control?.id, oldId);
     }
   },
 );
@@ -222,110 +234,124 @@
   'a control whose log is damaged comes back as a new member, and the change it was acknowledged for stays',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, small);
-      const old = masterOf(w);
-      const id = old.control?.id;
-      assert.is((await change(w, version(old))).status, 200);
-      const held = version(old);
-      old.kill('power');
-      old.platter.corrupt('zen.log', 12);
-      old.start();
-      await w.clock.until(
+      const cluster = await worldUp(seed, small);
+      const oldMaster = masterOf(cluster);
+      const oldId = oldMaster.control?.id;
+      assert.is((await putConfig(cluster, configVersion(oldMaster))).status, 200);
+      const acknowledgedVersion = configVersion(oldMaster);
+      oldMaster.kill('power');
+      oldMaster.platter.corrupt('zen.log', 12);
+      oldMaster.start();
+      await cluster.clock.until(
         'a master',
-        () => w.master !== undefined && version(masterOf(w)) === held,
+        () =>
+          cluster.master !== undefined && configVersion(masterOf(cluster)) === acknowledgedVersion,
         9000,
       );
-      await w.clock.until(
+      await cluster.clock.until(
         'a voter again',
         () => {
-          const fresh = old.control?.id ?? '';
+          const newId = oldMaster.control?.id ?? '';
           return (
-            fresh !== id &&
-            w.committed?.voters.current.includes(fresh) === true &&
-            version(old) === held
+            newId !== oldId &&
+            cluster.committed?.voters.current.includes(newId) === true &&
+            configVersion(oldMaster) === acknowledgedVersion
           );
         },
         12000,
       );
-      assert.ok(old.platter.list().includes('zen.log.damaged'));
+      assert.ok(oldMaster.platter.list().includes('zen.log.damaged'));
     }
   },
 );
 
-const work = async (w: World, pid: string, n: number): Promise<readonly string[]> => {
-  const turn = w.turn(pid, null, `words ${n}`, `k-${n}`);
-  const call = w.call(`c-${n}`, '/hold', { n });
-  const both = await w.clock.finish('work', Promise.all([turn, call]), 20000);
-  return both.map((r) => r.reported);
+const runTurnAndCall = async (
+  cluster: World,
+  program: string,
+  index: number,
+): Promise<readonly string[]> => {
+  const turn = cluster.turn(program, null, `words ${index}`, `k-${index}`);
+  const call = cluster.call(`c-${index}`, '/hold', { n: index });
+  const replies = await cluster.clock.finish('work', Promise.all([turn, call]), 20000);
+  return replies.map((reply) => reply.reported);
 };
 
-for (const how of ['full', 'stalled'] as const satisfies readonly Trouble[])
+for (const fault of ['full', 'stalled'] as const satisfies readonly DiskFault[])
   disk(
-    `turns and keyed calls go on while a store's disk is ${how}, and its replicas are whole afterwards`,
+    `turns and keyed calls go on while a store's disk is ${fault}, and its replicas are whole afterwards`,
     async () => {
       for (const seed of seeds) {
-        const w = await worldUp(seed, small);
-        const pid = (await w.clock.finish('program', w.program(1000), 10000)).program;
-        const store = w.of('store').at(seed % 3);
+        const cluster = await worldUp(seed, small);
+        const program = (await cluster.clock.finish('program', cluster.program(1000), 10000))
+          .program;
+        const store = cluster.of('store').at(seed % 3);
         if (!store) throw new Error('a store is needed');
-        store.platter[how] = true;
-        const slowest: number[] = [];
-        for (let n = 0; n < 6; n++) {
-          const root = (await w.clock.finish('program', w.program(1000), 10000)).program;
-          const t0 = w.clock.now();
-          assert.equal(await work(w, root, n), ['done', 'done'], `seed ${seed}, ${n}`);
-          slowest.push(w.clock.now() - t0);
+        store.platter[fault] = true;
+        const latenciesMs: number[] = [];
+        for (let i = 0; i < 6; i++) {
+          const newProgram = (await cluster.clock.finish('program', cluster.program(1000), 10000))
+            .program;
+          const startedAt = cluster.clock.now();
+          assert.equal(
+            await runTurnAndCall(cluster, newProgram, i),
+            ['done', 'done'],
+            `seed ${seed}, ${i}`,
+          );
+          latenciesMs.push(cluster.clock.now() - startedAt);
         }
         assert.ok(
-          Math.max(...slowest) < w.bounds.failureTimeout,
-          `seed ${seed}: ${slowest.join()}`,
+          Math.max(...latenciesMs) < cluster.bounds.failureTimeout,
+          `seed ${seed}: ${latenciesMs.join()}`,
         );
-        await w.clock.run(4000);
-        store.platter[how] = false;
+        await cluster.clock.run(4000);
+        store.platter[fault] = false;
         assert.ok(store.up && store.startFailed === '');
-        const held = (m: Machine): string => {
-          const replicaStore = m.replicaStore;
+        const itemsIn = (machine: Machine): string => {
+          const replicaStore = machine.replicaStore;
           const slots = Array.from(
-            { length: w.slots },
+            { length: cluster.slots },
             (_, slot) =>
               replicaStore
                 ?.pull(slot, 0, '')
-                .items.map((i) => `${i.key} ${i.ownershipEpoch}.${i.seq}`) ?? [],
+                .items.map((entry) => `${entry.key} ${entry.ownershipEpoch}.${entry.seq}`) ?? [],
           );
           return JSON.stringify(slots.flat().sort());
         };
-        await w.clock.until(
+        await cluster.clock.until(
           'hints handed over',
           () =>
-            w
+            cluster
               .of('store')
-              .every((m) => m.replicaStore?.counts().hints === 0 && held(m) === held(store)),
+              .every(
+                (machine) =>
+                  machine.replicaStore?.counts().hints === 0 && itemsIn(machine) === itemsIn(store),
+              ),
           8000,
         );
-        assert.equal(await work(w, pid, 99), ['done', 'done']);
+        assert.equal(await runTurnAndCall(cluster, program, 99), ['done', 'done']);
       }
     },
   );
 
 disk('a store restarted with a full disk serves again by itself under its id', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, small);
-    const store = w.of('store').at(0);
+    const cluster = await worldUp(seed, small);
+    const store = cluster.of('store').at(0);
     if (!store) throw new Error('a store is needed');
-    const id = store.store?.id;
-    const pid = (await w.clock.finish('program', w.program(1000), 10000)).program;
+    const storeId = store.store?.id;
+    const program = (await cluster.clock.finish('program', cluster.program(1000), 10000)).program;
     store.platter.full = true;
-    await work(w, pid, 1);
+    await runTurnAndCall(cluster, program, 1);
     store.kill(seed % 2 === 0 ? 'power' : 'process');
-    await w.clock.run(500);
+    await cluster.clock.run(500);
     store.start();
-    await w.clock.run(1500);
+    await cluster.clock.run(1500);
     store.platter.full = false;
-    await w.clock.until('back', () => store.store?.zen.knownMaster !== undefined, 8000);
-    assert.is(store.store?.id, id);
-    await w.clock.until(
+    await cluster.clock.until('back', () => store.store?.zen.knownMaster !== undefined, 8000);
+    assert.is(store.store?.id, storeId);
+    await cluster.clock.until(
       'whole',
-      () => w.slotsOpen() && store.replicaStore?.writable === true,
+      () => cluster.slotsOpen() && store.replicaStore?.writable === true,
       20000,
     );
     assert.is(store.startFailed, '');
--- a/tests/src/journal/journal-fixture.ts
+++ b/tests/src/journal/journal-fixture.ts
@@ -31,8 +31,12 @@
   readonly platter: SimPlatter;
   readonly warnings: string[];
   readonly timings: JournalTimings;
-  electionStore(life?: Incarnation, id?: string, rewriteAt?: number): Promise<DiskElectionStore>;
-  replicaStore(life?: Incarnation, rewriteAt?: number): Promise<ReplicaStore>;
+  electionStore(
+    incarnation?: Incarnation,
+    id?: string,
+    minBytes?: number,
+  ): Promise<DiskElectionStore>;
+  replicaStore(incarnation?: Incarnation, minBytes?: number): Promise<ReplicaStore>;
 }
 
 export const createFixture = (seed: number): JournalFixture => {
@@ -50,19 +54,19 @@
     platter,
     warnings,
     timings,
-    electionStore: (life = new Incarnation(), id = 'me', rewriteAt = rewriteMinBytes) =>
+    electionStore: (incarnation = new Incarnation(), id = 'me', minBytes = rewriteMinBytes) =>
       clock.finish(
         'keep',
-        DiskElectionStore.open(platter.disk(clock, life), () => id, rewriteAt, timings),
+        DiskElectionStore.open(platter.disk(clock, incarnation), () => id, minBytes, timings),
         60000,
       ),
-    replicaStore: (life = new Incarnation(), rewriteAt = rewriteMinBytes) =>
+    replicaStore: (incarnation = new Incarnation(), minBytes = rewriteMinBytes) =>
       clock.finish(
         'replica store',
         ReplicaStore.open(
-          platter.disk(clock, life),
+          platter.disk(clock, incarnation),
           clock,
-          { rewriteMinBytes: rewriteAt, retentionMs: 1e9, maxHints: 10 },
+          { rewriteMinBytes: minBytes, retentionMs: 1e9, maxHints: 10 },
           timings,
         ),
         60000,
@@ -70,21 +74,27 @@
   };
 };
 
-const outcome = (work: Promise<unknown>): Promise<string> =>
+const codeOf = (work: Promise<unknown>): Promise<string> =>
   work.then(
     () => 'done',
-    (e: unknown) => (e instanceof Error && 'code' in e ? String(e.code) : String(e)),
+    (error: unknown) =>
+      error instanceof Error && 'code' in error ? String(error.code) : String(error),
   );
 
-export const outcomeOf = (r: JournalFixture, work: Promise<unknown>): Promise<string> =>
-  r.clock.finish('work', outcome(work), 5000);
+export const outcomeOf = (fixture: JournalFixture, work: Promise<unknown>): Promise<string> =>
+  fixture.clock.finish('work', codeOf(work), 5000);
 
-export const item = (n: number) => ({ key: `o/t/${n}`, ownershipEpoch: 1, seq: n + 1, value: n });
+export const item = (index: number) => ({
+  key: `o/t/${index}`,
+  ownershipEpoch: 1,
+  seq: index + 1,
+  value: index,
+});
 
-export const keysOf = (s: ReplicaStore): readonly string[] =>
-  s
+export const keysOf = (store: ReplicaStore): readonly string[] =>
+  store
     .pull(1, 0, '')
-    .items.map((i) => i.key)
+    .items.map((entry) => entry.key)
     .sort();
 
 /** A journal and all records that it held when it was opened. */
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -10,60 +10,60 @@
 
 const journal = suite('journal and disk');
 
-const folder = async (work: (dir: string) => Promise<void>): Promise<void> => {
+const inFolder = async (use: (dir: string) => Promise<void>): Promise<void> => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-journal-'));
-  await work(dir).finally(() => rm(dir, { recursive: true }));
+  await use(dir).finally(() => rm(dir, { recursive: true }));
 };
 
 journal('a torn tail is cut off, what was synced before it stays', () =>
-  folder(async (dir) => {
+  inFolder(async (dir) => {
     const disk = await FolderDisk.acquire(dir);
-    const { journal: j } = await openJournal(disk, 'a.log');
-    await j.append({ n: 1 });
-    await j.append({ n: 2 });
-    await j.close();
+    const { journal: log } = await openJournal(disk, 'a.log');
+    await log.append({ n: 1 });
+    await log.append({ n: 2 });
+    await log.close();
     const path = join(dir, 'a.log');
-    const whole = await readFile(path);
-    for (let cut = 1; cut < 20; cut++) {
-      await writeFile(path, whole.subarray(0, whole.length - cut));
-      const again = await openJournal(disk, 'a.log');
-      assert.equal(again.records, [{ n: 1 }]);
-      await again.journal.append({ n: 3 });
-      await again.journal.close();
-      const last = await openJournal(disk, 'a.log');
-      assert.equal(last.records, [{ n: 1 }, { n: 3 }]);
-      await last.journal.close();
+    const logBytes = await readFile(path);
+    for (let missingBytes = 1; missingBytes < 20; missingBytes++) {
+      await writeFile(path, logBytes.subarray(0, logBytes.length - missingBytes));
+      const reopened = await openJournal(disk, 'a.log');
+      assert.equal(reopened.records, [{ n: 1 }]);
+      await reopened.journal.append({ n: 3 });
+      await reopened.journal.close();
+      const extended = await openJournal(disk, 'a.log');
+      assert.equal(extended.records, [{ n: 1 }, { n: 3 }]);
+      await extended.journal.close();
     }
     await disk.release();
   }),
 );
 
 journal('a damaged middle refuses to open and says where', () =>
-  folder(async (dir) => {
+  inFolder(async (dir) => {
     const disk = await FolderDisk.acquire(dir);
-    const { journal: j } = await openJournal(disk, 'a.log');
-    for (let n = 0; n < 3; n++) await j.append({ n });
-    await j.close();
+    const { journal: log } = await openJournal(disk, 'a.log');
+    for (let i = 0; i < 3; i++) await log.append({ n: i });
+    await log.close();
     const path = join(dir, 'a.log');
     const bytes = await readFile(path);
     bytes.writeUInt8(bytes.readUInt8(12) ^ 1, 12);
     await writeFile(path, bytes);
-    const errorCode = await openJournal(disk, 'a.log').then(
+    const error = await openJournal(disk, 'a.log').then(
       () => undefined,
-      (e: unknown) => e,
+      (thrown: unknown) => thrown,
     );
-    assert.instance(errorCode, JournalDamagedError);
-    assert.match(String(errorCode), 'byte 0');
+    assert.instance(error, JournalDamagedError);
+    assert.match(String(error), 'byte 0');
     await disk.release();
   }),
 );
 
 journal("a data folder is taken by one process only, and a dead one's lock does not hold", () =>
-  folder(async (dir) => {
+  inFolder(async (dir) => {
     const disk = await FolderDisk.acquire(dir);
     const second = await FolderDisk.acquire(dir).then(
       () => undefined,
-      (e: unknown) => e,
+      (error: unknown) => error,
     );
     assert.instance(second, FolderInUseError);
     await disk.release();
@@ -77,13 +77,13 @@
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
   const opening = openJournal(platter.disk(clock, new Incarnation()), 'a.log');
-  const { journal: j } = await clock.finish('open', opening, 1000);
+  const { journal: log } = await clock.finish('open', opening, 1000);
   await clock.finish(
     'appends',
-    Promise.all(Array.from({ length: 100 }, (_, n) => j.append({ n }))),
+    Promise.all(Array.from({ length: 100 }, (_, i) => log.append({ n: i }))),
     10000,
   );
-  assert.ok(j.syncCount <= 3, `${j.syncCount} syncs`);
+  assert.ok(log.syncCount <= 3, `${log.syncCount} syncs`);
 });
 
 journal('power lost at every step of a rewrite under load loses nothing acknowledged', async () => {
@@ -91,10 +91,10 @@
   for (let step = 0; step < 60; step++) {
     const clock = new SimClock();
     const platter = new SimPlatter(seededRng(step));
-    const life = new Incarnation();
+    const incarnation = new Incarnation();
     const replicaStore = await clock.finish(
       'open',
-      ReplicaStore.open(platter.disk(clock, life), clock, {
+      ReplicaStore.open(platter.disk(clock, incarnation), clock, {
         rewriteMinBytes: 600,
         retentionMs: 1e9,
         maxHints: 10,
@@ -103,22 +103,22 @@
     );
     platter.crashAtStep = step;
     platter.onCrash = () => {
-      life.dead = true;
+      incarnation.dead = true;
     };
-    const acked: string[] = [];
-    for (let n = 0; n < 40; n++) {
-      const key = `o/t/${n % 8}`;
-      void replicaStore.write(1, 1, [{ key, ownershipEpoch: 1, seq: n + 1, value: n }]).then(
-        () => acked.push(`${key} ${n + 1}`),
+    const acknowledged: string[] = [];
+    for (let i = 0; i < 40; i++) {
+      const key = `o/t/${i % 8}`;
+      void replicaStore.write(1, 1, [{ key, ownershipEpoch: 1, seq: i + 1, value: i }]).then(
+        () => acknowledged.push(`${key} ${i + 1}`),
         () => undefined,
       );
-      if (n % 3 === 0) await clock.run(0.5);
+      if (i % 3 === 0) await clock.run(0.5);
     }
     await clock.run(50);
-    if (!life.dead && replicaStore.counts().bytes < 3000) rewrites++;
+    if (!incarnation.dead && replicaStore.counts().bytes < 3000) rewrites++;
     platter.powerLoss();
     platter.crashAtStep = -1;
-    const again = await clock.finish(
+    const reopened = await clock.finish(
       'reopen',
       ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, {
         rewriteMinBytes: 600,
@@ -127,12 +127,12 @@
       }),
       1000,
     );
-    const held = new Map(again.pull(1, 0, '').items.map((i) => [i.key, i.seq]));
-    for (const a of acked) {
-      const at = a.lastIndexOf(' ');
+    const restored = new Map(reopened.pull(1, 0, '').items.map((entry) => [entry.key, entry.seq]));
+    for (const write of acknowledged) {
+      const separator = write.lastIndexOf(' ');
       assert.ok(
-        (held.get(a.slice(0, at)) ?? 0) >= Number(a.slice(at + 1)),
-        `step ${step}: ${a} was acknowledged, held ${held.get(a.slice(0, at)) ?? 'nothing'}`,
+        (restored.get(write.slice(0, separator)) ?? 0) >= Number(write.slice(separator + 1)),
+        `step ${step}: ${write} was acknowledged, held ${restored.get(write.slice(0, separator)) ?? 'nothing'}`,
       );
     }
   }
@@ -142,38 +142,40 @@
 journal('a store refuses ownership epochs below its fence, after power loss too', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(3));
-  const bounds = { rewriteMinBytes: 1 << 20, retentionMs: 1e9, maxHints: 10 };
+  const limits = { rewriteMinBytes: 1 << 20, retentionMs: 1e9, maxHints: 10 };
   const replicaStore = await clock.finish(
     'open',
-    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, bounds),
+    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
     1000,
   );
   await clock.finish('fence', replicaStore.fence(4, 7, ''), 1000);
   platter.powerLoss();
-  const again = await clock.finish(
+  const reopened = await clock.finish(
     'reopen',
-    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, bounds),
+    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
     1000,
   );
-  const writing = again.write(4, 6, [{ key: 'o/t/x', ownershipEpoch: 6, seq: 1, value: 1 }]).then(
-    () => 'taken',
-    (e: unknown) => String(e),
-  );
-  const low = await clock.finish('write', writing, 1000);
-  assert.match(low, 'fenced at ownership epoch 7');
+  const writing = reopened
+    .write(4, 6, [{ key: 'o/t/x', ownershipEpoch: 6, seq: 1, value: 1 }])
+    .then(
+      () => 'taken',
+      (error: unknown) => String(error),
+    );
+  const outcome = await clock.finish('write', writing, 1000);
+  assert.match(outcome, 'fenced at ownership epoch 7');
 });
 
 journal(
   'a lock that does not say when its holder began holds nobody off, one that does and lives does',
   () =>
-    folder(async (dir) => {
+    inFolder(async (dir) => {
       await writeFile(join(dir, 'lock'), `${process.pid} `);
       const disk = await FolderDisk.acquire(dir);
-      const again = await FolderDisk.acquire(dir).then(
+      const reopened = await FolderDisk.acquire(dir).then(
         () => 'taken',
-        (e: unknown) => (e instanceof FolderInUseError ? 'held' : String(e)),
+        (error: unknown) => (error instanceof FolderInUseError ? 'held' : String(error)),
       );
-      assert.is(again, 'held');
+      assert.is(reopened, 'held');
       await disk.release();
     }),
 );
--- a/tests/src/journal/memory-use-child.ts
+++ b/tests/src/journal/memory-use-child.ts
@@ -3,40 +3,40 @@
 import { ReplicaStore } from '@tillerstair/store';
 import { hostClock } from '@tillerstair/wire';
 
-const writesAtOnce = 100;
+const concurrentWrites = 100;
 const mb = 1 << 20;
-const longAt = mb;
+const rewriteMinBytes = mb;
 
-const [dir = '', keys = '0', valueBytes = '0'] = process.argv.slice(2);
+const [folder = '', keys = '0', valueBytes = '0'] = process.argv.slice(2);
 
 const peakMb = (): number => process.resourceUsage().maxRSS / 1024;
 
 const main = async (): Promise<void> => {
   const startMb = process.memoryUsage().rss / mb;
-  const disk = await FolderDisk.acquire(dir);
+  const disk = await FolderDisk.acquire(folder);
   const replicaStore = await ReplicaStore.open(disk, hostClock, {
-    rewriteMinBytes: longAt,
+    rewriteMinBytes: rewriteMinBytes,
     retentionMs: 1e9,
     maxHints: 10,
   });
   const openedMb = peakMb();
   const opened = replicaStore.counts();
   let seq = 10;
-  let most = opened.bytes;
-  let last = opened.bytes;
-  while (last >= most) {
-    most = last;
+  let maxBytes = opened.bytes;
+  let currentBytes = opened.bytes;
+  while (currentBytes >= maxBytes) {
+    maxBytes = currentBytes;
     seq++;
-    for (let n = 0; n < Number(keys); n += writesAtOnce)
+    for (let firstKey = 0; firstKey < Number(keys); firstKey += concurrentWrites)
       await Promise.all(
-        Array.from({ length: writesAtOnce }, (_, i) => {
-          const key = `o/t/${n + i}`;
+        Array.from({ length: concurrentWrites }, (_, i) => {
+          const key = `o/t/${firstKey + i}`;
           return replicaStore.write(1, 1, [
             { key, ownershipEpoch: 1, seq, value: `${seq}`.padEnd(Number(valueBytes), 'é') },
           ]);
         }),
       );
-    last = replicaStore.counts().bytes;
+    currentBytes = replicaStore.counts().bytes;
   }
   await disk.release();
   process.stdout.write(
@@ -45,8 +45,8 @@
       openedMb,
       rewrittenMb: peakMb(),
       items: opened.items,
-      mostBytes: most,
-      leftBytes: last,
+      mostBytes: maxBytes,
+      leftBytes: currentBytes,
     }),
   );
   process.exit(0);
--- a/tests/src/journal/memory-use.test.ts
+++ b/tests/src/journal/memory-use.test.ts
@@ -14,13 +14,13 @@
 const mb = 1 << 20;
 const keys = 16000;
 const valueBytes = 1200;
-const rounds = 2;
+const writesPerKey = 2;
 
 /** Peaks over that of the started process, in MB; the records themselves are about 20 MB of text. */
-const openPeakMost = 80;
-const rewritePeakMost = 145;
+const maxOpenPeakMb = 80;
+const maxRewritePeakMb = 145;
 
-const CallerRecord = z.object({
+const ChildReport = z.object({
   startMb: z.number(),
   openedMb: z.number(),
   rewrittenMb: z.number(),
@@ -33,9 +33,9 @@
 const writeLog = async (path: string): Promise<number> => {
   const file = await open(path, 'w');
   let bytes = 0;
-  for (let seq = 1; seq <= rounds; seq++) {
+  for (let seq = 1; seq <= writesPerKey; seq++) {
     const frames: Buffer[] = [];
-    for (let n = 0; n < keys; n++)
+    for (let i = 0; i < keys; i++)
       frames.push(
         encodeFrame([
           {
@@ -43,14 +43,14 @@
             slot: 1,
             ownershipEpoch: 1,
             items: [
-              { key: `o/t/${n}`, ownershipEpoch: 1, seq, value: `${seq}`.padEnd(valueBytes, 'x') },
+              { key: `o/t/${i}`, ownershipEpoch: 1, seq, value: `${seq}`.padEnd(valueBytes, 'x') },
             ],
           },
         ]),
       );
-    const all = Buffer.concat(frames);
-    await file.writeFile(all);
-    bytes += all.length;
+    const batchBytes = Buffer.concat(frames);
+    await file.writeFile(batchBytes);
+    bytes += batchBytes.length;
   }
   await file.close();
   return bytes;
@@ -68,12 +68,12 @@
       String(keys),
       String(valueBytes),
     ]);
-    const reported = CallerRecord.parse(JSON.parse(stdout));
-    assert.is(reported.items, keys);
-    assert.ok(reported.leftBytes < reported.mostBytes, 'the log was not rewritten');
-    const openPeak = reported.openedMb - reported.startMb;
-    const rewritePeak = reported.rewrittenMb - reported.startMb;
-    assert.ok(openPeak < openPeakMost && rewritePeak < rewritePeakMost, stdout);
+    const report = ChildReport.parse(JSON.parse(stdout));
+    assert.is(report.items, keys);
+    assert.ok(report.leftBytes < report.mostBytes, 'the log was not rewritten');
+    const openPeakMb = report.openedMb - report.startMb;
+    const rewritePeakMb = report.rewrittenMb - report.startMb;
+    assert.ok(openPeakMb < maxOpenPeakMb && rewritePeakMb < maxRewritePeakMb, stdout);
   } finally {
     await rm(dir, { recursive: true });
   }
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -12,19 +12,19 @@
 
 const refusals = suite('refused writes of a journal');
 
-interface Opened {
+interface OpenedLog {
   readonly journal: Journal;
   readonly records: unknown[];
 }
 
 /** Opens a log whose owner holds what it was handed, and whose file is written anew from that. */
 const open = async (
-  r: JournalFixture,
-  disk: Disk = r.platter.disk(r.clock, new Incarnation()),
-): Promise<Opened> => {
-  const opened = await r.clock.finish(
+  fixture: JournalFixture,
+  disk: Disk = fixture.platter.disk(fixture.clock, new Incarnation()),
+): Promise<OpenedLog> => {
+  const opened = await fixture.clock.finish(
     'open',
-    Journal.open(disk, 'a.log', r.timings, (journal) => {
+    Journal.open(disk, 'a.log', fixture.timings, (journal) => {
       const records: unknown[] = [];
       return { journal, records, restore: (record: unknown) => void records.push(record) };
     }),
@@ -35,137 +35,143 @@
 };
 
 const append = (
-  r: JournalFixture,
-  { journal, records }: Opened,
+  fixture: JournalFixture,
+  { journal, records }: OpenedLog,
   record: unknown,
 ): Promise<string> => {
   records.push(record);
-  return outcomeOf(r, journal.append(record));
+  return outcomeOf(fixture, journal.append(record));
 };
 
 const executedOf = (work: Promise<unknown>): Promise<string> =>
   work.then(
     () => 'yes',
-    (e: unknown) => (e instanceof JournalUnavailableError ? e.executed : 'another error'),
+    (error: unknown) =>
+      error instanceof JournalUnavailableError ? error.executed : 'another error',
   );
 
-const recordsOnDisk = async (r: JournalFixture): Promise<readonly unknown[]> => {
-  r.platter.powerLoss();
-  return (await open(r)).records;
+const recordsOnDisk = async (fixture: JournalFixture): Promise<readonly unknown[]> => {
+  fixture.platter.powerLoss();
+  return (await open(fixture)).records;
 };
 
 refusals(
   'of a failed write it is unknown whether it was executed, the next ones are not',
   async () => {
-    const r = createFixture(1);
-    const opened = await open(r);
-    r.platter.failSyncs = true;
-    const first = await r.clock.finish('first', executedOf(opened.journal.append(1)), 5000);
+    const fixture = createFixture(1);
+    const opened = await open(fixture);
+    fixture.platter.failSyncs = true;
+    const first = await fixture.clock.finish('first', executedOf(opened.journal.append(1)), 5000);
     assert.is(first, 'unknown');
-    const second = await r.clock.finish('second', executedOf(opened.journal.append(2)), 5000);
+    const second = await fixture.clock.finish('second', executedOf(opened.journal.append(2)), 5000);
     assert.is(second, 'no');
     assert.throws(() => opened.journal.requireWritable(), /cannot be written/);
   },
 );
 
 refusals('a torn tail is cut off, so that later appends stand on lines of their own', async () => {
-  const r = createFixture(1);
-  const opened = await open(r);
-  assert.is(await append(r, opened, 1), 'done');
-  const file = await r.clock.finish(
+  const fixture = createFixture(1);
+  const opened = await open(fixture);
+  assert.is(await append(fixture, opened, 1), 'done');
+  const file = await fixture.clock.finish(
     'file',
-    r.platter.disk(r.clock, new Incarnation()).open('a.log'),
+    fixture.platter.disk(fixture.clock, new Incarnation()).open('a.log'),
     1000,
   );
-  await r.clock.finish('torn', file.append(Buffer.from('1234abcd [to')), 1000);
-  await r.clock.finish('sync', file.sync(), 1000);
-  const again = await open(r);
-  assert.equal(again.records, [1]);
-  assert.is(await append(r, again, 2), 'done');
-  assert.equal(await recordsOnDisk(r), [1, 2]);
+  await fixture.clock.finish('torn', file.append(Buffer.from('1234abcd [to')), 1000);
+  await fixture.clock.finish('sync', file.sync(), 1000);
+  const reopened = await open(fixture);
+  assert.equal(reopened.records, [1]);
+  assert.is(await append(fixture, reopened, 2), 'done');
+  assert.equal(await recordsOnDisk(fixture), [1, 2]);
 });
 
 refusals('a write that ends after its bound counts for nobody', async () => {
-  const r = createFixture(1);
-  const opened = await open(r);
-  r.platter.stalled = true;
+  const fixture = createFixture(1);
+  const opened = await open(fixture);
+  fixture.platter.stalled = true;
   const late = executedOf(opened.journal.append(1));
-  assert.is(await r.clock.finish('late', late, 5000), 'unknown');
+  assert.is(await fixture.clock.finish('late', late, 5000), 'unknown');
   assert.is(opened.journal.writable, false);
-  r.platter.stalled = false;
-  await r.clock.run(500);
+  fixture.platter.stalled = false;
+  await fixture.clock.run(500);
   assert.is(opened.journal.writable, true);
 });
 
 refusals(
   'a record that waited behind an overlong write is written anew before any other',
   async () => {
-    const r = createFixture(1);
-    const opened = await open(r);
-    r.platter.stalled = true;
-    const first = append(r, opened, 1);
-    await r.clock.run(10);
-    const waiting = append(r, opened, 2);
+    const fixture = createFixture(1);
+    const opened = await open(fixture);
+    fixture.platter.stalled = true;
+    const first = append(fixture, opened, 1);
+    await fixture.clock.run(10);
+    const waiting = append(fixture, opened, 2);
     assert.equal(await Promise.all([first, waiting]), ['unavailable', 'unavailable']);
-    r.platter.stalled = false;
-    await r.clock.run(500);
+    fixture.platter.stalled = false;
+    await fixture.clock.run(500);
     assert.is(opened.journal.writable, true);
-    assert.equal(await recordsOnDisk(r), [1, 2]);
+    assert.equal(await recordsOnDisk(fixture), [1, 2]);
   },
 );
 
 refusals(
   'a rewrite is not begun while another is under way, or while nothing is taken',
   async () => {
-    const r = createFixture(1);
-    const opened = await open(r);
-    assert.is(await append(r, opened, 1), 'done');
+    const fixture = createFixture(1);
+    const opened = await open(fixture);
+    assert.is(await append(fixture, opened, 1), 'done');
     let snapshots = 0;
     const snapshot = (): readonly unknown[] => {
       snapshots++;
       return [...opened.records];
     };
     const both = [opened.journal.rewrite(snapshot), opened.journal.rewrite(snapshot)];
-    await r.clock.finish('rewrites', Promise.all(both), 5000);
+    await fixture.clock.finish('rewrites', Promise.all(both), 5000);
     assert.is(snapshots, 1);
-    r.platter.full = true;
-    assert.is(await append(r, opened, 2), 'unavailable');
+    fixture.platter.full = true;
+    assert.is(await append(fixture, opened, 2), 'unavailable');
     void opened.journal.rewrite(snapshot);
-    r.platter.full = false;
-    await r.clock.run(1000);
+    fixture.platter.full = false;
+    await fixture.clock.run(1000);
     assert.is(snapshots, 1);
-    assert.equal(await recordsOnDisk(r), [1, 2]);
+    assert.equal(await recordsOnDisk(fixture), [1, 2]);
   },
 );
 
 refusals('a rewrite that waited for a write that failed is not made', async () => {
-  const r = createFixture(1);
-  const journal = await r.clock.finish(
+  const fixture = createFixture(1);
+  const journal = await fixture.clock.finish(
     'open',
-    Journal.open(r.platter.disk(r.clock, new Incarnation()), 'a.log', r.timings, (opened) => ({
-      opened,
-      restore: () => undefined,
-    })),
+    Journal.open(
+      fixture.platter.disk(fixture.clock, new Incarnation()),
+      'a.log',
+      fixture.timings,
+      (opened) => ({
+        opened,
+        restore: () => undefined,
+      }),
+    ),
     1000,
   );
   let snapshots = 0;
-  r.platter.stalled = true;
-  const first = outcomeOf(r, journal.opened.append(1));
-  await r.clock.run(10);
+  fixture.platter.stalled = true;
+  const first = outcomeOf(fixture, journal.opened.append(1));
+  await fixture.clock.run(10);
   const rewritten = journal.opened.rewrite(() => {
     snapshots++;
     return [];
   });
-  r.platter.failSyncs = true;
-  r.platter.stalled = false;
+  fixture.platter.failSyncs = true;
+  fixture.platter.stalled = false;
   assert.is(await first, 'unavailable');
-  await r.clock.finish('rewritten', rewritten, 5000);
+  await fixture.clock.finish('rewritten', rewritten, 5000);
   assert.is(snapshots, 0);
   assert.is(journal.opened.writable, false);
 });
 
 refusals('only a disk that takes no bytes is waited for', async () => {
-  const r = createFixture(1);
+  const fixture = createFixture(1);
   let attempts = 0;
   const failing = (code: string) => async (): Promise<number> => {
     attempts++;
@@ -174,16 +180,16 @@
     return attempts;
   };
   assert.is(
-    await r.clock.finish(
+    await fixture.clock.finish(
       'full',
-      retryTransientDiskErrors(r.timings, 'a.log', failing('ENOSPC')),
+      retryTransientDiskErrors(fixture.timings, 'a.log', failing('ENOSPC')),
       5000,
     ),
     3,
   );
   attempts = 0;
-  const denied = retryTransientDiskErrors(r.timings, 'a.log', failing('EACCES'));
-  assert.is(await outcomeOf(r, denied), 'EACCES');
+  const denied = retryTransientDiskErrors(fixture.timings, 'a.log', failing('EACCES'));
+  assert.is(await outcomeOf(fixture, denied), 'EACCES');
   assert.is(attempts, 1);
 });
 
--- a/tests/src/store/emptying-stores.test.ts
+++ b/tests/src/store/emptying-stores.test.ts
@@ -19,16 +19,20 @@
 
 const seeds = [71, 72, 73];
 
-const retired = async (w: World, m: Machine): Promise<boolean> => {
-  const got = await w.operate('GET', `/v1/stores/${m.name}/empty`);
-  return JSON.stringify(got.body).includes('"done":true');
+const isEmptied = async (cluster: World, machine: Machine): Promise<boolean> => {
+  const response = await cluster.operate('GET', `/v1/stores/${machine.name}/empty`);
+  return JSON.stringify(response.body).includes('"done":true');
 };
 
-const untilRetired = async (w: World, m: Machine, within: number): Promise<void> => {
-  const end = w.clock.now() + within;
-  while (!(await retired(w, m))) {
-    if (w.clock.now() > end) throw new Error('never done');
-    await w.clock.run(100);
+const waitUntilEmptied = async (
+  cluster: World,
+  machine: Machine,
+  timeoutMs: number,
+): Promise<void> => {
+  const deadline = cluster.clock.now() + timeoutMs;
+  while (!(await isEmptied(cluster, machine))) {
+    if (cluster.clock.now() > deadline) throw new Error('never done');
+    await cluster.clock.run(100);
   }
 };
 
@@ -36,16 +40,16 @@
   'a store told to be emptied, and wiped with another right after it is done, loses nothing',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, oneLossCluster);
-      await runWorkload(w, 'r');
-      const old = w.at('store-1');
-      assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
-      await untilRetired(w, old, 6000);
-      loseDisk(old);
-      loseDisk(w.of('store').find((m) => m !== old));
-      await restartFronts(w);
-      await w.clock.run(2000);
-      await assertWorkloadPreserved(w, 'r');
+      const cluster = await worldUp(seed, oneLossCluster);
+      await runWorkload(cluster, 'r');
+      const emptied = cluster.at('store-1');
+      assert.is((await cluster.operate('POST', `/v1/stores/${emptied.name}/empty`)).status, 200);
+      await waitUntilEmptied(cluster, emptied, 6000);
+      loseDisk(emptied);
+      loseDisk(cluster.of('store').find((machine) => machine !== emptied));
+      await restartFronts(cluster);
+      await cluster.clock.run(2000);
+      await assertWorkloadPreserved(cluster, 'r');
     }
   },
 );
@@ -54,29 +58,31 @@
   'emptying is not done while another store is lost and its slots are not whole again',
   async () => {
     for (const seed of seeds)
-      for (const after of [0, 200, 600]) {
-        const w = await worldUp(seed, { ...oneLossCluster, stores: 5 });
-        await runWorkload(w, 'l');
-        const old = w.at('store-1');
-        assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
-        await w.clock.run(after);
-        loseDisk(w.at('store-2'));
-        await untilRetired(w, old, 30000);
-        const dead = new Set(
-          w
+      for (const delayMs of [0, 200, 600]) {
+        const cluster = await worldUp(seed, { ...oneLossCluster, stores: 5 });
+        await runWorkload(cluster, 'l');
+        const emptied = cluster.at('store-1');
+        assert.is((await cluster.operate('POST', `/v1/stores/${emptied.name}/empty`)).status, 200);
+        await cluster.clock.run(delayMs);
+        loseDisk(cluster.at('store-2'));
+        await waitUntilEmptied(cluster, emptied, 30000);
+        const liveIds = new Set(
+          cluster
             .of('store')
-            .filter((m) => m.up)
-            .map((m) => storeIdOf(m)),
+            .filter((machine) => machine.up)
+            .map((machine) => storeIdOf(machine)),
         );
         assert.ok(
-          w.committed?.slots.every((s) => s.replicas.filter((id) => dead.has(id)).length === 3),
+          cluster.committed?.slots.every(
+            (slot) => slot.replicas.filter((id) => liveIds.has(id)).length === 3,
+          ),
           'told done before the lost replicas were replaced',
         );
-        loseDisk(old);
-        loseDisk(w.at('store-3'));
-        await restartFronts(w);
-        await w.clock.run(2000);
-        await assertWorkloadPreserved(w, 'l');
+        loseDisk(emptied);
+        loseDisk(cluster.at('store-3'));
+        await restartFronts(cluster);
+        await cluster.clock.run(2000);
+        await assertWorkloadPreserved(cluster, 'l');
       }
   },
 );
@@ -84,22 +90,25 @@
 emptying(
   'a store that dies while it is emptied is replaced like a lost one; emptying again is the same',
   async () => {
-    const w = await worldUp(78, oneLossCluster);
-    await runWorkload(w, 'd');
-    const old = w.at('store-1');
-    assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
-    loseDisk(old);
-    assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
-    assert.is(await retired(w, old), false);
-    await untilRetired(w, old, 20000);
-    assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
-    assert.is((await w.operate('POST', '/v1/stores/nobody/empty')).status, 404);
-    assert.is((await w.operate('POST', '/v1/stores/store-number-0/empty')).status, 409);
+    const cluster = await worldUp(78, oneLossCluster);
+    await runWorkload(cluster, 'd');
+    const emptied = cluster.at('store-1');
+    assert.is((await cluster.operate('POST', `/v1/stores/${emptied.name}/empty`)).status, 200);
+    loseDisk(emptied);
+    assert.is((await cluster.operate('POST', `/v1/stores/${emptied.name}/empty`)).status, 200);
+    assert.is(await isEmptied(cluster, emptied), false);
+    await waitUntilEmptied(cluster, emptied, 20000);
+    assert.is((await cluster.operate('POST', `/v1/stores/${emptied.name}/empty`)).status, 200);
+    assert.is((await cluster.operate('POST', '/v1/stores/nobody/empty')).status, 404);
+    assert.is((await cluster.operate('POST', '/v1/stores/store-number-0/empty')).status, 409);
     assert.ok(
-      w.committed &&
-        allSlotsFullyReplicated(w.committed, (id) => w.committed?.nodes.has(id) ?? false),
+      cluster.committed &&
+        allSlotsFullyReplicated(
+          cluster.committed,
+          (id) => cluster.committed?.nodes.has(id) ?? false,
+        ),
     );
-    await assertWorkloadPreserved(w, 'd');
+    await assertWorkloadPreserved(cluster, 'd');
   },
 );
 
@@ -107,37 +116,45 @@
   'a store that loses its disk while it is emptied stays out of use and ends as done',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, oneLossCluster);
-      await runWorkload(w, 'x');
-      const old = w.at('store-1');
-      assert.is((await w.operate('POST', `/v1/stores/${old.name}/empty`)).status, 200);
-      loseDisk(old);
-      old.start();
-      await w.clock.until('back', () => w.committed?.nodes.has(storeIdOf(old)) ?? false, 10000);
-      await untilRetired(w, old, 20000);
-      assert.not(w.committed?.slots.some((s) => s.replicas.includes(storeIdOf(old))));
-      assert.is((await w.operate('DELETE', `/v1/stores/${old.name}/empty`)).status, 200);
-      assert.is(w.drained.size, 0);
-      await assertWorkloadPreserved(w, 'x');
+      const cluster = await worldUp(seed, oneLossCluster);
+      await runWorkload(cluster, 'x');
+      const emptied = cluster.at('store-1');
+      assert.is((await cluster.operate('POST', `/v1/stores/${emptied.name}/empty`)).status, 200);
+      loseDisk(emptied);
+      emptied.start();
+      await cluster.clock.until(
+        'back',
+        () => cluster.committed?.nodes.has(storeIdOf(emptied)) ?? false,
+        10000,
+      );
+      await waitUntilEmptied(cluster, emptied, 20000);
+      assert.not(
+        cluster.committed?.slots.some((slot) => slot.replicas.includes(storeIdOf(emptied))),
+      );
+      assert.is((await cluster.operate('DELETE', `/v1/stores/${emptied.name}/empty`)).status, 200);
+      assert.is(cluster.drained.size, 0);
+      await assertWorkloadPreserved(cluster, 'x');
     }
   },
 );
 
 emptying('with two losses to bear a store is emptied only where five others stay', async () => {
-  const w = await worldUp(79, { ...twoLossCluster, stores: 5 });
-  const refused = await w.operate('POST', '/v1/stores/store-0/empty');
+  const cluster = await worldUp(79, { ...twoLossCluster, stores: 5 });
+  const refused = await cluster.operate('POST', '/v1/stores/store-0/empty');
   assert.is(refused.status, 409);
-  w.add('store').start();
-  await w.clock.until(
+  cluster.add('store').start();
+  await cluster.clock.until(
     'six',
-    () => [...(w.committed?.nodes.values() ?? [])].filter((m) => m.kind === 'store').length === 6,
+    () =>
+      [...(cluster.committed?.nodes.values() ?? [])].filter((member) => member.kind === 'store')
+        .length === 6,
     5000,
   );
-  await w.operate('PUT', '/v1/config', configText(1));
-  assert.is(w.committed?.servers.size, servers.length);
-  assert.is((await w.operate('POST', '/v1/stores/store-number-0/empty')).status, 200);
-  await untilRetired(w, w.at('store-0'), 10000);
-  assert.ok(isFullyReplicated(w));
+  await cluster.operate('PUT', '/v1/config', configText(1));
+  assert.is(cluster.committed?.servers.size, servers.length);
+  assert.is((await cluster.operate('POST', '/v1/stores/store-number-0/empty')).status, 200);
+  await waitUntilEmptied(cluster, cluster.at('store-0'), 10000);
+  assert.ok(isFullyReplicated(cluster));
 });
 
 emptying.run();
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -14,190 +14,229 @@
 import { runTurns } from '../support/run-turns.js';
 import { storeIdOf } from '../support/replica-cluster.js';
 
-const repair = suite('moves and growth');
+const moves = suite('moves and growth');
 
 const seeds = [21, 22, 23];
 
 /** Starts one store more, and waits until it is a member as the fourth. */
-const fourthStore = async (w: World): Promise<Machine> => {
-  const fresh = w.add('store');
-  fresh.start();
-  await w.clock.until(
+const addFourthStore = async (cluster: World): Promise<Machine> => {
+  const newStore = cluster.add('store');
+  newStore.start();
+  await cluster.clock.until(
     'the new store',
-    () => [...(w.committed?.nodes.values() ?? [])].filter((m) => m.kind === 'store').length === 4,
+    () =>
+      [...(cluster.committed?.nodes.values() ?? [])].filter((member) => member.kind === 'store')
+        .length === 4,
     20000,
   );
-  return fresh;
+  return newStore;
 };
 
-const programsOf = (w: World, count: number) =>
-  w.clock.finish(
+const createPrograms = (cluster: World, count: number) =>
+  cluster.clock.finish(
     'programs',
-    Promise.all(Array.from({ length: count }, () => w.program(900))),
+    Promise.all(Array.from({ length: count }, () => cluster.program(900))),
     20000,
   );
 
-const untilFilling = (w: World) =>
-  w.clock.until(
+const waitUntilFilling = (cluster: World) =>
+  cluster.clock.until(
     'filling',
-    () => w.committed?.slots.some((s) => s.joiningReplicas.length > 0) ?? false,
+    () => cluster.committed?.slots.some((slot) => slot.joiningReplicas.length > 0) ?? false,
     20000,
   );
 
 /** One turn of each program; all must be done. */
-const roundOf = async (w: World, programs: readonly string[], n: number): Promise<void> => {
-  const ts = await w.clock.finish(
+const runRound = async (
+  cluster: World,
+  programs: readonly string[],
+  roundNumber: number,
+): Promise<void> => {
+  const turns = await cluster.clock.finish(
     'turns',
-    Promise.all(programs.map((p, i) => w.turn(p, null, `e${n} #${w.seed}-${i}`, `e${n}`))),
+    Promise.all(
+      programs.map((program, i) =>
+        cluster.turn(program, null, `e${roundNumber} #${cluster.seed}-${i}`, `e${roundNumber}`),
+      ),
+    ),
     60000,
   );
   assert.equal(
-    ts.filter((t) => t.reported !== 'done').map((t) => t.errorCode),
+    turns.filter((turn) => turn.reported !== 'done').map((turn) => turn.errorCode),
     [],
   );
 };
 
-repair(
+moves(
   'emptying is refused with the reason when too few replicas would stay, else ends with nothing held',
   async () => {
-    const w = await worldUp(seeds[0] ?? 1, small);
-    const p = await w.clock.finish('program', w.program(900), 10000);
-    await runTurns(w, p.program, 0, 3);
-    const refused = await w.operate('POST', '/v1/stores/store-0/empty');
+    const cluster = await worldUp(seeds[0] ?? 1, small);
+    const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+    await runTurns(cluster, program.program, 0, 3);
+    const refused = await cluster.operate('POST', '/v1/stores/store-0/empty');
     assert.is(refused.status, 409);
     assert.match(JSON.stringify(refused.body), 'only 2 other stores would stay');
-    w.add('store').start();
-    await w.clock.until(
+    cluster.add('store').start();
+    await cluster.clock.until(
       'the new store',
-      () => [...(w.committed?.nodes.values() ?? [])].filter((m) => m.kind === 'store').length === 4,
+      () =>
+        [...(cluster.committed?.nodes.values() ?? [])].filter((member) => member.kind === 'store')
+          .length === 4,
       20000,
     );
-    assert.is((await w.operate('POST', '/v1/stores/store-0/empty')).status, 200);
-    const old = w.at('store-0').store?.id ?? '';
-    await w.clock.until(
+    assert.is((await cluster.operate('POST', '/v1/stores/store-0/empty')).status, 200);
+    const emptiedId = cluster.at('store-0').store?.id ?? '';
+    await cluster.clock.until(
       'half way',
-      () => (w.committed?.slots.filter((s) => s.replicas.includes(old)).length ?? 9) <= 4,
+      () =>
+        (cluster.committed?.slots.filter((slot) => slot.replicas.includes(emptiedId)).length ??
+          9) <= 4,
       60000,
     );
-    w.master?.kill('power');
-    await w.clock.until(
+    cluster.master?.kill('power');
+    await cluster.clock.until(
       'emptied',
       () =>
-        w.committed?.slots.every(
-          (s) => !s.replicas.includes(old) && s.joiningReplicas.length === 0,
+        cluster.committed?.slots.every(
+          (slot) => !slot.replicas.includes(emptiedId) && slot.joiningReplicas.length === 0,
         ) ?? false,
       60000,
     );
-    const status = await w.operate('GET', '/v1/status');
+    const status = await cluster.operate('GET', '/v1/status');
     assert.match(JSON.stringify(status.body), '"slotsHeld":0');
-    w.at('store-0').kill();
-    await runTurns(w, p.program, 3, 2);
-    for (const t of w.reported.filter((x) => x.kind === 'turn'))
-      assert.is((await w.clock.finish('fetch', w.fetch(p.program, t.turn), 30000)).text, t.text);
-    assertNoBreach(recordsOf(w));
+    cluster.at('store-0').kill();
+    await runTurns(cluster, program.program, 3, 2);
+    for (const turn of cluster.reported.filter((reply) => reply.kind === 'turn'))
+      assert.is(
+        (await cluster.clock.finish('fetch', cluster.fetch(program.program, turn.turn), 30000))
+          .text,
+        turn.text,
+      );
+    assertNoBreach(recordsOf(cluster));
   },
 );
 
-repair('a planned move of owners refuses nothing and breaks nothing off', async () => {
+moves('a planned move of owners refuses nothing and breaks nothing off', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, small);
-    const ps = await w.clock.finish(
+    const cluster = await worldUp(seed, small);
+    const programs = await cluster.clock.finish(
       'programs',
-      Promise.all(Array.from({ length: 6 }, () => w.program(900, w.of('front')[0]))),
+      Promise.all(Array.from({ length: 6 }, () => cluster.program(900, cluster.of('front')[0]))),
       20000,
     );
-    const before = w.committed?.slots.map((s) => s.owner).join();
-    const going: Promise<unknown>[] = [];
-    w.add('front').start();
-    let i = 0;
-    const end = w.clock.now() + 14000;
+    const ownersBefore = cluster.committed?.slots.map((slot) => slot.owner).join();
+    const pending: Promise<unknown>[] = [];
+    cluster.add('front').start();
+    let turnCount = 0;
+    const deadline = cluster.clock.now() + 14000;
     let drained = false;
-    while (w.clock.now() < end) {
-      const at = w.of('front')[0];
-      for (const p of ps) going.push(w.turn(p.program, null, `m #${seed}-${i}`, `m${i++}`, at));
-      if (!drained && w.clock.now() > end - 7000) {
+    while (cluster.clock.now() < deadline) {
+      const front = cluster.of('front')[0];
+      for (const program of programs)
+        pending.push(
+          cluster.turn(program.program, null, `m #${seed}-${turnCount}`, `m${turnCount++}`, front),
+        );
+      if (!drained && cluster.clock.now() > deadline - 7000) {
         drained = true;
-        assert.is((await w.operate('POST', '/v1/fronts/front-1/drain')).status, 200);
+        assert.is((await cluster.operate('POST', '/v1/fronts/front-1/drain')).status, 200);
       }
-      await w.clock.run(170);
+      await cluster.clock.run(170);
     }
-    await w.clock.finish('all', Promise.all(going), 60000);
-    assert.is.not(w.committed?.slots.map((s) => s.owner).join(), before);
-    const drainedId = w.at('front-1').front?.id;
-    assert.ok(w.committed?.slots.every((s) => s.owner !== drainedId));
-    const bad = w.reported
-      .filter((t) => t.reported !== 'done' && t.errorCode !== 'budget-spent')
-      .map((t) => `${t.kind} ${t.reported} ${t.errorCode}`);
-    assert.equal(bad, []);
-    assertNoBreach(recordsOf(w));
+    await cluster.clock.finish('all', Promise.all(pending), 60000);
+    assert.is.not(cluster.committed?.slots.map((slot) => slot.owner).join(), ownersBefore);
+    const drainedId = cluster.at('front-1').front?.id;
+    assert.ok(cluster.committed?.slots.every((slot) => slot.owner !== drainedId));
+    const failures = cluster.reported
+      .filter((turn) => turn.reported !== 'done' && turn.errorCode !== 'budget-spent')
+      .map((turn) => `${turn.kind} ${turn.reported} ${turn.errorCode}`);
+    assert.equal(failures, []);
+    assertNoBreach(recordsOf(cluster));
   }
 });
 
-repair('a slow disk on one store delays nothing for long and loses nothing', async () => {
+moves('a slow disk on one store delays nothing for long and loses nothing', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, five);
-    const p = await w.clock.finish('program', w.program(900), 10000);
-    const slow = w.of('store')[seed % 3];
-    slow.platter.delay = 2500;
-    const t0 = w.clock.now();
-    await runTurns(w, p.program, 0, 6);
-    assert.ok(w.clock.now() - t0 < 6000, `${w.clock.now() - t0} ms for six turns`);
-    assertNoBreach(recordsOf(w));
+    const cluster = await worldUp(seed, five);
+    const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+    const slowStore = cluster.of('store')[seed % 3];
+    slowStore.platter.delay = 2500;
+    const startedAt = cluster.clock.now();
+    await runTurns(cluster, program.program, 0, 6);
+    assert.ok(
+      cluster.clock.now() - startedAt < 6000,
+      `${cluster.clock.now() - startedAt} ms for six turns`,
+    );
+    assertNoBreach(recordsOf(cluster));
   }
 });
 
-repair('stores and fronts drop what was idle longer than its keeping time, whole', async () => {
-  const w = await worldUp(31, small);
-  const p = await w.clock.finish('program', w.program(900), 10000);
-  const [t] = await w.clock.finish(
+moves('stores and fronts drop what was idle longer than its keeping time, whole', async () => {
+  const cluster = await worldUp(31, small);
+  const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+  const [turn] = await cluster.clock.finish(
     'turn',
-    Promise.all([w.turn(p.program, null, 'x #31', 'k')]),
+    Promise.all([cluster.turn(program.program, null, 'x #31', 'k')]),
     10000,
   );
-  const q = await w.clock.finish('program', w.program(900), 10000);
-  const items = () => w.of('store').map((m) => m.replicaStore?.counts().items ?? 0);
+  const otherProgram = await cluster.clock.finish('program', cluster.program(900), 10000);
+  const itemCounts = () =>
+    cluster.of('store').map((machine) => machine.replicaStore?.counts().items ?? 0);
   assert.ok(
-    items().every((n) => n >= 3),
-    items().join(),
+    itemCounts().every((count) => count >= 3),
+    itemCounts().join(),
   );
-  for (let n = 0; n < 3; n++) {
-    await w.clock.run(1200000);
-    await runTurns(w, q.program, 100 + n, 1);
+  for (let i = 0; i < 3; i++) {
+    await cluster.clock.run(1200000);
+    await runTurns(cluster, otherProgram.program, 100 + i, 1);
   }
-  await w.clock.run(900000);
-  const gone = await w.clock.finish('fetch', w.fetch(p.program, t.turn), 10000);
-  assert.is(gone.errorCode, 'missing');
-  const kept = w.reported.filter((x) => x.kind === 'turn' && x.program === q.program);
-  for (const m of w.of('front')) m.kill();
-  w.start(w.of('front'));
-  await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
-  for (const x of kept)
-    assert.is((await w.clock.finish('fetch', w.fetch(q.program, x.turn), 10000)).text, x.text);
+  await cluster.clock.run(900000);
+  const expired = await cluster.clock.finish(
+    'fetch',
+    cluster.fetch(program.program, turn.turn),
+    10000,
+  );
+  assert.is(expired.errorCode, 'missing');
+  const kept = cluster.reported.filter(
+    (reply) => reply.kind === 'turn' && reply.program === otherProgram.program,
+  );
+  for (const machine of cluster.of('front')) machine.kill();
+  cluster.start(cluster.of('front'));
+  await cluster.clock.until(
+    'fronts',
+    () => cluster.readyFronts().length === 2 && cluster.slotsOpen(),
+    20000,
+  );
+  for (const reply of kept)
+    assert.is(
+      (await cluster.clock.finish('fetch', cluster.fetch(otherProgram.program, reply.turn), 10000))
+        .text,
+      reply.text,
+    );
 });
 
-repair(
+moves(
   'a store being emptied counts until its stand-in is full: another may die in the middle',
   async () => {
     for (const seed of seeds) {
       const w = await worldUp(seed, small);
-      const ps = await programsOf(w, 24);
-      const round = (n: number) =>
-        roundOf(
+      const programs = await createPrograms(w, 24);
+      const runNextRound = (roundNumber: number) =>
+        runRound(
           w,
-          ps.map((p) => p.program),
-          n,
+          programs.map((program) => program.program),
+          roundNumber,
         );
-      await round(0);
-      const fresh = await fourthStore(w);
-      for (const m of ['store-0', 'store-1', 'store-2']) w.net.cut(fresh.addr, m);
+      await runNextRound(0);
+      const newStore = await addFourthStore(w);
+      for (const store of ['store-0', 'store-1', 'store-2']) w.net.cut(newStore.addr, store);
       assert.is((await w.operate('POST', '/v1/stores/store-0/empty')).status, 200);
-      await untilFilling(w);
+      await waitUntilFilling(w);
       await w.clock.run(1000);
       w.at('store-1').kill('power');
       await w.clock.run(2000);
-      await round(1);
-      const half = w.reported.filter((t) => t.kind === 'turn');
-      for (const t of half)
+      await runNextRound(1);
+      const turns = w.reported.filter((turn) => turn.kind === 'turn');
+      for (const t of turns)
         assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
       w.net.healCuts();
       await w.clock
@@ -205,10 +244,10 @@
           'emptied',
           () =>
             w.committed?.slots.every(
-              (s) =>
-                s.replicas.length === 3 &&
-                s.joiningReplicas.length === 0 &&
-                !s.replicas.includes(w.at('store-0').store?.id ?? ''),
+              (slot) =>
+                slot.replicas.length === 3 &&
+                slot.joiningReplicas.length === 0 &&
+                !slot.replicas.includes(w.at('store-0').store?.id ?? ''),
             ) ?? false,
           90000,
         )
@@ -218,129 +257,138 @@
         'settled',
         () =>
           w.committed?.slots.every(
-            (s) =>
-              s.joiningReplicas.length === 0 &&
-              !s.replicas.includes(w.at('store-0').store?.id ?? ''),
+            (slot) =>
+              slot.joiningReplicas.length === 0 &&
+              !slot.replicas.includes(w.at('store-0').store?.id ?? ''),
           ) ?? false,
         90000,
       );
       w.at('store-0').kill('power');
-      for (const m of w.of('front')) m.kill();
+      for (const machine of w.of('front')) machine.kill();
       w.start(w.of('front'));
       await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
       await w.clock.run(1000);
-      for (const t of half)
+      for (const t of turns)
         assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
-      await round(2);
+      await runNextRound(2);
       assertNoBreach(recordsOf(w));
     }
   },
 );
 
-repair(
+moves(
   'while a stand-in is filled a write needs both the replicas of now and the replicas of then',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, small);
-      const ps = await programsOf(w, 12);
-      const fresh = await fourthStore(w);
-      fresh.platter.delay = 2500;
-      assert.is((await w.operate('POST', '/v1/stores/store-0/empty')).status, 200);
-      await untilFilling(w);
-      for (const m of w.of('front'))
-        for (const to of ['store-2', fresh.addr]) w.net.cut(`${m.addr}/data`, to);
-      const freshId = fresh.store?.id ?? 'none';
-      const going: Promise<unknown>[] = [];
-      for (let i = 0; !w.committed?.slots.some((s) => s.replicas.includes(freshId)); i++) {
+      const cluster = await worldUp(seed, small);
+      const programs = await createPrograms(cluster, 12);
+      const newStore = await addFourthStore(cluster);
+      newStore.platter.delay = 2500;
+      assert.is((await cluster.operate('POST', '/v1/stores/store-0/empty')).status, 200);
+      await waitUntilFilling(cluster);
+      for (const machine of cluster.of('front'))
+        for (const store of ['store-2', newStore.addr])
+          cluster.net.cut(`${machine.addr}/data`, store);
+      const newStoreId = newStore.store?.id ?? 'none';
+      const pending: Promise<unknown>[] = [];
+      for (
+        let i = 0;
+        !cluster.committed?.slots.some((slot) => slot.replicas.includes(newStoreId));
+        i++
+      ) {
         assert.ok(i < 200, 'no copy was switched');
-        for (const p of ps)
-          going.push(w.turn(p.program, null, `j${i} #${seed}-${p.program}`, `j${i}`));
-        await w.clock.run(350);
+        for (const program of programs)
+          pending.push(
+            cluster.turn(program.program, null, `j${i} #${seed}-${program.program}`, `j${i}`),
+          );
+        await cluster.clock.run(350);
       }
-      for (const m of ['store-0', 'store-1']) w.at(m).kill('power');
-      w.net.healCuts();
-      fresh.platter.delay = 0.2;
-      await w.clock.finish('all', Promise.all(going), 60000);
-      for (const m of w.of('front')) m.kill();
-      w.start(w.of('front'));
-      await w.clock.until('fronts', () => w.readyFronts().length === 2, 20000);
-      await w.clock.run(3000);
-      const done = w.reported.filter((t) => t.kind === 'turn' && t.reported === 'done');
+      for (const store of ['store-0', 'store-1']) cluster.at(store).kill('power');
+      cluster.net.healCuts();
+      newStore.platter.delay = 0.2;
+      await cluster.clock.finish('all', Promise.all(pending), 60000);
+      for (const machine of cluster.of('front')) machine.kill();
+      cluster.start(cluster.of('front'));
+      await cluster.clock.until('fronts', () => cluster.readyFronts().length === 2, 20000);
+      await cluster.clock.run(3000);
+      const done = cluster.reported.filter(
+        (turn) => turn.kind === 'turn' && turn.reported === 'done',
+      );
       assert.ok(done.length > 0);
-      const back = await w.clock.finish(
+      const fetches = await cluster.clock.finish(
         'fetches',
-        Promise.all(done.map((t) => w.fetch(t.program, t.turn))),
+        Promise.all(done.map((turn) => cluster.fetch(turn.program, turn.turn))),
         60000,
       );
-      assert.equal(back.filter((f) => f.errorCode === 'missing').length, 0);
-      const open = await w.clock.finish(
+      assert.equal(fetches.filter((fetched) => fetched.errorCode === 'missing').length, 0);
+      const lookups = await cluster.clock.finish(
         'none',
-        Promise.all(ps.map((p) => w.fetch(p.program, 't-none'))),
+        Promise.all(programs.map((program) => cluster.fetch(program.program, 't-none'))),
         60000,
       );
       assert.ok(
-        open.some((f) => f.errorCode === 'missing'),
+        lookups.some((fetched) => fetched.errorCode === 'missing'),
         'the switched slot is open',
       );
-      assertNoBreach(recordsOf(w));
+      assertNoBreach(recordsOf(cluster));
     }
   },
 );
 
 /** Writes `itemsPerSlot` items of a value to each replica of each slot. */
-const fillStores = async (w: World, itemsPerSlot: number, value: string): Promise<void> => {
+const fillStores = async (cluster: World, itemsPerSlot: number, value: string): Promise<void> => {
   const writes: Promise<unknown>[] = [];
-  for (const m of w.of('store'))
-    for (const [n, slot] of w.committed?.slots.entries() ?? []) {
-      if (!slot.replicas.includes(storeIdOf(m))) continue;
+  for (const machine of cluster.of('store'))
+    for (const [slotNumber, slot] of cluster.committed?.slots.entries() ?? []) {
+      if (!slot.replicas.includes(storeIdOf(machine))) continue;
       const items = Array.from({ length: itemsPerSlot }, (_, i) => ({
-        key: `k/${n}-${i}`,
+        key: `k/${slotNumber}-${i}`,
         ownershipEpoch: slot.ownershipEpoch,
         seq: i,
         value,
       }));
       for (const item of items)
-        writes.push(Promise.resolve(m.replicaStore?.acceptHandoff(n, [item])));
+        writes.push(Promise.resolve(machine.replicaStore?.acceptHandoff(slotNumber, [item])));
     }
   await Promise.all(writes);
 };
 
 /** Whether a store is a replica of no slot, and no slot is being filled. */
-const isNoReplica = (w: World, storeId: string): boolean =>
-  w.committed?.slots.every(
+const isNoReplica = (cluster: World, storeId: string): boolean =>
+  cluster.committed?.slots.every(
     (slot) => !slot.replicas.includes(storeId) && slot.joiningReplicas.length === 0,
   ) ?? false;
 
-repair(
+moves(
   'twenty megabytes in 64 slots move off a store within 6 s, and the calls meanwhile are served',
   async () => {
-    const w = new World(33, { controls: 3, stores: 4, fronts: 2, slots: 64 });
-    await w.bringUp((base) => configText(base), servers);
-    const p = await w.clock.finish('program', w.program(900), 10000);
-    const filling = fillStores(w, 14, 'v'.repeat(32 << 10));
-    await w.clock.finish('filling the stores', filling, 60000);
+    const cluster = new World(33, { controls: 3, stores: 4, fronts: 2, slots: 64 });
+    await cluster.bringUp((base) => configText(base), servers);
+    const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+    const filling = fillStores(cluster, 14, 'v'.repeat(32 << 10));
+    await cluster.clock.finish('filling the stores', filling, 60000);
     assert.ok(
-      (w.at('store-1').replicaStore?.counts().bytes ?? 0) > 20e6,
-      String(w.at('store-1').replicaStore?.counts().bytes),
+      (cluster.at('store-1').replicaStore?.counts().bytes ?? 0) > 20e6,
+      String(cluster.at('store-1').replicaStore?.counts().bytes),
     );
-    assert.is((await w.operate('POST', '/v1/stores/store-number-1/empty')).status, 200);
-    const from = w.clock.now();
-    const id = w.at('store-1').store?.id ?? 'none';
-    const empty = (): boolean => isNoReplica(w, id);
-    for (let i = 0; !empty() && i < 30; i++) await runTurns(w, p.program, i, 1);
-    await w.clock.until('emptied', empty, 6000);
-    assert.ok(w.clock.now() - from < 6000, `${w.clock.now() - from} ms`);
-    const held = w
+    assert.is((await cluster.operate('POST', '/v1/stores/store-number-1/empty')).status, 200);
+    const startedAt = cluster.clock.now();
+    const storeId = cluster.at('store-1').store?.id ?? 'none';
+    const isEmptied = (): boolean => isNoReplica(cluster, storeId);
+    for (let i = 0; !isEmptied() && i < 30; i++) await runTurns(cluster, program.program, i, 1);
+    await cluster.clock.until('emptied', isEmptied, 6000);
+    assert.ok(cluster.clock.now() - startedAt < 6000, `${cluster.clock.now() - startedAt} ms`);
+    const itemCounts = cluster
       .of('store')
-      .filter((m) => m.store?.id !== id)
-      .map((m) => m.replicaStore?.counts().items ?? 0);
+      .filter((machine) => machine.store?.id !== storeId)
+      .map((machine) => machine.replicaStore?.counts().items ?? 0);
     assert.ok(
-      held.every((n) => n >= 64 * 14),
-      held.join(),
+      itemCounts.every((count) => count >= 64 * 14),
+      itemCounts.join(),
     );
-    await w.clock.run(2000);
-    assert.is(w.at('store-1').replicaStore?.counts().items, 0);
+    await cluster.clock.run(2000);
+    assert.is(cluster.at('store-1').replicaStore?.counts().items, 0);
   },
 );
 
-repair.run();
+moves.run();
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -13,304 +13,340 @@
 } from '../support/world-helpers.js';
 import { runTurns } from '../support/run-turns.js';
 
-const refill = suite('refill of stores and controls');
+const refills = suite('refill of stores and controls');
 
 const seeds = [21, 22, 23];
 
-const loseAndReadAll = async (
-  w: World,
+const loseDiskAndReadAll = async (
+  cluster: World,
   store: Machine | undefined,
   program: string,
 ): Promise<void> => {
   store?.kill('power');
   store?.platter.wipe();
-  for (const m of w.of('front')) m.kill();
-  w.start(w.of('front'));
-  await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
-  for (const t of w.reported.filter((x) => x.kind === 'turn' && x.program === program))
-    assert.is((await w.clock.finish('fetch', w.fetch(program, t.turn), 30000)).text, t.text);
-  assertNoBreach(recordsOf(w));
+  for (const machine of cluster.of('front')) machine.kill();
+  cluster.start(cluster.of('front'));
+  await cluster.clock.until(
+    'fronts',
+    () => cluster.readyFronts().length === 2 && cluster.slotsOpen(),
+    20000,
+  );
+  for (const turn of cluster.reported.filter(
+    (reply) => reply.kind === 'turn' && reply.program === program,
+  ))
+    assert.is(
+      (await cluster.clock.finish('fetch', cluster.fetch(program, turn.turn), 30000)).text,
+      turn.text,
+    );
+  assertNoBreach(recordsOf(cluster));
 };
 
-refill(
+refills(
   'a store that was away gets what it missed from hints, and can then stand in for a lost one',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, small);
-      const p = await w.clock.finish('program', w.program(900), 10000);
-      const [a, b, c] = w.of('store');
-      a.kill('power');
-      await w.clock.run(4000);
-      await runTurns(w, p.program, 0, 5);
-      const hints = [b, c].reduce((n, m) => n + (m.replicaStore?.counts().hints ?? 0), 0);
+      const cluster = await worldUp(seed, small);
+      const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+      const [restarted, lost, other] = cluster.of('store');
+      restarted.kill('power');
+      await cluster.clock.run(4000);
+      await runTurns(cluster, program.program, 0, 5);
+      const hints = [lost, other].reduce(
+        (total, machine) => total + (machine.replicaStore?.counts().hints ?? 0),
+        0,
+      );
       assert.ok(hints >= 5, `${hints} hints`);
-      a.start();
-      await w.clock.until(
+      restarted.start();
+      await cluster.clock.until(
         'hand-over',
         () =>
-          [b, c].every((m) => m.replicaStore?.counts().hints === 0) &&
-          (a.replicaStore?.counts().items ?? 0) >= 6,
+          [lost, other].every((machine) => machine.replicaStore?.counts().hints === 0) &&
+          (restarted.replicaStore?.counts().items ?? 0) >= 6,
         20000,
       );
-      await loseAndReadAll(w, b, p.program);
+      await loseDiskAndReadAll(cluster, lost, program.program);
     }
   },
 );
 
-refill('an empty store counts in no quorum until it is refilled', async () => {
+refills('an empty store counts in no quorum until it is refilled', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, small);
-    const p = await w.clock.finish('program', w.program(900), 10000);
-    await runTurns(w, p.program, 0, 4);
-    const [a, b] = w.of('store');
-    a.kill('power');
-    a.platter.wipe();
-    a.start();
-    const id = () => a.store?.id ?? 'none';
-    await w.clock.until(
+    const cluster = await worldUp(seed, small);
+    const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+    await runTurns(cluster, program.program, 0, 4);
+    const [emptied, other] = cluster.of('store');
+    emptied.kill('power');
+    emptied.platter.wipe();
+    emptied.start();
+    const storeId = () => emptied.store?.id ?? 'none';
+    await cluster.clock.until(
       'taken in',
-      () => w.committed?.slots.some((s) => s.joiningReplicas.includes(id())) ?? false,
+      () =>
+        cluster.committed?.slots.some((slot) => slot.joiningReplicas.includes(storeId())) ?? false,
       30000,
     );
-    const slots = w.committed?.slots ?? [];
+    const slots = cluster.committed?.slots ?? [];
     assert.ok(
-      slots.filter((s) => s.joiningReplicas.length > 0).length <= slots.length / 2,
+      slots.filter((slot) => slot.joiningReplicas.length > 0).length <= slots.length / 2,
       'throttled',
     );
-    await w.clock.until(
+    await cluster.clock.until(
       'refilled',
       () =>
-        w.committed?.slots.every(
-          (s) => s.replicas.includes(id()) && s.joiningReplicas.length === 0,
+        cluster.committed?.slots.every(
+          (slot) => slot.replicas.includes(storeId()) && slot.joiningReplicas.length === 0,
         ) ?? false,
       60000,
     );
-    await loseAndReadAll(w, b, p.program);
+    await loseDiskAndReadAll(cluster, other, program.program);
   }
 });
 
-refill(
+refills(
   'a store that is being filled opens no slot, so what it lacks is not called missing',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, small);
-      const ps = await w.clock.finish(
+      const cluster = await worldUp(seed, small);
+      const programs = await cluster.clock.finish(
         'programs',
-        Promise.all(Array.from({ length: 24 }, () => w.program(900))),
+        Promise.all(Array.from({ length: 24 }, () => cluster.program(900))),
         20000,
       );
-      const data = w.of('front').map((m) => `${m.addr}/data`);
-      w.net.cutBoth(['store-1'], [...data, 'store-0', 'store-2']);
-      const ts = await w.clock.finish(
+      const dataAddresses = cluster.of('front').map((machine) => `${machine.addr}/data`);
+      cluster.net.cutBoth(['store-1'], [...dataAddresses, 'store-0', 'store-2']);
+      const turns = await cluster.clock.finish(
         'turns',
-        Promise.all(ps.map((p, i) => w.turn(p.program, null, `h #${seed}-${i}`, 'k'))),
+        Promise.all(
+          programs.map((program, i) => cluster.turn(program.program, null, `h #${seed}-${i}`, 'k')),
+        ),
         60000,
       );
-      assert.ok(ts.every((t) => t.reported === 'done'));
-      const a = w.at('store-0');
-      a.kill('power');
-      a.platter.wipe();
-      for (const m of w.of('front')) m.kill();
-      w.net.healCuts();
-      w.net.cutBoth(['store-2'], [...data, 'store-0', 'store-1']);
-      a.start();
-      w.start(w.of('front'));
-      await w.clock.until(
+      assert.ok(turns.every((turn) => turn.reported === 'done'));
+      const store = cluster.at('store-0');
+      store.kill('power');
+      store.platter.wipe();
+      for (const machine of cluster.of('front')) machine.kill();
+      cluster.net.healCuts();
+      cluster.net.cutBoth(['store-2'], [...dataAddresses, 'store-0', 'store-1']);
+      store.start();
+      cluster.start(cluster.of('front'));
+      await cluster.clock.until(
         'filling',
-        () => w.committed?.slots.some((s) => s.joiningReplicas.length > 0) ?? false,
+        () => cluster.committed?.slots.some((slot) => slot.joiningReplicas.length > 0) ?? false,
         30000,
       );
-      await w.clock.until('fronts', () => w.readyFronts().length === 2, 20000);
-      await w.clock.run(4000);
-      for (const t of ts) {
-        const f = await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000);
-        assert.is.not(f.errorCode, 'missing');
+      await cluster.clock.until('fronts', () => cluster.readyFronts().length === 2, 20000);
+      await cluster.clock.run(4000);
+      for (const turn of turns) {
+        const fetched = await cluster.clock.finish(
+          'fetch',
+          cluster.fetch(turn.program, turn.turn),
+          30000,
+        );
+        assert.is.not(fetched.errorCode, 'missing');
       }
-      w.net.healCuts();
-      await w.clock.until(
+      cluster.net.healCuts();
+      await cluster.clock.until(
         'refilled',
         () =>
-          w.committed?.slots.every(
-            (s) => s.joiningReplicas.length === 0 && s.replicas.includes(a.store?.id ?? ''),
+          cluster.committed?.slots.every(
+            (slot) =>
+              slot.joiningReplicas.length === 0 && slot.replicas.includes(store.store?.id ?? ''),
           ) ?? false,
         60000,
       );
-      await w.clock.run(2000);
-      for (const t of ts)
-        assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
+      await cluster.clock.run(2000);
+      for (const turn of turns)
+        assert.is(
+          (await cluster.clock.finish('fetch', cluster.fetch(turn.program, turn.turn), 30000)).text,
+          turn.text,
+        );
     }
   },
 );
 
-refill('with two disks lost at once history is unavailable, never missing', async () => {
+refills('with two disks lost at once history is unavailable, never missing', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, small);
-    const p = await w.clock.finish('program', w.program(900), 10000);
-    await runTurns(w, p.program, 0, 2);
-    for (const m of w.of('store').slice(0, 2)) {
-      m.kill('power');
-      m.platter.wipe();
-      m.start();
+    const cluster = await worldUp(seed, small);
+    const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+    await runTurns(cluster, program.program, 0, 2);
+    for (const machine of cluster.of('store').slice(0, 2)) {
+      machine.kill('power');
+      machine.platter.wipe();
+      machine.start();
     }
-    for (const m of w.of('front')) m.kill();
-    w.start(w.of('front'));
-    await w.clock.until('fronts', () => w.readyFronts().length === 2, 20000);
-    await w.clock.run(5000);
-    for (const t of w.reported.filter((x) => x.kind === 'turn')) {
-      const f = await w.clock.finish('fetch', w.fetch(p.program, t.turn), 30000);
-      assert.is(f.reported, 'refused');
-      assert.is.not(f.errorCode, 'missing');
+    for (const machine of cluster.of('front')) machine.kill();
+    cluster.start(cluster.of('front'));
+    await cluster.clock.until('fronts', () => cluster.readyFronts().length === 2, 20000);
+    await cluster.clock.run(5000);
+    for (const turn of cluster.reported.filter((reply) => reply.kind === 'turn')) {
+      const fetched = await cluster.clock.finish(
+        'fetch',
+        cluster.fetch(program.program, turn.turn),
+        30000,
+      );
+      assert.is(fetched.reported, 'refused');
+      assert.is.not(fetched.errorCode, 'missing');
     }
   }
 });
 
-refill(
+refills(
   'sessions of megabytes move in pages: takeover, refill and rewriting stay small and lose nothing',
   async () => {
-    const w = await worldUp(29, small);
-    const p = await w.clock.finish('program', w.program(1000), 10000);
-    const q = await w.clock.finish('program', w.program(900), 10000);
+    const cluster = await worldUp(29, small);
+    const program = await cluster.clock.finish('program', cluster.program(1000), 10000);
+    const otherProgram = await cluster.clock.finish('program', cluster.program(900), 10000);
     let after: string | null = null;
     for (let i = 0; i < 60; i++) {
-      const words = `${'long history '.repeat(3000)} #29-${i}`;
+      const prompt = `${'long history '.repeat(3000)} #29-${i}`;
       const parent: string | null = i % 20 === 0 ? null : after;
-      const t: ReplyRecord = await w.clock.finish(
+      const turn: ReplyRecord = await cluster.clock.finish(
         'turn',
-        w.turn(p.program, parent, words, `b${i}`),
+        cluster.turn(program.program, parent, prompt, `b${i}`),
         30000,
       );
-      assert.is(t.reported, 'done', t.errorCode);
-      after = t.turn;
+      assert.is(turn.reported, 'done', turn.errorCode);
+      after = turn.turn;
     }
-    w.net.largest.clear();
-    const store = w.of('store')[0];
+    cluster.net.largest.clear();
+    const store = cluster.of('store')[0];
     store.kill('power');
     store.platter.wipe();
-    for (const m of w.of('front')) m.kill();
-    w.start(w.of('front'));
-    await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
-    const other = await w.clock.finish(
+    for (const machine of cluster.of('front')) machine.kill();
+    cluster.start(cluster.of('front'));
+    await cluster.clock.until(
+      'fronts',
+      () => cluster.readyFronts().length === 2 && cluster.slotsOpen(),
+      20000,
+    );
+    const otherTurn = await cluster.clock.finish(
       'other slot',
-      w.turn(q.program, null, 'short #29', 'q'),
+      cluster.turn(otherProgram.program, null, 'short #29', 'q'),
       5000,
     );
-    assert.is(other.reported, 'done');
+    assert.is(otherTurn.reported, 'done');
     store.start();
-    const id = () => store.store?.id ?? 'none';
-    await w.clock.until(
+    const storeId = () => store.store?.id ?? 'none';
+    await cluster.clock.until(
       'refilled',
       () =>
-        w.committed?.slots.every(
-          (s) => s.replicas.includes(id()) && s.joiningReplicas.length === 0,
+        cluster.committed?.slots.every(
+          (slot) => slot.replicas.includes(storeId()) && slot.joiningReplicas.length === 0,
         ) ?? false,
       90000,
     );
     for (const kind of ['store/fence', 'store/pull', 'store/put', 'store/hand'])
       assert.ok(
-        (w.net.largest.get(kind) ?? 0) < 1 << 19,
-        `${kind} ${w.net.largest.get(kind) ?? 0}`,
+        (cluster.net.largest.get(kind) ?? 0) < 1 << 19,
+        `${kind} ${cluster.net.largest.get(kind) ?? 0}`,
       );
-    assert.ok((w.net.largest.get('store/pull') ?? 0) > 1 << 16);
-    await loseAndReadAll(w, w.of('store')[1], p.program);
+    assert.ok((cluster.net.largest.get('store/pull') ?? 0) > 1 << 16);
+    await loseDiskAndReadAll(cluster, cluster.of('store')[1], program.program);
   },
 );
 
-refill(
+refills(
   'hints that could not be kept cost nothing when the disks of both others go one after the other',
   async () => {
     for (const seed of seeds) {
-      const w = new World(seed, small);
-      w.hintsMost = 0;
-      await w.bringUp((base) => configText(base), servers);
-      const p = await w.clock.finish('program', w.program(900), 10000);
-      const [a, b, c] = w.of('store');
-      a.kill('power');
-      await w.clock.run(1500);
-      await runTurns(w, p.program, 0, 5);
+      const cluster = new World(seed, small);
+      cluster.hintsMost = 0;
+      await cluster.bringUp((base) => configText(base), servers);
+      const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+      const [restarted, emptied, lost] = cluster.of('store');
+      restarted.kill('power');
+      await cluster.clock.run(1500);
+      await runTurns(cluster, program.program, 0, 5);
       assert.equal(
-        [b, c].map((m) => m.replicaStore?.counts().hints),
+        [emptied, lost].map((machine) => machine.replicaStore?.counts().hints),
         [0, 0],
       );
-      a.start();
-      await w.clock.run(2000);
-      b.kill('power');
-      b.platter.wipe();
-      b.start();
-      const id = () => b.store?.id ?? 'none';
-      await w.clock.until(
+      restarted.start();
+      await cluster.clock.run(2000);
+      emptied.kill('power');
+      emptied.platter.wipe();
+      emptied.start();
+      const storeId = () => emptied.store?.id ?? 'none';
+      await cluster.clock.until(
         'refilled',
         () =>
-          w.committed?.slots.every(
-            (s) => s.replicas.includes(id()) && s.joiningReplicas.length === 0,
+          cluster.committed?.slots.every(
+            (slot) => slot.replicas.includes(storeId()) && slot.joiningReplicas.length === 0,
           ) ?? false,
         60000,
       );
-      await w.clock.run(1000);
-      await loseAndReadAll(w, c, p.program);
+      await cluster.clock.run(1000);
+      await loseDiskAndReadAll(cluster, lost, program.program);
     }
   },
 );
 
-refill('a control that lost its disk is replaced at once, at any master', async () => {
+refills('a control that lost its disk is replaced at once, at any master', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, small);
-    for (const m of w.of('control')) {
-      const old = m.control?.id ?? 'none';
-      m.kill('power');
-      m.platter.wipe();
-      if (seed === 22) await w.clock.run(1000);
-      m.start();
-      const from = w.clock.now();
-      await w.clock.until(
+    const cluster = await worldUp(seed, small);
+    for (const machine of cluster.of('control')) {
+      const oldId = machine.control?.id ?? 'none';
+      machine.kill('power');
+      machine.platter.wipe();
+      if (seed === 22) await cluster.clock.run(1000);
+      machine.start();
+      const startedAt = cluster.clock.now();
+      await cluster.clock.until(
         'a voter again',
-        () => w.committed?.voters.current.includes(m.control?.id ?? 'none') ?? false,
+        () => cluster.committed?.voters.current.includes(machine.control?.id ?? 'none') ?? false,
         20000,
       );
       assert.ok(
-        w.clock.now() - from < w.bounds.replicaReplacementDelay,
-        `${w.clock.now() - from} ms`,
+        cluster.clock.now() - startedAt < cluster.bounds.replicaReplacementDelay,
+        `${cluster.clock.now() - startedAt} ms`,
       );
-      assert.not(w.committed?.voters.next.includes(old));
-      assert.is(w.committed?.voters.current.length, 3);
-      await w.clock.run(2000);
+      assert.not(cluster.committed?.voters.next.includes(oldId));
+      assert.is(cluster.committed?.voters.current.length, 3);
+      await cluster.clock.run(2000);
     }
-    const put = await w.operate('PUT', '/v1/config', configText(1));
-    assert.is(put.status, 200);
+    const response = await cluster.operate('PUT', '/v1/config', configText(1));
+    assert.is(response.status, 200);
   }
 });
 
-refill('a store that lost its disk holds every slot again within 4.8 s of its start', async () => {
+refills('a store that lost its disk holds every slot again within 4.8 s of its start', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, small);
-    const ps = await w.clock.finish(
+    const cluster = await worldUp(seed, small);
+    const programs = await cluster.clock.finish(
       'programs',
-      Promise.all(Array.from({ length: 24 }, () => w.program(900))),
+      Promise.all(Array.from({ length: 24 }, () => cluster.program(900))),
       20000,
     );
-    const ts = await w.clock.finish(
+    const turns = await cluster.clock.finish(
       'turns',
-      Promise.all(ps.map((p, i) => w.turn(p.program, null, `q #${seed}-${i}`, 'k'))),
+      Promise.all(
+        programs.map((program, i) => cluster.turn(program.program, null, `q #${seed}-${i}`, 'k')),
+      ),
       60000,
     );
-    assert.ok(ts.every((t) => t.reported === 'done'));
-    const a = w.at('store-0');
-    a.kill('power');
-    a.platter.wipe();
-    if (seed === 22) await w.clock.run(1000);
-    a.start();
-    const id = () => a.store?.id ?? 'none';
-    await w.clock.until(
+    assert.ok(turns.every((turn) => turn.reported === 'done'));
+    const store = cluster.at('store-0');
+    store.kill('power');
+    store.platter.wipe();
+    if (seed === 22) await cluster.clock.run(1000);
+    store.start();
+    const storeId = () => store.store?.id ?? 'none';
+    await cluster.clock.until(
       'refilled',
       () =>
-        w.committed?.slots.every(
-          (s) => s.replicas.includes(id()) && s.joiningReplicas.length === 0,
+        cluster.committed?.slots.every(
+          (slot) => slot.replicas.includes(storeId()) && slot.joiningReplicas.length === 0,
         ) ?? false,
       4800,
     );
-    await loseAndReadAll(w, w.of('store')[1], ps[0]?.program ?? '');
-    for (const x of ts)
-      assert.is((await w.clock.finish('fetch', w.fetch(x.program, x.turn), 30000)).text, x.text);
+    await loseDiskAndReadAll(cluster, cluster.of('store')[1], programs[0]?.program ?? '');
+    for (const turn of turns)
+      assert.is(
+        (await cluster.clock.finish('fetch', cluster.fetch(turn.program, turn.turn), 30000)).text,
+        turn.text,
+      );
   }
 });
 
-refill.run();
+refills.run();
--- a/tests/src/store/replica-store.test.ts
+++ b/tests/src/store/replica-store.test.ts
@@ -9,7 +9,7 @@
 const replicas = suite('replicas of a store');
 
 const retentionMs = 60000;
-const bounds = { rewriteMinBytes: 1 << 30, retentionMs, maxHints: 2 };
+const limits = { rewriteMinBytes: 1 << 30, retentionMs, maxHints: 2 };
 
 const item = (key: string, ownershipEpoch: number, seq: number, value: unknown = seq): Item => ({
   key,
@@ -19,9 +19,9 @@
 });
 
 const open = (clock: SimClock, platter: SimPlatter): Promise<ReplicaStore> => {
-  const pace = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
+  const timings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
   const disk = platter.disk(clock, new Incarnation());
-  return clock.finish('open', ReplicaStore.open(disk, clock, bounds, pace), 5000);
+  return clock.finish('open', ReplicaStore.open(disk, clock, limits, timings), 5000);
 };
 
 const setUp = async () => {
@@ -33,7 +33,8 @@
       'work',
       work.then(
         () => 'done',
-        (e: unknown) => (e instanceof Error && 'code' in e ? String(e.code) : String(e)),
+        (error: unknown) =>
+          error instanceof Error && 'code' in error ? String(error.code) : String(error),
       ),
       10000,
     );
@@ -44,13 +45,13 @@
   try {
     work();
     return 'done';
-  } catch (e) {
-    return e instanceof Error && 'code' in e ? String(e.code) : String(e);
+  } catch (error) {
+    return error instanceof Error && 'code' in error ? String(error.code) : String(error);
   }
 };
 
 const keysOf = (store: ReplicaStore, slot: number): readonly string[] =>
-  store.pull(slot, 0, '').items.map((i) => i.key);
+  store.pull(slot, 0, '').items.map((entry) => entry.key);
 
 replicas('puts, fences and reads below the fence are refused, and change nothing', async () => {
   const { store, outcomeOf } = await setUp();
@@ -72,9 +73,9 @@
     assert.is(await outcomeOf(store.acceptHandoff(1, [item('c', 2, 1)])), 'done');
     assert.is(await outcomeOf(store.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
     platter.powerLoss();
-    const again = await open(clock, platter);
-    assert.is(await outcomeOf(again.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
-    assert.is(await outcomeOf(again.write(1, 5, [item('b', 5, 2)])), 'done');
+    const reopened = await open(clock, platter);
+    assert.is(await outcomeOf(reopened.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
+    assert.is(await outcomeOf(reopened.write(1, 5, [item('b', 5, 2)])), 'done');
   },
 );
 
@@ -108,7 +109,7 @@
   const { store, outcomeOf } = await setUp();
   await outcomeOf(store.write(1, 5, [item('a', 5, 1), item('b', 5, 2)]));
   assert.equal(
-    store.pull(1, 5, 'a').items.map((i) => i.key),
+    store.pull(1, 5, 'a').items.map((entry) => entry.key),
     ['b'],
   );
   assert.is(
@@ -120,15 +121,15 @@
 replicas('pages end at their size and go on after their last item', async () => {
   const { store, outcomeOf } = await setUp();
   const text = 'x'.repeat(50 << 10);
-  for (let n = 0; n < 7; n++) await outcomeOf(store.write(1, 1, [item(`k${n}`, 1, n, text)]));
+  for (let i = 0; i < 7; i++) await outcomeOf(store.write(1, 1, [item(`k${i}`, 1, i, text)]));
   const first = store.pull(1, 1, '');
   assert.equal(
-    first.items.map((i) => i.key),
+    first.items.map((entry) => entry.key),
     ['k0', 'k1', 'k2'],
   );
   assert.is(first.next, 'k2');
   assert.equal(
-    store.pull(1, 1, first.next).items.map((i) => i.key),
+    store.pull(1, 1, first.next).items.map((entry) => entry.key),
     ['k3', 'k4', 'k5'],
   );
 });
@@ -176,15 +177,15 @@
   const { store, outcomeOf, clock, platter } = await setUp();
   await outcomeOf(store.addHint('x', 1, [item('a', 1, 1)]));
   await outcomeOf(store.addHint('x', 1, [item('a', 1, 2)]));
-  const numbers = store.hintsFor('x').map((h) => h.n);
+  const numbers = store.hintsFor('x').map((hint) => hint.n);
   await outcomeOf(store.removeHint(numbers[0] ?? 0));
   platter.powerLoss();
-  const again = await open(clock, platter);
-  await outcomeOf(again.addHint('x', 2, [item('b', 1, 1)]));
-  const after = again.hintsFor('x').map((h) => h.n);
-  assert.is(after.length, 2);
-  assert.is(after[0], numbers[1]);
-  assert.ok((after[1] ?? 0) > (numbers[1] ?? 0));
+  const reopened = await open(clock, platter);
+  await outcomeOf(reopened.addHint('x', 2, [item('b', 1, 1)]));
+  const numbersAfter = reopened.hintsFor('x').map((hint) => hint.n);
+  assert.is(numbersAfter.length, 2);
+  assert.is(numbersAfter[0], numbers[1]);
+  assert.ok((numbersAfter[1] ?? 0) > (numbers[1] ?? 0));
 });
 
 replicas(
@@ -221,13 +222,13 @@
   await outcomeOf(store.write(1, 1, [turn('one', 'two', 1)]));
   await outcomeOf(store.write(2, 1, [turn('two', 'one', 2)]));
   assert.equal(
-    store.findTurns('one').map((i) => i.key),
+    store.findTurns('one').map((entry) => entry.key),
     ['p/x/t/one', 'p/x/t/two'],
   );
   await outcomeOf(store.write(3, 1, [item('p/y/t/one', 1, 3, { after: '' })]));
   await outcomeOf(store.dropReassignedSlots((slot) => (slot === 1 ? 1 : -1)));
   assert.equal(
-    store.findTurns('one').map((i) => i.seq),
+    store.findTurns('one').map((entry) => entry.seq),
     [3],
   );
   await outcomeOf(store.dropReassignedSlots((slot) => (slot === 3 ? 1 : -1)));
@@ -245,7 +246,7 @@
         disk: platter.disk(clock, new Incarnation()),
         clock,
         timings: { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log: silentLogger },
-        limits: bounds,
+        limits: limits,
         freshId: () => freshId,
         rewriteMinBytes: 1 << 30,
       }),
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -28,28 +28,32 @@
 const seeds = [71, 72, 73];
 
 replicas('replicas and quorum follow the losses to bear, and stand in the state', async () => {
-  const w = await worldUp(70, twoLossCluster);
-  assert.equal(w.committed?.replication, { replicas: 5, quorum: 3 });
-  assert.ok(w.committed?.slots.every((s) => s.replicas.length === 5));
-  assert.equal(w.of('store')[0]?.store?.zen.applied?.replication, { replicas: 5, quorum: 3 });
-  const plain = await worldUp(70, oneLossCluster);
-  assert.equal(plain.committed?.replication, { replicas: 3, quorum: 2 });
+  const cluster = await worldUp(70, twoLossCluster);
+  assert.equal(cluster.committed?.replication, { replicas: 5, quorum: 3 });
+  assert.ok(cluster.committed?.slots.every((slot) => slot.replicas.length === 5));
+  assert.equal(cluster.of('store')[0]?.store?.zen.applied?.replication, { replicas: 5, quorum: 3 });
+  const oneLossState = await worldUp(70, oneLossCluster);
+  assert.equal(oneLossState.committed?.replication, { replicas: 3, quorum: 2 });
 });
 
 replicas('two losses to bear: a write that only two stores hold does not count', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, { ...twoLossCluster, stores: 5 });
-    const p = await w.clock.finish('program', w.program(900), 10000);
-    const data = w.of('front').map((m) => `${m.addr}/data`);
-    w.net.cutBoth(
-      w
+    const cluster = await worldUp(seed, { ...twoLossCluster, stores: 5 });
+    const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+    const dataAddresses = cluster.of('front').map((machine) => `${machine.addr}/data`);
+    cluster.net.cutBoth(
+      cluster
         .of('store')
         .slice(0, 3)
-        .map((m) => m.addr),
-      data,
+        .map((machine) => machine.addr),
+      dataAddresses,
     );
-    const t = await w.clock.finish('turn', w.turn(p.program, null, `c #${seed}`, 'c'), 60000);
-    assert.is.not(t.reported, 'done');
+    const turn = await cluster.clock.finish(
+      'turn',
+      cluster.turn(program.program, null, `c #${seed}`, 'c'),
+      60000,
+    );
+    assert.is.not(turn.reported, 'done');
   }
 });
 
@@ -57,36 +61,39 @@
   'two losses to bear: two stores wiped right after acknowledged writes lose nothing and run nothing twice',
   async () => {
     for (const seed of [...seeds, 74, 75, 76]) {
-      const w = await worldUp(seed, twoLossCluster);
-      await runWorkload(w, 'w');
-      const a = Math.floor(w.rng() * 7);
-      const b = (a + 1 + Math.floor(w.rng() * 6)) % 7;
-      const lost = [w.of('store')[a], w.of('store')[b]];
-      const ids = lost.map(storeIdOf);
-      for (const m of lost) loseDisk(m);
-      await restartFronts(w);
-      for (const m of lost) m.start();
-      const from = w.clock.now();
-      await w.clock.until('whole again', () => isFullyReplicated(w, ids), 20000);
-      assert.ok(w.clock.now() - from < 4800, `${Math.round(w.clock.now() - from)} ms`);
-      await assertWorkloadPreserved(w, 'w');
-      for (const m of w
+      const cluster = await worldUp(seed, twoLossCluster);
+      await runWorkload(cluster, 'w');
+      const firstIndex = Math.floor(cluster.rng() * 7);
+      const secondIndex = (firstIndex + 1 + Math.floor(cluster.rng() * 6)) % 7;
+      const lost = [cluster.of('store')[firstIndex], cluster.of('store')[secondIndex]];
+      const lostIds = lost.map(storeIdOf);
+      for (const machine of lost) loseDisk(machine);
+      await restartFronts(cluster);
+      for (const machine of lost) machine.start();
+      const startedAt = cluster.clock.now();
+      await cluster.clock.until('whole again', () => isFullyReplicated(cluster, lostIds), 20000);
+      assert.ok(
+        cluster.clock.now() - startedAt < 4800,
+        `${Math.round(cluster.clock.now() - startedAt)} ms`,
+      );
+      await assertWorkloadPreserved(cluster, 'w');
+      for (const machine of cluster
         .of('store')
-        .filter((x) => !lost.includes(x))
+        .filter((store) => !lost.includes(store))
         .slice(0, 2))
-        loseDisk(m);
-      await restartFronts(w);
-      await w.clock.run(2000);
-      await assertWorkloadPreserved(w, 'w');
+        loseDisk(machine);
+      await restartFronts(cluster);
+      await cluster.clock.run(2000);
+      await assertWorkloadPreserved(cluster, 'w');
     }
   },
 );
 
 replicas('a lost zone leaves every slot a quorum where zones allow it', () => {
-  const member = (kind: Member['kind'], n: number, zone: string): Member => ({
-    id: `${kind}-${n}`,
+  const member = (kind: Member['kind'], index: number, zone: string): Member => ({
+    id: `${kind}-${index}`,
     kind,
-    addr: `10.0.0.${n}:1`,
+    addr: `10.0.0.${index}:1`,
     http: '',
     zone,
     data: '',
@@ -97,7 +104,7 @@
     [3, ['a', 'a', 'a', 'a', 'b', 'b', 'c', 'c', 'd', 'd']],
     [1, ['a', 'a', 'b', 'c']],
   ] as const) {
-    const stores = zones.map((z, n) => member('store', n, z));
+    const stores = zones.map((zone, index) => member('store', index, zone));
     const bootstrapped = bootstrapState(
       'c',
       [member('control', 1, 'a')],
@@ -105,19 +112,24 @@
       replicationFor(losses),
     );
     const joined = [member('front', 1, 'a'), ...stores].reduce<State>(
-      (s, m) => reduceState(s, { kind: 'join', member: m }),
+      (state, joining) => reduceState(state, { kind: 'join', member: joining }),
       bootstrapped,
     );
-    const s = allocate(joined, {
+    const allocated = allocate(joined, {
       minStores: bootstrapped.replication.replicas,
       maxMoves: 32,
       maxFills: 32,
       unresponsiveStores: new Set(),
     });
-    for (const slot of s.slots)
+    for (const slot of allocated.slots)
       for (const zone of new Set(zones)) {
-        const left = slot.replicas.filter((id) => s.nodes.get(id)?.zone !== zone).length;
-        assert.ok(left >= s.replication.quorum, `${slot.replicas.join()} without ${zone}`);
+        const remaining = slot.replicas.filter(
+          (id) => allocated.nodes.get(id)?.zone !== zone,
+        ).length;
+        assert.ok(
+          remaining >= allocated.replication.quorum,
+          `${slot.replicas.join()} without ${zone}`,
+        );
       }
   }
 });
@@ -126,29 +138,30 @@
   'a store that is missing at the first start does not keep the others from serving, and is taken in later',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, { ...twoLossCluster, stores: 4 });
-      assert.ok(w.committed?.slots.every((s) => s.replicas.length === 4));
-      await runWorkload(w, 'm');
-      w.add('store').start();
-      await w.clock.until('whole', () => isFullyReplicated(w), 10000);
-      for (const m of w.of('store').slice(0, 2)) loseDisk(m);
-      await restartFronts(w);
-      await w.clock.run(2000);
-      await assertWorkloadPreserved(w, 'm');
+      const cluster = await worldUp(seed, { ...twoLossCluster, stores: 4 });
+      assert.ok(cluster.committed?.slots.every((slot) => slot.replicas.length === 4));
+      await runWorkload(cluster, 'm');
+      cluster.add('store').start();
+      await cluster.clock.until('whole', () => isFullyReplicated(cluster), 10000);
+      for (const machine of cluster.of('store').slice(0, 2)) loseDisk(machine);
+      await restartFronts(cluster);
+      await cluster.clock.run(2000);
+      await assertWorkloadPreserved(cluster, 'm');
     }
   },
 );
 
 replicas('fewer stores than the quorum are never served from', async () => {
-  const w = await worldUp(77, { ...twoLossCluster, stores: 2 }).catch(() => undefined);
-  assert.is(w, undefined);
+  const cluster = await worldUp(77, { ...twoLossCluster, stores: 2 }).catch(() => undefined);
+  assert.is(cluster, undefined);
 });
 
 replicas(
   'the margin tells how many more losses are borne, and nothing without a majority',
   async () => {
-    const w = await worldUp(80, twoLossCluster);
-    const margin = async () => MarginReport.parse((await w.operate('GET', '/v1/margin')).body);
+    const cluster = await worldUp(80, twoLossCluster);
+    const margin = async () =>
+      MarginReport.parse((await cluster.operate('GET', '/v1/margin')).body);
     const before = await margin();
     assert.equal(before.voters, { voting: 5, live: 5, changing: false, margin: 2 });
     assert.is(before.leastSlotMargin, 2);
@@ -157,87 +170,94 @@
       'voting controls: 5 of 5 live: 2 more losses are borne',
       'slots: 8, 5 replicas each, writes on 3: 2 more losses are borne',
     ]);
-    const lost = storeIdOf(w.at('store-2'));
-    loseDisk(w.at('store-2'));
-    w.of('control')
-      .find((m) => m !== w.master)
+    const lost = storeIdOf(cluster.at('store-2'));
+    loseDisk(cluster.at('store-2'));
+    cluster
+      .of('control')
+      .find((machine) => machine !== cluster.master)
       ?.kill('power');
     const after = await margin();
     assert.is(after.voters.margin, 1);
     assert.is(after.leastSlotMargin, 1);
     assert.not(isMarginFull(after));
-    const held = w.committed?.slots.filter((s) => s.replicas.length === 5).length ?? 0;
-    assert.ok(marginLines(after).length > 2 && marginLines(after).length <= 2 + held);
-    await w.clock.until('whole again', () => isFullyReplicated(w, [lost]), 20000);
+    const fullSlots =
+      cluster.committed?.slots.filter((slot) => slot.replicas.length === 5).length ?? 0;
+    assert.ok(marginLines(after).length > 2 && marginLines(after).length <= 2 + fullSlots);
+    await cluster.clock.until('whole again', () => isFullyReplicated(cluster, [lost]), 20000);
     assert.is((await margin()).leastSlotMargin, 2);
-    for (const m of w.of('control')) if (m !== w.master) m.kill('power');
-    assert.is((await w.operate('GET', '/v1/margin')).status, 503);
+    for (const machine of cluster.of('control'))
+      if (machine !== cluster.master) machine.kill('power');
+    assert.is((await cluster.operate('GET', '/v1/margin')).status, 503);
   },
 );
 
 replicas('a filler that is gone for good is replaced by another one', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, { ...oneLossCluster, stores: 3 });
-    await runWorkload(w, 'f');
-    const filler = w.add('store');
+    const cluster = await worldUp(seed, { ...oneLossCluster, stores: 3 });
+    await runWorkload(cluster, 'f');
+    const filler = cluster.add('store');
     filler.platter.delay = 400;
     filler.start();
-    await w.clock.until(
+    await cluster.clock.until(
       'listed',
-      () => [...(w.committed?.nodes.values() ?? [])].filter((m) => m.kind === 'store').length === 4,
+      () =>
+        [...(cluster.committed?.nodes.values() ?? [])].filter((member) => member.kind === 'store')
+          .length === 4,
       8000,
     );
-    const lost = w.at('store-0');
+    const lost = cluster.at('store-0');
     const lostId = storeIdOf(lost);
     loseDisk(lost);
-    await w.clock.until(
+    await cluster.clock.until(
       'filling',
-      () => w.committed?.slots.some((s) => s.joiningReplicas.includes(storeIdOf(filler))) ?? false,
+      () =>
+        cluster.committed?.slots.some((slot) => slot.joiningReplicas.includes(storeIdOf(filler))) ??
+        false,
       10000,
     );
     loseDisk(filler);
-    w.add('store').start();
-    await w.clock.until('whole', () => isFullyReplicated(w, [lostId]), 10000);
-    loseDisk(w.at('store-1'));
-    await restartFronts(w);
-    await w.clock.run(2000);
-    await assertWorkloadPreserved(w, 'f');
+    cluster.add('store').start();
+    await cluster.clock.until('whole', () => isFullyReplicated(cluster, [lostId]), 10000);
+    loseDisk(cluster.at('store-1'));
+    await restartFronts(cluster);
+    await cluster.clock.run(2000);
+    await assertWorkloadPreserved(cluster, 'f');
   }
 });
 
 replicas(
   'an empty store that replaces a lost one at another address holds every slot within half of catchUpS, slow disks too',
   async () => {
-    const halfCatchUp = 2400;
-    for (const [after, delay] of [
+    const halfCatchUpMs = 2400;
+    for (const [lossAgeMs, diskDelayMs] of [
       [1000, 2],
       [1500, 12],
       [4000, 12],
     ] as const) {
-      const w = await worldUp(81, { ...oneLossCluster, stores: 3, slots: 64 });
-      await runWorkload(w, 'a');
-      for (const m of w.of('store')) m.platter.delay = delay;
-      const old = w.at('store-0');
-      const lostId = storeIdOf(old);
-      loseDisk(old);
-      w.net.cutBoth(
-        [old.addr],
-        w.machines.map((m) => m.addr),
+      const cluster = await worldUp(81, { ...oneLossCluster, stores: 3, slots: 64 });
+      await runWorkload(cluster, 'a');
+      for (const machine of cluster.of('store')) machine.platter.delay = diskDelayMs;
+      const oldStore = cluster.at('store-0');
+      const lostId = storeIdOf(oldStore);
+      loseDisk(oldStore);
+      cluster.net.cutBoth(
+        [oldStore.addr],
+        cluster.machines.map((machine) => machine.addr),
       );
-      await w.clock.run(after);
-      const fresh = w.add('store');
-      fresh.platter.delay = delay;
-      fresh.start();
-      const from = w.clock.now();
-      await w.clock.until('whole', () => isFullyReplicated(w, [lostId]), 20000);
+      await cluster.clock.run(lossAgeMs);
+      const newStore = cluster.add('store');
+      newStore.platter.delay = diskDelayMs;
+      newStore.start();
+      const startedAt = cluster.clock.now();
+      await cluster.clock.until('whole', () => isFullyReplicated(cluster, [lostId]), 20000);
       assert.ok(
-        w.clock.now() - from <= halfCatchUp,
-        `${after} ms after the loss, disk ${delay} ms: ${Math.round(w.clock.now() - from)} ms`,
+        cluster.clock.now() - startedAt <= halfCatchUpMs,
+        `${lossAgeMs} ms after the loss, disk ${diskDelayMs} ms: ${Math.round(cluster.clock.now() - startedAt)} ms`,
       );
-      loseDisk(w.at('store-1'));
-      await restartFronts(w);
-      await w.clock.run(2000);
-      await assertWorkloadPreserved(w, 'a');
+      loseDisk(cluster.at('store-1'));
+      await restartFronts(cluster);
+      await cluster.clock.run(2000);
+      await assertWorkloadPreserved(cluster, 'a');
     }
   },
 );
@@ -245,22 +265,22 @@
 replicas(
   'a try that nobody knows is called unknown while every slot has enough replies, and not with fewer',
   async () => {
-    const w = await worldUp(82, { ...twoLossCluster, stores: 5 });
-    const owner = w.of('front')[0]?.front?.owner;
-    const look = () =>
-      w.clock.finish(
+    const cluster = await worldUp(82, { ...twoLossCluster, stores: 5 });
+    const owner = cluster.of('front')[0]?.front?.owner;
+    const lookUp = () =>
+      cluster.clock.finish(
         'look-up',
         owner?.findTurn('nobody').then(
-          (t) => `${t.length} found`,
+          (turns) => `${turns.length} found`,
           () => 'unavailable',
         ) ?? Promise.resolve(''),
         20000,
       );
-    assert.is(await look(), '0 found');
-    for (const m of w.of('store').slice(0, 2)) m.kill('power');
-    assert.is(await look(), '0 found');
-    w.of('store')[2]?.kill('power');
-    assert.is(await look(), 'unavailable');
+    assert.is(await lookUp(), '0 found');
+    for (const machine of cluster.of('store').slice(0, 2)) machine.kill('power');
+    assert.is(await lookUp(), '0 found');
+    cluster.of('store')[2]?.kill('power');
+    assert.is(await lookUp(), 'unavailable');
   },
 );
 
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -30,7 +30,7 @@
 
 const item = (key: string, seq: number): Item => ({ key, ownershipEpoch: 1, seq, value: seq });
 
-const slotWith = (more: Partial<Slot>): Slot => ({
+const slotWith = (changes: Partial<Slot>): Slot => ({
   owner: 'front-0',
   ownershipEpoch: 4,
   ownedSinceEpoch: 4,
@@ -38,16 +38,16 @@
   replicas: ['store-1', 'store-2', 'store-3'],
   joiningReplicas: [],
   replacedReplica: '',
-  ...more,
+  ...changes,
 });
 
 /** Requests that other nodes got, as `ADDRESS KIND`; those that `refuses` names are refused. */
-interface Rig {
+interface StoreFixture {
   readonly clock: SimClock;
   readonly platter: SimPlatter;
   readonly node: StoreNode;
-  readonly got: string[];
-  refuses: (call: string) => boolean;
+  readonly received: string[];
+  rejects: (call: string) => boolean;
   ask(kind: string, body: unknown): Promise<string>;
 }
 
@@ -58,7 +58,9 @@
   ...acceptedVersion,
   master: control.id,
   slots,
-  nodes: new Map([control, ...stores.map((id) => member(id, 'store'))].map((m) => [m.id, m])),
+  nodes: new Map(
+    [control, ...stores.map((id) => member(id, 'store'))].map((node) => [node.id, node]),
+  ),
 });
 
 /** What a scripted peer answers: the control leads, the stores hold one item each. */
@@ -89,11 +91,16 @@
 };
 
 /** Opens the disk of a store that voted for the control and accepted its state. */
-const openDisk = async (clock: SimClock, platter: SimPlatter, life: Incarnation, state: State) => {
+const openDisk = async (
+  clock: SimClock,
+  platter: SimPlatter,
+  incarnation: Incarnation,
+  state: State,
+) => {
   const disk = await clock.finish(
     'disk',
     openStoreDisk({
-      disk: platter.disk(clock, life),
+      disk: platter.disk(clock, incarnation),
       clock,
       timings: { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 },
       limits: { rewriteMinBytes: 1 << 30, retentionMs: 1e9, maxHints: 10 },
@@ -114,18 +121,18 @@
   slots: readonly Slot[],
   stores: readonly string[],
   refuses: (call: string) => boolean = refusesNothing,
-): Promise<Rig> => {
+): Promise<StoreFixture> => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
   const net = new SimNet(clock, seededRng(2));
-  const life = new Incarnation();
+  const incarnation = new Incarnation();
   const state = stateWith(slots, stores);
-  const disk = await openDisk(clock, platter, life, state);
+  const disk = await openDisk(clock, platter, incarnation, state);
   const node = new StoreNode({
     me: member('store-0', 'store'),
     seeds: [control.addr],
     clock,
-    transport: net.transport('store-0', life),
+    transport: net.transport('store-0', incarnation),
     bounds,
     log: silentLogger,
     ...disk,
@@ -135,16 +142,16 @@
       kind,
       node.handle({ from: control.addr, kind, body }).then(
         (response) => JSON.stringify(response),
-        (e: unknown) => (e instanceof RpcError ? e.code : String(e)),
+        (error: unknown) => (error instanceof RpcError ? error.code : String(error)),
       ),
       10000,
     );
-  const rig: Rig = { clock, platter, node, got: [], refuses, ask };
-  for (const id of [control.id, ...stores.filter((s) => s !== 'store-0')]) {
+  const fixture: StoreFixture = { clock, platter, node, received: [], rejects: refuses, ask };
+  for (const id of [control.id, ...stores.filter((store) => store !== 'store-0')]) {
     const answer = async (kind: string): Promise<unknown> => {
       const call = `${id} ${kind}`;
-      if (!kind.startsWith('zen/')) rig.got.push(call);
-      if (rig.refuses(call)) throw new RpcError('refused', call);
+      if (!kind.startsWith('zen/')) fixture.received.push(call);
+      if (fixture.rejects(call)) throw new RpcError('refused', call);
       return Promise.resolve(answerOf(id, kind, state));
     };
     net.serve(id, ({ kind }) => answer(kind), new Incarnation());
@@ -153,28 +160,29 @@
   await clock.until('a master', () => node.zen.knownMaster !== undefined, 10000);
   const commit = { from: control, to: 'store-0', stateVersion: acceptedVersion };
   assert.is(await ask('zen/commit', commit), '{}');
-  return rig;
+  return fixture;
 };
 
-const stop = (rig: Rig): Promise<void> => rig.clock.finish('stop', rig.node.stop(), 20000);
+const stop = (fixture: StoreFixture): Promise<void> =>
+  fixture.clock.finish('stop', fixture.node.stop(), 20000);
 
 requests('a request of an unknown kind is refused', async () => {
-  const rig = await setUp([slotWith({})], ['store-0']);
-  assert.is(await rig.ask('store/none', {}), 'unknown-kind');
-  await stop(rig);
+  const fixture = await setUp([slotWith({})], ['store-0']);
+  assert.is(await fixture.ask('store/none', {}), 'unknown-kind');
+  await stop(fixture);
 });
 
 requests(
   'a turn is looked for only where the store is a replica, and only once synced',
   async () => {
     const replica = slotWith({ replicas: ['store-0', 'store-1', 'store-2'] });
-    const rig = await setUp([replica, slotWith({})], ['store-0', 'store-1', 'store-2']);
-    assert.is(await rig.ask('store/find', { turn: 'a', slots: [0] }), '{"items":[]}');
-    assert.is(await rig.ask('store/find', { turn: 'a', slots: [0, 1] }), 'moved');
-    rig.platter.failSyncs = true;
-    assert.is(await rig.ask('store/find', { turn: 'a', slots: [0] }), 'unavailable');
-    rig.platter.failSyncs = false;
-    await stop(rig);
+    const fixture = await setUp([replica, slotWith({})], ['store-0', 'store-1', 'store-2']);
+    assert.is(await fixture.ask('store/find', { turn: 'a', slots: [0] }), '{"items":[]}');
+    assert.is(await fixture.ask('store/find', { turn: 'a', slots: [0, 1] }), 'moved');
+    fixture.platter.failSyncs = true;
+    assert.is(await fixture.ask('store/find', { turn: 'a', slots: [0] }), 'unavailable');
+    fixture.platter.failSyncs = false;
+    await stop(fixture);
   },
 );
 
@@ -182,18 +190,22 @@
   'a joining replica says that it is filled once a quorum of replicas was pulled',
   async () => {
     const joining = slotWith({ joiningReplicas: ['store-0'], replacedReplica: 'store-3' });
-    const rig = await setUp([joining], ['store-0', 'store-1', 'store-2', 'store-3']);
-    await rig.clock.until('filled', () => rig.got.includes('control-0 control/filled'), 10000);
+    const fixture = await setUp([joining], ['store-0', 'store-1', 'store-2', 'store-3']);
+    await fixture.clock.until(
+      'filled',
+      () => fixture.received.includes('control-0 control/filled'),
+      10000,
+    );
     assert.equal(
-      rig.got.filter((call) => call.endsWith('pull')),
+      fixture.received.filter((call) => call.endsWith('pull')),
       ['store-1 store/pull', 'store-2 store/pull'],
     );
-    await rig.ask('store/fence', { slot: 0, ownershipEpoch: 4 });
+    await fixture.ask('store/fence', { slot: 0, ownershipEpoch: 4 });
     assert.match(
-      await rig.ask('store/pull', { slot: 0, ownershipEpoch: 4 }),
+      await fixture.ask('store/pull', { slot: 0, ownershipEpoch: 4 }),
       /from-store-1.*from-store-2/,
     );
-    await stop(rig);
+    await stop(fixture);
   },
 );
 
@@ -201,32 +213,32 @@
   'a joining replica that reaches too few replicas does not say that it is filled',
   async () => {
     const joining = slotWith({ joiningReplicas: ['store-0'], replacedReplica: 'store-3' });
-    const rig = await setUp(
+    const fixture = await setUp(
       [joining],
       ['store-0', 'store-1', 'store-2'],
       (call) => call === 'store-2 store/pull',
     );
-    await rig.clock.run(5000);
-    assert.ok(rig.got.includes('store-1 store/pull'));
-    assert.ok(!rig.got.includes('control-0 control/filled'));
-    await stop(rig);
+    await fixture.clock.run(5000);
+    assert.ok(fixture.received.includes('store-1 store/pull'));
+    assert.ok(!fixture.received.includes('control-0 control/filled'));
+    await stop(fixture);
   },
 );
 
 requests('a hint is handed over and then dropped, and kept while that fails', async () => {
   const slot = slotWith({ replicas: ['store-1', 'store-2', 'store-3'] });
-  const rig = await setUp([slot], ['store-0', 'store-1']);
-  rig.refuses = (call) => call === 'store-1 store/hand';
+  const fixture = await setUp([slot], ['store-0', 'store-1']);
+  fixture.rejects = (call) => call === 'store-1 store/hand';
   for (const to of ['store-1', 'store-2', 'store-2', 'store-9'])
-    assert.is(await rig.ask('store/hint', { to, slot: 0, items: [item('a', 1)] }), '{}');
-  await rig.clock.run(3000);
-  const hintsIn = (): string | undefined =>
-    rig.node.nodeView().facts.find(([name]) => name === 'own hints')?.[1];
-  assert.is(hintsIn(), '3', 'to a failing replica and to one that is unavailable');
-  rig.refuses = () => false;
-  await rig.clock.run(2000);
-  assert.is(hintsIn(), '2', 'to a replica that is unavailable');
-  await stop(rig);
+    assert.is(await fixture.ask('store/hint', { to, slot: 0, items: [item('a', 1)] }), '{}');
+  await fixture.clock.run(3000);
+  const hintCount = (): string | undefined =>
+    fixture.node.nodeView().facts.find(([name]) => name === 'own hints')?.[1];
+  assert.is(hintCount(), '3', 'to a failing replica and to one that is unavailable');
+  fixture.rejects = () => false;
+  await fixture.clock.run(2000);
+  assert.is(hintCount(), '2', 'to a replica that is unavailable');
+  await stop(fixture);
 });
 
 requests(
@@ -234,18 +246,23 @@
   async () => {
     const replica = slotWith({ replicas: ['store-0', 'store-1', 'store-2'] });
     const slots = [slotWith({}), slotWith({}), replica, slotWith({ replicas: [] })];
-    const rig = await setUp(slots, ['store-0', 'store-1']);
-    const put = (slot: number, ownershipEpoch: number) =>
-      rig.ask('store/put', { slot, ownershipEpoch, items: [item('a', 1)] });
-    const written = [await put(0, 4), await put(1, 5), await put(2, 4), await put(3, 4)];
+    const fixture = await setUp(slots, ['store-0', 'store-1']);
+    const putItem = (slot: number, ownershipEpoch: number) =>
+      fixture.ask('store/put', { slot, ownershipEpoch, items: [item('a', 1)] });
+    const written = [
+      await putItem(0, 4),
+      await putItem(1, 5),
+      await putItem(2, 4),
+      await putItem(3, 4),
+    ];
     assert.equal(written, ['{}', '{}', '{}', '{}']);
-    await rig.clock.run(3000);
+    await fixture.clock.run(3000);
     const stillStored: number[] = [];
     for (const slot of slots.keys())
-      if ((await rig.ask('store/pull', { slot, ownershipEpoch: 0 })).includes('"a"'))
+      if ((await fixture.ask('store/pull', { slot, ownershipEpoch: 0 })).includes('"a"'))
         stillStored.push(slot);
     assert.equal(stillStored, [1, 2, 3]);
-    await stop(rig);
+    await stop(fixture);
   },
 );
 
--- a/tests/src/support/replica-cluster.ts
+++ b/tests/src/support/replica-cluster.ts
@@ -3,7 +3,7 @@
 import type { World, Machine, WorldSizes } from '@tillerstair/sim';
 import { acts, assertNoBreach, recordsOf } from './world-helpers.js';
 
-const siteBounds = {
+const clusterBounds = {
   serveWithin: 12000,
   drainingWithin: 3000,
   heartbeatInterval: 500,
@@ -15,71 +15,83 @@
   stores: 7,
   fronts: 2,
   losses: 2,
-  outer: siteBounds,
+  outer: clusterBounds,
 };
 
-export const oneLossCluster: WorldSizes = { controls: 3, stores: 4, fronts: 2, outer: siteBounds };
+export const oneLossCluster: WorldSizes = {
+  controls: 3,
+  stores: 4,
+  fronts: 2,
+  outer: clusterBounds,
+};
 
-export const storeIdOf = (m: Machine | undefined): string => m?.store?.id ?? 'none';
+export const storeIdOf = (machine: Machine | undefined): string => machine?.store?.id ?? 'none';
 
-export const loseDisk = (m: Machine | undefined): void => {
-  m?.kill('power');
-  m?.platter.wipe();
+export const loseDisk = (machine: Machine | undefined): void => {
+  machine?.kill('power');
+  machine?.platter.wipe();
 };
 
 /** All replicas are there, and none of them on the stores `lost`. */
-export const isFullyReplicated = (w: World, lost: readonly string[] = []): boolean => {
-  const s = w.committed;
+export const isFullyReplicated = (cluster: World, lostIds: readonly string[] = []): boolean => {
+  const state = cluster.committed;
   return (
-    s !== undefined &&
-    s.slots.every(
+    state !== undefined &&
+    state.slots.every(
       (slot) =>
-        !slot.replicas.some((id) => lost.includes(id)) &&
+        !slot.replicas.some((id) => lostIds.includes(id)) &&
         slot.joiningReplicas.length === 0 &&
-        slot.replicas.length === s.replication.replicas &&
-        slot.replicas.every((id) => s.nodes.has(id)),
+        slot.replicas.length === state.replication.replicas &&
+        slot.replicas.every((id) => state.nodes.has(id)),
     )
   );
 };
 
 /** Runs turns and calls for a while; resolves with the programs once all were answered. */
-export const runWorkload = async (w: World, tag: string): Promise<readonly string[]> => {
-  const programs = await w.clock.finish(
+export const runWorkload = async (cluster: World, tag: string): Promise<readonly string[]> => {
+  const programs = await cluster.clock.finish(
     'programs',
-    Promise.all(Array.from({ length: 12 }, () => w.program(900))),
+    Promise.all(Array.from({ length: 12 }, () => cluster.program(900))),
     30000,
   );
-  await w.clock.finish(
+  await cluster.clock.finish(
     'turns',
     Promise.all(
-      programs.map((p, i) => w.turn(p.program, null, `t #${tag}-${w.seed}-${i}`, `k${i}`)),
+      programs.map((program, i) =>
+        cluster.turn(program.program, null, `t #${tag}-${cluster.seed}-${i}`, `k${i}`),
+      ),
     ),
     60000,
   );
-  await w.clock.finish(
+  await cluster.clock.finish(
     'calls',
-    Promise.all(programs.map((_, i) => w.call(`${tag}-${i}`, '/hold', { n: i }))),
+    Promise.all(programs.map((_, i) => cluster.call(`${tag}-${i}`, '/hold', { n: i }))),
     60000,
   );
-  return programs.map((p) => p.program);
+  return programs.map((program) => program.program);
 };
 
-export const assertWorkloadPreserved = async (w: World, tag: string): Promise<void> => {
-  for (const t of w.reported.filter((x) => x.kind === 'turn' && x.reported === 'done'))
-    assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
+export const assertWorkloadPreserved = async (cluster: World, tag: string): Promise<void> => {
+  for (const turn of cluster.reported.filter(
+    (reply) => reply.kind === 'turn' && reply.reported === 'done',
+  ))
+    assert.is(
+      (await cluster.clock.finish('fetch', cluster.fetch(turn.program, turn.turn), 30000)).text,
+      turn.text,
+    );
   for (let i = 0; i < 12; i++) {
-    await w.clock.finish('call again', w.call(`${tag}-${i}`, '/hold', { n: i }), 60000);
-    assert.is(acts(w, `${tag}-${i}`), 1);
+    await cluster.clock.finish('call again', cluster.call(`${tag}-${i}`, '/hold', { n: i }), 60000);
+    assert.is(acts(cluster, `${tag}-${i}`), 1);
   }
-  assertNoBreach(recordsOf(w));
+  assertNoBreach(recordsOf(cluster));
 };
 
-export const restartFronts = async (w: World): Promise<void> => {
-  for (const m of w.of('front')) m.kill();
-  w.start(w.of('front'));
-  await w.clock.until(
+export const restartFronts = async (cluster: World): Promise<void> => {
+  for (const machine of cluster.of('front')) machine.kill();
+  cluster.start(cluster.of('front'));
+  await cluster.clock.until(
     'fronts',
-    () => w.readyFronts().length === w.of('front').length && w.slotsServed(),
+    () => cluster.readyFronts().length === cluster.of('front').length && cluster.slotsServed(),
     20000,
   );
 };
--- a/tests/src/support/run-turns.ts
+++ b/tests/src/support/run-turns.ts
@@ -3,17 +3,17 @@
 import { World } from '@tillerstair/sim';
 
 export const runTurns = async (
-  w: World,
+  cluster: World,
   program: string,
   from: number,
   count: number,
 ): Promise<void> => {
   for (let i = from; i < from + count; i++) {
-    const t = await w.clock.finish(
+    const turn = await cluster.clock.finish(
       'turn',
-      w.turn(program, null, `r #${w.seed}-${i}`, `r${i}`),
+      cluster.turn(program, null, `r #${cluster.seed}-${i}`, `r${i}`),
       30000,
     );
-    assert.is(t.reported, 'done', t.errorCode);
+    assert.is(turn.reported, 'done', turn.errorCode);
   }
 };
