--- a/packages/store/src/maintenance.ts
+++ b/packages/store/src/maintenance.ts
@@ -95,7 +95,7 @@
       return true;
     } catch (error) {
       log.debug(
-        `Handing off a hint for slot ${hint.slot} to ${member.addr} failed: ${toRpcError(error).message}.`,
+        `Handing off to ${member.addr} failed for a hint of slot ${hint.slot}: ${toRpcError(error).message}.`,
       );
       return false;
     }
--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -1,3 +1,4 @@
+/** Logs that are read and rewritten in chunks: chunk boundaries, torn tails, snapshots, and failures half-way. */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -17,7 +18,7 @@
 import { ReplicaStore } from '@tillerstair/store';
 import { openJournal } from './journal-fixture.js';
 
-/** The records of one line of a store's log, as far as the tests look into them. */
+/** The fields of a store's log records that the tests check; one line holds an array of records. */
 const LogRecords = z.array(
   z.object({
     t: z.string(),
@@ -26,15 +27,16 @@
   }),
 );
 
-const chunked = suite('journals in chunks');
+const chunked = suite('chunked logs');
 
+/** The records of a scanned log, the length of its valid part (`good`) and of all of it, in bytes. */
 interface ScanResult {
   readonly records: readonly unknown[];
-  readonly validBytes: number;
+  readonly good: number;
   readonly totalBytes: number;
 }
 
-/** Scans bytes cut into chunks of one size, through one buffer that is overwritten by each of them as `FolderDisk` does. */
+/** Scans bytes in chunks of one size that share one buffer, as those of `FolderDisk` do. */
 const scanInChunks = (chunkBytes: number, bytes: Buffer): ScanResult => {
   const records: unknown[] = [];
   const scanner = new LogScanner('a.log', (record) => void records.push(record));
@@ -43,7 +45,7 @@
     const length = bytes.copy(buffer, 0, offset, offset + chunkBytes);
     scanner.add(buffer.subarray(0, length));
   }
-  return { records, validBytes: scanner.validBytes, totalBytes: scanner.totalBytes };
+  return { records, good: scanner.validBytes, totalBytes: scanner.totalBytes };
 };
 
 const firstBatch = [{ n: 1, text: 'añ€😀' }, { n: 2 }];
@@ -53,38 +55,38 @@
 const logBytes = Buffer.concat(frames);
 const lastFrameStart = logBytes.length - (frames.at(-1)?.length ?? 0);
 
-chunked('records and characters over any border of chunks are read', () => {
+chunked('records and characters that span chunk boundaries are read', () => {
   for (let size = 1; size <= logBytes.length + 1; size++)
     assert.equal(
       scanInChunks(size, logBytes),
-      { records: allRecords, good: logBytes.length, size: logBytes.length },
+      { records: allRecords, good: logBytes.length, totalBytes: logBytes.length },
       `chunks of ${size}`,
     );
-  assert.equal(scanInChunks(10, Buffer.alloc(0)), { records: [], good: 0, size: 0 });
+  assert.equal(scanInChunks(10, Buffer.alloc(0)), { records: [], good: 0, totalBytes: 0 });
 });
 
-chunked('a tail torn at any byte is told at the same byte, whatever the chunks', () => {
+chunked('a torn tail is cut at the same byte for any chunk size', () => {
   const validRecords = allRecords.slice(0, -1);
   for (let length = lastFrameStart; length < logBytes.length; length++)
     for (const size of [1, 2, 3, 7, 64, 1000])
       assert.equal(
         scanInChunks(size, logBytes.subarray(0, length)),
-        { records: validRecords, good: lastFrameStart, size: length },
+        { records: validRecords, good: lastFrameStart, totalBytes: length },
         `${length} bytes in chunks of ${size}`,
       );
 });
 
-chunked('a tail of several damaged lines is cut at the first of them', () => {
+chunked('a tail of several damaged lines is cut at the first damaged line', () => {
   const bytes = Buffer.concat([logBytes, Buffer.from('\n'), Buffer.from('half a line\nanother')]);
   for (let size = 1; size <= 80; size++)
     assert.equal(
       scanInChunks(size, bytes),
-      { records: allRecords, good: logBytes.length, size: bytes.length },
+      { records: allRecords, good: logBytes.length, totalBytes: bytes.length },
       `chunks of ${size}`,
     );
 });
 
-chunked('damage before a good record is an error that says where, whatever the chunks', () => {
+chunked('damage before a valid record is an error that names its byte, for any chunk size', () => {
   const secondFrameStart = frames[0]?.length ?? 0;
   for (let damagedByte = secondFrameStart; damagedByte < lastFrameStart; damagedByte++) {
     const bytes = Buffer.from(logBytes);
@@ -92,7 +94,7 @@
     const damagesLineFeed = damagedByte === lastFrameStart - 1;
     for (const size of [1, 2, 5, 64, 1000]) {
       if (damagesLineFeed) {
-        assert.is(scanInChunks(size, bytes).validBytes, secondFrameStart);
+        assert.is(scanInChunks(size, bytes).good, secondFrameStart);
         continue;
       }
       let thrown: unknown;
@@ -108,7 +110,7 @@
 });
 
 chunked(
-  'on a real folder: a record longer than a chunk is read, and a torn one is cut off',
+  'in a real folder, a record longer than a chunk is read, and a torn one is cut off',
   async () => {
     const dir = await mkdtemp(join(tmpdir(), 'tillerstair-chunks-'));
     try {
@@ -145,7 +147,7 @@
 });
 const longItemCount = 12;
 
-/** A disk that calls `onChunk` after each chunk of the first file that is written anew. */
+/** Wraps a disk so that `onChunk` is called after each chunk of the first `replace`. */
 const observeFirstReplace = (disk: Disk, onChunk: (chunk: Buffer) => void): Disk => {
   let replaceCount = 0;
   return {
@@ -176,63 +178,60 @@
   }
 };
 
-chunked(
-  'what a rewrite writes is of the moment it began, and later records follow it',
-  async () => {
-    const clock = new SimClock();
-    const platter = new SimPlatter(seededRng(1));
-    const chunks: Buffer[] = [];
-    const laterWrites: Promise<unknown>[] = [];
-    let onFirstChunk = (): void => undefined;
-    const disk = observeFirstReplace(platter.disk(clock, new Incarnation()), (chunk) => {
-      chunks.push(chunk);
-      if (chunks.length === 1) onFirstChunk();
-    });
-    const smallLimits = { ...limits, rewriteMinBytes: 1 << 20 };
-    const replicaStore = await clock.finish(
-      'open',
-      ReplicaStore.open(disk, clock, smallLimits),
-      1000,
-    );
-    await clock.finish('hint', replicaStore.addHint('b', 1, [longItem(0, 1)]), 1000);
-    onFirstChunk = () => {
-      laterWrites.push(replicaStore.removeHint(1), replicaStore.addHint('c', 1, [longItem(0, 1)]));
-      for (let i = 0; i < longItemCount; i++)
-        laterWrites.push(replicaStore.write(1, 1, [longItem(i, 9)]));
-      laterWrites.push(replicaStore.write(1, 1, [longItem(longItemCount, 9)]));
-    };
+chunked('a rewrite writes the snapshot of its start, and later records follow it', async () => {
+  const clock = new SimClock();
+  const platter = new SimPlatter(seededRng(1));
+  const chunks: Buffer[] = [];
+  const laterWrites: Promise<unknown>[] = [];
+  let onFirstChunk = (): void => undefined;
+  const disk = observeFirstReplace(platter.disk(clock, new Incarnation()), (chunk) => {
+    chunks.push(chunk);
+    if (chunks.length === 1) onFirstChunk();
+  });
+  const smallLimits = { ...limits, rewriteMinBytes: 1 << 20 };
+  const replicaStore = await clock.finish(
+    'open',
+    ReplicaStore.open(disk, clock, smallLimits),
+    1000,
+  );
+  await clock.finish('hint', replicaStore.addHint('b', 1, [longItem(0, 1)]), 1000);
+  onFirstChunk = () => {
+    laterWrites.push(replicaStore.removeHint(1), replicaStore.addHint('c', 1, [longItem(0, 1)]));
     for (let i = 0; i < longItemCount; i++)
-      await clock.finish('write', replicaStore.write(1, 1, [longItem(i, 1)]), 1000);
-    await clock.run(100);
-    assert.ok(chunks.length > 2, `${chunks.length} chunks`);
-    assert.is(laterWrites.length, longItemCount + 3);
-    const lines = Buffer.concat(chunks).toString('utf8').split('\n').slice(0, -1);
-    const writtenRecords = lines.flatMap((line) => LogRecords.parse(JSON.parse(line.slice(9))));
-    const seqs = writtenRecords.flatMap((record) =>
-      record.t === 'put' ? (record.items ?? []).slice(0, 1).map((item) => item.seq) : [],
-    );
-    assert.ok(seqs.length > 5 && seqs.every((seq) => seq === 1), seqs.join());
-    assert.equal(
-      writtenRecords.flatMap((record) => (record.t === 'hint' ? [record.to] : [])),
-      ['b'],
-    );
-    await clock.finish('later', Promise.all(laterWrites), 1000);
-    platter.powerLoss();
-    const reopened = await clock.finish(
-      'again',
-      ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
-      1000,
-    );
-    assert.equal(
-      [...sequencesOf(reopened).values()],
-      Array.from({ length: longItemCount + 1 }, () => 9),
-    );
-    assert.equal([...reopened.hintTargets()], ['c']);
-  },
-);
+      laterWrites.push(replicaStore.write(1, 1, [longItem(i, 9)]));
+    laterWrites.push(replicaStore.write(1, 1, [longItem(longItemCount, 9)]));
+  };
+  for (let i = 0; i < longItemCount; i++)
+    await clock.finish('write', replicaStore.write(1, 1, [longItem(i, 1)]), 1000);
+  await clock.run(100);
+  assert.ok(chunks.length > 2, `${chunks.length} chunks`);
+  assert.is(laterWrites.length, longItemCount + 3);
+  const lines = Buffer.concat(chunks).toString('utf8').split('\n').slice(0, -1);
+  const writtenRecords = lines.flatMap((line) => LogRecords.parse(JSON.parse(line.slice(9))));
+  const seqs = writtenRecords.flatMap((record) =>
+    record.t === 'put' ? (record.items ?? []).slice(0, 1).map((item) => item.seq) : [],
+  );
+  assert.ok(seqs.length > 5 && seqs.every((seq) => seq === 1), seqs.join());
+  assert.equal(
+    writtenRecords.flatMap((record) => (record.t === 'hint' ? [record.to] : [])),
+    ['b'],
+  );
+  await clock.finish('later writes', Promise.all(laterWrites), 1000);
+  platter.powerLoss();
+  const reopened = await clock.finish(
+    'reopen',
+    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
+    1000,
+  );
+  assert.equal(
+    [...sequencesOf(reopened).values()],
+    Array.from({ length: longItemCount + 1 }, () => 9),
+  );
+  assert.equal([...reopened.hintTargets()], ['c']);
+});
 
 chunked(
-  'power lost at any step of a recovery of several chunks loses nothing acknowledged',
+  'a power loss at any step of a recovery in several chunks loses no acknowledged item',
   async () => {
     let recovered = 0;
     for (let step = 0; step < 16; step++) {
@@ -269,7 +268,7 @@
       platter.powerLoss();
       platter.crashAtStep = -1;
       const reopened = await clock.finish(
-        'again',
+        'reopen',
         ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
         1000,
       );
@@ -281,7 +280,7 @@
   },
 );
 
-chunked('a recovery whose file reads back otherwise is tried again', async () => {
+chunked('a recovery is retried if the file reads back with other bytes', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
   const timings: JournalTimings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
@@ -322,7 +321,7 @@
   assert.ok(replaced >= 3, `${replaced} attempts`);
 });
 
-chunked('a read that fails half way is begun anew with a new owner', async () => {
+chunked('a read that fails half-way is restarted with a new owner', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
   const simDisk = platter.disk(clock, new Incarnation());
@@ -350,7 +349,7 @@
     },
   };
   const reopened = await clock.finish(
-    'again',
+    'reopen',
     openJournal(failing, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
     5000,
   );
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -1,4 +1,4 @@
-/** Journals with lost, moved or damaged records, and rewrites cut off at any step. */
+/** Logs with missing, reordered or damaged records, and rewrites interrupted at any step. */
 import { mkdtemp, readdir, readFile, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -18,15 +18,17 @@
   keysOf,
 } from './journal-fixture.js';
 
-const damage = suite('journals damaged or cut off in a rewrite');
+const damage = suite('damaged logs and interrupted rewrites');
 
+/** Records a vote and accepts that many successive versions of the state, so that the log holds their diffs. */
 const writeVersions = async (fixture: JournalFixture, versions: number): Promise<void> => {
   const electionStore = await fixture.electionStore();
-  await fixture.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
+  await fixture.clock.finish('vote', electionStore.recordVote(3, 'a'), 1000);
   for (let version = 1; version <= versions; version++)
     await fixture.clock.finish('accept', electionStore.accept(stateAt(3, version)), 1000);
 };
 
+/** The lines of the election log. */
 const linesOf = async (fixture: JournalFixture): Promise<readonly string[]> => {
   const file = await fixture.clock.finish(
     'open',
@@ -38,6 +40,7 @@
   return Buffer.concat(chunks).toString('utf8').split('\n').slice(0, -1);
 };
 
+/** Replaces the content of the election log. */
 const replaceLog = async (fixture: JournalFixture, lines: readonly string[]): Promise<void> => {
   const file = await fixture.clock.finish(
     'open',
@@ -52,7 +55,7 @@
 };
 
 damage(
-  'a log with a record missing anywhere before its last starts a new member, and says so once',
+  'a log that lacks any record but the last starts a new member, with one warning',
   async () => {
     const fixture = createFixture(1);
     await writeVersions(fixture, 6);
@@ -89,7 +92,7 @@
   },
 );
 
-damage('records in another order, twice, or damaged start a new member', async () => {
+damage('a log with reordered, duplicate or damaged records starts a new member', async () => {
   const fixture = createFixture(1);
   await writeVersions(fixture, 5);
   const lines = await linesOf(fixture);
@@ -138,7 +141,7 @@
 });
 
 damage(
-  'a store with a damaged log of replicas starts as a new store, whatever step it loses power at',
+  'a store with a damaged replica log starts as a new store, even after a power loss at any step',
   async () => {
     let powerLosses = 0;
     for (let step = -1; step < 12; step++) {
@@ -168,16 +171,16 @@
         fixture.platter.powerLoss();
         fixture.platter.crashAtStep = -1;
       } else await fixture.clock.finish('opened', opened, 1000);
-      const reopened = await fixture.clock.finish('again', open(new Incarnation()), 1000);
+      const reopened = await fixture.clock.finish('reopen', open(new Incarnation()), 1000);
       assert.is.not(reopened.electionStore.persisted.id, 's-1', `step ${step}`);
       assert.equal(keysOf(reopened.replicaStore), []);
     }
-    assert.ok(powerLosses > 4, `${powerLosses} losses of power`);
+    assert.ok(powerLosses > 4, `${powerLosses} power losses`);
   },
 );
 
 damage(
-  "power lost at every step of a rewrite of the control's log loses nothing acknowledged, each name kept or lost by itself",
+  "a power loss at any step of a rewrite of a control's log loses no acknowledged state, whichever renames survive",
   async () => {
     let rewrites = 0;
     const filesSeen = new Set<string>();
@@ -186,7 +189,7 @@
         const fixture = createFixture(step * 7 + seed);
         const incarnation = new Incarnation();
         const electionStore = await fixture.electionStore(incarnation, 'me', 4000);
-        await fixture.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
+        await fixture.clock.finish('vote', electionStore.recordVote(3, 'a'), 1000);
         fixture.platter.crashFrom(step, () => {
           incarnation.dead = true;
         });
@@ -217,35 +220,36 @@
         assert.equal([reopened.persisted.term, reopened.persisted.votedFor], [3, 'a']);
         assert.ok(
           (reopened.persisted.accepted?.version ?? 0) >= acknowledgedVersion,
-          `seed ${seed}, step ${step}: ${acknowledgedVersion} was acknowledged, ${reopened.persisted.accepted?.version ?? 0} is held`,
+          `seed ${seed}, step ${step}: ${acknowledgedVersion} was acknowledged, ${reopened.persisted.accepted?.version ?? 0} was restored`,
+        );
+        await fixture.clock.finish(
+          'accept after the power loss',
+          reopened.accept(stateAt(3, 31)),
+          1000,
         );
-        await fixture.clock.finish('goes on', reopened.accept(stateAt(3, 31)), 1000);
       }
     assert.ok(rewrites > 20, `${rewrites} rewrites`);
-    assert.ok(filesSeen.has('zen.log.next'), 'a leftover of a rewrite was met');
+    assert.ok(filesSeen.has('zen.log.next'), 'no run left a temporary file of a rewrite');
   },
 );
 
-damage(
-  'a rewrite under a full disk fails nothing that was synced, and leaves no half file in the way',
-  async () => {
-    const fixture = createFixture(3);
-    const electionStore = await fixture.electionStore(new Incarnation(), 'me', 2000);
-    await fixture.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
-    let version = 0;
-    while (version < 60) {
-      version++;
-      if (version === 20) fixture.platter.full = true;
-      if (version === 30) fixture.platter.full = false;
-      if (version === 30) await fixture.clock.run(1000);
-      await outcomeOf(fixture, electionStore.accept(stateAt(3, version)));
-    }
-    assert.is(electionStore.writable, true);
-    fixture.platter.powerLoss();
-    assert.is((await fixture.electionStore()).persisted.accepted?.version, 60);
-    assert.equal(fixture.platter.list(), ['zen.log']);
-  },
-);
+damage('a rewrite on a full disk loses no synced state, and leaves no temporary file', async () => {
+  const fixture = createFixture(3);
+  const electionStore = await fixture.electionStore(new Incarnation(), 'me', 2000);
+  await fixture.clock.finish('vote', electionStore.recordVote(3, 'a'), 1000);
+  let version = 0;
+  while (version < 60) {
+    version++;
+    if (version === 20) fixture.platter.full = true;
+    if (version === 30) fixture.platter.full = false;
+    if (version === 30) await fixture.clock.run(1000);
+    await outcomeOf(fixture, electionStore.accept(stateAt(3, version)));
+  }
+  assert.is(electionStore.writable, true);
+  fixture.platter.powerLoss();
+  assert.is((await fixture.electionStore()).persisted.accepted?.version, 60);
+  assert.equal(fixture.platter.list(), ['zen.log']);
+});
 
 const inFolder = async (use: (dir: string) => Promise<void>): Promise<void> => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-journal-'));
@@ -253,7 +257,7 @@
 };
 
 damage(
-  'on a real folder: a leftover of a rewrite does no harm, and appends after a rewrite are kept',
+  'in a real folder, a leftover temporary file is removed, and appends after a rewrite are kept',
   () =>
     inFolder(async (dir) => {
       const dataFolder = join(dir, 'made', 'here');
--- a/tests/src/journal/folder-disk.test.ts
+++ b/tests/src/journal/folder-disk.test.ts
@@ -1,4 +1,4 @@
-/** The lock of a data folder, and files that are written anew in it. */
+/** The lock of a data folder, and the replacement and renaming of its files. */
 import { spawn } from 'node:child_process';
 import { mkdir, mkdtemp, readdir, readFile, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -30,13 +30,13 @@
     },
   );
 
-/** When a process began, as its lock says it. */
+/** The start time of a process, as a lock file states it. */
 const startTimeOf = async (pid: number): Promise<string> => {
   const text = await readFile(`/proc/${pid}/stat`, 'utf8');
   return text.slice(text.lastIndexOf(')') + 2).split(' ')[19] ?? '';
 };
 
-folders('a folder is locked for as long as the process that holds it lives', () =>
+folders('a folder is locked as long as the process that holds the lock runs', () =>
   inFolder(async (folder) => {
     const holder = spawn(process.execPath, ['-e', 'process.stdin.resume()'], {
       stdio: ['pipe', 'ignore', 'ignore'],
@@ -51,34 +51,34 @@
   }),
 );
 
-folders('a lock of an earlier process with the same number holds nobody off', () =>
+folders('a lock of an earlier process with the same id is ignored', () =>
   inFolder(async (folder) => {
     await writeFile(join(folder, 'lock'), `${process.pid} 1`);
     assert.is(await isLocked(folder), false);
   }),
 );
 
-folders('a lock that names no start holds nobody off', () =>
+folders('a lock without a start time is ignored', () =>
   inFolder(async (folder) => {
     await writeFile(join(folder, 'lock'), `${process.pid}`);
     assert.is(await isLocked(folder), false);
   }),
 );
 
-folders('a file that cannot be written anew stays as it was, and leaves nothing beside it', () =>
+folders('a file whose replacement fails is unchanged, and no temporary file is left', () =>
   inFolder(async (folder) => {
     const disk = await FolderDisk.acquire(folder);
     const file = await disk.open('a.log');
     await file.append(Buffer.from('old'));
     const failing = function* (): Generator<Buffer> {
       yield Buffer.from('new');
-      throw new Error('no more');
+      throw new Error('source of chunks failed');
     };
     const outcome = await file.replace(failing()).then(
       () => 'replaced',
       (error: unknown) => String(error),
     );
-    assert.is(outcome, 'Error: no more');
+    assert.is(outcome, 'Error: source of chunks failed');
     await file.append(Buffer.from('er'));
     assert.is(await readFile(join(folder, 'a.log'), 'utf8'), 'older');
     assert.equal([...(await readdir(folder))].sort(), ['a.log', 'lock']);
@@ -87,7 +87,7 @@
   }),
 );
 
-folders('what a rewrite left behind is removed when the file is opened', () =>
+folders('the temporary file of an interrupted replacement is removed when the file is opened', () =>
   inFolder(async (folder) => {
     await writeFile(join(folder, 'a.log.next'), 'half');
     const disk = await FolderDisk.acquire(folder);
@@ -97,7 +97,7 @@
   }),
 );
 
-folders('a file that is set aside keeps its bytes; one that is not there is no error', () =>
+folders('a file that is set aside keeps its bytes; a missing file is no error', () =>
   inFolder(async (folder) => {
     const disk = await FolderDisk.acquire(folder);
     await disk.setAside('a.log');
--- a/tests/src/journal/frames.test.ts
+++ b/tests/src/journal/frames.test.ts
@@ -1,11 +1,12 @@
-/** Which lines of a log are records that were written, and which end it. */
+/** Which lines of a log are valid frames, and which end the log or are an error. */
 import { crc32 } from 'node:zlib';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Digest, encodeFrame, JournalDamagedError, LogScanner } from '@tillerstair/journal';
 
-const frames = suite('frames of a journal');
+const frames = suite('journal frames');
 
+/** Scans a log of these lines; `good` is the length of its valid part, in bytes. */
 const scan = (...lines: readonly Buffer[]): { records: readonly unknown[]; good: number } => {
   const records: unknown[] = [];
   const scanner = new LogScanner('a.log', (record) => void records.push(record));
@@ -19,7 +20,7 @@
 const checksummed = (json: string, separator = ' '): Buffer =>
   Buffer.from(`${crc32(json).toString(16).padStart(8, '0')}${separator}${json}\n`);
 
-frames('a batch is read as it was written', () => {
+frames('batches are read in the order in which they were written', () => {
   const twoRecords = encodeFrame([{ n: 2 }, { n: 3 }]);
   assert.equal(scan(firstFrame, twoRecords), {
     records: [{ n: 1 }, { n: 2 }, { n: 3 }],
@@ -27,22 +28,22 @@
   });
 });
 
-frames('a last line with another checksum ends the log', () => {
+frames('a last line with a wrong checksum is cut off', () => {
   const line = encodeFrame([{ n: 2 }]);
   line[0] = line[0] === 48 ? 49 : 48;
   assert.equal(scan(firstFrame, line), onlyFirstFrame);
 });
 
-frames('a last line without the separator ends the log', () => {
+frames('a last line without the separator is cut off', () => {
   assert.equal(scan(firstFrame, checksummed('[{"n":2}]', 'x')), onlyFirstFrame);
 });
 
-frames('a last line that is not a batch ends the log, also with a right checksum', () => {
+frames('a last line that is not a batch is cut off, even with a correct checksum', () => {
   for (const json of ['{"n":2}', '7', 'null', '"text"'])
     assert.equal(scan(firstFrame, checksummed(json)), onlyFirstFrame, json);
 });
 
-frames('a good line after a damaged one is damage, not a torn tail', () => {
+frames('a valid line after a damaged one is an error, not a torn tail', () => {
   assert.throws(
     () => scan(firstFrame, checksummed('{"n":2}'), encodeFrame([{ n: 3 }])),
     (error: unknown) =>
@@ -50,7 +51,7 @@
   );
 });
 
-frames('files of other bytes, or of another length, have another digest', () => {
+frames('digests differ if the bytes or the lengths differ', () => {
   const digestOf = (...bytes: readonly number[]): Digest => {
     const digest = new Digest();
     digest.add(Buffer.from(bytes));
--- a/tests/src/journal/full-and-stalled-disks.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -1,30 +1,36 @@
+/** Clusters whose controls or stores have full or stalled disks. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Machine, World } from '@tillerstair/sim';
 import { PingResponse } from '@tillerstair/zen';
 import { configText, five, small, worldUp } from '../support/world-helpers.js';
 
-const disk = suite('disks that are full or stall');
+const disk = suite('full and stalled disks');
 const seeds = [1, 2, 3, 4, 5];
 
 type DiskFault = 'full' | 'stalled';
 
+/** The machine of the master. @throws Error without a master. */
 const masterOf = (cluster: World): Machine => {
   const machine = cluster.master;
-  if (!machine) throw new Error('a master is needed');
+  if (!machine) throw new Error('the cluster has no master');
   return machine;
 };
 
+/** Puts a configuration based on version `base`, at the master or at `target`. */
 const putConfig = (cluster: World, base: number, target?: Machine) =>
   cluster.operate('PUT', '/v1/config', configText(base, 'models', 'shop', base), target, 8000);
 
+/** The version of the configuration that a control has applied; 0 without one. */
 const configVersion = (machine: Machine): number =>
   machine.control?.zen.applied?.config?.version ?? 0;
 
-/** One change meets the trouble; its answer does not matter, since the master may step down meanwhile. */
+/**
+ * Starts a configuration change at the faulty disk. Its response is ignored, since the master may step down meanwhile.
+ */
 const startConfigChange = (cluster: World, oldMaster: Machine): void => {
   const node = oldMaster.control;
-  if (!node) throw new Error('the control is down');
+  if (!node) throw new Error(`no control runs on ${oldMaster.name}`);
   void node
     .operate({
       method: 'PUT',
@@ -36,7 +42,7 @@
 
 for (const fault of ['full', 'stalled'] as const satisfies readonly DiskFault[])
   disk(
-    `a leader whose disk is ${fault} for 6 s is followed by another within the failure timeout, and follows once it is whole`,
+    `a master whose disk is ${fault} for 6 s is replaced within the failure timeout, and follows once the disk works again`,
     async () => {
       for (const seed of seeds) {
         const cluster = await worldUp(seed, small);
@@ -51,7 +57,7 @@
           12000,
         );
         const elapsedMs = cluster.clock.now() - faultAt;
-        assert.ok(elapsedMs < cluster.bounds.failureTimeout, `seed ${seed}: took ${elapsedMs}`);
+        assert.ok(elapsedMs < cluster.bounds.failureTimeout, `seed ${seed}: took ${elapsedMs} ms`);
         const newMaster = masterOf(cluster);
         const response = await putConfig(cluster, configVersion(newMaster), newMaster);
         assert.is(response.status, 200, `seed ${seed}: ${JSON.stringify(response)}`);
@@ -60,7 +66,7 @@
         oldMaster.platter[fault] = false;
         const master = masterOf(cluster);
         await cluster.clock.until(
-          'the old one to follow',
+          'the old master to follow',
           () =>
             oldMaster.control?.zen.knownMaster?.id === master.control?.id &&
             configVersion(oldMaster) === configVersion(master),
@@ -68,7 +74,7 @@
         );
         assert.is((await putConfig(cluster, configVersion(master))).status, 200);
         await cluster.clock.until(
-          'the newest state',
+          'all controls to have the newest configuration',
           () =>
             cluster
               .of('control')
@@ -84,13 +90,13 @@
 
 for (const fault of ['full', 'stalled'] as const satisfies readonly DiskFault[])
   disk(
-    `a follower whose disk is ${fault} acknowledges nothing, holds nobody up and is caught up afterwards`,
+    `a follower whose disk is ${fault} acknowledges nothing, delays no change and catches up afterwards`,
     async () => {
       for (const seed of seeds) {
         const cluster = await worldUp(seed, small);
         const master = masterOf(cluster);
         const follower = cluster.of('control').find((machine) => machine !== master);
-        if (!follower) throw new Error('a follower is needed');
+        if (!follower) throw new Error('the cluster has no follower');
         follower.platter[fault] = true;
         const versionBefore = configVersion(follower);
         const latenciesMs: number[] = [];
@@ -115,13 +121,13 @@
   );
 
 disk(
-  'two of five controls with full disks change nothing for the operator, and count for no election',
+  'two full disks of five controls do not affect operators, and those controls win no election',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, five);
       const oldMaster = masterOf(cluster);
       const follower = cluster.of('control').find((machine) => machine !== oldMaster);
-      if (!follower) throw new Error('controls are needed');
+      if (!follower) throw new Error('the cluster has no follower');
       for (const machine of [oldMaster, follower]) machine.platter.full = true;
       startConfigChange(cluster, oldMaster);
       await cluster.clock.until(
@@ -134,7 +140,7 @@
       assert.is((await putConfig(cluster, configVersion(newMaster), newMaster)).status, 200);
       for (const machine of [oldMaster, follower]) machine.platter.full = false;
       await cluster.clock.until(
-        'all the same',
+        'all controls to have the same configuration',
         () =>
           cluster
             .of('control')
@@ -145,32 +151,35 @@
   },
 );
 
-disk('a control that cannot sync says so in its ping replies, and counts for nothing', async () => {
-  const cluster = await worldUp(1, small);
-  const follower = cluster.of('control').find((machine) => machine !== cluster.master);
-  const node = follower?.control?.zen;
-  const from = cluster.master?.control?.zen.knownMaster;
-  if (!follower || !node || !from) throw new Error('a follower is needed');
-  const ping = async () =>
-    PingResponse.parse(
-      await node.handle({
-        from: from.addr,
-        kind: 'zen/ping',
-        body: { from, known: [], clusterId: node.clusterId },
-      }),
-    );
-  const flagsOf = (response: PingResponse) => [response.eligible, response.canWin];
-  assert.equal(flagsOf(await ping()), [true, true]);
-  follower.platter.full = true;
-  assert.is((await putConfig(cluster, 1)).status, 200);
-  assert.equal(flagsOf(await ping()), [false, false]);
-  follower.platter.full = false;
-  await cluster.clock.run(1000);
-  assert.equal(flagsOf(await ping()), [true, true]);
-});
+disk(
+  'a control that cannot sync is neither eligible nor able to win in its ping responses',
+  async () => {
+    const cluster = await worldUp(1, small);
+    const follower = cluster.of('control').find((machine) => machine !== cluster.master);
+    const node = follower?.control?.zen;
+    const from = cluster.master?.control?.zen.knownMaster;
+    if (!follower || !node || !from) throw new Error('the cluster has no follower');
+    const ping = async () =>
+      PingResponse.parse(
+        await node.handle({
+          from: from.addr,
+          kind: 'zen/ping',
+          body: { from, known: [], clusterId: node.clusterId },
+        }),
+      );
+    const flagsOf = (response: PingResponse) => [response.eligible, response.canWin];
+    assert.equal(flagsOf(await ping()), [true, true]);
+    follower.platter.full = true;
+    assert.is((await putConfig(cluster, 1)).status, 200);
+    assert.equal(flagsOf(await ping()), [false, false]);
+    follower.platter.full = false;
+    await cluster.clock.run(1000);
+    assert.equal(flagsOf(await ping()), [true, true]);
+  },
+);
 
 disk(
-  'without a majority of disks nobody leads or is acknowledged, and all goes on once they are whole',
+  'without a majority of working disks there is no master and no acknowledged change until they recover',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, small);
@@ -190,7 +199,7 @@
       await cluster.clock.until('a master', () => cluster.master !== undefined, 5000);
       assert.is((await putConfig(cluster, configVersion(masterOf(cluster)))).status, 200);
       await cluster.clock.until(
-        'all the same',
+        'all controls to have the same configuration',
         () =>
           cluster
             .of('control')
@@ -201,37 +210,34 @@
   },
 );
 
-disk(
-  'a control restarted while its disk is full or just whole again goes on under its id',
-  async () => {
-    for (const seed of seeds) {
-      const cluster = await worldUp(seed, small);
-      const oldMaster = masterOf(cluster);
-      const oldId = oldMaster.control?.id;
-      oldMaster.platter.full = true;
-      startConfigChange(cluster, oldMaster);
-      await cluster.clock.run(2000);
-      oldMaster.kill(seed % 2 === 0 ? 'power' : 'process');
-      await cluster.clock.until('another master', () => cluster.master !== undefined, 9000);
-      assert.is((await putConfig(cluster, configVersion(masterOf(cluster)))).status, 200);
-      oldMaster.start();
-      await cluster.clock.run(2000);
-      assert.is(oldMaster.startFailed, '');
-      oldMaster.platter.full = false;
-      await cluster.clock.until(
-        'caught up',
-        () =>
-          oldMaster.control !== undefined &&
-          configVersion(oldMaster) === configVersion(masterOf(cluster)),
-        5000,
-      );
-      assert.is(oldMaster.control?.id, oldId);
-    }
-  },
-);
+disk('a control that is restarted while its disk is full keeps its id', async () => {
+  for (const seed of seeds) {
+    const cluster = await worldUp(seed, small);
+    const oldMaster = masterOf(cluster);
+    const oldId = oldMaster.control?.id;
+    oldMaster.platter.full = true;
+    startConfigChange(cluster, oldMaster);
+    await cluster.clock.run(2000);
+    oldMaster.kill(seed % 2 === 0 ? 'power' : 'process');
+    await cluster.clock.until('another master', () => cluster.master !== undefined, 9000);
+    assert.is((await putConfig(cluster, configVersion(masterOf(cluster)))).status, 200);
+    oldMaster.start();
+    await cluster.clock.run(2000);
+    assert.is(oldMaster.startFailed, '');
+    oldMaster.platter.full = false;
+    await cluster.clock.until(
+      'caught up',
+      () =>
+        oldMaster.control !== undefined &&
+        configVersion(oldMaster) === configVersion(masterOf(cluster)),
+      5000,
+    );
+    assert.is(oldMaster.control?.id, oldId);
+  }
+});
 
 disk(
-  'a control whose log is damaged comes back as a new member, and the change it was acknowledged for stays',
+  'a control with a damaged log rejoins as a new member, and the change it had acknowledged is kept',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, small);
@@ -249,7 +255,7 @@
         9000,
       );
       await cluster.clock.until(
-        'a voter again',
+        'the new control to be a voter',
         () => {
           const newId = oldMaster.control?.id ?? '';
           return (
@@ -265,6 +271,7 @@
   },
 );
 
+/** Runs a turn and a keyed call at once; the outcomes that they report. */
 const runTurnAndCall = async (
   cluster: World,
   program: string,
@@ -278,14 +285,14 @@
 
 for (const fault of ['full', 'stalled'] as const satisfies readonly DiskFault[])
   disk(
-    `turns and keyed calls go on while a store's disk is ${fault}, and its replicas are whole afterwards`,
+    `turns and keyed calls succeed while a store's disk is ${fault}, and its replicas are complete afterwards`,
     async () => {
       for (const seed of seeds) {
         const cluster = await worldUp(seed, small);
         const program = (await cluster.clock.finish('program', cluster.program(1000), 10000))
           .program;
         const store = cluster.of('store').at(seed % 3);
-        if (!store) throw new Error('a store is needed');
+        if (!store) throw new Error('the cluster has no store');
         store.platter[fault] = true;
         const latenciesMs: number[] = [];
         for (let i = 0; i < 6; i++) {
@@ -318,7 +325,7 @@
           return JSON.stringify(slots.flat().sort());
         };
         await cluster.clock.until(
-          'hints handed over',
+          'handoff of all hints',
           () =>
             cluster
               .of('store')
@@ -333,29 +340,36 @@
     },
   );
 
-disk('a store restarted with a full disk serves again by itself under its id', async () => {
-  for (const seed of seeds) {
-    const cluster = await worldUp(seed, small);
-    const store = cluster.of('store').at(0);
-    if (!store) throw new Error('a store is needed');
-    const storeId = store.store?.id;
-    const program = (await cluster.clock.finish('program', cluster.program(1000), 10000)).program;
-    store.platter.full = true;
-    await runTurnAndCall(cluster, program, 1);
-    store.kill(seed % 2 === 0 ? 'power' : 'process');
-    await cluster.clock.run(500);
-    store.start();
-    await cluster.clock.run(1500);
-    store.platter.full = false;
-    await cluster.clock.until('back', () => store.store?.zen.knownMaster !== undefined, 8000);
-    assert.is(store.store?.id, storeId);
-    await cluster.clock.until(
-      'whole',
-      () => cluster.slotsOpen() && store.replicaStore?.writable === true,
-      20000,
-    );
-    assert.is(store.startFailed, '');
-  }
-});
+disk(
+  'a store that is restarted with a full disk recovers under its id once the disk has space',
+  async () => {
+    for (const seed of seeds) {
+      const cluster = await worldUp(seed, small);
+      const store = cluster.of('store').at(0);
+      if (!store) throw new Error('the cluster has no store');
+      const storeId = store.store?.id;
+      const program = (await cluster.clock.finish('program', cluster.program(1000), 10000)).program;
+      store.platter.full = true;
+      await runTurnAndCall(cluster, program, 1);
+      store.kill(seed % 2 === 0 ? 'power' : 'process');
+      await cluster.clock.run(500);
+      store.start();
+      await cluster.clock.run(1500);
+      store.platter.full = false;
+      await cluster.clock.until(
+        'the store to follow a master',
+        () => store.store?.zen.knownMaster !== undefined,
+        8000,
+      );
+      assert.is(store.store?.id, storeId);
+      await cluster.clock.until(
+        'all slots open and the store writable',
+        () => cluster.slotsOpen() && store.replicaStore?.writable === true,
+        20000,
+      );
+      assert.is(store.startFailed, '');
+    }
+  },
+);
 
 disk.run();
--- a/tests/src/journal/journal-fixture.ts
+++ b/tests/src/journal/journal-fixture.ts
@@ -1,4 +1,4 @@
-/** A simulated disk with its clock, and the states that are written to it. */
+/** Journals, election stores and replica stores on a simulated disk, and the records that tests write to them. */
 import { defaultTimings, Journal, type Disk, type JournalTimings } from '@tillerstair/journal';
 import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
@@ -18,14 +18,17 @@
 
 const bootstrapped = bootstrapState('x', peers, 8);
 
+/** A cluster state of a term and a version. */
 export const stateAt = (term: number, version: number): State => ({
   ...bootstrapped,
   term,
   version,
 });
 
+/** Log size below which the stores of a fixture do not rewrite their logs, in bytes. */
 export const rewriteMinBytes = 1 << 20;
 
+/** A simulated disk with its clock; `warnings` collects the logged warnings. The stores are opened on that disk. */
 export interface JournalFixture {
   readonly clock: SimClock;
   readonly platter: SimPlatter;
@@ -39,6 +42,7 @@
   replicaStore(incarnation?: Incarnation, minBytes?: number): Promise<ReplicaStore>;
 }
 
+/** Creates a fixture whose simulated disk is seeded with `seed`. */
 export const createFixture = (seed: number): JournalFixture => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(seed));
@@ -56,13 +60,13 @@
     timings,
     electionStore: (incarnation = new Incarnation(), id = 'me', minBytes = rewriteMinBytes) =>
       clock.finish(
-        'keep',
+        'opening the election store',
         DiskElectionStore.open(platter.disk(clock, incarnation), () => id, minBytes, timings),
         60000,
       ),
     replicaStore: (incarnation = new Incarnation(), minBytes = rewriteMinBytes) =>
       clock.finish(
-        'replica store',
+        'opening the replica store',
         ReplicaStore.open(
           platter.disk(clock, incarnation),
           clock,
@@ -74,6 +78,7 @@
   };
 };
 
+/** The code of the error that `work` ends with; 'done' if it succeeds. */
 const codeOf = (work: Promise<unknown>): Promise<string> =>
   work.then(
     () => 'done',
@@ -81,9 +86,11 @@
       error instanceof Error && 'code' in error ? String(error.code) : String(error),
   );
 
+/** Runs the clock until `work` has settled, for at most 5 s: 'done' or the code of its error. */
 export const outcomeOf = (fixture: JournalFixture, work: Promise<unknown>): Promise<string> =>
   fixture.clock.finish('work', codeOf(work), 5000);
 
+/** The item of the turn numbered `index`. */
 export const item = (index: number) => ({
   key: `o/t/${index}`,
   ownershipEpoch: 1,
@@ -91,19 +98,20 @@
   value: index,
 });
 
+/** The sorted keys of the items that a store holds in slot 1. */
 export const keysOf = (store: ReplicaStore): readonly string[] =>
   store
     .pull(1, 0, '')
     .items.map((entry) => entry.key)
     .sort();
 
-/** A journal and all records that it held when it was opened. */
+/** A journal and the records that its log contained when it was opened. */
 export interface OpenedJournal {
   readonly journal: Journal;
   readonly records: readonly unknown[];
 }
 
-/** Opens a journal as the product does, for an owner that only lists the records. */
+/** Opens a journal whose owner collects the restored records. */
 export const openJournal = (
   disk: Disk,
   name: string,
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -1,3 +1,4 @@
+/** Journals and data folders: torn and damaged logs, shared syncs, power losses, fences, and the folder's lock. */
 import { mkdtemp, readFile, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -8,14 +9,14 @@
 import { ReplicaStore } from '@tillerstair/store';
 import { openJournal } from './journal-fixture.js';
 
-const journal = suite('journal and disk');
+const journal = suite('journal and data folder');
 
 const inFolder = async (use: (dir: string) => Promise<void>): Promise<void> => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-journal-'));
   await use(dir).finally(() => rm(dir, { recursive: true }));
 };
 
-journal('a torn tail is cut off, what was synced before it stays', () =>
+journal('a torn tail is cut off, and records synced before it are kept', () =>
   inFolder(async (dir) => {
     const disk = await FolderDisk.acquire(dir);
     const { journal: log } = await openJournal(disk, 'a.log');
@@ -38,7 +39,7 @@
   }),
 );
 
-journal('a damaged middle refuses to open and says where', () =>
+journal('a log that is damaged in the middle does not open, and the error names the byte', () =>
   inFolder(async (dir) => {
     const disk = await FolderDisk.acquire(dir);
     const { journal: log } = await openJournal(disk, 'a.log');
@@ -58,22 +59,24 @@
   }),
 );
 
-journal("a data folder is taken by one process only, and a dead one's lock does not hold", () =>
-  inFolder(async (dir) => {
-    const disk = await FolderDisk.acquire(dir);
-    const second = await FolderDisk.acquire(dir).then(
-      () => undefined,
-      (error: unknown) => error,
-    );
-    assert.instance(second, FolderInUseError);
-    await disk.release();
-    await writeFile(join(dir, 'lock'), '999999999 1');
-    const third = await FolderDisk.acquire(dir);
-    await third.release();
-  }),
+journal(
+  'a data folder is locked by one process at a time, and the lock of an ended process is ignored',
+  () =>
+    inFolder(async (dir) => {
+      const disk = await FolderDisk.acquire(dir);
+      const second = await FolderDisk.acquire(dir).then(
+        () => undefined,
+        (error: unknown) => error,
+      );
+      assert.instance(second, FolderInUseError);
+      await disk.release();
+      await writeFile(join(dir, 'lock'), '999999999 1');
+      const third = await FolderDisk.acquire(dir);
+      await third.release();
+    }),
 );
 
-journal('appends at once share syncs', async () => {
+journal('concurrent appends share syncs', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
   const opening = openJournal(platter.disk(clock, new Incarnation()), 'a.log');
@@ -86,60 +89,65 @@
   assert.ok(log.syncCount <= 3, `${log.syncCount} syncs`);
 });
 
-journal('power lost at every step of a rewrite under load loses nothing acknowledged', async () => {
-  let rewrites = 0;
-  for (let step = 0; step < 60; step++) {
-    const clock = new SimClock();
-    const platter = new SimPlatter(seededRng(step));
-    const incarnation = new Incarnation();
-    const replicaStore = await clock.finish(
-      'open',
-      ReplicaStore.open(platter.disk(clock, incarnation), clock, {
-        rewriteMinBytes: 600,
-        retentionMs: 1e9,
-        maxHints: 10,
-      }),
-      1000,
-    );
-    platter.crashAtStep = step;
-    platter.onCrash = () => {
-      incarnation.dead = true;
-    };
-    const acknowledged: string[] = [];
-    for (let i = 0; i < 40; i++) {
-      const key = `o/t/${i % 8}`;
-      void replicaStore.write(1, 1, [{ key, ownershipEpoch: 1, seq: i + 1, value: i }]).then(
-        () => acknowledged.push(`${key} ${i + 1}`),
-        () => undefined,
+journal(
+  'a power loss at any step of a rewrite under load loses no acknowledged write',
+  async () => {
+    let rewrites = 0;
+    for (let step = 0; step < 60; step++) {
+      const clock = new SimClock();
+      const platter = new SimPlatter(seededRng(step));
+      const incarnation = new Incarnation();
+      const replicaStore = await clock.finish(
+        'open',
+        ReplicaStore.open(platter.disk(clock, incarnation), clock, {
+          rewriteMinBytes: 600,
+          retentionMs: 1e9,
+          maxHints: 10,
+        }),
+        1000,
       );
-      if (i % 3 === 0) await clock.run(0.5);
-    }
-    await clock.run(50);
-    if (!incarnation.dead && replicaStore.counts().bytes < 3000) rewrites++;
-    platter.powerLoss();
-    platter.crashAtStep = -1;
-    const reopened = await clock.finish(
-      'reopen',
-      ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, {
-        rewriteMinBytes: 600,
-        retentionMs: 1e9,
-        maxHints: 10,
-      }),
-      1000,
-    );
-    const restored = new Map(reopened.pull(1, 0, '').items.map((entry) => [entry.key, entry.seq]));
-    for (const write of acknowledged) {
-      const separator = write.lastIndexOf(' ');
-      assert.ok(
-        (restored.get(write.slice(0, separator)) ?? 0) >= Number(write.slice(separator + 1)),
-        `step ${step}: ${write} was acknowledged, held ${restored.get(write.slice(0, separator)) ?? 'nothing'}`,
+      platter.crashAtStep = step;
+      platter.onCrash = () => {
+        incarnation.dead = true;
+      };
+      const acknowledged: string[] = [];
+      for (let i = 0; i < 40; i++) {
+        const key = `o/t/${i % 8}`;
+        void replicaStore.write(1, 1, [{ key, ownershipEpoch: 1, seq: i + 1, value: i }]).then(
+          () => acknowledged.push(`${key} ${i + 1}`),
+          () => undefined,
+        );
+        if (i % 3 === 0) await clock.run(0.5);
+      }
+      await clock.run(50);
+      if (!incarnation.dead && replicaStore.counts().bytes < 3000) rewrites++;
+      platter.powerLoss();
+      platter.crashAtStep = -1;
+      const reopened = await clock.finish(
+        'reopen',
+        ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, {
+          rewriteMinBytes: 600,
+          retentionMs: 1e9,
+          maxHints: 10,
+        }),
+        1000,
+      );
+      const restored = new Map(
+        reopened.pull(1, 0, '').items.map((entry) => [entry.key, entry.seq]),
       );
+      for (const write of acknowledged) {
+        const separator = write.lastIndexOf(' ');
+        assert.ok(
+          (restored.get(write.slice(0, separator)) ?? 0) >= Number(write.slice(separator + 1)),
+          `step ${step}: ${write} was acknowledged, restored ${restored.get(write.slice(0, separator)) ?? 'nothing'}`,
+        );
+      }
     }
-  }
-  assert.ok(rewrites > 0, 'no run reached the end of a rewrite');
-});
+    assert.ok(rewrites > 0, 'no run reached the end of a rewrite');
+  },
+);
 
-journal('a store refuses ownership epochs below its fence, after power loss too', async () => {
+journal('a store rejects ownership epochs below its fence, even after a power loss', async () => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(3));
   const limits = { rewriteMinBytes: 1 << 20, retentionMs: 1e9, maxHints: 10 };
@@ -158,7 +166,7 @@
   const writing = reopened
     .write(4, 6, [{ key: 'o/t/x', ownershipEpoch: 6, seq: 1, value: 1 }])
     .then(
-      () => 'taken',
+      () => 'accepted',
       (error: unknown) => String(error),
     );
   const outcome = await clock.finish('write', writing, 1000);
@@ -166,16 +174,16 @@
 });
 
 journal(
-  'a lock that does not say when its holder began holds nobody off, one that does and lives does',
+  'a lock without a start time is ignored; the lock of a running process with a start time is not',
   () =>
     inFolder(async (dir) => {
       await writeFile(join(dir, 'lock'), `${process.pid} `);
       const disk = await FolderDisk.acquire(dir);
       const reopened = await FolderDisk.acquire(dir).then(
-        () => 'taken',
-        (error: unknown) => (error instanceof FolderInUseError ? 'held' : String(error)),
+        () => 'locked',
+        (error: unknown) => (error instanceof FolderInUseError ? 'in use' : String(error)),
       );
-      assert.is(reopened, 'held');
+      assert.is(reopened, 'in use');
       await disk.release();
     }),
 );
--- a/tests/src/journal/memory-use-child.ts
+++ b/tests/src/journal/memory-use-child.ts
@@ -1,4 +1,7 @@
-/** Run by journal-memory.test.ts in a process of its own: opens a store's log, writes until it is rewritten, tells its memory. */
+/**
+ * Child process of memory-use.test.ts: opens a store's log, writes until the log is rewritten, and reports its memory
+ * use.
+ */
 import { FolderDisk } from '@tillerstair/journal';
 import { ReplicaStore } from '@tillerstair/store';
 import { hostClock } from '@tillerstair/wire';
--- a/tests/src/journal/memory-use.test.ts
+++ b/tests/src/journal/memory-use.test.ts
@@ -1,3 +1,4 @@
+/** Peak memory while a large log is opened and rewritten, measured in a child process. */
 import { execFile } from 'node:child_process';
 import { mkdtemp, open, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -9,14 +10,14 @@
 import { z } from 'zod';
 import { encodeFrame } from '@tillerstair/journal';
 
-const memory = suite('memory of a journal');
+const memory = suite('memory use of a journal');
 
 const mb = 1 << 20;
 const keys = 16000;
 const valueBytes = 1200;
 const writesPerKey = 2;
 
-/** Peaks over that of the started process, in MB; the records themselves are about 20 MB of text. */
+/** Limits of the peak memory above that of the started process, in MB; the live records are about 20 MB of text. */
 const maxOpenPeakMb = 80;
 const maxRewritePeakMb = 145;
 
@@ -29,7 +30,7 @@
   leftBytes: z.number(),
 });
 
-/** Writes a store's log in which each key was written `rounds` times; resolves with its bytes. */
+/** Writes a store's log that contains each key `writesPerKey` times; resolves with its size in bytes. */
 const writeLog = async (path: string): Promise<number> => {
   const file = await open(path, 'w');
   let bytes = 0;
@@ -56,7 +57,7 @@
   return bytes;
 };
 
-memory('a log of 40 MB is opened and rewritten without being held as a whole', async () => {
+memory('a log of 40 MB is opened and rewritten without being loaded as a whole', async () => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-memory-'));
   try {
     const bytes = await writeLog(join(dir, 'store.log'));
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -1,4 +1,4 @@
-/** What a journal refuses from a failed or overlong write until its file is known to be complete again. */
+/** Writes that a journal rejects after a failed or late write, until its file is known to be complete again. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -10,14 +10,14 @@
 import { Incarnation } from '@tillerstair/sim';
 import { outcomeOf, createFixture, type JournalFixture } from './journal-fixture.js';
 
-const refusals = suite('refused writes of a journal');
+const refusals = suite('rejected writes of a journal');
 
 interface OpenedLog {
   readonly journal: Journal;
   readonly records: unknown[];
 }
 
-/** Opens a log whose owner holds what it was handed, and whose file is written anew from that. */
+/** Opens a log whose owner collects the restored records, from which a recovery rewrites the file. */
 const open = async (
   fixture: JournalFixture,
   disk: Disk = fixture.platter.disk(fixture.clock, new Incarnation()),
@@ -34,6 +34,7 @@
   return opened;
 };
 
+/** Adds a record to the owner's records and appends it to the log. */
 const append = (
   fixture: JournalFixture,
   { journal, records }: OpenedLog,
@@ -43,6 +44,7 @@
   return outcomeOf(fixture, journal.append(record));
 };
 
+/** The execution status of `work`: 'yes' if it succeeds, otherwise that of its error. */
 const executedOf = (work: Promise<unknown>): Promise<string> =>
   work.then(
     () => 'yes',
@@ -50,13 +52,14 @@
       error instanceof JournalUnavailableError ? error.executed : 'another error',
   );
 
+/** The records that survive a power loss. */
 const recordsOnDisk = async (fixture: JournalFixture): Promise<readonly unknown[]> => {
   fixture.platter.powerLoss();
   return (await open(fixture)).records;
 };
 
 refusals(
-  'of a failed write it is unknown whether it was executed, the next ones are not',
+  'the execution status of a failed write is unknown, and that of the next writes is no',
   async () => {
     const fixture = createFixture(1);
     const opened = await open(fixture);
@@ -69,7 +72,7 @@
   },
 );
 
-refusals('a torn tail is cut off, so that later appends stand on lines of their own', async () => {
+refusals('a torn tail is cut off, so that later appends start on a new line', async () => {
   const fixture = createFixture(1);
   const opened = await open(fixture);
   assert.is(await append(fixture, opened, 1), 'done');
@@ -86,7 +89,7 @@
   assert.equal(await recordsOnDisk(fixture), [1, 2]);
 });
 
-refusals('a write that ends after its bound counts for nobody', async () => {
+refusals('a write that ends after its timeout acknowledges no append', async () => {
   const fixture = createFixture(1);
   const opened = await open(fixture);
   fixture.platter.stalled = true;
@@ -99,7 +102,7 @@
 });
 
 refusals(
-  'a record that waited behind an overlong write is written anew before any other',
+  'a record that was pending behind a late write is rewritten before any other is appended',
   async () => {
     const fixture = createFixture(1);
     const opened = await open(fixture);
@@ -116,7 +119,7 @@
 );
 
 refusals(
-  'a rewrite is not begun while another is under way, or while nothing is taken',
+  'a rewrite is not started while another one runs or while appends are rejected',
   async () => {
     const fixture = createFixture(1);
     const opened = await open(fixture);
@@ -139,7 +142,7 @@
   },
 );
 
-refusals('a rewrite that waited for a write that failed is not made', async () => {
+refusals('a rewrite that was queued behind a write that fails is skipped', async () => {
   const fixture = createFixture(1);
   const journal = await fixture.clock.finish(
     'open',
@@ -170,7 +173,7 @@
   assert.is(journal.opened.writable, false);
 });
 
-refusals('only a disk that takes no bytes is waited for', async () => {
+refusals('only transient disk errors are retried', async () => {
   const fixture = createFixture(1);
   let attempts = 0;
   const failing = (code: string) => async (): Promise<number> => {
--- a/tests/src/journal/write-faults.test.ts
+++ b/tests/src/journal/write-faults.test.ts
@@ -1,13 +1,13 @@
-/** Journals under disk faults: failed, stalled and unsynced writes. */
+/** Journals on a faulty disk: failed, stalled and unsynced writes. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Incarnation } from '@tillerstair/sim';
 import { stateAt, createFixture, outcomeOf, item, keysOf } from './journal-fixture.js';
 
-const faults = suite('journals under disk faults');
+const faults = suite('disk faults');
 
 faults(
-  'after a failed append nothing is taken, and after recovery disk and memory agree',
+  'after a failed append writes are rejected, and after the recovery disk and memory agree',
   async () => {
     for (let seed = 0; seed < 20; seed++) {
       const fixture = createFixture(seed);
@@ -39,7 +39,7 @@
   },
 );
 
-faults('power lost while a disk is full leaves all that was acknowledged', async () => {
+faults('a power loss while the disk is full loses no acknowledged write', async () => {
   for (let seed = 0; seed < 40; seed++) {
     const fixture = createFixture(seed);
     const incarnation = new Incarnation();
@@ -57,7 +57,7 @@
   }
 });
 
-faults('a failed sync is not made good by a later one: the file is written anew', async () => {
+faults('after a failed sync the file is rewritten instead of synced again', async () => {
   const fixture = createFixture(1);
   const replicaStore = await fixture.replicaStore();
   fixture.platter.failSyncs = true;
@@ -70,7 +70,7 @@
 });
 
 faults(
-  'a write that neither ends nor fails is answered in bounded time, and one at a time is under way',
+  'a stalled write is rejected after its timeout, and only one write is in flight',
   async () => {
     const fixture = createFixture(1);
     const replicaStore = await fixture.replicaStore();
@@ -88,10 +88,7 @@
     assert.is(fixture.clock.now(), rejectedAt);
     const eventsBefore = fixture.clock.events;
     await fixture.clock.run(60000);
-    assert.ok(
-      fixture.clock.events - eventsBefore < 10,
-      'a stalled disk is not asked again and again',
-    );
+    assert.ok(fixture.clock.events - eventsBefore < 10, 'a stalled disk is polled repeatedly');
     fixture.platter.stalled = false;
     await fixture.clock.run(500);
     assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(3)])), 'done');
@@ -102,7 +99,7 @@
 );
 
 faults(
-  'records that waited behind a stalled write are on disk after it, since their owner holds them',
+  'records pending behind a stalled write are on disk after it, since their owner holds them',
   async () => {
     const fixture = createFixture(1);
     const replicaStore = await fixture.replicaStore();
@@ -120,7 +117,7 @@
   },
 );
 
-faults('a long failure is retried at the pace given', async () => {
+faults('a lasting failure is retried at the given interval', async () => {
   const fixture = createFixture(1);
   const replicaStore = await fixture.replicaStore();
   fixture.platter.full = true;
@@ -133,11 +130,11 @@
   );
 });
 
-faults('a promise whose sync failed is not told and not taken back', async () => {
+faults('a vote whose sync failed is neither reported nor revoked', async () => {
   for (let seed = 0; seed < 20; seed++) {
     const fixture = createFixture(seed);
     const electionStore = await fixture.electionStore();
-    await fixture.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
+    await fixture.clock.finish('vote', electionStore.recordVote(3, 'a'), 1000);
     fixture.platter.full = true;
     assert.is(await outcomeOf(fixture, electionStore.recordVote(4, 'b')), 'unavailable');
     assert.is(await outcomeOf(fixture, electionStore.synced()), 'unavailable');
@@ -155,11 +152,11 @@
   }
 });
 
-faults('a state whose sync failed stays accepted, and later ones follow it on disk', async () => {
+faults('a state whose sync failed stays accepted, and later states follow it on disk', async () => {
   for (let seed = 0; seed < 20; seed++) {
     const fixture = createFixture(seed);
     const electionStore = await fixture.electionStore();
-    await fixture.clock.finish('promise', electionStore.recordVote(3, 'a'), 1000);
+    await fixture.clock.finish('vote', electionStore.recordVote(3, 'a'), 1000);
     await fixture.clock.finish('accept', electionStore.accept(stateAt(3, 1)), 1000);
     fixture.platter.full = true;
     assert.is(await outcomeOf(fixture, electionStore.accept(stateAt(3, 2))), 'unavailable');
@@ -178,7 +175,7 @@
   }
 });
 
-faults('a new member waits for a full disk before it has an id', async () => {
+faults('a new member has no id before its full disk accepts writes', async () => {
   const fixture = createFixture(1);
   fixture.platter.full = true;
   const opening = fixture.electionStore();
--- a/tests/src/store/emptying-stores.test.ts
+++ b/tests/src/store/emptying-stores.test.ts
@@ -1,4 +1,4 @@
-/** Stores that are emptied, also beside the loss of another. */
+/** Emptying a store (moving its replicas away before it is removed), also while it or another store is lost. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { allSlotsFullyReplicated } from '@tillerstair/state';
@@ -15,7 +15,7 @@
   restartFronts,
 } from '../support/replica-cluster.js';
 
-const emptying = suite('emptying of stores');
+const emptying = suite('emptying stores');
 
 const seeds = [71, 72, 73];
 
@@ -31,13 +31,14 @@
 ): Promise<void> => {
   const deadline = cluster.clock.now() + timeoutMs;
   while (!(await isEmptied(cluster, machine))) {
-    if (cluster.clock.now() > deadline) throw new Error('never done');
+    if (cluster.clock.now() > deadline)
+      throw new Error(`${machine.name} was not emptied within ${timeoutMs} ms`);
     await cluster.clock.run(100);
   }
 };
 
 emptying(
-  'a store told to be emptied, and wiped with another right after it is done, loses nothing',
+  'no data is lost if a store loses its disk right after it was emptied, together with another store',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, oneLossCluster);
@@ -55,7 +56,7 @@
 );
 
 emptying(
-  'emptying is not done while another store is lost and its slots are not whole again',
+  'emptying is not reported done while the replicas of another lost store are not replaced',
   async () => {
     for (const seed of seeds)
       for (const delayMs of [0, 200, 600]) {
@@ -76,7 +77,7 @@
           cluster.committed?.slots.every(
             (slot) => slot.replicas.filter((id) => liveIds.has(id)).length === 3,
           ),
-          'told done before the lost replicas were replaced',
+          'emptying was reported done before the lost replicas were replaced',
         );
         loseDisk(emptied);
         loseDisk(cluster.at('store-3'));
@@ -88,7 +89,7 @@
 );
 
 emptying(
-  'a store that dies while it is emptied is replaced like a lost one; emptying again is the same',
+  'a store that is lost while it is emptied is replaced, and a repeated empty request is idempotent',
   async () => {
     const cluster = await worldUp(78, oneLossCluster);
     await runWorkload(cluster, 'd');
@@ -113,7 +114,7 @@
 );
 
 emptying(
-  'a store that loses its disk while it is emptied stays out of use and ends as done',
+  'a store that loses its disk while it is emptied gets no replicas, and its emptying completes',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, oneLossCluster);
@@ -138,13 +139,13 @@
   },
 );
 
-emptying('with two losses to bear a store is emptied only where five others stay', async () => {
+emptying('with five replicas, a store is emptied only if five other stores remain', async () => {
   const cluster = await worldUp(79, { ...twoLossCluster, stores: 5 });
   const refused = await cluster.operate('POST', '/v1/stores/store-0/empty');
   assert.is(refused.status, 409);
   cluster.add('store').start();
   await cluster.clock.until(
-    'six',
+    'six stores to be members',
     () =>
       [...(cluster.committed?.nodes.values() ?? [])].filter((member) => member.kind === 'store')
         .length === 6,
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -1,4 +1,4 @@
-/** Moves of slots between stores and owners, slow disks, and what is dropped when idle. */
+/** Moves of slots between stores and between owners, slow disks, and the expiry of idle programs. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { World, type Machine } from '@tillerstair/sim';
@@ -14,16 +14,16 @@
 import { runTurns } from '../support/run-turns.js';
 import { storeIdOf } from '../support/replica-cluster.js';
 
-const moves = suite('moves and growth');
+const moves = suite('slot moves');
 
 const seeds = [21, 22, 23];
 
-/** Starts one store more, and waits until it is a member as the fourth. */
+/** Starts another store and waits until the cluster has four stores. */
 const addFourthStore = async (cluster: World): Promise<Machine> => {
   const newStore = cluster.add('store');
   newStore.start();
   await cluster.clock.until(
-    'the new store',
+    'four stores to be members',
     () =>
       [...(cluster.committed?.nodes.values() ?? [])].filter((member) => member.kind === 'store')
         .length === 4,
@@ -41,12 +41,12 @@
 
 const waitUntilFilling = (cluster: World) =>
   cluster.clock.until(
-    'filling',
+    'a slot being filled',
     () => cluster.committed?.slots.some((slot) => slot.joiningReplicas.length > 0) ?? false,
     20000,
   );
 
-/** One turn of each program; all must be done. */
+/** Runs one turn of each program concurrently; fails if one of them is not done. */
 const runRound = async (
   cluster: World,
   programs: readonly string[],
@@ -68,7 +68,7 @@
 };
 
 moves(
-  'emptying is refused with the reason when too few replicas would stay, else ends with nothing held',
+  'emptying a store is rejected if too few stores would remain, and otherwise leaves it without slots',
   async () => {
     const cluster = await worldUp(seeds[0] ?? 1, small);
     const program = await cluster.clock.finish('program', cluster.program(900), 10000);
@@ -78,7 +78,7 @@
     assert.match(JSON.stringify(refused.body), 'only 2 other stores would stay');
     cluster.add('store').start();
     await cluster.clock.until(
-      'the new store',
+      'four stores to be members',
       () =>
         [...(cluster.committed?.nodes.values() ?? [])].filter((member) => member.kind === 'store')
           .length === 4,
@@ -87,7 +87,7 @@
     assert.is((await cluster.operate('POST', '/v1/stores/store-0/empty')).status, 200);
     const emptiedId = cluster.at('store-0').store?.id ?? '';
     await cluster.clock.until(
-      'half way',
+      'half of the slots moved',
       () =>
         (cluster.committed?.slots.filter((slot) => slot.replicas.includes(emptiedId)).length ??
           9) <= 4,
@@ -116,7 +116,7 @@
   },
 );
 
-moves('a planned move of owners refuses nothing and breaks nothing off', async () => {
+moves('a planned change of slot owners rejects no request and interrupts none', async () => {
   for (const seed of seeds) {
     const cluster = await worldUp(seed, small);
     const programs = await cluster.clock.finish(
@@ -154,7 +154,7 @@
   }
 });
 
-moves('a slow disk on one store delays nothing for long and loses nothing', async () => {
+moves('a slow disk of one store neither delays turns for long nor loses any', async () => {
   for (const seed of seeds) {
     const cluster = await worldUp(seed, five);
     const program = await cluster.clock.finish('program', cluster.program(900), 10000);
@@ -170,52 +170,60 @@
   }
 });
 
-moves('stores and fronts drop what was idle longer than its keeping time, whole', async () => {
-  const cluster = await worldUp(31, small);
-  const program = await cluster.clock.finish('program', cluster.program(900), 10000);
-  const [turn] = await cluster.clock.finish(
-    'turn',
-    Promise.all([cluster.turn(program.program, null, 'x #31', 'k')]),
-    10000,
-  );
-  const otherProgram = await cluster.clock.finish('program', cluster.program(900), 10000);
-  const itemCounts = () =>
-    cluster.of('store').map((machine) => machine.replicaStore?.counts().items ?? 0);
-  assert.ok(
-    itemCounts().every((count) => count >= 3),
-    itemCounts().join(),
-  );
-  for (let i = 0; i < 3; i++) {
-    await cluster.clock.run(1200000);
-    await runTurns(cluster, otherProgram.program, 100 + i, 1);
-  }
-  await cluster.clock.run(900000);
-  const expired = await cluster.clock.finish(
-    'fetch',
-    cluster.fetch(program.program, turn.turn),
-    10000,
-  );
-  assert.is(expired.errorCode, 'missing');
-  const kept = cluster.reported.filter(
-    (reply) => reply.kind === 'turn' && reply.program === otherProgram.program,
-  );
-  for (const machine of cluster.of('front')) machine.kill();
-  cluster.start(cluster.of('front'));
-  await cluster.clock.until(
-    'fronts',
-    () => cluster.readyFronts().length === 2 && cluster.slotsOpen(),
-    20000,
-  );
-  for (const reply of kept)
-    assert.is(
-      (await cluster.clock.finish('fetch', cluster.fetch(otherProgram.program, reply.turn), 10000))
-        .text,
-      reply.text,
+moves(
+  'stores and fronts drop a program that was idle beyond the retention time, and no other',
+  async () => {
+    const cluster = await worldUp(31, small);
+    const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+    const [turn] = await cluster.clock.finish(
+      'turn',
+      Promise.all([cluster.turn(program.program, null, 'x #31', 'k')]),
+      10000,
     );
-});
+    const otherProgram = await cluster.clock.finish('program', cluster.program(900), 10000);
+    const itemCounts = () =>
+      cluster.of('store').map((machine) => machine.replicaStore?.counts().items ?? 0);
+    assert.ok(
+      itemCounts().every((count) => count >= 3),
+      itemCounts().join(),
+    );
+    for (let i = 0; i < 3; i++) {
+      await cluster.clock.run(1200000);
+      await runTurns(cluster, otherProgram.program, 100 + i, 1);
+    }
+    await cluster.clock.run(900000);
+    const expired = await cluster.clock.finish(
+      'fetch',
+      cluster.fetch(program.program, turn.turn),
+      10000,
+    );
+    assert.is(expired.errorCode, 'missing');
+    const kept = cluster.reported.filter(
+      (reply) => reply.kind === 'turn' && reply.program === otherProgram.program,
+    );
+    for (const machine of cluster.of('front')) machine.kill();
+    cluster.start(cluster.of('front'));
+    await cluster.clock.until(
+      'fronts',
+      () => cluster.readyFronts().length === 2 && cluster.slotsOpen(),
+      20000,
+    );
+    for (const reply of kept)
+      assert.is(
+        (
+          await cluster.clock.finish(
+            'fetch',
+            cluster.fetch(otherProgram.program, reply.turn),
+            10000,
+          )
+        ).text,
+        reply.text,
+      );
+  },
+);
 
 moves(
-  'a store being emptied counts until its stand-in is full: another may die in the middle',
+  'a store being emptied stays a replica until its replacement is filled, even if another store fails',
   async () => {
     for (const seed of seeds) {
       const w = await worldUp(seed, small);
@@ -277,7 +285,7 @@
 );
 
 moves(
-  'while a stand-in is filled a write needs both the replicas of now and the replicas of then',
+  'while a replacement is filled, a write needs a quorum of both the old and the new replicas',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, small);
@@ -296,7 +304,7 @@
         !cluster.committed?.slots.some((slot) => slot.replicas.includes(newStoreId));
         i++
       ) {
-        assert.ok(i < 200, 'no copy was switched');
+        assert.ok(i < 200, 'no replica was replaced within 200 rounds');
         for (const program of programs)
           pending.push(
             cluster.turn(program.program, null, `j${i} #${seed}-${program.program}`, `j${i}`),
@@ -328,14 +336,14 @@
       );
       assert.ok(
         lookups.some((fetched) => fetched.errorCode === 'missing'),
-        'the switched slot is open',
+        'no slot with a replaced replica is open',
       );
       assertNoBreach(recordsOf(cluster));
     }
   },
 );
 
-/** Writes `itemsPerSlot` items of a value to each replica of each slot. */
+/** Writes `itemsPerSlot` items with the same value to each replica of each slot. */
 const fillStores = async (cluster: World, itemsPerSlot: number, value: string): Promise<void> => {
   const writes: Promise<unknown>[] = [];
   for (const machine of cluster.of('store'))
@@ -353,42 +361,39 @@
   await Promise.all(writes);
 };
 
-/** Whether a store is a replica of no slot, and no slot is being filled. */
+/** Whether a store is not a replica of any slot, and no slot is being filled. */
 const isNoReplica = (cluster: World, storeId: string): boolean =>
   cluster.committed?.slots.every(
     (slot) => !slot.replicas.includes(storeId) && slot.joiningReplicas.length === 0,
   ) ?? false;
 
-moves(
-  'twenty megabytes in 64 slots move off a store within 6 s, and the calls meanwhile are served',
-  async () => {
-    const cluster = new World(33, { controls: 3, stores: 4, fronts: 2, slots: 64 });
-    await cluster.bringUp((base) => configText(base), servers);
-    const program = await cluster.clock.finish('program', cluster.program(900), 10000);
-    const filling = fillStores(cluster, 14, 'v'.repeat(32 << 10));
-    await cluster.clock.finish('filling the stores', filling, 60000);
-    assert.ok(
-      (cluster.at('store-1').replicaStore?.counts().bytes ?? 0) > 20e6,
-      String(cluster.at('store-1').replicaStore?.counts().bytes),
-    );
-    assert.is((await cluster.operate('POST', '/v1/stores/store-number-1/empty')).status, 200);
-    const startedAt = cluster.clock.now();
-    const storeId = cluster.at('store-1').store?.id ?? 'none';
-    const isEmptied = (): boolean => isNoReplica(cluster, storeId);
-    for (let i = 0; !isEmptied() && i < 30; i++) await runTurns(cluster, program.program, i, 1);
-    await cluster.clock.until('emptied', isEmptied, 6000);
-    assert.ok(cluster.clock.now() - startedAt < 6000, `${cluster.clock.now() - startedAt} ms`);
-    const itemCounts = cluster
-      .of('store')
-      .filter((machine) => machine.store?.id !== storeId)
-      .map((machine) => machine.replicaStore?.counts().items ?? 0);
-    assert.ok(
-      itemCounts.every((count) => count >= 64 * 14),
-      itemCounts.join(),
-    );
-    await cluster.clock.run(2000);
-    assert.is(cluster.at('store-1').replicaStore?.counts().items, 0);
-  },
-);
+moves('20 MB in 64 slots move off a store within 6 s, and turns are served meanwhile', async () => {
+  const cluster = new World(33, { controls: 3, stores: 4, fronts: 2, slots: 64 });
+  await cluster.bringUp((base) => configText(base), servers);
+  const program = await cluster.clock.finish('program', cluster.program(900), 10000);
+  const filling = fillStores(cluster, 14, 'v'.repeat(32 << 10));
+  await cluster.clock.finish('filling the stores', filling, 60000);
+  assert.ok(
+    (cluster.at('store-1').replicaStore?.counts().bytes ?? 0) > 20e6,
+    String(cluster.at('store-1').replicaStore?.counts().bytes),
+  );
+  assert.is((await cluster.operate('POST', '/v1/stores/store-number-1/empty')).status, 200);
+  const startedAt = cluster.clock.now();
+  const storeId = cluster.at('store-1').store?.id ?? 'none';
+  const isEmptied = (): boolean => isNoReplica(cluster, storeId);
+  for (let i = 0; !isEmptied() && i < 30; i++) await runTurns(cluster, program.program, i, 1);
+  await cluster.clock.until('emptied', isEmptied, 6000);
+  assert.ok(cluster.clock.now() - startedAt < 6000, `${cluster.clock.now() - startedAt} ms`);
+  const itemCounts = cluster
+    .of('store')
+    .filter((machine) => machine.store?.id !== storeId)
+    .map((machine) => machine.replicaStore?.counts().items ?? 0);
+  assert.ok(
+    itemCounts.every((count) => count >= 64 * 14),
+    itemCounts.join(),
+  );
+  await cluster.clock.run(2000);
+  assert.is(cluster.at('store-1').replicaStore?.counts().items, 0);
+});
 
 moves.run();
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -1,4 +1,4 @@
-/** Stores and controls that were away or lost their disk are made whole again. */
+/** Recovery of stores and controls that were unavailable or lost their disk. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { ReplyRecord } from '@tillerstair/checker';
@@ -13,10 +13,11 @@
 } from '../support/world-helpers.js';
 import { runTurns } from '../support/run-turns.js';
 
-const refills = suite('refill of stores and controls');
+const refills = suite('recovery of stores and controls');
 
 const seeds = [21, 22, 23];
 
+/** Destroys a store's disk, restarts the fronts, and checks that each turn of a program can still be fetched. */
 const loseDiskAndReadAll = async (
   cluster: World,
   store: Machine | undefined,
@@ -42,7 +43,7 @@
 };
 
 refills(
-  'a store that was away gets what it missed from hints, and can then stand in for a lost one',
+  'a store that was unavailable gets missed writes from hints, and can then replace a lost store',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, small);
@@ -58,7 +59,7 @@
       assert.ok(hints >= 5, `${hints} hints`);
       restarted.start();
       await cluster.clock.until(
-        'hand-over',
+        'handoff of all hints',
         () =>
           [lost, other].every((machine) => machine.replicaStore?.counts().hints === 0) &&
           (restarted.replicaStore?.counts().items ?? 0) >= 6,
@@ -69,7 +70,7 @@
   },
 );
 
-refills('an empty store counts in no quorum until it is refilled', async () => {
+refills('an empty store is part of no quorum until it is refilled', async () => {
   for (const seed of seeds) {
     const cluster = await worldUp(seed, small);
     const program = await cluster.clock.finish('program', cluster.program(900), 10000);
@@ -80,7 +81,7 @@
     emptied.start();
     const storeId = () => emptied.store?.id ?? 'none';
     await cluster.clock.until(
-      'taken in',
+      'the empty store to join slots',
       () =>
         cluster.committed?.slots.some((slot) => slot.joiningReplicas.includes(storeId())) ?? false,
       30000,
@@ -88,7 +89,7 @@
     const slots = cluster.committed?.slots ?? [];
     assert.ok(
       slots.filter((slot) => slot.joiningReplicas.length > 0).length <= slots.length / 2,
-      'throttled',
+      'more than half of the slots are filled at once',
     );
     await cluster.clock.until(
       'refilled',
@@ -103,7 +104,7 @@
 });
 
 refills(
-  'a store that is being filled opens no slot, so what it lacks is not called missing',
+  'a store that is being filled counts towards no takeover, so turns it lacks are not reported missing',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, small);
@@ -165,7 +166,7 @@
   },
 );
 
-refills('with two disks lost at once history is unavailable, never missing', async () => {
+refills('with two disks lost at once, history is reported unavailable, never missing', async () => {
   for (const seed of seeds) {
     const cluster = await worldUp(seed, small);
     const program = await cluster.clock.finish('program', cluster.program(900), 10000);
@@ -192,7 +193,7 @@
 });
 
 refills(
-  'sessions of megabytes move in pages: takeover, refill and rewriting stay small and lose nothing',
+  'takeover and refill move sessions of megabytes in pages below 512 KB and lose no turn',
   async () => {
     const cluster = await worldUp(29, small);
     const program = await cluster.clock.finish('program', cluster.program(1000), 10000);
@@ -221,7 +222,7 @@
       20000,
     );
     const otherTurn = await cluster.clock.finish(
-      'other slot',
+      'turn of another slot',
       cluster.turn(otherProgram.program, null, 'short #29', 'q'),
       5000,
     );
@@ -247,7 +248,7 @@
 );
 
 refills(
-  'hints that could not be kept cost nothing when the disks of both others go one after the other',
+  'without hints, no turn is lost when the other two stores lose their disks one after the other',
   async () => {
     for (const seed of seeds) {
       const cluster = new World(seed, small);
@@ -282,71 +283,77 @@
   },
 );
 
-refills('a control that lost its disk is replaced at once, at any master', async () => {
-  for (const seed of seeds) {
-    const cluster = await worldUp(seed, small);
-    for (const machine of cluster.of('control')) {
-      const oldId = machine.control?.id ?? 'none';
-      machine.kill('power');
-      machine.platter.wipe();
-      if (seed === 22) await cluster.clock.run(1000);
-      machine.start();
-      const startedAt = cluster.clock.now();
-      await cluster.clock.until(
-        'a voter again',
-        () => cluster.committed?.voters.current.includes(machine.control?.id ?? 'none') ?? false,
+refills(
+  'a control that lost its disk is replaced as a voter without delay, even if it was the master',
+  async () => {
+    for (const seed of seeds) {
+      const cluster = await worldUp(seed, small);
+      for (const machine of cluster.of('control')) {
+        const oldId = machine.control?.id ?? 'none';
+        machine.kill('power');
+        machine.platter.wipe();
+        if (seed === 22) await cluster.clock.run(1000);
+        machine.start();
+        const startedAt = cluster.clock.now();
+        await cluster.clock.until(
+          'the new control to be a voter',
+          () => cluster.committed?.voters.current.includes(machine.control?.id ?? 'none') ?? false,
+          20000,
+        );
+        assert.ok(
+          cluster.clock.now() - startedAt < cluster.bounds.replicaReplacementDelay,
+          `${cluster.clock.now() - startedAt} ms`,
+        );
+        assert.not(cluster.committed?.voters.next.includes(oldId));
+        assert.is(cluster.committed?.voters.current.length, 3);
+        await cluster.clock.run(2000);
+      }
+      const response = await cluster.operate('PUT', '/v1/config', configText(1));
+      assert.is(response.status, 200);
+    }
+  },
+);
+
+refills(
+  'a store that lost its disk is a replica of every slot within 4.8 s of its start',
+  async () => {
+    for (const seed of seeds) {
+      const cluster = await worldUp(seed, small);
+      const programs = await cluster.clock.finish(
+        'programs',
+        Promise.all(Array.from({ length: 24 }, () => cluster.program(900))),
         20000,
       );
-      assert.ok(
-        cluster.clock.now() - startedAt < cluster.bounds.replicaReplacementDelay,
-        `${cluster.clock.now() - startedAt} ms`,
+      const turns = await cluster.clock.finish(
+        'turns',
+        Promise.all(
+          programs.map((program, i) => cluster.turn(program.program, null, `q #${seed}-${i}`, 'k')),
+        ),
+        60000,
       );
-      assert.not(cluster.committed?.voters.next.includes(oldId));
-      assert.is(cluster.committed?.voters.current.length, 3);
-      await cluster.clock.run(2000);
-    }
-    const response = await cluster.operate('PUT', '/v1/config', configText(1));
-    assert.is(response.status, 200);
-  }
-});
-
-refills('a store that lost its disk holds every slot again within 4.8 s of its start', async () => {
-  for (const seed of seeds) {
-    const cluster = await worldUp(seed, small);
-    const programs = await cluster.clock.finish(
-      'programs',
-      Promise.all(Array.from({ length: 24 }, () => cluster.program(900))),
-      20000,
-    );
-    const turns = await cluster.clock.finish(
-      'turns',
-      Promise.all(
-        programs.map((program, i) => cluster.turn(program.program, null, `q #${seed}-${i}`, 'k')),
-      ),
-      60000,
-    );
-    assert.ok(turns.every((turn) => turn.reported === 'done'));
-    const store = cluster.at('store-0');
-    store.kill('power');
-    store.platter.wipe();
-    if (seed === 22) await cluster.clock.run(1000);
-    store.start();
-    const storeId = () => store.store?.id ?? 'none';
-    await cluster.clock.until(
-      'refilled',
-      () =>
-        cluster.committed?.slots.every(
-          (slot) => slot.replicas.includes(storeId()) && slot.joiningReplicas.length === 0,
-        ) ?? false,
-      4800,
-    );
-    await loseDiskAndReadAll(cluster, cluster.of('store')[1], programs[0]?.program ?? '');
-    for (const turn of turns)
-      assert.is(
-        (await cluster.clock.finish('fetch', cluster.fetch(turn.program, turn.turn), 30000)).text,
-        turn.text,
+      assert.ok(turns.every((turn) => turn.reported === 'done'));
+      const store = cluster.at('store-0');
+      store.kill('power');
+      store.platter.wipe();
+      if (seed === 22) await cluster.clock.run(1000);
+      store.start();
+      const storeId = () => store.store?.id ?? 'none';
+      await cluster.clock.until(
+        'refilled',
+        () =>
+          cluster.committed?.slots.every(
+            (slot) => slot.replicas.includes(storeId()) && slot.joiningReplicas.length === 0,
+          ) ?? false,
+        4800,
       );
-  }
-});
+      await loseDiskAndReadAll(cluster, cluster.of('store')[1], programs[0]?.program ?? '');
+      for (const turn of turns)
+        assert.is(
+          (await cluster.clock.finish('fetch', cluster.fetch(turn.program, turn.turn), 30000)).text,
+          turn.text,
+        );
+    }
+  },
+);
 
 refills.run();
--- a/tests/src/store/replica-store.test.ts
+++ b/tests/src/store/replica-store.test.ts
@@ -1,4 +1,4 @@
-/** What a store's replicas refuse, keep and drop. */
+/** A store's replicas: fencing, replacement of items, paging, hints, retention, and a damaged replica log. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
@@ -6,7 +6,7 @@
 import { openStoreDisk, ReplicaStore } from '@tillerstair/store';
 import { silentLogger } from '@tillerstair/wire';
 
-const replicas = suite('replicas of a store');
+const replicas = suite('replica store');
 
 const retentionMs = 60000;
 const limits = { rewriteMinBytes: 1 << 30, retentionMs, maxHints: 2 };
@@ -53,7 +53,7 @@
 const keysOf = (store: ReplicaStore, slot: number): readonly string[] =>
   store.pull(slot, 0, '').items.map((entry) => entry.key);
 
-replicas('puts, fences and reads below the fence are refused, and change nothing', async () => {
+replicas('writes, fences and reads below the fence are rejected and change nothing', async () => {
   const { store, outcomeOf } = await setUp();
   assert.is(await outcomeOf(store.write(1, 5, [item('a', 5, 1)])), 'done');
   assert.is(await outcomeOf(store.fence(1, 7, '')), 'done');
@@ -65,7 +65,7 @@
 });
 
 replicas(
-  'a put raises the fence to its ownership epoch, an older one never lowers it',
+  'a write raises the fence to its ownership epoch; an older write never lowers it',
   async () => {
     const { store, outcomeOf, clock, platter } = await setUp();
     assert.is(await outcomeOf(store.write(1, 5, [item('a', 5, 1)])), 'done');
@@ -80,7 +80,7 @@
 );
 
 replicas(
-  'an item is replaced by a newer one only: by ownership epoch, then by sequence',
+  'an item is only replaced by a newer one, compared by ownership epoch, then by sequence',
   async () => {
     const { store, outcomeOf } = await setUp();
     await outcomeOf(store.acceptHandoff(1, [item('a', 2, 5)]));
@@ -94,7 +94,7 @@
   },
 );
 
-replicas('a pull before the fence is refused', async () => {
+replicas('a pull is rejected before the slot is fenced', async () => {
   const { store, outcomeOf } = await setUp();
   await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
   assert.is(
@@ -105,7 +105,7 @@
   assert.is(store.pull(1, 6, '').items.length, 1);
 });
 
-replicas('a page after an item that was dropped is refused', async () => {
+replicas('a page that follows a dropped item is rejected', async () => {
   const { store, outcomeOf } = await setUp();
   await outcomeOf(store.write(1, 5, [item('a', 5, 1), item('b', 5, 2)]));
   assert.equal(
@@ -118,7 +118,7 @@
   );
 });
 
-replicas('pages end at their size and go on after their last item', async () => {
+replicas('a page ends at the size limit, and the next one follows its last item', async () => {
   const { store, outcomeOf } = await setUp();
   const text = 'x'.repeat(50 << 10);
   for (let i = 0; i < 7; i++) await outcomeOf(store.write(1, 1, [item(`k${i}`, 1, i, text)]));
@@ -134,22 +134,19 @@
   );
 });
 
-replicas(
-  'with a disk that takes nothing writes are refused before they change memory',
-  async () => {
-    const { store, outcomeOf, platter } = await setUp();
-    await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
-    platter.full = true;
-    assert.is(await outcomeOf(store.write(1, 5, [item('b', 5, 2)])), 'unavailable');
-    assert.is(await outcomeOf(store.write(1, 5, [item('c', 5, 3)])), 'unavailable');
-    assert.is(await outcomeOf(store.fence(1, 9, '')), 'unavailable');
-    assert.equal(keysOf(store, 1), ['a', 'b']);
-    assert.is(await outcomeOf(Promise.resolve().then(() => store.read(1, 5, 'a'))), 'done');
-  },
-);
+replicas('while the disk is full, writes are rejected before they change memory', async () => {
+  const { store, outcomeOf, platter } = await setUp();
+  await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+  platter.full = true;
+  assert.is(await outcomeOf(store.write(1, 5, [item('b', 5, 2)])), 'unavailable');
+  assert.is(await outcomeOf(store.write(1, 5, [item('c', 5, 3)])), 'unavailable');
+  assert.is(await outcomeOf(store.fence(1, 9, '')), 'unavailable');
+  assert.equal(keysOf(store, 1), ['a', 'b']);
+  assert.is(await outcomeOf(Promise.resolve().then(() => store.read(1, 5, 'a'))), 'done');
+});
 
 replicas(
-  'a fence and a handoff that change nothing wait for what memory holds to be synced',
+  'a fence and a handoff that change nothing wait until all items in memory are synced',
   async () => {
     const { store, outcomeOf, platter } = await setUp();
     await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
@@ -161,7 +158,7 @@
   },
 );
 
-replicas('hints are refused once there are as many as may be kept', async () => {
+replicas('hints are rejected once the limit is reached', async () => {
   const { store, outcomeOf } = await setUp();
   assert.is(await outcomeOf(store.addHint('x', 1, [item('a', 1, 1)])), 'done');
   assert.is(await outcomeOf(store.addHint('y', 1, [item('a', 1, 2)])), 'done');
@@ -173,7 +170,7 @@
   assert.equal([...store.hintTargets()].sort(), ['x', 'y']);
 });
 
-replicas('hints and their numbers outlive a restart', async () => {
+replicas('hints and their numbers survive a restart', async () => {
   const { store, outcomeOf, clock, platter } = await setUp();
   await outcomeOf(store.addHint('x', 1, [item('a', 1, 1)]));
   await outcomeOf(store.addHint('x', 1, [item('a', 1, 2)]));
@@ -189,7 +186,7 @@
 });
 
 replicas(
-  'only what nobody touched for the retention is dropped, and a fence counts as a touch',
+  'only items neither written nor fenced within the retention time are dropped',
   async () => {
     const { store, outcomeOf, clock } = await setUp();
     await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
@@ -204,18 +201,21 @@
   },
 );
 
-replicas('a slot is forgotten only by a state of its fence or later', async () => {
-  const { store, outcomeOf } = await setUp();
-  await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
-  await outcomeOf(store.write(2, 5, [item('b', 5, 1)]));
-  await outcomeOf(store.dropReassignedSlots((slot) => (slot === 1 ? 4 : -1)));
-  assert.equal([keysOf(store, 1), keysOf(store, 2)], [['a'], ['b']]);
-  await outcomeOf(store.dropReassignedSlots((slot) => (slot === 1 ? 5 : -1)));
-  assert.equal([keysOf(store, 1), keysOf(store, 2)], [[], ['b']]);
-  assert.is(await outcomeOf(store.write(1, 4, [item('a', 4, 1)])), 'stale-epoch');
-});
+replicas(
+  'a reassigned slot is dropped only by a state that is not older than its fence',
+  async () => {
+    const { store, outcomeOf } = await setUp();
+    await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+    await outcomeOf(store.write(2, 5, [item('b', 5, 1)]));
+    await outcomeOf(store.dropReassignedSlots((slot) => (slot === 1 ? 4 : -1)));
+    assert.equal([keysOf(store, 1), keysOf(store, 2)], [['a'], ['b']]);
+    await outcomeOf(store.dropReassignedSlots((slot) => (slot === 1 ? 5 : -1)));
+    assert.equal([keysOf(store, 1), keysOf(store, 2)], [[], ['b']]);
+    assert.is(await outcomeOf(store.write(1, 4, [item('a', 4, 1)])), 'stale-epoch');
+  },
+);
 
-replicas('a turn is found with those before it, and a circle of turns ends', async () => {
+replicas('a turn is found with the turns before it, and a cycle of turns terminates', async () => {
   const { store, outcomeOf } = await setUp();
   const turn = (name: string, after: string, seq: number): Item =>
     item(`p/x/t/${name}`, 1, seq, { after });
@@ -235,31 +235,34 @@
   assert.equal(store.findTurns('one'), []);
 });
 
-replicas('a store with a damaged log of replicas gives up its id before the log', async () => {
-  const { store, outcomeOf, clock, platter } = await setUp();
-  await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
-  await outcomeOf(store.write(1, 5, [item('b', 5, 2)]));
-  const openAs = (freshId: string) =>
-    clock.finish(
-      'open',
-      openStoreDisk({
-        disk: platter.disk(clock, new Incarnation()),
-        clock,
-        timings: { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log: silentLogger },
-        limits: limits,
-        freshId: () => freshId,
-        rewriteMinBytes: 1 << 30,
-      }),
-      5000,
-    );
-  assert.is((await openAs('first')).electionStore.persisted.id, 'first');
-  platter.corrupt('store.log', 12);
-  const opened = await openAs('second');
-  assert.is(opened.electionStore.persisted.id, 'second');
-  assert.equal(keysOf(opened.replicaStore, 1), []);
-  assert.ok(platter.list().includes('store.log.damaged'));
-  assert.ok(platter.list().includes('zen.log.damaged'));
-  assert.is((await openAs('third')).electionStore.persisted.id, 'second');
-});
+replicas(
+  'a store with a damaged replica log starts under a new id, and keeps that id',
+  async () => {
+    const { store, outcomeOf, clock, platter } = await setUp();
+    await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
+    await outcomeOf(store.write(1, 5, [item('b', 5, 2)]));
+    const openAs = (freshId: string) =>
+      clock.finish(
+        'open',
+        openStoreDisk({
+          disk: platter.disk(clock, new Incarnation()),
+          clock,
+          timings: { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log: silentLogger },
+          limits: limits,
+          freshId: () => freshId,
+          rewriteMinBytes: 1 << 30,
+        }),
+        5000,
+      );
+    assert.is((await openAs('first')).electionStore.persisted.id, 'first');
+    platter.corrupt('store.log', 12);
+    const opened = await openAs('second');
+    assert.is(opened.electionStore.persisted.id, 'second');
+    assert.equal(keysOf(opened.replicaStore, 1), []);
+    assert.ok(platter.list().includes('store.log.damaged'));
+    assert.ok(platter.list().includes('zen.log.damaged'));
+    assert.is((await openAs('third')).electionStore.persisted.id, 'second');
+  },
+);
 
 replicas.run();
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -1,4 +1,4 @@
-/** Replicas of the slots: two losses at once, zones, a late store, a filler that is gone. */
+/** Replication of slots: two losses at once, zones, a store that joins late, and a joining store that is lost. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { marginLines, isMarginFull } from '@tillerstair/ctl';
@@ -27,16 +27,22 @@
 
 const seeds = [71, 72, 73];
 
-replicas('replicas and quorum follow the losses to bear, and stand in the state', async () => {
-  const cluster = await worldUp(70, twoLossCluster);
-  assert.equal(cluster.committed?.replication, { replicas: 5, quorum: 3 });
-  assert.ok(cluster.committed?.slots.every((slot) => slot.replicas.length === 5));
-  assert.equal(cluster.of('store')[0]?.store?.zen.applied?.replication, { replicas: 5, quorum: 3 });
-  const oneLossState = await worldUp(70, oneLossCluster);
-  assert.equal(oneLossState.committed?.replication, { replicas: 3, quorum: 2 });
-});
+replicas(
+  'the numbers of replicas and of the quorum follow the tolerated losses, and are part of the state',
+  async () => {
+    const cluster = await worldUp(70, twoLossCluster);
+    assert.equal(cluster.committed?.replication, { replicas: 5, quorum: 3 });
+    assert.ok(cluster.committed?.slots.every((slot) => slot.replicas.length === 5));
+    assert.equal(cluster.of('store')[0]?.store?.zen.applied?.replication, {
+      replicas: 5,
+      quorum: 3,
+    });
+    const oneLossState = await worldUp(70, oneLossCluster);
+    assert.equal(oneLossState.committed?.replication, { replicas: 3, quorum: 2 });
+  },
+);
 
-replicas('two losses to bear: a write that only two stores hold does not count', async () => {
+replicas('with five replicas, a write stored by only two stores is not acknowledged', async () => {
   for (const seed of seeds) {
     const cluster = await worldUp(seed, { ...twoLossCluster, stores: 5 });
     const program = await cluster.clock.finish('program', cluster.program(900), 10000);
@@ -58,7 +64,7 @@
 });
 
 replicas(
-  'two losses to bear: two stores wiped right after acknowledged writes lose nothing and run nothing twice',
+  'with five replicas, two disks lost right after acknowledged writes lose no turn and run no call twice',
   async () => {
     for (const seed of [...seeds, 74, 75, 76]) {
       const cluster = await worldUp(seed, twoLossCluster);
@@ -71,7 +77,11 @@
       await restartFronts(cluster);
       for (const machine of lost) machine.start();
       const startedAt = cluster.clock.now();
-      await cluster.clock.until('whole again', () => isFullyReplicated(cluster, lostIds), 20000);
+      await cluster.clock.until(
+        'all replicas replaced',
+        () => isFullyReplicated(cluster, lostIds),
+        20000,
+      );
       assert.ok(
         cluster.clock.now() - startedAt < 4800,
         `${Math.round(cluster.clock.now() - startedAt)} ms`,
@@ -89,7 +99,7 @@
   },
 );
 
-replicas('a lost zone leaves every slot a quorum where zones allow it', () => {
+replicas('every slot keeps a quorum after the loss of a zone, where the zones allow it', () => {
   const member = (kind: Member['kind'], index: number, zone: string): Member => ({
     id: `${kind}-${index}`,
     kind,
@@ -135,14 +145,18 @@
 });
 
 replicas(
-  'a store that is missing at the first start does not keep the others from serving, and is taken in later',
+  'a store that is missing at the first start does not keep the others from serving, and joins later',
   async () => {
     for (const seed of seeds) {
       const cluster = await worldUp(seed, { ...twoLossCluster, stores: 4 });
       assert.ok(cluster.committed?.slots.every((slot) => slot.replicas.length === 4));
       await runWorkload(cluster, 'm');
       cluster.add('store').start();
-      await cluster.clock.until('whole', () => isFullyReplicated(cluster), 10000);
+      await cluster.clock.until(
+        'all slots fully replicated',
+        () => isFullyReplicated(cluster),
+        10000,
+      );
       for (const machine of cluster.of('store').slice(0, 2)) loseDisk(machine);
       await restartFronts(cluster);
       await cluster.clock.run(2000);
@@ -151,13 +165,13 @@
   },
 );
 
-replicas('fewer stores than the quorum are never served from', async () => {
+replicas('with fewer stores than the quorum the cluster does not serve', async () => {
   const cluster = await worldUp(77, { ...twoLossCluster, stores: 2 }).catch(() => undefined);
   assert.is(cluster, undefined);
 });
 
 replicas(
-  'the margin tells how many more losses are borne, and nothing without a majority',
+  'the margin reports how many more losses are tolerated, and is unavailable without a majority',
   async () => {
     const cluster = await worldUp(80, twoLossCluster);
     const margin = async () =>
@@ -183,7 +197,11 @@
     const fullSlots =
       cluster.committed?.slots.filter((slot) => slot.replicas.length === 5).length ?? 0;
     assert.ok(marginLines(after).length > 2 && marginLines(after).length <= 2 + fullSlots);
-    await cluster.clock.until('whole again', () => isFullyReplicated(cluster, [lost]), 20000);
+    await cluster.clock.until(
+      'all replicas replaced',
+      () => isFullyReplicated(cluster, [lost]),
+      20000,
+    );
     assert.is((await margin()).leastSlotMargin, 2);
     for (const machine of cluster.of('control'))
       if (machine !== cluster.master) machine.kill('power');
@@ -191,7 +209,7 @@
   },
 );
 
-replicas('a filler that is gone for good is replaced by another one', async () => {
+replicas('a joining store that is lost is replaced by another one', async () => {
   for (const seed of seeds) {
     const cluster = await worldUp(seed, { ...oneLossCluster, stores: 3 });
     await runWorkload(cluster, 'f');
@@ -209,7 +227,7 @@
     const lostId = storeIdOf(lost);
     loseDisk(lost);
     await cluster.clock.until(
-      'filling',
+      'a slot being filled by the joining store',
       () =>
         cluster.committed?.slots.some((slot) => slot.joiningReplicas.includes(storeIdOf(filler))) ??
         false,
@@ -217,7 +235,11 @@
     );
     loseDisk(filler);
     cluster.add('store').start();
-    await cluster.clock.until('whole', () => isFullyReplicated(cluster, [lostId]), 10000);
+    await cluster.clock.until(
+      'all slots fully replicated',
+      () => isFullyReplicated(cluster, [lostId]),
+      10000,
+    );
     loseDisk(cluster.at('store-1'));
     await restartFronts(cluster);
     await cluster.clock.run(2000);
@@ -226,7 +248,7 @@
 });
 
 replicas(
-  'an empty store that replaces a lost one at another address holds every slot within half of catchUpS, slow disks too',
+  'an empty store at a new address replaces a lost one within half of catchUpS, even with slow disks',
   async () => {
     const halfCatchUpMs = 2400;
     for (const [lossAgeMs, diskDelayMs] of [
@@ -249,7 +271,11 @@
       newStore.platter.delay = diskDelayMs;
       newStore.start();
       const startedAt = cluster.clock.now();
-      await cluster.clock.until('whole', () => isFullyReplicated(cluster, [lostId]), 20000);
+      await cluster.clock.until(
+        'all slots fully replicated',
+        () => isFullyReplicated(cluster, [lostId]),
+        20000,
+      );
       assert.ok(
         cluster.clock.now() - startedAt <= halfCatchUpMs,
         `${lossAgeMs} ms after the loss, disk ${diskDelayMs} ms: ${Math.round(cluster.clock.now() - startedAt)} ms`,
@@ -263,7 +289,7 @@
 );
 
 replicas(
-  'a try that nobody knows is called unknown while every slot has enough replies, and not with fewer',
+  'a look-up of an unknown attempt finds nothing while every slot has a quorum, and fails otherwise',
   async () => {
     const cluster = await worldUp(82, { ...twoLossCluster, stores: 5 });
     const owner = cluster.of('front')[0]?.front?.owner;
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -1,4 +1,4 @@
-/** What a store answers to requests of other nodes, and what it hands on by itself. */
+/** Requests of other nodes to a store, and the refill, handoff and maintenance that it runs by itself. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Incarnation, SimClock, SimNet, SimPlatter, seededRng } from '@tillerstair/sim';
@@ -41,7 +41,9 @@
   ...changes,
 });
 
-/** Requests that other nodes got, as `ADDRESS KIND`; those that `refuses` names are refused. */
+/**
+ * A store with scripted peers. `received` lists their requests as `ADDRESS KIND`; `rejects` selects those that fail.
+ */
 interface StoreFixture {
   readonly clock: SimClock;
   readonly platter: SimPlatter;
@@ -63,7 +65,7 @@
   ),
 });
 
-/** What a scripted peer answers: the control leads, the stores hold one item each. */
+/** The response of a scripted peer: the control is the master, each store holds one item. */
 const answerOf = (id: string, kind: string, state: State): unknown => {
   switch (kind) {
     case 'store/pull':
@@ -90,7 +92,7 @@
   }
 };
 
-/** Opens the disk of a store that voted for the control and accepted its state. */
+/** Opens the disk of a store that voted for the control and accepted its cluster state. */
 const openDisk = async (
   clock: SimClock,
   platter: SimPlatter,
@@ -114,13 +116,13 @@
   return disk;
 };
 
-const refusesNothing = (): boolean => false;
+const rejectsNothing = (): boolean => false;
 
-/** A running store among scripted peers; the scripted master commits the state that `slots` make. */
+/** Starts a store among scripted peers, after whose master has committed a state with these slots. */
 const setUp = async (
   slots: readonly Slot[],
   stores: readonly string[],
-  refuses: (call: string) => boolean = refusesNothing,
+  rejects: (call: string) => boolean = rejectsNothing,
 ): Promise<StoreFixture> => {
   const clock = new SimClock();
   const platter = new SimPlatter(seededRng(1));
@@ -146,7 +148,7 @@
       ),
       10000,
     );
-  const fixture: StoreFixture = { clock, platter, node, received: [], rejects: refuses, ask };
+  const fixture: StoreFixture = { clock, platter, node, received: [], rejects, ask };
   for (const id of [control.id, ...stores.filter((store) => store !== 'store-0')]) {
     const answer = async (kind: string): Promise<unknown> => {
       const call = `${id} ${kind}`;
@@ -166,14 +168,14 @@
 const stop = (fixture: StoreFixture): Promise<void> =>
   fixture.clock.finish('stop', fixture.node.stop(), 20000);
 
-requests('a request of an unknown kind is refused', async () => {
+requests('a request of an unknown kind is rejected', async () => {
   const fixture = await setUp([slotWith({})], ['store-0']);
   assert.is(await fixture.ask('store/none', {}), 'unknown-kind');
   await stop(fixture);
 });
 
 requests(
-  'a turn is looked for only where the store is a replica, and only once synced',
+  'a turn is looked up only in slots that the store replicates, and only once they are synced',
   async () => {
     const replica = slotWith({ replicas: ['store-0', 'store-1', 'store-2'] });
     const fixture = await setUp([replica, slotWith({})], ['store-0', 'store-1', 'store-2']);
@@ -187,7 +189,7 @@
 );
 
 requests(
-  'a joining replica says that it is filled once a quorum of replicas was pulled',
+  'a joining replica reports itself as filled once it has pulled from a quorum of replicas',
   async () => {
     const joining = slotWith({ joiningReplicas: ['store-0'], replacedReplica: 'store-3' });
     const fixture = await setUp([joining], ['store-0', 'store-1', 'store-2', 'store-3']);
@@ -210,7 +212,7 @@
 );
 
 requests(
-  'a joining replica that reaches too few replicas does not say that it is filled',
+  'a joining replica that reaches fewer replicas than a quorum does not report itself as filled',
   async () => {
     const joining = slotWith({ joiningReplicas: ['store-0'], replacedReplica: 'store-3' });
     const fixture = await setUp(
@@ -225,7 +227,7 @@
   },
 );
 
-requests('a hint is handed over and then dropped, and kept while that fails', async () => {
+requests('a hint is dropped after its handoff, and kept while the handoff fails', async () => {
   const slot = slotWith({ replicas: ['store-1', 'store-2', 'store-3'] });
   const fixture = await setUp([slot], ['store-0', 'store-1']);
   fixture.rejects = (call) => call === 'store-1 store/hand';
@@ -234,15 +236,15 @@
   await fixture.clock.run(3000);
   const hintCount = (): string | undefined =>
     fixture.node.nodeView().facts.find(([name]) => name === 'own hints')?.[1];
-  assert.is(hintCount(), '3', 'to a failing replica and to one that is unavailable');
+  assert.is(hintCount(), '3', 'hints for a failing replica and for one that is unavailable');
   fixture.rejects = () => false;
   await fixture.clock.run(2000);
-  assert.is(hintCount(), '2', 'to a replica that is unavailable');
+  assert.is(hintCount(), '2', 'hints for a replica that is unavailable');
   await stop(fixture);
 });
 
 requests(
-  'only a slot that the state assigns to others, and that is not fenced later, is dropped',
+  'a slot is dropped only if the state assigns it to other stores and it has no later fence',
   async () => {
     const replica = slotWith({ replicas: ['store-0', 'store-1', 'store-2'] });
     const slots = [slotWith({}), slotWith({}), replica, slotWith({ replicas: [] })];
--- a/tests/src/support/replica-cluster.ts
+++ b/tests/src/support/replica-cluster.ts
@@ -1,8 +1,11 @@
-/** Worlds that bear one or two losses, work done in them, and the check that it was kept. */
+/**
+ * Clusters that tolerate the loss of one or two stores, a workload of turns and calls, and the check that it survived.
+ */
 import * as assert from 'uvu/assert';
 import type { World, Machine, WorldSizes } from '@tillerstair/sim';
 import { acts, assertNoBreach, recordsOf } from './world-helpers.js';
 
+/** Timings of the simulated clusters, in ms. */
 const clusterBounds = {
   serveWithin: 12000,
   drainingWithin: 3000,
@@ -10,6 +13,7 @@
   failureTimeout: 1800,
 };
 
+/** A cluster that tolerates two losses: five replicas of each slot on seven stores. */
 export const twoLossCluster: WorldSizes = {
   controls: 5,
   stores: 7,
@@ -18,6 +22,7 @@
   outer: clusterBounds,
 };
 
+/** A cluster that tolerates one loss: three replicas of each slot on four stores. */
 export const oneLossCluster: WorldSizes = {
   controls: 3,
   stores: 4,
@@ -25,14 +30,16 @@
   outer: clusterBounds,
 };
 
+/** The id of the store that runs on a machine; 'none' if none runs. */
 export const storeIdOf = (machine: Machine | undefined): string => machine?.store?.id ?? 'none';
 
+/** Cuts a machine's power and erases its disk. */
 export const loseDisk = (machine: Machine | undefined): void => {
   machine?.kill('power');
   machine?.platter.wipe();
 };
 
-/** All replicas are there, and none of them on the stores `lost`. */
+/** Whether each slot has all its replicas on members of the cluster, none of them on a store of `lostIds`. */
 export const isFullyReplicated = (cluster: World, lostIds: readonly string[] = []): boolean => {
   const state = cluster.committed;
   return (
@@ -47,7 +54,7 @@
   );
 };
 
-/** Runs turns and calls for a while; resolves with the programs once all were answered. */
+/** Creates 12 programs and runs a turn and a keyed call for each; resolves with their ids once all were answered. */
 export const runWorkload = async (cluster: World, tag: string): Promise<readonly string[]> => {
   const programs = await cluster.clock.finish(
     'programs',
@@ -71,6 +78,10 @@
   return programs.map((program) => program.program);
 };
 
+/**
+ * Checks that each turn reported as done can be fetched with its text, and that each call of the workload, when
+ * repeated under its key, has run exactly once.
+ */
 export const assertWorkloadPreserved = async (cluster: World, tag: string): Promise<void> => {
   for (const turn of cluster.reported.filter(
     (reply) => reply.kind === 'turn' && reply.reported === 'done',
@@ -80,17 +91,22 @@
       turn.text,
     );
   for (let i = 0; i < 12; i++) {
-    await cluster.clock.finish('call again', cluster.call(`${tag}-${i}`, '/hold', { n: i }), 60000);
+    await cluster.clock.finish(
+      'repeated call',
+      cluster.call(`${tag}-${i}`, '/hold', { n: i }),
+      60000,
+    );
     assert.is(acts(cluster, `${tag}-${i}`), 1);
   }
   assertNoBreach(recordsOf(cluster));
 };
 
+/** Kills and restarts all fronts, so that new slot owners read their slots from the stores. */
 export const restartFronts = async (cluster: World): Promise<void> => {
   for (const machine of cluster.of('front')) machine.kill();
   cluster.start(cluster.of('front'));
   await cluster.clock.until(
-    'fronts',
+    'all fronts ready and all slots served',
     () => cluster.readyFronts().length === cluster.of('front').length && cluster.slotsServed(),
     20000,
   );
--- a/tests/src/support/run-turns.ts
+++ b/tests/src/support/run-turns.ts
@@ -1,7 +1,8 @@
-/** Turns to be kept over repairs, and the check that they were. */
+/** Runs turns that must still be readable after stores were replaced. */
 import * as assert from 'uvu/assert';
 import { World } from '@tillerstair/sim';
 
+/** Runs `count` turns of a program one after the other, numbered from `from`; fails if one of them is not done. */
 export const runTurns = async (
   cluster: World,
   program: string,
