--- a/packages/control/src/allocation-controller.ts
+++ b/packages/control/src/allocation-controller.ts
@@ -1,9 +1,10 @@
 /**
- * What a master does about slots, servers and voters as nodes come, go and report: it assigns owners and replicas,
- * says which servers are down, and passes the votes of lost controls on.
+ * Allocation by the master as nodes join, leave and report: assigns owners and replicas to slots, marks servers as
+ * down, and moves the votes of lost controls to spare ones.
  *
- * Its own state is in memory only and serves decisions about time: who was silent since when, who arrived when. The
- * decisions go into the cluster state, whose reducers keep the invariants (design.md, "Slots, owners, ownership epochs").
+ * Its own state is kept in memory only and tracks time: how long a node has been unresponsive, and when it joined.
+ * Decisions are committed to the cluster state, whose reducers enforce the invariants
+ * (design.md, "Slots, owners, ownership epochs").
  */
 import {
   allocate,
@@ -22,19 +23,21 @@
 import { SlotTransfers, transferReleased } from './slot-transfers.js';
 import { findVoterReplacement } from './voter-replacement.js';
 
-/** The part of a heartbeat for which further fronts are waited for, while some front serves slots and while none does. */
+/**
+ * Divides the heartbeat interval to get the wait for further fronts, while some front serves slots and while none does.
+ */
 const frontArrivalDivisor = { whileServed: 2, whileUnserved: 5 } as const;
-/** The part of the slots whose owners may change at once. */
+/** Divides the number of slots to get the most slots that may be marked to change owner at once. */
 const ownerMoveDivisor = 16;
-/** The part of the slots to which a replica may be added at once. */
+/** Divides the number of slots to get the most slots that may have a joining replica at once. */
 const replicaFillDivisor = 2;
-/** How many failure timeouts an owner gets to release a slot that is to move. */
+/** Failure timeouts within which an owner is to release a slot; after that the slot moves without a release. */
 const transferTimeouts = 4;
 
 const idsOf = (state: State, kind: Member['kind']): readonly string[] =>
   [...state.nodes.values()].filter((member) => member.kind === kind).map((member) => member.id);
 
-/** Allocates for one control, whenever it is master. */
+/** Allocates slots, marks servers and replaces voters while this control is master. */
 export class AllocationController {
   private readonly addresses = new AddressHistory();
   private readonly health = new ServerHealth();
@@ -51,18 +54,18 @@
     private readonly log: Logger,
   ) {}
 
-  /** Takes over the addresses of an applied state; called for every state, also on controls that are not master. */
+  /** Records the node addresses of an applied state. Called for every state, also on controls that are not master. */
   readonly recordAddresses = (state: State): void => {
     this.addresses.update(state);
   };
 
-  /** Adds to a state that is about to be published what follows from it: votes passed on, slots allocated. */
+  /** Adds the consequences of a change to a state before it is published: voter replacement and slot allocation. */
   readonly settle = (state: State): State => {
     this.recordAddresses(state);
     return this.allocateSlots(this.replaceVoter(state));
   };
 
-  /** Takes over a front's report; one that is malformed is dropped. */
+  /** Processes a front's report; a malformed one is dropped. */
   readonly onReport = (front: string, report: unknown): void => {
     const parsed = FrontReport.safeParse(report);
     if (!parsed.success) return;
@@ -75,12 +78,12 @@
     this.health.record(front, seen, this.clock.now());
   };
 
-  /** The median pace that fronts report of each server. */
+  /** The median throughput that fronts report of each server, by server id. */
   throughputs(state: State): ReadonlyMap<string, number> {
     return this.health.medianThroughputs(state);
   }
 
-  /** Marks servers and moves overdue slots every half heartbeat, until the master steps down. */
+  /** Marks servers and moves overdue slots every half heartbeat interval, until the master steps down. */
   async run(master: MasterView): Promise<void> {
     this.master = master;
     await repeatWhileMaster(
@@ -107,9 +110,9 @@
   }
 
   private allocateSlots(state: State): State {
-    const waitMs = this.waitForFronts(state);
+    const waitMs = this.remainingFrontWaitMs(state);
     if (waitMs > 0) {
-      this.allocateIn(waitMs);
+      this.scheduleAllocation(waitMs);
       return state;
     }
     const slotCount = state.slots.length;
@@ -123,8 +126,8 @@
     });
   }
 
-  /** How long to wait yet for further fronts, in ms; not above 0 when allocation may go on. */
-  private waitForFronts(state: State): number {
+  /** Remaining wait for further fronts, in ms; 0 or less when allocation may proceed. */
+  private remainingFrontWaitMs(state: State): number {
     const now = this.clock.now();
     const arrivedAt = this.frontArrivals.observe(idsOf(state, 'front'), now);
     const isServed = state.slots.some((slot) => state.nodes.has(slot.owner));
@@ -132,7 +135,10 @@
     return arrivedAt + this.bounds.heartbeatInterval / divisor - now;
   }
 
-  /** Slots get their first replicas once all can be placed, or a quorum of them when no further store comes. */
+  /**
+   * Stores needed before slots get their first replicas: one for each replica, or only a quorum once no store has
+   * joined for a failure timeout.
+   */
   private minStores(state: State): number {
     const now = this.clock.now();
     const arrivedAt = this.storeArrivals.observe(idsOf(state, 'store'), now);
@@ -141,28 +147,29 @@
       : state.replication.replicas;
   }
 
-  /** An empty change is settled like any other, which allocates. */
-  private allocateIn(ms: number): void {
+  /** Submits an unchanged state after a delay in ms; settling it allocates the slots. */
+  private scheduleAllocation(delayMs: number): void {
     this.nextAllocation?.stop();
-    this.nextAllocation = this.clock.after(ms, () => {
+    this.nextAllocation = this.clock.after(delayMs, () => {
       if (this.master) void submitOrRetryLater(this.master, (state) => state);
     });
   }
 
   /**
-   * Stores whose replicas are not waited for any longer: silent for too long, or absent while a store stands by that
-   * holds no slot, as one does that was started in place of another.
+   * Absent stores whose replicas are to be replaced: those that were unresponsive for longer than the replacement
+   * delay, or all of them while there is a standby store, which holds no slot, as there is when a store was started to
+   * replace another.
    */
   private findUnresponsiveStores(state: State, master: MasterView): ReadonlySet<string> {
-    const holders = new Set(state.slots.flatMap(replicasToWrite));
+    const assignedStores = new Set(state.slots.flatMap(replicasToWrite));
     const hasStandby = [...state.nodes.values()].some(
-      ({ id, kind }) => kind === 'store' && !holders.has(id) && !state.retiring.has(id),
+      ({ id, kind }) => kind === 'store' && !assignedStores.has(id) && !state.retiring.has(id),
     );
     const isUnresponsive = (id: string): boolean =>
       hasStandby ||
       this.unresponsiveStores.has(id) ||
       master.unresponsiveFor(id) > this.bounds.replicaReplacementDelay;
-    return new Set([...holders].filter((id) => !state.nodes.has(id) && isUnresponsive(id)));
+    return new Set([...assignedStores].filter((id) => !state.nodes.has(id) && isUnresponsive(id)));
   }
 
   private replaceVoter(state: State): State {
@@ -173,7 +180,9 @@
     );
     if (!replacement) return state;
     const { lostId, spare } = replacement;
-    this.log.info(`Control ${lostId} is lost, ${spare.addr} takes its place.`);
+    this.log.info(
+      `Voting control ${lostId} is lost; its vote moves to the control at ${spare.addr}.`,
+    );
     return reduceState(state, { kind: 'voters', out: lostId, in: spare });
   }
 }
--- a/packages/control/src/arrivals.ts
+++ b/packages/control/src/arrivals.ts
@@ -1,14 +1,14 @@
-/** When the last node of a kind arrived: allocation waits a little for further ones, to move fewer slots. */
+/** Tracks when a node of a kind last joined: allocation waits briefly for further nodes, so that fewer slots move. */
 
-/** Watches a set of ids for new ones. */
+/** Detects new ids in a changing set of ids. */
 export class Arrivals {
-  private known: ReadonlySet<string> = new Set();
-  private lastAt = -Infinity;
+  private knownIds: ReadonlySet<string> = new Set();
+  private lastArrivalAt = -Infinity;
 
-  /** Takes over the ids that are there now and returns when the last new one was seen, in ms of the clock. */
+  /** Records the current ids and returns when a new one last appeared, in ms of the clock; -Infinity for never. */
   observe(ids: readonly string[], now: number): number {
-    if (ids.some((id) => !this.known.has(id))) this.lastAt = now;
-    this.known = new Set(ids);
-    return this.lastAt;
+    if (ids.some((id) => !this.knownIds.has(id))) this.lastArrivalAt = now;
+    this.knownIds = new Set(ids);
+    return this.lastArrivalAt;
   }
 }
--- a/packages/control/src/cluster-reports.ts
+++ b/packages/control/src/cluster-reports.ts
@@ -1,4 +1,4 @@
-/** What operators are shown of the cluster state: its status, and how far the emptying of a store is. */
+/** Reports on the cluster state for operators: its status, and the progress of emptying stores and draining fronts. */
 import {
   liveNodes,
   replicasToWrite,
@@ -9,7 +9,7 @@
   type State,
 } from '@tillerstair/state';
 
-/** How far the emptying of a store is, in slots; `done` when it may be switched off for good. */
+/** Progress of emptying a store, in slots; `done` once the store may be switched off permanently. */
 export interface EmptyingProgress {
   readonly store: string;
   readonly retiring: boolean;
@@ -19,8 +19,8 @@
 }
 
 /**
- * How far the emptying of a store is. It is done only when the loss of all that may be lost at once would be borne
- * without it (design.md, "Emptying a store").
+ * Computes the progress of emptying a store. It is done only when, without this store, every slot tolerates all the
+ * simultaneous losses that its replication is meant for (design.md, "Emptying a store").
  */
 export const emptyingProgress = (
   state: State,
@@ -39,21 +39,21 @@
   };
 };
 
-/** How far the draining of a front is, in slots that it still owns. */
+/** Progress of draining a front: the number of slots that it still owns. */
 export interface DrainingProgress {
   readonly front: string;
   readonly retiring: boolean;
   readonly slotsHeld: number;
 }
 
-/** How far the draining of a front is. */
+/** Computes the progress of draining a front. */
 export const drainingProgress = (state: State, frontId: string): DrainingProgress => ({
   front: frontId,
   retiring: state.retiring.has(frontId),
   slotsHeld: state.slots.filter((slot) => slot.owner === frontId).length,
 });
 
-/** The cluster at a glance, as `GET /v1/status` shows it. */
+/** Summary of the cluster, as `GET /v1/status` returns it. */
 export interface StatusReport {
   readonly clusterId: string;
   readonly term: number;
@@ -72,7 +72,7 @@
   readonly weights: readonly (readonly [string, number])[];
 }
 
-/** The cluster at a glance, with the stores counted as live that `isLive` names. */
+/** Summarizes the cluster; `isLive` says which stores count as live. */
 export const statusReport = (state: State, isLive: IsLive): StatusReport => ({
   clusterId: state.clusterId,
   term: state.term,
--- a/packages/control/src/daemon.ts
+++ b/packages/control/src/daemon.ts
@@ -1,10 +1,10 @@
-/** The command line of the program `control-node`. */
+/** Command line of the program `control-node`. */
 import { ControlSettings, runDaemon } from '@tillerstair/settings';
 import { startControl } from './start.js';
 
 void runDaemon({
   name: 'control-node',
-  about: "Keeps the cluster state, may become master, takes the operators' HTTP.",
+  about: "Keeps the cluster state, can be elected master, serves the operators' HTTP interface.",
   schema: ControlSettings,
   flags: [
     ['addr', 'Own address, IP:PORT'],
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,4 +1,4 @@
-/** The control program's parts: the node, the operators' interface, allocation, the list of servers, weight tuning. */
+/** The control program: the node, the operators' interface, allocation, polling of the server list, weight tuning. */
 export * from './messages.js';
 export * from './operations/operations.js';
 export * from './allocation-controller.js';
--- a/packages/control/src/list-poll.ts
+++ b/packages/control/src/list-poll.ts
@@ -1,6 +1,7 @@
 /**
- * The master's poll of the list of servers: each reading that differs is committed, and its age is what fronts are told
- * of the list. Only readings that began in this term count: an older one may lack what the last master had committed.
+ * The master's poll of the server list: commits each reading that changes the state, and reports the age of the
+ * committed reading to fronts. Only readings that began in this term count: an earlier one may lack servers that the
+ * previous master had committed.
  */
 import { applyServerList, type ServerListReport } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
@@ -13,10 +14,10 @@
   type ReadingTimes,
 } from './list-reader.js';
 
-/** The part of the interval that is paused at least, however late a reading comes. */
-const leastPauseDivisor = 20;
+/** Divides the read interval to get the shortest pause between two polls, however late a reading completes. */
+const minPauseDivisor = 20;
 
-/** Polls the list while this control is master. */
+/** Polls the server list while this control is master. */
 export class ListPoll {
   private term = -1;
   private committed: ReadingTimes = neverRead;
@@ -26,7 +27,7 @@
     private readonly reader: ListReader,
   ) {}
 
-  /** Reads the list at its interval until the master steps down. */
+  /** Reads the server list at its interval until the master steps down. */
   async run(master: MasterView): Promise<void> {
     const startedAt = this.clock.now();
     this.term = master.term;
@@ -36,11 +37,11 @@
       if (reading.triedAt >= startedAt) await this.commit(master, reading).catch(() => undefined);
       const { intervalMs } = this.reader;
       const untilNext = reading.triedAt + intervalMs - this.clock.now();
-      await delay(this.clock, Math.max(intervalMs / leastPauseDivisor, untilNext), master.lost);
+      await delay(this.clock, Math.max(intervalMs / minPauseDivisor, untilNext), master.lost);
     }
   }
 
-  /** The ages of the newest reading that this term has committed; nulls for another term. */
+  /** Ages of the newest reading that was committed in this term; nulls for any other term. */
   reported(term: number | undefined): ServerListReport {
     return term === this.term
       ? ageReport(this.committed, this.clock.now())
--- a/packages/control/src/list-reader.ts
+++ b/packages/control/src/list-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the list of servers of the deployment, as rarely as its bound allows and with one reading at a time, whoever
- * asks. Owns the newest reading of this control.
+ * Reads the server list of the deployment, at most once per interval and with one reading in flight at a time, however
+ * many callers ask. Keeps the newest reading of this control.
  */
 import type { ListedServer, ServerListReply, ServerListReport } from '@tillerstair/state';
 import {
@@ -16,38 +16,41 @@
 
 export type { ListedServer } from '@tillerstair/state';
 
-/** A list of servers that the deployment keeps elsewhere. */
+/** A list of servers that the deployment maintains outside the cluster. */
 export interface ServerList {
-  /** Reads all of it. Rejects when it cannot be read; an answer after `withinMs` comes too late. */
+  /** Reads the whole list. Rejects if it cannot be read; a result that takes longer than `withinMs` is ignored. */
   read(withinMs: number): Promise<readonly ListedServer[]>;
 }
 
-/** When the list was last asked for and when the newest answer was asked for, in ms of the clock; -Infinity for never. */
+/**
+ * Start times of the last attempt to read the list and of the last one that succeeded, in ms of the clock; -Infinity
+ * for never.
+ */
 export interface ReadingTimes {
   readonly triedAt: number;
   readonly readAt: number;
 }
 
-/** The newest answer of the list, and its times. */
+/** The servers of the last successful reading, with the times of the readings. */
 export interface ListReading extends ReadingTimes {
   readonly servers: readonly ListedServer[];
 }
 
-/** The times of a list that was never asked. */
+/** Times of a list that was never read. */
 export const neverRead: ReadingTimes = { triedAt: -Infinity, readAt: -Infinity };
 
 const ageOf = (at: number, now: number): number | null => (at === -Infinity ? null : now - at);
 
-/** The ages of a reading, in ms; null for never. */
+/** Ages of a reading at the time `now`, in ms; null for never. */
 export const ageReport = ({ triedAt, readAt }: ReadingTimes, now: number): ServerListReport => ({
   age: ageOf(triedAt, now),
   readAge: ageOf(readAt, now),
 });
 
-/** The part of the pause between readings after which a reply no longer waits for the reading under way. */
+/** Divides the read interval to get the longest time that a reply waits for the reading in flight. */
 const replyDivisor = 4;
 
-/** Reads the list for one control. */
+/** Reads the server list for one control. */
 export class ListReader {
   private newest: ListReading = { ...neverRead, servers: [] };
   private inFlight: Promise<ListReading> | undefined;
@@ -60,12 +63,12 @@
     private readonly log: Logger,
   ) {}
 
-  /** The pause between two readings, in ms. */
+  /** Minimum interval between two readings, in ms. */
   get intervalMs(): number {
     return this.bounds.listReadInterval;
   }
 
-  /** The newest reading: one under way, one that is not older than the interval, or a new one. Never rejects. */
+  /** The reading in flight, the newest one if it is younger than the interval, or else a new one. Never rejects. */
   async read(): Promise<ListReading> {
     if (this.inFlight) return this.inFlight;
     if (this.clock.now() - this.newest.triedAt < this.intervalMs) return this.newest;
@@ -75,13 +78,15 @@
     return this.inFlight;
   }
 
-  /** What a node that asks is told; when the list is slow, the last answer with the age of the attempt. */
+  /**
+   * Replies to a node that requests the list. If a reading is slow: the previous servers, with the age of the attempt.
+   */
   async reply(): Promise<ServerListReply> {
-    const late = delay(this.clock, this.intervalMs / replyDivisor).then(() => ({
+    const fallback = delay(this.clock, this.intervalMs / replyDivisor).then(() => ({
       ...this.newest,
       triedAt: this.attemptedAt,
     }));
-    const reading = await Promise.race([this.read(), late]);
+    const reading = await Promise.race([this.read(), fallback]);
     const idsWhere = (draining: boolean): readonly string[] =>
       reading.servers.filter((server) => server.draining === draining).map(({ id }) => id);
     return {
--- a/packages/control/src/main.ts
+++ b/packages/control/src/main.ts
@@ -1,4 +1,7 @@
 #!/usr/bin/env node
-/** The program `control-node`. SIGHUP ends a process that has no handler, so it gets one before anything else is loaded. */
+/**
+ * Entry point of `control-node`. SIGHUP ends a process that has no handler, so one is set before anything else is
+ * loaded.
+ */
 process.on('SIGHUP', () => undefined);
 void import('./daemon.js');
--- a/packages/control/src/master-loop.ts
+++ b/packages/control/src/master-loop.ts
@@ -1,4 +1,4 @@
-/** Periodic work of a master, from its election until it steps down. */
+/** Periodic tasks of a master, from its election until it steps down. */
 import type { State } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
 import type { MasterView } from '@tillerstair/zen';
@@ -22,7 +22,7 @@
   }
 };
 
-/** Submits a change that is made again at the next interval if it fails now, so its failure is of no concern. */
+/** Submits a change, ignoring a failure: the caller makes the change again at its next interval. */
 export const submitOrRetryLater = async (
   master: MasterView,
   change: (state: State) => State,
@@ -30,6 +30,6 @@
   try {
     await master.submit(change);
   } catch {
-    // The master lost its majority or its office; the next interval, or the next master, makes the change.
+    // The master lost its majority or stepped down; the next interval, or the next master, makes the change.
   }
 };
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -1,7 +1,7 @@
 /**
- * One control: takes part in zen, serves the other nodes' requests to the master, and answers operators, by itself, as
- * master, or by forwarding to the master. What it says to an operator never claims more than is known: a change whose
- * end is unclear is never called undone.
+ * A control: takes part in zen, serves other nodes' requests to the master, and answers operators by itself, as master,
+ * or by forwarding to the master. A response to an operator never claims more than is known: a change with an unclear
+ * outcome is never reported as not made.
  */
 import { nodeViewOf, reduceState, type Member, type NodeView } from '@tillerstair/state';
 import { ElectionError, ProtocolError, toRpcError, type RpcRequest } from '@tillerstair/wire';
@@ -26,7 +26,7 @@
 } from './operations/responses.js';
 import { tuneWeights } from './weight-tuning.js';
 
-/** What a control is made of: what zen needs, and the deployment's list of servers if there is one. */
+/** Options of a control: those of its zen node, and the deployment's server list if there is one. */
 export interface ControlNodeOptions extends Omit<
   ZenNodeOptions,
   'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead' | 'listReport' | 'onListReport'
@@ -39,58 +39,58 @@
   readonly poll: ListPoll;
 }
 
-/** What a control without a list of servers replies to who asks for its reading. */
-const noList = { open: [], draining: [] };
+/** Reply of a control without a server list to a node that requests its reading. */
+const emptyListReply = { open: [], draining: [] };
 
 const drainingPath = /^\/v1\/servers\/[^/]+\/draining$/;
 
 const isDrainingMark = ({ method, path }: OperatorRequest): boolean =>
   method === 'POST' && drainingPath.test(path);
 
-/** A member of the cluster that may become its master. */
+/** A node that keeps the cluster state and can be elected master. */
 export class ControlNode {
-  /** This control's part in zen. */
+  /** The zen node of this control. */
   readonly zen: ZenNode;
   private readonly allocationController: AllocationController;
   private readonly list: PolledList | undefined;
-  private readonly me: Member;
+  private readonly self: Member;
   private readonly clock: ControlNodeOptions['clock'];
   private readonly transport: ControlNodeOptions['transport'];
   private readonly bounds: ControlNodeOptions['bounds'];
 
-  constructor(parts: ControlNodeOptions) {
-    const { me, clock, transport, bounds, log, electionStore } = parts;
-    this.me = me;
+  constructor(options: ControlNodeOptions) {
+    const { me, clock, transport, bounds, log, electionStore } = options;
+    this.self = me;
     this.clock = clock;
     this.transport = transport;
     this.bounds = bounds;
     this.allocationController = new AllocationController(clock, bounds, log);
     const { accepted } = electionStore.persisted;
     if (accepted) this.allocationController.recordAddresses(accepted);
-    if (parts.list) {
-      const reader = new ListReader(clock, parts.list, bounds, log);
+    if (options.list) {
+      const reader = new ListReader(clock, options.list, bounds, log);
       this.list = { reader, poll: new ListPoll(clock, reader) };
     }
     const poll = this.list?.poll;
     this.zen = new ZenNode({
-      ...parts,
+      ...options,
       settle: this.allocationController.settle,
       onApplied: (state) => {
         this.allocationController.recordAddresses(state);
         return Promise.resolve();
       },
       onReport: this.allocationController.onReport,
-      onLead: (master) => this.lead(master),
+      onLead: (master) => this.startMasterTasks(master),
       ...(poll ? { listReport: () => poll.reported(this.zen.leading?.term) } : {}),
     });
   }
 
-  /** The id that lies on this control's disk. */
+  /** The id stored on this control's disk. */
   get id(): string {
-    return this.me.id;
+    return this.self.id;
   }
 
-  /** Serves requests and takes part in zen from now on. */
+  /** Starts serving requests and taking part in zen. */
   async start(): Promise<void> {
     await this.transport.serve((request) => this.handle(request));
     this.zen.start();
@@ -102,26 +102,26 @@
     await this.transport.close();
   }
 
-  /** Answers a request of the inner wire. Throws `ElectionError` (`not-master`) and `ProtocolError` (`unknown-kind`). */
+  /** Handles a request of another node. Throws `ElectionError` (`not-master`) and `ProtocolError` (`unknown-kind`). */
   async handle(request: RpcRequest): Promise<unknown> {
     if (request.kind.startsWith('zen/')) return this.zen.handle(request);
     switch (request.kind) {
       case ControlRequestKind.list:
-        return this.list?.reader.reply() ?? noList;
+        return this.list?.reader.reply() ?? emptyListReply;
       case ControlRequestKind.operate:
-        return operate(this.leadingMaster(), OperatorRequest.parse(request.body));
+        return operate(this.requireMaster(), OperatorRequest.parse(request.body));
       case ControlRequestKind.depart:
-        return this.drainDeparting(this.leadingMaster(), DepartureNotice.parse(request.body).id);
+        return this.drainDeparting(this.requireMaster(), DepartureNotice.parse(request.body).id);
       case ControlRequestKind.filled:
-        return this.countFilled(this.leadingMaster(), FilledNotice.parse(request.body));
+        return this.recordFilledReplica(this.requireMaster(), FilledNotice.parse(request.body));
       default:
         throw new ProtocolError('unknown-kind', `no such request: ${request.kind}`);
     }
   }
 
   /**
-   * Answers an operator. A server's draining mark that took longer than its bound gets an unclear answer, since the
-   * bound within which fronts stop would no longer count from the request (never-list.md, draining servers).
+   * Answers an operator. A server's draining mark that took longer than its commit timeout gets an unclear response,
+   * since the time within which fronts stop would no longer count from the request (never-list.md, draining servers).
    */
   async operate(request: OperatorRequest): Promise<OperatorResponse> {
     const receivedAt = this.clock.now();
@@ -137,11 +137,18 @@
     const { leading, masterSeen } = this.zen;
     if (leading) return operate(leading, request);
     if (!masterSeen)
-      return notCarriedOut('no-master', 'no master is known', this.bounds.failureTimeout);
+      return notCarriedOut(
+        'no-master',
+        `control ${this.id} knows no master`,
+        this.bounds.failureTimeout,
+      );
     return this.forward(masterSeen, request);
   }
 
-  /** Asks the master, for no longer than it may publish twice; a change without a clear answer may have been made. */
+  /**
+   * Forwards a request to the master, waiting for at most the time of two publishes. A change without a clear response
+   * may have been made.
+   */
   private async forward(master: Member, request: OperatorRequest): Promise<OperatorResponse> {
     const { failureTimeout } = this.bounds;
     try {
@@ -157,19 +164,22 @@
     }
   }
 
-  /** What this control alone holds, which may be old: it names the state's version and waits for no majority. */
+  /** The view of this control alone, which may be stale: it names the state version and waits for no majority. */
   private localView(): NodeView {
     const { term, masterSeen, applied } = this.zen;
-    return nodeViewOf(this.me.id, 'control', term, masterSeen?.id ?? '', applied);
+    return nodeViewOf(this.self.id, 'control', term, masterSeen?.id ?? '', applied);
   }
 
-  private leadingMaster(): MasterView {
+  private requireMaster(): MasterView {
     const { leading } = this.zen;
-    if (!leading) throw new ElectionError('not-master', 'this control is not master');
+    if (!leading) throw new ElectionError('not-master', `control ${this.id} is not master`);
     return leading;
   }
 
-  /** A front that shuts down is drained; a node of another kind is not, since its replicas or vote are still needed. */
+  /**
+   * Drains a front that shuts down; nodes of other kinds are not drained, since their replicas or votes are still
+   * needed.
+   */
   private async drainDeparting(master: MasterView, id: string): Promise<object> {
     await master.submit((state) =>
       state.nodes.get(id)?.kind === 'front'
@@ -179,13 +189,13 @@
     return {};
   }
 
-  private async countFilled(master: MasterView, notice: FilledNotice): Promise<object> {
+  private async recordFilledReplica(master: MasterView, notice: FilledNotice): Promise<object> {
     await master.submit((state) => reduceState(state, { kind: 'filled', ...notice }));
     return {};
   }
 
-  /** Starts what a master does periodically; each ends by itself when the master steps down. */
-  private lead(master: MasterView): void {
+  /** Starts the periodic tasks of a master; each ends by itself when the master steps down. */
+  private startMasterTasks(master: MasterView): void {
     void this.allocationController.run(master);
     void this.list?.poll.run(master);
     void tuneWeights(master, this.allocationController, this.clock, this.bounds);
--- a/packages/control/src/operations/accepted-change.ts
+++ b/packages/control/src/operations/accepted-change.ts
@@ -1,8 +1,10 @@
-/** Whether a change of the configuration was accepted before, so that one that is sent again is acknowledged again. */
+/** Detects configuration changes that were accepted before, so that a resent change is acknowledged again. */
 import { acceptedChangeOutcome, type State } from '@tillerstair/state';
 import { ForgottenChangeError, WrongBaseError } from './errors.js';
 
-/** What tells a change apart: the version it builds on, the version that it makes, and its sender's change id. */
+/**
+ * Identifies a change: the version that it builds on, the version that it creates, and the change id set by its sender.
+ */
 export interface ChangeIdentity {
   readonly base: number;
   readonly version: number;
@@ -10,8 +12,9 @@
 }
 
 /**
- * Whether a change was accepted already; if not, it builds on the version in place and can be made.
- * Throws `WrongBaseError` where it can no longer be made, `ForgottenChangeError` where the record is younger than it.
+ * Whether a change was already accepted; if not, it builds on the current version and can be made. Throws
+ * `WrongBaseError` if it builds on another version, `ForgottenChangeError` if it is older than the record of accepted
+ * changes.
  */
 export const wasAccepted = (state: State, change: ChangeIdentity): boolean => {
   const outcome = acceptedChangeOutcome(state.acceptedChanges, change.version, change.changeId);
--- a/packages/control/src/operations/cluster.ts
+++ b/packages/control/src/operations/cluster.ts
@@ -1,9 +1,9 @@
-/** Operations that show the cluster: its status, and how many more losses it bears. */
+/** Operations that report on the cluster: its status, and its margin, which is how many further losses it tolerates. */
 import { marginReport } from '@tillerstair/state';
 import { statusReport } from '../cluster-reports.js';
 import { defineOperation, noBody, readWithLiveNodes, type Operation } from './operation.js';
 
-/** `/v1/margin`, `/v1/status`. */
+/** Operations of `/v1/margin` and `/v1/status`. */
 export const clusterOperations: readonly Operation[] = [
   defineOperation({
     method: 'GET',
--- a/packages/control/src/operations/configuration.ts
+++ b/packages/control/src/operations/configuration.ts
@@ -1,4 +1,4 @@
-/** Operations on the configuration: putting a file in place, reading it, and asking before a change is derived. */
+/** Operations on the configuration: replacing it, reading it, and preparing a change that is derived from it. */
 import { z } from 'zod';
 import {
   changeIdOf,
@@ -15,7 +15,7 @@
 import { NotFoundError, OperatorRequestError } from './errors.js';
 import {
   defineOperation,
-  jsonOf,
+  parseJson,
   noBody,
   readConfirmed,
   type BodySchema,
@@ -23,7 +23,7 @@
 } from './operation.js';
 import { failedChange, HttpStatus, refused, succeeded } from './responses.js';
 
-const noConfiguration = 'no configuration has been handed in';
+const noConfiguration = 'the cluster has no configuration yet';
 
 interface ConfigurationFile {
   readonly text: string;
@@ -39,8 +39,8 @@
   return { valid: false, response };
 };
 
-/** The record of a file; what only its sender needs is left out of the compiled form. */
-const recordOf = ({ text, config }: ConfigurationFile): ConfigRecord => ({
+/** Builds the record of a file. `origin` is left out of the compiled form, since only its sender needs it. */
+const toConfigRecord = ({ text, config }: ConfigurationFile): ConfigRecord => ({
   version: config.version ?? config.base + 1,
   text,
   digest: configDigest(text),
@@ -52,7 +52,7 @@
   master: MasterView,
   file: ConfigurationFile,
 ): Promise<OperatorResponse> => {
-  const record = recordOf(file);
+  const record = toConfigRecord(file);
   const { version, digest } = record;
   const identity = { base: file.config.base, version, changeId: changeIdOf(record) };
   try {
@@ -64,7 +64,7 @@
     return succeeded(newest === version ? { version, digest } : { version, digest, newest });
   } catch (error) {
     if (error instanceof OperatorRequestError) return error.toResponse();
-    const how = 'GET /v1/config and compare the digest, or hand in the same file again';
+    const how = 'GET /v1/config and compare the digest, or PUT the same file again';
     return failedChange(error, how, { digest });
   }
 };
@@ -76,7 +76,7 @@
 });
 
 const preparedChangeSchema: BodySchema<ChangeIdentity> = (text) => {
-  const parsed = PreparedChange.safeParse(jsonOf(text));
+  const parsed = PreparedChange.safeParse(parseJson(text));
   return parsed.success
     ? { valid: true, body: parsed.data }
     : {
@@ -84,14 +84,14 @@
         response: refused(
           HttpStatus.unprocessable,
           'findings',
-          'base, version and order are needed',
+          'base, version and changeId are required',
         ),
       };
 };
 
 /**
  * Whether a change was accepted, and if not, the text that it builds on. A sender that derives its change from the
- * present text asks this first: a change that was accepted is acknowledged, and one whose base has passed is refused
+ * current text asks this first: a change that was accepted is acknowledged, and one whose base is outdated is refused
  * without a text.
  */
 const prepareChange = async (
@@ -118,7 +118,7 @@
   return { version, text, digest, changeId };
 };
 
-/** `/v1/config`, `/v1/config/prepare`. */
+/** Operations of `/v1/config` and `/v1/config/prepare`. */
 export const configurationOperations: readonly Operation[] = [
   defineOperation({
     method: 'PUT',
--- a/packages/control/src/operations/errors.ts
+++ b/packages/control/src/operations/errors.ts
@@ -1,18 +1,18 @@
 /**
- * Why the state in place forbids an operator's request. These are thrown while the master makes a change or reads the
- * state, and reach the operator once a majority has confirmed the master (`MasterView.decide` and `confirm`).
+ * Errors of operators' requests that the current state forbids. They are thrown while the master makes a change or
+ * reads the state, and reach the operator once a majority has confirmed the master (`MasterView.decide` and `confirm`).
  */
 import { OperationError } from '@tillerstair/wire';
 import type { OperatorResponse } from '../messages.js';
 import { HttpStatus, refused, unclear } from './responses.js';
 
-/** An error that says itself how the operator is answered. */
+/** An error that provides the response to the operator. */
 export abstract class OperatorRequestError extends OperationError {
-  /** The answer to the operator whose request failed with this error. */
+  /** The response to the request that failed with this error. */
   abstract toResponse(): OperatorResponse;
 }
 
-/** What the request names does not exist. Nothing was altered. */
+/** The subject of the request does not exist. Nothing was changed. */
 export class NotFoundError extends OperatorRequestError {
   override readonly name = 'NotFoundError';
 
@@ -25,7 +25,7 @@
   }
 }
 
-/** The state in place forbids the request. Nothing was altered. */
+/** The current state forbids the request. Nothing was changed. */
 export class ConflictError extends OperatorRequestError {
   override readonly name = 'ConflictError';
 
@@ -38,7 +38,7 @@
   }
 }
 
-/** A configuration builds on another version than the one in place. Nothing was altered. */
+/** A configuration builds on a version other than the current one. Nothing was changed. */
 export class WrongBaseError extends OperatorRequestError {
   override readonly name = 'WrongBaseError';
 
@@ -51,12 +51,16 @@
   }
 }
 
-/** A change is older than the record of accepted changes; whether it was accepted is not known any more. */
+/** A change is older than the record of accepted changes, so whether it was accepted is unknown. */
 export class ForgottenChangeError extends OperatorRequestError {
   override readonly name = 'ForgottenChangeError';
 
   constructor(version: number) {
-    super('forgotten', `version ${version} is older than the record of taken changes`, 'unknown');
+    super(
+      'forgotten',
+      `version ${version} is older than the record of accepted changes`,
+      'unknown',
+    );
   }
 
   toResponse(): OperatorResponse {
--- a/packages/control/src/operations/local-operations.ts
+++ b/packages/control/src/operations/local-operations.ts
@@ -1,4 +1,4 @@
-/** What any control answers by itself, without a master and without a majority (authority `none`). */
+/** Operations that any control answers by itself, without a master and without a majority (authority `none`). */
 import { checkConfig, type NodeView } from '@tillerstair/state';
 import type { OperatorRequest, OperatorResponse } from '../messages.js';
 import { HttpStatus, succeeded } from './responses.js';
@@ -10,7 +10,7 @@
   readonly handle: (localView: () => NodeView, body: string) => OperatorResponse;
 }
 
-/** The table of what any control answers by itself. */
+/** Table of the operations that any control answers by itself. */
 const localOperations: readonly LocalOperation[] = [
   {
     method: 'GET',
@@ -32,7 +32,7 @@
   },
 ];
 
-/** The answer to a request that any control answers by itself, undefined for every other request. */
+/** Response to a request that any control answers by itself; undefined for any other request. */
 export const operateLocally = (
   { method, path, body }: OperatorRequest,
   localView: () => NodeView,
--- a/packages/control/src/operations/members.ts
+++ b/packages/control/src/operations/members.ts
@@ -1,8 +1,8 @@
-/** How operators name nodes: by id, by address or by name. */
+/** Resolves the references by which operators name nodes: an id, an address or a name. */
 import type { Member, State } from '@tillerstair/state';
 import { NotFoundError } from './errors.js';
 
-/** The member that an operator names, if there is one; an id goes before an address, an address before a name. */
+/** The member with this id, address or name, if any; an id takes precedence over an address, an address over a name. */
 export const findMember = (state: State, reference: string): Member | undefined => {
   const members = [...state.nodes.values()];
   return (
@@ -12,14 +12,14 @@
   );
 };
 
-/** The member that an operator names. Throws `NotFoundError`. */
+/** The member with this id, address or name. Throws `NotFoundError` if there is none. */
 export const memberOf = (state: State, reference: string): Member => {
   const member = findMember(state, reference);
   if (!member) throw new NotFoundError(`no node ${reference}`);
   return member;
 };
 
-/** The id of the node that is being emptied or drained under this id or name; of several, the one named last. */
+/** Id of the node being emptied or drained that has this id or name; of several with the name, the one added last. */
 export const retiringIdOf = (state: State, reference: string): string | undefined =>
   state.retiring.has(reference)
     ? reference
--- a/packages/control/src/operations/operation.ts
+++ b/packages/control/src/operations/operation.ts
@@ -1,6 +1,6 @@
 /**
- * What an operation of the operators' interface is: where it is asked for, the schema of its body, the authority that
- * its answer needs, and its handler. The table of all of them is `operations.ts`.
+ * An operation of the operators' interface: its method and path, the schema of its body, the authority that its
+ * response needs, and its handler. The table of all operations is in `operations.ts`.
  */
 import type { IsLive, Member, State } from '@tillerstair/state';
 import { toRpcError } from '@tillerstair/wire';
@@ -10,16 +10,16 @@
 import { failedChange, HttpStatus, refused, succeeded } from './responses.js';
 
 /**
- * What an answer rests on. `none`: what the asked control knows by itself. `quorum-read`: a majority confirmed the
- * master after the request came. `commit`: a change is committed before it is acknowledged; a refusal is never committed,
- * a majority confirms the master before it is answered (`docs/control-safety.md`, section 1).
+ * What a response is based on. `none`: the local knowledge of the control. `quorum-read`: a majority confirmed the
+ * master after the request arrived. `commit`: a change is committed before it is acknowledged; a refusal is never
+ * committed, but a majority confirms the master before it is sent (`docs/control-safety.md`, section 1).
  *
- * It documents the operation and nothing reads it. What enforces it is the call that the handler makes on the master:
+ * This is documentation only; no code reads it. It is enforced by the call that the handler makes on the master:
  * `MasterView.confirm` for `quorum-read`, `MasterView.decide` for `commit`.
  */
 type Authority = 'none' | 'quorum-read' | 'commit';
 
-/** A path of the operators' interface, `/v1/SECTION/ID/VERB`; parts that are absent are empty. */
+/** A path of the operators' interface, `/v1/SECTION/ID/VERB`; missing parts are empty. */
 export interface OperatorPath {
   readonly version: string;
   readonly section: string;
@@ -27,25 +27,25 @@
   readonly verb: string;
 }
 
-/** Takes a path apart. Throws `URIError` where the id is not encoded as URLs demand. */
+/** Parses a path. Throws `URIError` if the id is not valid percent-encoding. */
 export const parsePath = (path: string): OperatorPath => {
   const [, version = '', section = '', encodedId = '', verb = ''] = path.split('/');
   return { version, section, id: decodeURIComponent(encodedId), verb };
 };
 
-/** The body of a request after its schema, or the response that refuses it. */
+/** A body that satisfies its schema, or the response that refuses it. */
 type ParsedBody<Body> =
   | { readonly valid: true; readonly body: Body }
   | { readonly valid: false; readonly response: OperatorResponse };
 
-/** Checks the text of a body. */
+/** Parses and validates the text of a body. */
 export type BodySchema<Body> = (text: string) => ParsedBody<Body>;
 
-/** For operations that read no body; one that is sent is ignored. */
+/** Schema of operations without a body; a body that is sent is ignored. */
 export const noBody: BodySchema<undefined> = () => ({ valid: true, body: undefined });
 
-/** The JSON value of a text, or undefined where it is not JSON. */
-export const jsonOf = (text: string): unknown => {
+/** Parses JSON; undefined if the text is not JSON. */
+export const parseJson = (text: string): unknown => {
   try {
     return JSON.parse(text);
   } catch {
@@ -53,13 +53,13 @@
   }
 };
 
-/** Where an operation is asked for. */
+/** The method and path of an operation. */
 interface OperationAddress {
   readonly method: string;
   readonly matches: (path: OperatorPath) => boolean;
 }
 
-/** An operation with its body unread; the master carries it out. */
+/** An operation that takes the unparsed body; the master executes it. */
 export interface Operation extends OperationAddress {
   readonly authority: Authority;
   readonly handle: (
@@ -69,21 +69,21 @@
   ) => Promise<OperatorResponse>;
 }
 
-/** What a handler gets once the body has passed its schema. */
+/** Arguments of a handler, with the body validated. */
 interface OperationCall<Body> {
   readonly master: MasterView;
   readonly id: string;
   readonly body: Body;
 }
 
-/** How an operation is written down: with the schema of its body beside its handler. */
+/** Definition of an operation: a handler, and the schema that validates its body. */
 export interface OperationDefinition<Body> extends OperationAddress {
   readonly authority: Authority;
   readonly schema: BodySchema<Body>;
   readonly handler: (call: OperationCall<Body>) => Promise<OperatorResponse>;
 }
 
-/** Makes an operation that applies its schema before its handler. */
+/** Creates an operation that applies its schema before its handler. */
 export const defineOperation = <Body>(definition: OperationDefinition<Body>): Operation => ({
   method: definition.method,
   matches: definition.matches,
@@ -96,13 +96,13 @@
   },
 });
 
-/** A change of the state, and what the operator is shown of the state that was committed with it. */
+/** A change of the state, and the view of the committed state that the operator receives. */
 export interface PlannedChange {
   readonly change: (state: State) => State;
   readonly view: (state: State) => unknown;
 }
 
-/** Commits a change; a refusal by the state is answered only after a majority has confirmed the master. */
+/** Commits a change. If the state forbids it, the refusal is sent only after a majority has confirmed the master. */
 export const commitChange = async (
   master: MasterView,
   { change, view }: PlannedChange,
@@ -116,7 +116,7 @@
   }
 };
 
-/** Shows the state that a majority confirmed after the request came. */
+/** Responds with a view of the state that a majority confirmed after the request arrived. */
 export const readConfirmed = async (
   master: MasterView,
   view: (state: State) => unknown,
@@ -129,7 +129,9 @@
   }
 };
 
-/** As `readConfirmed`, with the nodes of these kinds that replied after the request came. */
+/**
+ * Like `readConfirmed`; `isLive` names the nodes of these kinds that replied to a ping sent after the request arrived.
+ */
 export const readWithLiveNodes = async (
   master: MasterView,
   kinds: readonly Member['kind'][],
--- a/packages/control/src/operations/operations.ts
+++ b/packages/control/src/operations/operations.ts
@@ -1,8 +1,8 @@
 /**
- * The table of the operations that a master carries out for operators, and the choice of one by method and path.
+ * The operations that a master executes for operators, and the selection of one by method and path.
  *
- * Each entry names the schema of its body, the authority that its answer needs and its handler. What a control answers
- * by itself (authority `none`) is in `local-operations.ts`.
+ * Each operation defines the schema of its body, the authority that its response needs, and its handler. Operations
+ * that a control answers by itself (authority `none`) are in `local-operations.ts`.
  */
 import type { MasterView } from '@tillerstair/zen';
 import type { OperatorRequest, OperatorResponse } from '../messages.js';
@@ -14,7 +14,7 @@
 import { serverOperations } from './servers.js';
 import { votingControlOperations } from './voting-controls.js';
 
-/** Every operation that a master carries out. */
+/** All operations that a master executes. */
 const operations: readonly Operation[] = [
   ...configurationOperations,
   ...serverOperations,
@@ -23,18 +23,18 @@
   ...clusterOperations,
 ];
 
-/** The path whose operations alter nothing though they are asked for by POST. */
+/** Path whose operations change nothing although they are requested by POST. */
 const preparePath = '/v1/config/prepare';
 
-/** Whether a request alters nothing, however it ends. */
+/** Whether a request never changes anything, whatever its outcome. */
 export const isReadOnly = ({ method, path }: OperatorRequest): boolean =>
   method === 'GET' || path === preparePath;
 
-/** Pages that exist and say so to a method that they lack; any other page is then not found. */
-const namesItsMethods = ({ section, id }: OperatorPath): boolean =>
+/** Whether a path answers 405 to a method without an operation; any other path answers 404. */
+const reportsUnsupportedMethods = ({ section, id }: OperatorPath): boolean =>
   (section === 'config' && id === '') || (section === 'servers' && id !== '');
 
-/** Carries an operator's request out on the master. */
+/** Executes an operator's request on the master. */
 export const operate = async (
   master: MasterView,
   { method, path, body }: OperatorRequest,
@@ -45,7 +45,7 @@
     (candidate) => candidate.method === method && candidate.matches(target),
   );
   if (operation) return operation.handle(master, target, body);
-  return namesItsMethods(target)
+  return reportsUnsupportedMethods(target)
     ? refused(HttpStatus.methodNotAllowed, 'no-such-operation', `${method} ${path}`)
     : refused(HttpStatus.notFound, 'no-such-page', path);
 };
--- a/packages/control/src/operations/retirement.ts
+++ b/packages/control/src/operations/retirement.ts
@@ -1,4 +1,7 @@
-/** Operations that empty a store or drain a front, and take that back; nothing is lost, and no slot is left unserved. */
+/**
+ * Operations that empty a store or drain a front, and that cancel it. A node is retired only if enough others of its
+ * kind remain, so no data is lost and no slot is left unserved.
+ */
 import { reduceState, type IsLive, type Member, type State } from '@tillerstair/state';
 import { drainingProgress, emptyingProgress } from '../cluster-reports.js';
 import { ConflictError, NotFoundError } from './errors.js';
@@ -15,10 +18,10 @@
 
 type RetirableKind = 'store' | 'front';
 
-/** A commit proves nothing of who replies, so emptying is never called done in the answer to the order itself. */
-const nobodyLive: IsLive = () => false;
+/** A commit does not show which nodes reply, so the response to the order itself never reports emptying as done. */
+const noLiveNodes: IsLive = () => false;
 
-/** Refuses to retire a member without which its kind could not do its work. */
+/** Throws `ConflictError` if too few other members of its kind would remain. */
 const assertOthersSuffice = (state: State, member: Member): void => {
   const others = [...state.nodes.values()].filter(
     (other) =>
@@ -39,22 +42,22 @@
   readonly member: Member | undefined;
 }
 
-/** The node that is named, also one that is gone but still ordered to retire under this id or name. */
-const targetOf = (state: State, reference: string, kind: RetirableKind): RetirementTarget => {
+/** Resolves a reference, also to an absent node that is still ordered to retire under this id or name. */
+const resolveTarget = (state: State, reference: string, kind: RetirableKind): RetirementTarget => {
   const member = findMember(state, reference);
   if (member && member.kind !== kind)
     throw new ConflictError(`${reference} is a ${member.kind}, not a ${kind}`);
   return { reference, member, id: member?.id ?? retiringIdOf(state, reference) ?? reference };
 };
 
-const retired = (state: State, { reference, id, member }: RetirementTarget): State => {
+const retire = (state: State, { reference, id, member }: RetirementTarget): State => {
   if (state.retiring.has(id)) return state;
   if (!member) throw new NotFoundError(`no node ${reference}`);
   assertOthersSuffice(state, member);
   return reduceState(state, { kind: 'retire', id, on: true });
 };
 
-const reinstated = (state: State, { reference, id, member }: RetirementTarget): State => {
+const cancelRetirement = (state: State, { reference, id, member }: RetirementTarget): State => {
   if (!member) throw new NotFoundError(`no node ${reference}`);
   return reduceState(state, { kind: 'retire', id, on: false });
 };
@@ -67,16 +70,16 @@
   let id = reference;
   return {
     change: (state) => {
-      const target = targetOf(state, reference, kind);
+      const target = resolveTarget(state, reference, kind);
       ({ id } = target);
       return apply(state, target);
     },
     view: (state) =>
-      kind === 'store' ? emptyingProgress(state, id, nobodyLive) : drainingProgress(state, id),
+      kind === 'store' ? emptyingProgress(state, id, noLiveNodes) : drainingProgress(state, id),
   };
 };
 
-/** The store whose emptying is asked after; it may be gone and known only by the order to empty it. */
+/** Id of the store whose progress is requested; an absent store is known only by the order to empty it. */
 const storeIdOf = (state: State, reference: string): string => {
   const member = findMember(state, reference);
   if (member && member.kind !== 'store')
@@ -102,10 +105,10 @@
     authority: 'commit',
     schema: noBody,
     handler: ({ master, id }) =>
-      commitChange(master, planRetirement(id, kind, method === 'POST' ? retired : reinstated)),
+      commitChange(master, planRetirement(id, kind, method === 'POST' ? retire : cancelRetirement)),
   });
 
-/** `/v1/stores/ID/empty`, `/v1/fronts/ID/drain`. */
+/** Operations of `/v1/stores/ID/empty` and `/v1/fronts/ID/drain`. */
 export const retirementOperations: readonly Operation[] = [
   retirementOperation('POST', 'store', isStoreEmptying),
   retirementOperation('DELETE', 'store', isStoreEmptying),
--- a/packages/control/src/operations/servers.ts
+++ b/packages/control/src/operations/servers.ts
@@ -1,11 +1,11 @@
-/** Operations on servers that operators name by hand: adding, draining and removing one. */
+/** Operations on servers that operators register by hand: adding, draining and removing one. */
 import { z } from 'zod';
 import { reduceState, type Server, type State } from '@tillerstair/state';
 import { NotFoundError } from './errors.js';
 import {
   commitChange,
   defineOperation,
-  jsonOf,
+  parseJson,
   noBody,
   type BodySchema,
   type Operation,
@@ -23,7 +23,7 @@
 type NewServer = z.infer<typeof NewServer>;
 
 const newServerSchema: BodySchema<NewServer> = (text) => {
-  const value = jsonOf(text);
+  const value = parseJson(text);
   if (value === undefined) {
     const response = refused(HttpStatus.badRequest, 'bad-json', 'the body is not JSON');
     return { valid: false, response };
@@ -36,7 +36,7 @@
   }));
   return {
     valid: false,
-    response: refused(HttpStatus.unprocessable, 'findings', 'bad server', { findings }),
+    response: refused(HttpStatus.unprocessable, 'findings', 'invalid server', { findings }),
   };
 };
 
@@ -45,8 +45,8 @@
   (state: State): Server | undefined =>
     state.servers.get(id);
 
-const addServer = (id: string, given: NewServer): PlannedChange => {
-  const server: Server = { id, ...given, draining: false, down: false, zone: '', places: 0 };
+const addServer = (id: string, newServer: NewServer): PlannedChange => {
+  const server: Server = { id, ...newServer, draining: false, down: false, zone: '', places: 0 };
   return {
     change: (state) => reduceState(state, { kind: 'server', server }),
     view: viewServer(id),
@@ -71,7 +71,7 @@
 const isServerDraining = ({ section, id, verb }: OperatorPath): boolean =>
   section === 'servers' && id !== '' && verb === 'draining';
 
-/** `/v1/servers/ID`, `/v1/servers/ID/draining`. */
+/** Operations of `/v1/servers/ID` and `/v1/servers/ID/draining`. */
 export const serverOperations: readonly Operation[] = [
   defineOperation({
     method: 'PUT',
--- a/packages/control/src/operations/voting-controls.ts
+++ b/packages/control/src/operations/voting-controls.ts
@@ -1,4 +1,4 @@
-/** Operations that give a control a vote or take it away, one control at a time (zen.md, joint consensus). */
+/** Operations that add or remove a voting control, one at a time (zen.md, joint consensus). */
 import { reduceState, type State } from '@tillerstair/state';
 import type { MasterView } from '@tillerstair/zen';
 import { ConflictError, NotFoundError } from './errors.js';
@@ -12,10 +12,12 @@
   type PlannedChange,
 } from './operation.js';
 
-/** While a change of voters is under way, a further one could leave two majorities that do not meet. */
+/**
+ * Throws `ConflictError` during a change of voters: a second one could leave two majorities without a common member.
+ */
 const assertVotersSettled = (state: State): void => {
   if (state.voters.current.join() !== state.voters.next.join())
-    throw new ConflictError('another change of controls is under way');
+    throw new ConflictError('another change of voting controls is in progress');
 };
 
 const viewVoters = (state: State): unknown => ({ controls: state.voters.next });
@@ -24,7 +26,8 @@
   change: (state) => {
     assertVotersSettled(state);
     const member = memberOf(state, reference);
-    if (member.kind !== 'control') throw new ConflictError(`${reference} is a ${member.kind}`);
+    if (member.kind !== 'control')
+      throw new ConflictError(`${reference} is a ${member.kind}, not a control`);
     if (!master.holdsCommitted(member.id))
       throw new ConflictError(
         `${reference} does not hold the newest state on its disk yet; ask again`,
@@ -37,9 +40,10 @@
 const removeVoter = (id: string): PlannedChange => ({
   change: (state) => {
     assertVotersSettled(state);
-    if (!state.voters.current.includes(id)) throw new NotFoundError(`${id} is no voting control`);
+    if (!state.voters.current.includes(id))
+      throw new NotFoundError(`${id} is not a voting control`);
     if (state.voters.current.length <= 1)
-      throw new ConflictError('the last control cannot be taken out');
+      throw new ConflictError('the last voting control cannot be removed');
     return reduceState(state, { kind: 'voters', out: id, in: undefined });
   },
   view: viewVoters,
@@ -47,7 +51,7 @@
 
 const isControl = ({ section, id }: OperatorPath): boolean => section === 'controls' && id !== '';
 
-/** `/v1/controls/ID`. */
+/** Operations of `/v1/controls/ID`. */
 export const votingControlOperations: readonly Operation[] = [
   defineOperation({
     method: 'POST',
--- a/packages/control/src/server-health.ts
+++ b/packages/control/src/server-health.ts
@@ -1,11 +1,12 @@
 /**
- * What fronts report of servers: whether they reach them, and at which pace. The master marks as down what most fronts
- * that reported lately fail to reach. Owned by one control, in memory only: a new master learns it anew.
+ * Health of servers as reported by fronts: whether they reach a server, and its throughput. The master marks a server
+ * as down if most fronts that reported recently fail to reach it. Kept in memory by one control; a new master starts
+ * without reports.
  */
 import type { Server, State } from '@tillerstair/state';
 import type { FrontReport } from './messages.js';
 
-interface Sighting {
+interface Observation {
   readonly url: string;
   readonly ok: boolean;
   readonly pace: number | undefined;
@@ -14,42 +15,42 @@
 
 /** The newest report of each front. */
 export class ServerHealth {
-  private readonly sightingsByFront = new Map<string, ReadonlyMap<string, Sighting>>();
+  private readonly observationsByFront = new Map<string, ReadonlyMap<string, Observation>>();
 
-  /** Takes over what a front reports, in place of its last report. `now` is the clock's time, in ms. */
+  /** Replaces a front's last report. `now` is the clock's time, in ms. */
   record(front: string, seen: FrontReport['seen'], now: number): void {
-    this.sightingsByFront.set(
+    this.observationsByFront.set(
       front,
       new Map(seen.map(({ id, url, ok, pace }) => [id, { url, ok, pace, at: now }])),
     );
   }
 
-  /** Forgets all reports. */
+  /** Discards all reports. */
   clear(): void {
-    this.sightingsByFront.clear();
+    this.observationsByFront.clear();
   }
 
-  /** The median pace of each server of which one is known. */
+  /** Median throughput of each server for which one was reported, by server id. */
   medianThroughputs(state: State): ReadonlyMap<string, number> {
     const medians = new Map<string, number>();
     for (const server of state.servers.values()) {
-      const paces: number[] = [];
-      this.forEachSighting(server, ({ pace }) => {
-        if (pace !== undefined) paces.push(pace);
+      const throughputs: number[] = [];
+      this.forEachObservation(server, ({ pace }) => {
+        if (pace !== undefined) throughputs.push(pace);
       });
-      paces.sort((first, second) => first - second);
-      const median = paces.at(Math.floor(paces.length / 2));
+      throughputs.sort((first, second) => first - second);
+      const median = throughputs.at(Math.floor(throughputs.length / 2));
       if (median !== undefined) medians.set(server.id, median);
     }
     return medians;
   }
 
-  /** Whether each server is down, for those of which there is a report that is not older than `maxAgeMs`. */
+  /** Whether each server is down, by id, for servers with a report that is not older than `maxAgeMs`. */
   downMarks(state: State, now: number, maxAgeMs: number): ReadonlyMap<string, boolean> {
     const marks = new Map<string, boolean>();
     for (const server of state.servers.values()) {
       const reports = { reached: 0, unreached: 0 };
-      this.forEachSighting(server, ({ ok, at }) => {
+      this.forEachObservation(server, ({ ok, at }) => {
         if (now - at > maxAgeMs) return;
         if (ok) reports.reached++;
         else reports.unreached++;
@@ -60,11 +61,11 @@
     return marks;
   }
 
-  /** Visits what was reported of a server at the URL that it has now; reports of an earlier URL say nothing of it. */
-  private forEachSighting({ id, url }: Server, visit: (sighting: Sighting) => void): void {
-    for (const byServer of this.sightingsByFront.values()) {
-      const sighting = byServer.get(id);
-      if (sighting?.url === url) visit(sighting);
+  /** Visits the reports of a server at its current URL; reports of an earlier URL are ignored. */
+  private forEachObservation({ id, url }: Server, visit: (observation: Observation) => void): void {
+    for (const byServer of this.observationsByFront.values()) {
+      const observation = byServer.get(id);
+      if (observation?.url === url) visit(observation);
     }
   }
 }
--- a/packages/control/src/slot-transfers.ts
+++ b/packages/control/src/slot-transfers.ts
@@ -1,13 +1,13 @@
-/** Slots that are marked to move to another front, and for how long they have been. */
+/** Slots that are marked to move to another front, and since when. */
 import { reduceState, type State } from '@tillerstair/state';
 
-/** A slot that may go to its transfer target, if it is still under this ownership epoch. */
+/** A slot that may move to its transfer target if its ownership epoch is still this one. */
 export interface SlotRelease {
   readonly slot: number;
   readonly ownershipEpoch: number;
 }
 
-/** Gives released slots to their transfer targets; one whose ownership epoch has passed stays where it is. */
+/** Moves released slots to their transfer targets; a slot with another ownership epoch by now stays with its owner. */
 export const transferReleased = (state: State, released: readonly SlotRelease[]): State =>
   released.reduce(
     (current, { slot, ownershipEpoch }) =>
@@ -15,11 +15,11 @@
     state,
   );
 
-/** Since when each marked slot has been known to be marked. */
+/** Tracks since when each marked slot has been observed as marked. */
 export class SlotTransfers {
   private markedSince: ReadonlyMap<number, number> = new Map();
 
-  /** The slots that have been marked for longer than `maxWaitMs`; these move though their owner is silent. */
+  /** Slots that have been marked for longer than `maxWaitMs`; these move although their owner has not released them. */
   overdue(state: State, now: number, maxWaitMs: number): readonly SlotRelease[] {
     const markedSince = new Map<number, number>();
     state.slots.forEach(({ transferTarget }, slot) => {
--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a control from its settings: opens its data folder, joins zen, serves operators' HTTP. Whoever stops it closes
- * what was opened here, in reverse order.
+ * Starts a control from its settings: opens its data folder, joins zen, and serves the operators' HTTP interface.
+ * Stopping closes in reverse order what was opened here.
  */
 import { randomBytes } from 'node:crypto';
 import {
@@ -24,17 +24,17 @@
 import type { ServerList } from './list-reader.js';
 import { ControlNode } from './node.js';
 
-/** What a deployment adds to a control. */
+/** Optional parts of a control that a deployment provides. */
 export interface ControlExtensions {
-  /** The deployment's list of servers. */
+  /** The deployment's server list. */
   readonly list?: ServerList;
-  /** Opens a further address for operators, beside the product's own pages. */
+  /** Opens an additional listener for operators, besides the built-in one. */
   readonly openOperatorListener?: (node: ControlNode) => Promise<DrainableServer>;
 }
 
-/** How long operations under way may take when a control stops, in failure timeouts: a forwarded one ends in one. */
-const lastOperationsTimeouts = 2;
-/** The largest body that an operator may send, in bytes. */
+/** Failure timeouts that operations in flight may take when a control stops; a forwarded one ends within one. */
+const operationDrainTimeouts = 2;
+/** Maximum size of an operator's request body, in bytes. */
 const maxBodyBytes = 16 << 20;
 
 const freshControlId = (): string => `c-${randomBytes(6).toString('hex')}`;
@@ -100,8 +100,8 @@
   );
 
 /**
- * Starts a control and resolves once it serves. Rejects where the data folder is in use or damaged beyond repair, or an
- * address cannot be bound; the process is then to end, which releases what was opened until there.
+ * Starts a control and resolves once it serves. Rejects if the data folder is in use or damaged beyond repair, or if an
+ * address cannot be bound; the process is then to exit, which releases what was opened so far.
  */
 export const startControl = async (
   settings: ControlSettings,
@@ -113,17 +113,17 @@
   const node = await openNode(disk, settings, reloadable.bounds, log, extensions.list);
   await node.start();
   const http = await serveOperators(settings.http, node);
-  const furtherListener = await extensions.openOperatorListener?.(node);
-  log.info(`Serving ${node.id} at ${settings.addr}, operators at ${settings.http}.`);
+  const extensionListener = await extensions.openOperatorListener?.(node);
+  log.info(`Serving control ${node.id} at ${settings.addr}, operators at ${settings.http}.`);
   return {
     reload: (next) => {
       reloadable.replace(next.bounds);
       node.zen.replaceSeeds(next.seeds);
     },
     stop: async () => {
-      const withinMs = reloadable.bounds.failureTimeout * lastOperationsTimeouts;
-      const listeners = furtherListener ? [http, furtherListener] : [http];
-      // Operators hear what became of their operations before this control leaves the cluster that decides on them.
+      const withinMs = reloadable.bounds.failureTimeout * operationDrainTimeouts;
+      const listeners = extensionListener ? [http, extensionListener] : [http];
+      // Operations in flight are answered before this control leaves the cluster that decides on them.
       await Promise.all(listeners.map((listener) => listener.endWithin(withinMs)));
       await node.stop();
       await disk.release();
--- a/packages/control/src/voter-replacement.ts
+++ b/packages/control/src/voter-replacement.ts
@@ -1,8 +1,8 @@
-/** Which vote of a lost control passes to which spare one (zen.md, voting members). */
+/** Selects the spare control that gets the vote of a lost one (zen.md, voting members). */
 import type { Member, State } from '@tillerstair/state';
 import type { MasterView } from '@tillerstair/zen';
 
-/** A vote that passes from one control to another. */
+/** A vote that moves from a lost control to a spare one. */
 export interface VoterReplacement {
   readonly lostId: string;
   readonly spare: Member;
@@ -11,7 +11,9 @@
 const votersSettled = (state: State): boolean =>
   state.voters.current.join() === state.voters.next.join();
 
-/** A control outside the voters that replies and has the newest state on its disk; one of the lost one's zone first. */
+/**
+ * A control without a vote that responds and has the newest committed state on its disk, preferably in the given zone.
+ */
 const spareControl = (
   state: State,
   master: MasterView,
@@ -32,8 +34,9 @@
     )[0];
 
 /**
- * The vote that is to pass from a control that left, failed or lost its disk to a spare one, if there is one. None
- * while another change of voters is proposed or not yet committed: two changes could leave majorities that do not meet.
+ * The vote that is to move from a control that left, failed or lost its disk to a spare one, if there is one. None
+ * while another change of voters is proposed or not yet committed: two changes could leave majorities without a common
+ * member.
  */
 export const findVoterReplacement = (
   state: State,
