--- a/packages/state/src/accepted-changes.ts
+++ b/packages/state/src/accepted-changes.ts
@@ -1,24 +1,24 @@
 /**
- * The record of the configuration changes that were accepted, so that one that is sent again is acknowledged again.
+ * The record of accepted configuration changes, so that a resent change is acknowledged again.
  *
- * It lies in blocks of the state table, one line of text a block, so that a publish carries the last block only. A
- * block holds `VERSION=KEY` pairs; the key is a short digest of the change's id (design.md, "Versions of the
- * configuration").
+ * It is stored in blocks of the state table, one line of text per block, so that a publish carries only the last block.
+ * A block contains `VERSION=KEY` pairs; the key is a short digest of the change id
+ * (design.md, "Versions of the configuration").
  */
 import { createHash } from 'node:crypto';
 
-/** The text of each block, by its number; blocks of the lowest numbers are forgotten first. */
+/** Text of each block by block number; the blocks with the lowest numbers are dropped first. */
 export type AcceptedChanges = ReadonlyMap<number, string>;
 
-/** What the record says of a change; `forgotten`: it is older than the record, which cannot tell. */
+/** Whether a change was accepted; `forgotten` if it is older than the record, so that its outcome is unknown. */
 export type AcceptedChangeOutcome = 'accepted' | 'not-accepted' | 'forgotten';
 
-/** The most changes in a block. */
+/** Maximum number of changes in a block. */
 const blockLength = 32;
 const maxBlocks = 64;
 const keyLength = 12;
 
-/** How many of the latest changes are surely remembered; older ones may be forgotten. */
+/** Number of latest changes that are always in the record; older ones may have been dropped. */
 export const minimumRememberedChanges = blockLength * (maxBlocks - 1);
 
 const keyOf = (changeId: string): string =>
@@ -30,7 +30,7 @@
 
 const newestBlock = (changes: AcceptedChanges): number => Math.max(0, ...changes.keys());
 
-/** Adds an accepted change; the oldest block is forgotten where there are too many. */
+/** Adds an accepted change, and drops the oldest block if there are more than `maxBlocks`. */
 export const recordAcceptedChange = (
   changes: AcceptedChanges,
   version: number,
@@ -46,14 +46,14 @@
   return next;
 };
 
-/** The lowest version that is still recorded, if earlier ones have been forgotten; else 0. */
+/** The lowest recorded version if earlier ones were dropped, else 0. */
 const oldestRemembered = (changes: AcceptedChanges): number => {
   const firstBlock = Math.min(...changes.keys());
   if (firstBlock === 0 || changes.size === 0) return 0;
   return Number.parseInt(changes.get(firstBlock) ?? '0', 10);
 };
 
-/** Whether the change that made this version under this id was accepted; one older than the record is in doubt. */
+/** Whether the change that created this version under this id was accepted; unknown if it is older than the record. */
 export const acceptedChangeOutcome = (
   changes: AcceptedChanges,
   version: number,
--- a/packages/state/src/action.ts
+++ b/packages/state/src/action.ts
@@ -1,37 +1,37 @@
-/** What a master can do to the cluster state: each action is one entry, reduced by one function under `reducers/`. */
+/** Actions by which a master changes the cluster state, each reduced by one function in `reducers/`. */
 import type { ConfigRecord, Member, Server } from './state.js';
 
-/** A node joins, or an earlier member tells of another address or name. */
+/** A node joins, or a member changes its address or name. */
 export interface JoinAction {
   readonly kind: 'join';
   readonly member: Member;
 }
 
-/** A node is no member any more: it left, or was silent for too long. */
+/** A node leaves, or is removed because it was unresponsive for too long. */
 export interface LeaveAction {
   readonly kind: 'leave';
   readonly id: string;
 }
 
-/** A configuration is put in place. */
+/** Replaces the configuration. */
 export interface ConfigAction {
   readonly kind: 'config';
   readonly record: ConfigRecord;
 }
 
-/** A server is added, or replaced by one of the same id. */
+/** Adds a server, or replaces the one with the same id. */
 export interface ServerAction {
   readonly kind: 'server';
   readonly server: Server;
 }
 
-/** A server is removed. */
+/** Removes a server. */
 export interface ServerRemovedAction {
   readonly kind: 'server-removed';
   readonly id: string;
 }
 
-/** A server is marked; marks that are not named stay as they are. */
+/** Sets the marks of a server; omitted marks stay as they are. */
 export interface ServerMarkAction {
   readonly kind: 'server-mark';
   readonly id: string;
@@ -39,14 +39,14 @@
   readonly down?: boolean;
 }
 
-/** The voters change: `out` loses its vote ('' for nobody), `in` gets one. */
+/** Changes the voters: `out` loses its vote ('' for none), `in` gets one. */
 export interface VotersAction {
   readonly kind: 'voters';
   readonly out: string;
   readonly in: Member | undefined;
 }
 
-/** A store holds all of a slot that it was named to join, synced under this ownership epoch. */
+/** A store has synced a slot that it joins as a replica, under this ownership epoch. */
 export interface FilledAction {
   readonly kind: 'filled';
   readonly store: string;
@@ -54,27 +54,27 @@
   readonly ownershipEpoch: number;
 }
 
-/** An owner has released a slot that is to move, under this ownership epoch. */
+/** A slot moves to its transfer target, if it still has this ownership epoch. */
 export interface TransferredAction {
   readonly kind: 'transferred';
   readonly slot: number;
   readonly ownershipEpoch: number;
 }
 
-/** A store is to be emptied or a front drained, or no longer. */
+/** Starts emptying a store or draining a front, or cancels it (`on: false`). */
 export interface RetireAction {
   readonly kind: 'retire';
   readonly id: string;
   readonly on: boolean;
 }
 
-/** The weights of servers are tuned. */
+/** Replaces the tuned weights of all servers. */
 export interface WeightsAction {
   readonly kind: 'weights';
   readonly weights: ReadonlyMap<string, number>;
 }
 
-/** Everything that a master can do to the cluster state. */
+/** Any action on the cluster state. */
 export type StateAction =
   | JoinAction
   | LeaveAction
--- a/packages/state/src/allocation/owners.ts
+++ b/packages/state/src/allocation/owners.ts
@@ -1,11 +1,11 @@
 /**
- * Which front owns a slot. A slot whose owner is no member gets another at once; one whose owner lives is only marked
- * to move, and moves when the owner has released it (design.md, "Planned moves").
+ * Assigns slots to fronts. A slot whose owner is not a member gets another owner immediately; one whose owner is live
+ * is only marked to move, and moves once the owner has released it (design.md, "Planned moves").
  */
 import type { Member, Slot, State } from '../state.js';
 import { compareIds, liveMembers } from './live-members.js';
 
-/** How many slots each front owns or is to own; only fronts that may get slots are counted. */
+/** Number of slots that each eligible front owns or is to own. */
 class SlotCounts {
   private readonly counts: Map<string, number>;
 
@@ -13,23 +13,23 @@
     this.counts = new Map(fronts.map((front) => [front.id, 0]));
   }
 
-  /** Whether a front may get slots. */
+  /** Whether a front is eligible for slots. */
   has(frontId: string): boolean {
     return this.counts.has(frontId);
   }
 
-  /** The slots of a front; undefined where it may get none. */
+  /** Number of slots of a front; undefined if it is not eligible. */
   get(frontId: string): number | undefined {
     return this.counts.get(frontId);
   }
 
-  /** Adds slots to a front that may get some. */
+  /** Adds to the number of slots of a front; no effect if it is not eligible. */
   add(frontId: string, count: number): void {
     const current = this.counts.get(frontId);
     if (current !== undefined) this.counts.set(frontId, current + count);
   }
 
-  /** The front with the fewest slots. */
+  /** Id of the front with the fewest slots, the lowest id of several; '' if no front is eligible. */
   leastLoaded(): string {
     const byCount = [...this.counts].sort(
       ([firstId, first], [secondId, second]) => first - second || compareIds(firstId, secondId),
@@ -38,13 +38,13 @@
   }
 }
 
-/** Fronts that are being drained get slots only where no other front lives. */
+/** Draining fronts are eligible only if no other front is live. */
 const eligibleFronts = (state: State, liveFronts: readonly Member[]): readonly Member[] => {
   const staying = liveFronts.filter((front) => !state.retiring.has(front.id));
   return staying.length > 0 ? staying : liveFronts;
 };
 
-/** Gives a slot whose owner is no member to its transfer target or to the front with the fewest slots. */
+/** Assigns a slot whose owner is not a member to its transfer target, or to the front with the fewest slots. */
 const assignOwner = (slot: Slot, counts: SlotCounts): Slot => {
   const owner = counts.has(slot.transferTarget) ? slot.transferTarget : counts.leastLoaded();
   counts.add(owner, 1);
@@ -52,7 +52,7 @@
   return { ...slot, owner, ownershipEpoch, ownedSinceEpoch: ownershipEpoch, transferTarget: '' };
 };
 
-/** Takes back the mark of a slot that is to move to a front which may not get it any more. */
+/** Clears the transfer target of a slot if that front is not eligible any more. */
 const withValidTarget = (slot: Slot, counts: SlotCounts): Slot =>
   slot.transferTarget === '' || counts.has(slot.transferTarget)
     ? slot
@@ -61,7 +61,7 @@
 const mayBeMarked = (slot: Slot): boolean =>
   slot.replicas.length > 0 && slot.joiningReplicas.length === 0 && slot.transferTarget === '';
 
-/** Marks slots of drained fronts, and of fronts with more than their share, to move, up to the limit. */
+/** Marks slots of draining fronts, and of fronts with more than their fair share, to move, up to the limit. */
 const markMoves = (
   slots: readonly Slot[],
   counts: SlotCounts,
@@ -83,7 +83,7 @@
   });
 };
 
-/** The slots with owners assigned and moves marked, within the limit. A slot that needs nothing stays the same object. */
+/** Assigns owners and marks moves, within the limit. A slot that does not change stays the same object. */
 export const allocateOwners = (
   state: State,
   slots: readonly Slot[],
--- a/packages/state/src/allocation/replicas.ts
+++ b/packages/state/src/allocation/replicas.ts
@@ -1,12 +1,12 @@
 /**
- * Which stores hold a slot. A slot gets its first replicas all at once; from then on one replica is replaced at a time,
- * under a raised ownership epoch, and only while a quorum of its replicas lives (design.md, "Changing a replica").
+ * Assigns slots to stores. A slot gets its first replicas all at once; after that, one replica is replaced at a time,
+ * under a raised ownership epoch, and only while a quorum of its replicas is live (design.md, "Changing a replica").
  */
 import type { Member, Slot, State } from '../state.js';
 import type { AllocationLimits } from './limits.js';
 import { compareIds, liveMembers } from './live-members.js';
 
-/** What one allocation of replicas goes by; `slotsPerStore` is kept up to date as it goes on. */
+/** Inputs of one allocation of replicas; `slotsPerStore` is updated as it proceeds. */
 interface ReplicaAllocation {
   readonly state: State;
   readonly limits: AllocationLimits;
@@ -16,7 +16,7 @@
   readonly slotsPerStore: Map<string, number>;
 }
 
-/** Stands for no replica where one more joins a slot that has too few. */
+/** Used as the replaced replica if a store joins a slot that has too few replicas. */
 const noReplica = '';
 
 const countInZone = (stores: readonly Member[], zone: string): number =>
@@ -26,7 +26,7 @@
   slotsPerStore.set(storeId, (slotsPerStore.get(storeId) ?? 0) + count);
 };
 
-/** Adds stores to `chosen` up to `count`: those of the zones used least first, then those that hold the fewest slots. */
+/** Extends `chosen` to `count` stores: those of the least used zones first, then those with the fewest slots. */
 const spreadOverZones = (
   candidates: readonly Member[],
   chosen: readonly Member[],
@@ -59,7 +59,7 @@
   return { ...slot, replicas, ownershipEpoch: slot.ownershipEpoch + 1 };
 };
 
-/** The replica to replace: a lost one first, then a missing one, then one that is being emptied. */
+/** The replica to replace: a lost one first, then a missing one (`noReplica`), then one that is being emptied. */
 const replicaToReplace = ({ state, limits }: ReplicaAllocation, slot: Slot): string | undefined => {
   const isLost = (id: string): boolean => limits.unresponsiveStores.has(id) && !state.nodes.has(id);
   const lost = slot.replicas.find(isLost);
@@ -68,7 +68,7 @@
   return slot.replicas.find((id) => state.retiring.has(id));
 };
 
-/** The store to fill in place of a replica; none while fewer than a quorum of replicas live to fill it from. */
+/** The store to join in place of a replica; none while fewer than a quorum of replicas are live to sync it from. */
 const findSpareStore = (
   { state, liveStores, usableStores, slotsPerStore }: ReplicaAllocation,
   slot: Slot,
@@ -89,7 +89,10 @@
   ownershipEpoch: slot.ownershipEpoch + 1,
 });
 
-/** Names a store to join in place of a replica; a joining one that can no longer be filled is dropped. */
+/**
+ * Adds a store as joining replica in place of another replica. Without a replica to replace or a spare store, drops a
+ * joining replica, which can no longer be filled.
+ */
 const replaceReplica = (allocation: ReplicaAllocation, slot: Slot): Slot => {
   const replaced = replicaToReplace(allocation, slot);
   const spare = replaced === undefined ? undefined : findSpareStore(allocation, slot, replaced);
@@ -111,7 +114,9 @@
   return slotsPerStore;
 };
 
-/** The slots with replicas placed or named to join, within the limits. A slot that needs nothing stays the same object. */
+/**
+ * Places first replicas and starts replacements, within the limits. A slot that does not change stays the same object.
+ */
 export const allocateReplicas = (state: State, limits: AllocationLimits): readonly Slot[] => {
   const liveStores = liveMembers(state, 'store');
   const allocation: ReplicaAllocation = {
--- a/packages/state/src/bootstrap-state.ts
+++ b/packages/state/src/bootstrap-state.ts
@@ -1,4 +1,4 @@
-/** The first state of a cluster. */
+/** The initial state of a cluster. */
 import { defaultReplication, type Replication } from './replication.js';
 import { emptySlots } from './slots.js';
 import type { Member, State, VotingConfiguration } from './state.js';
@@ -8,7 +8,7 @@
   return { current: ids, next: ids };
 };
 
-/** The state of a cluster that these controls make; nobody has joined it yet, not even they. */
+/** The initial state of a cluster with these voting controls; no node has joined yet, including the controls. */
 export const bootstrapState = (
   clusterId: string,
   members: readonly Member[],
--- a/packages/state/src/config/check.ts
+++ b/packages/state/src/config/check.ts
@@ -1,37 +1,37 @@
-/** Checks a configuration file: its form, its schema, and that nothing in it contradicts another thing. */
+/** Checks a configuration file: its syntax, its schema and its consistency. */
 import { createHash } from 'node:crypto';
 import { LineCounter, parseDocument } from 'yaml';
 import { consistencyFindings } from './consistency.js';
 import { yamlFindings, yupFindings, type Finding } from './findings.js';
 import { ConfigFile, type Config } from './schema.js';
 
-/** The configuration that a file holds, or what is wrong with it; it has findings if and only if there is no `config`. */
+/** The configuration of a file, or the problems in it; there are findings if and only if `config` is undefined. */
 export interface ConfigCheck {
   readonly config: Config | undefined;
   readonly findings: readonly Finding[];
 }
 
-/** How many hexadecimal digits of SHA-256 tell configurations apart. */
+/** Length of a configuration digest, in hexadecimal digits of SHA-256. */
 const digestLength = 32;
 
-/** The digest of a configuration's text. */
+/** Digest of the text of a configuration. */
 export const configDigest = (text: string): string =>
   createHash('sha256').update(text).digest('hex').slice(0, digestLength);
 
-/** Keys of earlier files that have another name now; each is an unknown key with a finding of its own. */
+/** Keys of earlier files that were renamed, with their new names; each is reported as an unknown key. */
 const renamedKeys: ReadonlyMap<string, string> = new Map([['lanes', 'routes']]);
 
 const renamedKeyFindings = (value: unknown): readonly Finding[] => {
   if (value === null || typeof value !== 'object' || Array.isArray(value)) return [];
   return Object.keys(value).flatMap((key) => {
     const name = renamedKeys.get(key);
-    return name === undefined
-      ? []
-      : [{ place: key, text: `unknown key; it is called ${name} now` }];
+    return name === undefined ? [] : [{ place: key, text: `unknown key; renamed to ${name}` }];
   });
 };
 
-/** The value of a text that is JSON as programs write it, undefined for any other; it needs no slower YAML parser. */
+/**
+ * Parses JSON exactly as `JSON.stringify` writes it, which avoids the slower YAML parser; undefined for any other text.
+ */
 const canonicalJson = (text: string): unknown => {
   try {
     const value: unknown = JSON.parse(text);
@@ -59,7 +59,7 @@
   }
 };
 
-/** Checks the text of a configuration file, in YAML or JSON. Defaults are filled in where it is sound. */
+/** Checks the text of a configuration file, in YAML or JSON. Defaults are filled in if there are no findings. */
 export const checkConfig = (text: string): ConfigCheck => {
   const value = canonicalJson(text);
   if (value !== undefined) return checkValue(value);
--- a/packages/state/src/config/compiled.ts
+++ b/packages/state/src/config/compiled.ts
@@ -1,6 +1,6 @@
 /**
- * The compiled form of a configuration, as it stands in the state: checked and with its defaults filled in, so that
- * nodes need neither YAML nor the checks.
+ * The compiled form of a configuration, as stored in the state: checked and with defaults filled in, so that nodes need
+ * neither YAML nor the checks.
  */
 import { z } from 'zod';
 import type { ConfigRecord } from '../state.js';
@@ -64,11 +64,11 @@
 
 const compiledByRecord = new WeakMap<ConfigRecord, Config>();
 
-/** The configuration of a record, parsed once a record; undefined without one. */
+/** The configuration of a record, parsed once per record; undefined without a record. */
 export const compiledConfig = (record: ConfigRecord | undefined): Config | undefined => {
   if (!record) return undefined;
-  const known = compiledByRecord.get(record);
-  if (known) return known;
+  const cached = compiledByRecord.get(record);
+  if (cached) return cached;
   const config = CompiledConfig.parse(JSON.parse(record.compiled));
   compiledByRecord.set(record, config);
   return config;
@@ -76,11 +76,11 @@
 
 const retentionLimits = new WeakMap<Config, number>();
 
-/** Twice the longest time that a route keeps its turns for, in ms; 0 without a configuration. */
+/** Twice the longest turn retention of any route, in ms; 0 without a configuration. */
 export const turnRetentionLimitMs = (config: Config | undefined): number => {
   if (!config) return 0;
-  const known = retentionLimits.get(config);
-  if (known !== undefined) return known;
+  const cached = retentionLimits.get(config);
+  if (cached !== undefined) return cached;
   const longest = Math.max(0, ...config.routes.map((route) => route.pass?.turnRetentionMs ?? 0));
   const limit = 2 * longest;
   retentionLimits.set(config, limit);
--- a/packages/state/src/config/consistency.ts
+++ b/packages/state/src/config/consistency.ts
@@ -1,4 +1,4 @@
-/** What the schema cannot say: a file names each thing once, and only things that it has. */
+/** Consistency checks beyond the schema: names and matches are unique, and shares refer to pools of the file. */
 import type { Finding } from './findings.js';
 import { matchKey } from './routes.js';
 import type { Config, Route } from './schema.js';
@@ -14,7 +14,7 @@
   const names = new Set<string>();
   return pools.flatMap(({ name }, index) => {
     if (names.has(name))
-      return [{ place: `pools[${index}].name`, text: `pool ${name} is named twice` }];
+      return [{ place: `pools[${index}].name`, text: `pool ${name} is defined twice` }];
     names.add(name);
     return [];
   });
@@ -23,16 +23,19 @@
 const passFindings = ({ match, pass }: Route, place: string): readonly Finding[] => {
   if (match.kind !== 'pass')
     return pass || match.host !== ''
-      ? [{ place: `${place}.match`, text: 'only a pass route has a host and rules of carrying' }]
+      ? [{ place: `${place}.match`, text: 'only a pass route may have a host and pass rules' }]
       : [];
   const findings: Finding[] = [];
   if (!pass)
     findings.push({
       place: `${place}.pass`,
-      text: 'a pass route says how its requests are carried',
+      text: 'a pass route must have pass rules',
     });
   if (!match.path.endsWith('/'))
-    findings.push({ place: `${place}.match.path`, text: 'the path of a pass route ends with /' });
+    findings.push({
+      place: `${place}.match.path`,
+      text: 'the path of a pass route must end with /',
+    });
   return findings;
 };
 
@@ -52,7 +55,7 @@
     const place = `${routePlace}.shares[${index}].pool`;
     const wrongPool = wrongPoolText(route, pool, kinds);
     if (wrongPool !== undefined) findings.push({ place, text: wrongPool });
-    if (pools.has(pool)) findings.push({ place, text: `pool ${pool} is named twice` });
+    if (pools.has(pool)) findings.push({ place, text: `pool ${pool} is listed twice` });
     pools.add(pool);
   });
   if (route.shares.every(({ share }) => share === 0))
@@ -69,7 +72,7 @@
     const place = `routes[${index}]`;
     const findings: Finding[] = [];
     if (names.has(name))
-      findings.push({ place: `${place}.name`, text: `route ${name} is named twice` });
+      findings.push({ place: `${place}.name`, text: `route ${name} is defined twice` });
     names.add(name);
     findings.push(...passFindings(route, place));
     const match = matchKey(route);
@@ -82,7 +85,7 @@
   });
 };
 
-/** All contradictions of a file that keeps to its schema, in the order of the file. */
+/** The findings of a file that satisfies its schema: those of pools, of versions, then of routes. */
 export const consistencyFindings = (config: Config): readonly Finding[] => [
   ...poolFindings(config),
   ...versionFindings(config),
--- a/packages/state/src/config/findings.ts
+++ b/packages/state/src/config/findings.ts
@@ -1,20 +1,20 @@
-/** Findings: what is wrong with a file, and where, for whoever wrote it. */
+/** Findings: problems in a configuration file, and their place in it. */
 import { ValidationError } from 'yup';
 import type { LineCounter } from 'yaml';
 
-/** One thing that is wrong: the path of a key, or a line and column, and what to do about it. */
+/** A problem: the path of a key, or a line and column, and what is wrong. */
 export interface Finding {
   readonly place: string;
   readonly text: string;
 }
 
-/** What the YAML parser says of a text: a message, and where it begins and ends, in characters. */
+/** An error of the YAML parser: its message, and the offsets of its begin and end, in characters. */
 export interface YamlProblem {
   readonly message: string;
   readonly pos: readonly [begin: number, end: number];
 }
 
-/** The findings of a text that is no YAML. */
+/** The findings of a text that is not valid YAML. */
 export const yamlFindings = (
   errors: readonly YamlProblem[],
   counter: LineCounter,
@@ -25,7 +25,7 @@
     return { place: `line ${line}, column ${col}`, text };
   });
 
-/** The findings of a value that breaks its schema; an error of another kind is thrown again. */
+/** The findings of a value that violates its schema. Rethrows an error of another kind. */
 export const yupFindings = (error: unknown): readonly Finding[] => {
   if (!(error instanceof ValidationError)) throw error;
   const errors = error.inner.length > 0 ? error.inner : [error];
--- a/packages/state/src/config/routes.ts
+++ b/packages/state/src/config/routes.ts
@@ -1,20 +1,20 @@
-/** Routes by what they match, and the choice of the route for a request: an exact path, or else the longest prefix. */
+/** The route table, and the selection of the route for a request: an exact path, or else the longest prefix. */
 import type { Config, Route } from './schema.js';
 
-/** The kinds of requests that routes are for. */
+/** Kinds of requests that routes match. */
 export type RouteKind = 'turn' | 'call' | 'pass';
 
-/** The routes of a configuration, by kind, host and path. */
+/** Routes of a configuration by `matchKey`. */
 export type RouteTable = ReadonlyMap<string, Route>;
 
-/** What a route matches; no two routes of a configuration match the same. */
+/** Key of the kind, host and path that a route matches; unique within a configuration. */
 export const matchKey = ({ match }: Route): string => `${match.kind} ${match.host}${match.path}`;
 
-/** The table of a configuration's routes. */
+/** Builds the route table of a configuration. */
 export const buildRouteTable = (config: Config): RouteTable =>
   new Map(config.routes.map((route) => [matchKey(route), route]));
 
-/** The route for a path (for `pass`, with the host before it), or undefined; prefixes end at a slash. */
+/** The route for a path (for `pass`, preceded by the host); undefined if none matches. Prefixes end at a slash. */
 export const findRoute = (table: RouteTable, kind: RouteKind, path: string): Route | undefined => {
   const exact = table.get(`${kind} ${path}`);
   if (exact) return exact;
--- a/packages/state/src/config/schema.ts
+++ b/packages/state/src/config/schema.ts
@@ -1,28 +1,28 @@
 /**
- * The schema of a configuration file, with its defaults. Its keys are those of the file and of the compiled form; times
- * end in `Ms` for milliseconds. Unknown keys are findings.
+ * The schema of a configuration file, with its defaults. Its keys are those of the file and of the compiled form; keys
+ * that end in `Ms` are in milliseconds. Unknown keys are findings.
  */
 import { array, boolean, number, object, string, type InferType } from 'yup';
 
-/** Names of pools and routes. */
+/** The name of a pool or route. */
 const name = () =>
   string()
     .strict()
     .matches(/^[a-z0-9][A-Za-z0-9._-]{0,199}$/, {
       message:
-        '${path} must begin with a-z or 0-9 and hold letters, digits, dots, dashes and underscores',
+        '${path} must begin with a-z or 0-9 and contain only letters, digits, dots, dashes and underscores',
     })
     .required();
 
-/** A whole number within bounds, both included. */
+/** An integer within bounds, both inclusive. */
 const integer = (min: number, max: number) => number().strict().integer().min(min).max(max);
 
-/** A part of the work of a route, by weight, and the pool that does it. */
+/** A pool that takes a share of a route's requests, and the weight of the share. */
 const Share = object({ pool: name(), share: number().strict().min(0).max(1e6).required() })
   .noUnknown()
   .strict();
 
-/** How the requests of a pass route are carried: attempts, times and what is kept. */
+/** How requests of a pass route are forwarded: attempts, time limits and retention. */
 const PassRules = object({
   manner: string().strict().oneOf(['repeatable', 'once', 'keyed', 'stream']).required(),
   tries: integer(1, 100).default(1),
@@ -36,7 +36,7 @@
   .noUnknown()
   .strict();
 
-/** From a kind of request, a host and a path to pools. */
+/** Maps a kind of request, a host and a path to pools. */
 const Route = object({
   name: name(),
   match: object({
@@ -48,7 +48,7 @@
     path: string()
       .strict()
       .matches(/^\/[A-Za-z0-9/_.~%!$&'()*+,;=:@-]*$/, {
-        message: '${path} must begin with / and hold plain characters',
+        message: '${path} must begin with / and contain only URL path characters',
       })
       .required(),
   })
@@ -63,7 +63,7 @@
   .noUnknown()
   .strict();
 
-/** What is known of the model servers of a pool: sequences at a time, and the size of their prefix cache. */
+/** Properties of the model servers of a pool: concurrent sequences, and the size of their prefix cache. */
 const Engine = object({
   places: integer(1, 100000).required(),
   memoryTokens: number().strict().moreThan(0).required(),
@@ -72,7 +72,7 @@
   .noUnknown()
   .strict();
 
-/** Servers that do the same work. */
+/** A group of servers that do the same work. */
 const Pool = object({
   name: name(),
   kind: string().strict().oneOf(['model', 'service']).required(),
@@ -87,7 +87,7 @@
   .noUnknown()
   .strict();
 
-/** The limits of callers' requests where a file states none. */
+/** Default limits of callers' requests. */
 const defaultLimits = {
   headerBytes: 16384,
   bodyBytes: 1 << 22,
@@ -98,7 +98,7 @@
 const defaultBudgets = { program: 100000, turn: 2000 } as const;
 const defaultBounds = { turnMs: 60000, callMs: 5000, queue: 256, perServer: 16 } as const;
 
-/** A configuration file: the version it builds on, pools, routes, and the bounds of the work. */
+/** A configuration file: the version that it builds on, pools, routes and limits. */
 export const ConfigFile = object({
   base: integer(0, Number.MAX_SAFE_INTEGER).required(),
   version: integer(1, Number.MAX_SAFE_INTEGER).optional(),
@@ -136,7 +136,7 @@
   .noUnknown()
   .strict();
 
-/** A configuration that was checked, with its defaults. */
+/** A checked configuration, with its defaults. */
 export type Config = InferType<typeof ConfigFile>;
 /** One route of a configuration. */
 export type Route = Config['routes'][number];
--- a/packages/state/src/index.ts
+++ b/packages/state/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The cluster state: its form, how it is changed, written and compared, and the allocation and configuration that follow
- * from it. Pure functions and schemas; no clock, no disk, no network.
+ * The cluster state: its schema, its reducers, its encoding and comparison, and the allocation and configuration that
+ * are derived from it. Pure functions and schemas; no clock, no disk, no network.
  */
 export * from './state.js';
 export * from './bootstrap-state.js';
--- a/packages/state/src/item.ts
+++ b/packages/state/src/item.ts
@@ -1,7 +1,10 @@
-/** Items: the records that the replicas of a slot hold. The keys are those of the inner wire and of the disk. */
+/**
+ * Items: the records that the replicas of a slot store. Keys of the schema are those of the internal protocol and of
+ * the disk.
+ */
 import { z } from 'zod';
 
-/** A record that replicas of a slot hold; of two with the same key the newer by (ownership epoch, sequence) counts. */
+/** A record stored by the replicas of a slot; of two with the same key, the higher (ownership epoch, sequence) wins. */
 export const Item = z
   .object({
     key: z.string(),
@@ -10,7 +13,7 @@
     value: z.unknown(),
   })
   .readonly();
-/** A record that replicas of a slot hold. */
+/** A record stored by the replicas of a slot. */
 export type Item = z.infer<typeof Item>;
 
 /** Whether an item is newer than another of the same key. */
@@ -18,14 +21,14 @@
   item.ownershipEpoch > other.ownershipEpoch ||
   (item.ownershipEpoch === other.ownershipEpoch && item.seq > other.seq);
 
-/** Whether two items of the same key are one write. */
+/** Whether two items with the same key come from the same write. */
 export const isSameItem = (item: Item, other: Item): boolean =>
   item.ownershipEpoch === other.ownershipEpoch && item.seq === other.seq;
 
-/** The program at the root of a sub-agent's id. */
+/** Id of the root program of a program or sub-agent. */
 export const rootProgramId = (programId: string): string => programId.split('~')[0] ?? programId;
 
-/** The key by which a record is hashed to its slot: a sub-agent's records lie with those of its root. */
+/** The key that is hashed to find the slot of a record: records of a sub-agent share the slot of its root program. */
 export const recordGroup = (key: string): string => {
   const [kind = '', id = ''] = key.split('/');
   return kind === 'p' ? `p/${rootProgramId(id)}` : key;
--- a/packages/state/src/margin.ts
+++ b/packages/state/src/margin.ts
@@ -1,38 +1,39 @@
 /**
- * How many more losses the cluster bears now: of voting controls, and of stores for each slot.
+ * Margins: how many further losses the cluster tolerates now, of voting controls and of stores for each slot.
  *
- * Live means here that the state lists the node and that it replied to whoever asks. It says nothing of the node's disk:
- * one that is full or stalled counts as live, though it stores no write (`docs/operators.md`, "A disk that is full").
+ * Live means here that the state lists the node and that it replied to the caller. It says nothing about the disk of
+ * the node: one with a full or stalled disk counts as live, though it stores no writes
+ * (`docs/operators.md`, "A disk that is full").
  */
 import { z } from 'zod';
 import { toleratedLosses, Replication } from './replication.js';
 import { replicasAfterJoin } from './slots.js';
 import type { Slot, State } from './state.js';
 
-/** Whether a node replied, as far as who asks can tell. Whether its disk accepts writes is not part of it. */
+/** Whether a node replied, as far as the caller can tell. It does not say whether its disk accepts writes. */
 export type IsLive = (id: string) => boolean;
 
 const countLive = (ids: readonly string[], isLive: IsLive): number => ids.filter(isLive).length;
 
-/** A node is live only if the state lists it and it replied. */
+/** Counts a node as live only if the state lists it and it replied. */
 export const liveNodes =
-  (state: State, isHeard: IsLive): IsLive =>
+  (state: State, hasReplied: IsLive): IsLive =>
   (id) =>
-    state.nodes.has(id) && isHeard(id);
+    state.nodes.has(id) && hasReplied(id);
 
-/** The losses of stores that a slot still bears, in both groups that take writes; below zero its quorum is gone. */
+/** Further store losses that a slot tolerates, in both groups that take writes; negative if it has no quorum. */
 export const slotMargin = (state: State, slot: Slot, isLive: IsLive): number =>
   Math.min(countLive(slot.replicas, isLive), countLive(replicasAfterJoin(slot), isLive)) -
   state.replication.quorum;
 
-/** The losses of voting controls that still leave a majority; below zero it is gone. */
+/** Further losses of voting controls that leave a majority; negative if there is none. */
 export const voterMargin = ({ voters }: State, isLive: IsLive): number => {
   const marginOf = (group: readonly string[]): number =>
     countLive(group, isLive) - (Math.floor(group.length / 2) + 1);
   return Math.min(marginOf(voters.current), marginOf(voters.next));
 };
 
-/** What a slot bears: its replicas, how many of them live, and how many more may be lost. */
+/** The margin of a slot: its replicas, how many of them are live, and how many more may be lost. */
 export const SlotMargin = z
   .object({
     slot: z.number(),
@@ -42,10 +43,13 @@
     margin: z.number(),
   })
   .readonly();
-/** What a slot bears. */
+/** The margin of a slot. */
 export type SlotMargin = z.infer<typeof SlotMargin>;
 
-/** What is still borne: `voters` and the least of all `slots` say how many more losses at once are. */
+/**
+ * The margins of the cluster: it tolerates `voters.margin` losses of controls, and `leastSlotMargin` simultaneous
+ * losses of stores.
+ */
 export const MarginReport = z
   .object({
     replication: Replication,
@@ -56,12 +60,12 @@
     slots: z.array(SlotMargin).readonly(),
   })
   .readonly();
-/** What is still borne, as `GET /v1/margin` shows it. */
+/** The margins of the cluster, as `GET /v1/margin` returns them. */
 export type MarginReport = z.infer<typeof MarginReport>;
 
-/** What is still borne, with the nodes counted as live that the state lists and `isHeard` names. */
-export const marginReport = (state: State, isHeard: IsLive): MarginReport => {
-  const isLive = liveNodes(state, isHeard);
+/** Computes the margins; a node counts as live if the state lists it and `hasReplied` is true for it. */
+export const marginReport = (state: State, hasReplied: IsLive): MarginReport => {
+  const isLive = liveNodes(state, hasReplied);
   const slots = state.slots.map((slot, index) => ({
     slot: index,
     replicas: slot.replicas.length,
@@ -83,7 +87,7 @@
   };
 };
 
-/** Whether every slot bears all the losses that its replication is meant for. */
+/** Whether every slot tolerates all the losses that its replication is meant for. */
 export const allSlotsFullyReplicated = (state: State, isLive: IsLive): boolean =>
   state.slots.every(
     (slot) => slotMargin(state, slot, isLive) >= toleratedLosses(state.replication),
--- a/packages/state/src/node-view.ts
+++ b/packages/state/src/node-view.ts
@@ -1,11 +1,14 @@
-/** What one node takes the cluster state for, as lines that operators compare between nodes (`GET /v1/view`). */
+/** The view that one node has of the cluster state, as lines that operators compare between nodes (`GET /v1/view`). */
 import type { Server, Slot, State, StateVersion } from './state.js';
 import { versionOf } from './versions.js';
 
-/** One fact of a view: what it is about, and what the node holds of it. */
+/** One fact of a view: its subject, and its value on the node. */
 export type NodeViewFact = readonly [subject: string, value: string];
 
-/** A node's view: who it is, whom it follows, which state it has applied, and the facts of that state. */
+/**
+ * A node's view: its id, the master that it follows, the state version that it has applied, and the facts of that
+ * state.
+ */
 export interface NodeView {
   readonly id: string;
   readonly kind: string;
@@ -45,7 +48,7 @@
   ...[...state.retiring.keys()].map((id): NodeViewFact => [`retiring ${id}`, 'yes']),
 ];
 
-/** The view of the node `id`, which has applied `state` or nothing yet. */
+/** Builds the view of the node `id`; `state` is the state that it has applied, if any. */
 export const nodeViewOf = (
   id: string,
   kind: string,
--- a/packages/state/src/pages.ts
+++ b/packages/state/src/pages.ts
@@ -1,8 +1,8 @@
-/** Items in pages, so that no message and no answer grows with a slot. */
+/** Pages of items, so that the size of a message or response does not grow with a slot. */
 import type { Item } from './item.js';
 import { ItemPage } from './messages.js';
 
-/** Fetches page after page, beginning with the first. Throws what `request` rejects with. */
+/** Fetches all pages, beginning with the first. Throws what `request` rejects with. */
 export async function* fetchPages(
   request: (after: string) => Promise<unknown>,
 ): AsyncGenerator<readonly Item[]> {
@@ -14,7 +14,7 @@
   }
 }
 
-/** The size that a page has at most, in characters of JSON; an item that is larger makes a page of its own. */
+/** Maximum size of a page, in characters of JSON; a larger item gets a page of its own. */
 export const maxPageBytes = 1 << 18;
 
 /** Splits items into pages for sending. */
--- a/packages/state/src/reduce.ts
+++ b/packages/state/src/reduce.ts
@@ -1,6 +1,6 @@
 /**
- * The reducer of the cluster state. Only the master reduces; what it returns is published with the next version. An
- * action that the state has overtaken, or that alters nothing, returns the very state it was given.
+ * The reducer of the cluster state. Only the master reduces; the result is published with the next version. An action
+ * that is outdated, or that changes nothing, returns the given state itself.
  */
 import type { StateAction } from './action.js';
 import { reduceConfig } from './reducers/configuration.js';
@@ -16,7 +16,7 @@
 import { reduceVoters } from './reducers/voters.js';
 import type { State } from './state.js';
 
-/** The state after an action; term and version are left to whoever publishes it. */
+/** Applies an action; term and version are set by the caller that publishes the state. */
 export const reduceState = (state: State, action: StateAction): State => {
   switch (action.kind) {
     case 'join':
--- a/packages/state/src/reducers/configuration.ts
+++ b/packages/state/src/reducers/configuration.ts
@@ -1,15 +1,15 @@
-/** The configuration in place, and the record of the changes that were accepted. */
+/** Reducer of the configuration, and of the record of accepted changes. */
 import { recordAcceptedChange } from '../accepted-changes.js';
 import type { ConfigAction } from '../action.js';
 import type { State } from '../state.js';
 
-/** What tells one change of the configuration from others: its sender's change id, or else its digest. */
+/** Identifies a change of the configuration: the change id set by its sender, or else its digest. */
 export const changeIdOf = (change: {
   readonly changeId?: string | undefined;
   readonly digest: string;
 }): string => change.changeId || change.digest;
 
-/** Puts a configuration in place and records that its change was accepted. */
+/** Replaces the configuration and records that its change was accepted. */
 export const reduceConfig = (state: State, { record }: ConfigAction): State => ({
   ...state,
   config: record,
--- a/packages/state/src/reducers/members.ts
+++ b/packages/state/src/reducers/members.ts
@@ -1,4 +1,7 @@
-/** Nodes that join and leave. At most one member has an address: a newcomer takes the place of the one before it. */
+/**
+ * Reducers for nodes that join and leave. At most one member has an address: a node that joins replaces the member at
+ * its address.
+ */
 import type { JoinAction, LeaveAction } from '../action.js';
 import type { Member, State } from '../state.js';
 import { withEntry, withoutEntry } from './entries.js';
@@ -6,13 +9,15 @@
 const isSameMember = (current: Member | undefined, member: Member): boolean =>
   JSON.stringify(current) === JSON.stringify(member);
 
-/** The order to empty a store stands for its name until it is taken back, also when it comes back with another disk. */
+/**
+ * The order to empty a store applies to its name until it is cancelled, also when the store returns with another disk.
+ */
 const inheritsRetiring = (state: State, member: Member): boolean =>
   member.kind === 'store' &&
   member.name !== '' &&
   [...state.retiring.values()].includes(member.name);
 
-/** Adds a member; the state itself where it is known as it is. */
+/** Adds or updates a member; returns `state` itself if nothing changes. */
 export const reduceJoin = (state: State, { member }: JoinAction): State => {
   if (isSameMember(state.nodes.get(member.id), member)) return state;
   const others = [...state.nodes].filter(
@@ -30,7 +35,7 @@
   };
 };
 
-/** Removes a member. A front's draining ends with it; a store's emptying goes on when it comes back. */
+/** Removes a member. Draining of a front ends with that; emptying of a store continues when it returns. */
 export const reduceLeave = (state: State, { id }: LeaveAction): State => {
   const member = state.nodes.get(id);
   if (!member) return state;
--- a/packages/state/src/reducers/retiring.ts
+++ b/packages/state/src/reducers/retiring.ts
@@ -1,9 +1,9 @@
-/** Stores that are being emptied and fronts that are being drained, by id, with the name that the order was given for. */
+/** Reducer for stores being emptied and fronts being drained, by id, with the node name that the order applies to. */
 import type { RetireAction } from '../action.js';
 import type { State } from '../state.js';
 import { withEntry } from './entries.js';
 
-/** Takes the order back for a node, and for all others that inherited it by the same name. */
+/** Cancels the order for a node, and for all others that inherited it by the same name. */
 const withoutRetiring = (retiring: State['retiring'], id: string): State['retiring'] => {
   const name = retiring.get(id) ?? '';
   return new Map(
@@ -13,7 +13,7 @@
   );
 };
 
-/** Gives or takes back the order to empty a store or drain a front; the state itself where nothing changes. */
+/** Sets or cancels the order to empty a store or drain a front; returns `state` itself if nothing changes. */
 export const reduceRetire = (state: State, { id, on }: RetireAction): State => {
   if (state.retiring.has(id) === on) return state;
   return {
--- a/packages/state/src/reducers/servers.ts
+++ b/packages/state/src/reducers/servers.ts
@@ -1,4 +1,4 @@
-/** Servers, their marks and their weights. */
+/** Reducers for servers, their marks and their weights. */
 import type {
   ServerAction,
   ServerRemovedAction,
@@ -8,17 +8,17 @@
 import type { State } from '../state.js';
 import { withEntry, withoutEntry } from './entries.js';
 
-/** Adds a server, or replaces the one of that id. */
+/** Adds a server, or replaces the one with that id. */
 export const reduceServer = (state: State, { server }: ServerAction): State => ({
   ...state,
   servers: withEntry(state.servers, server.id, server),
 });
 
-/** Removes a server; the state itself where there is none of that id. */
+/** Removes a server; returns `state` itself if there is none with that id. */
 export const reduceServerRemoved = (state: State, { id }: ServerRemovedAction): State =>
   state.servers.has(id) ? { ...state, servers: withoutEntry(state.servers, id) } : state;
 
-/** Marks a server as draining or down, or no longer; the state itself where nothing changes. */
+/** Sets or clears the draining and down marks of a server; returns `state` itself if nothing changes. */
 export const reduceServerMark = (state: State, action: ServerMarkAction): State => {
   const current = state.servers.get(action.id);
   if (!current) return state;
--- a/packages/state/src/reducers/slots.ts
+++ b/packages/state/src/reducers/slots.ts
@@ -1,12 +1,12 @@
 /**
- * Slots whose replicas or owner change. Every such change raises the ownership epoch, and reports that were made under
- * another epoch change nothing (design.md, "Slots, owners, ownership epochs").
+ * Reducers for changes of the replicas and the owner of a slot. Every such change raises the ownership epoch, and
+ * reports from another epoch change nothing (design.md, "Slots, owners, ownership epochs").
  */
 import type { FilledAction, TransferredAction } from '../action.js';
 import { replicasAfterJoin } from '../slots.js';
 import type { Slot, State } from '../state.js';
 
-/** The slot of this number, if there is one; the number may come from another node. */
+/** The slot with this index, if there is one; the index may come from another node. */
 const slotAt = (state: State, index: number): Slot | undefined => state.slots[index];
 
 const withSlot = (state: State, index: number, slot: Slot): State => ({
@@ -14,7 +14,7 @@
   slots: state.slots.with(index, slot),
 });
 
-/** Counts a joining replica among the replicas, in place of the one that it replaces. */
+/** Adds a joining replica to the replicas, in place of the one that it replaces. */
 export const reduceFilled = (state: State, action: FilledAction): State => {
   const slot = slotAt(state, action.slot);
   if (slot?.ownershipEpoch !== action.ownershipEpoch) return state;
@@ -28,7 +28,7 @@
   });
 };
 
-/** Gives a slot to its transfer target, if that is still a member. */
+/** Moves a slot to its transfer target, if that is still a member. */
 export const reduceTransferred = (state: State, action: TransferredAction): State => {
   const slot = slotAt(state, action.slot);
   if (slot?.ownershipEpoch !== action.ownershipEpoch) return state;
--- a/packages/state/src/reducers/voters.ts
+++ b/packages/state/src/reducers/voters.ts
@@ -1,16 +1,16 @@
 /**
- * The voting controls, changed one at a time by joint consensus: while `current` and `next` differ, decisions need a
- * majority of both (zen.md). The change ends once the state that names both is committed.
+ * Reducer for the voting controls, changed one at a time by joint consensus: while `current` and `next` differ,
+ * decisions need a majority of both (zen.md). The change ends once the state with both groups is committed.
  */
 import type { VotersAction } from '../action.js';
 import type { State } from '../state.js';
 import { withEntry } from './entries.js';
 
-/** Whether no change of the voters is under way. */
+/** Whether no change of voters is in progress. */
 const areVotersSettled = ({ voters }: State): boolean =>
   voters.current.join() === voters.next.join();
 
-/** Begins a change of the voters; the state itself while one is under way, or where nobody would be left to vote. */
+/** Begins a change of voters; returns `state` itself while one is in progress, or if no voter would remain. */
 export const reduceVoters = (state: State, action: VotersAction): State => {
   if (!areVotersSettled(state)) return state;
   const { current } = state.voters;
@@ -25,7 +25,7 @@
   };
 };
 
-/** Ends a change of the voters, to be published once the state with both groups is committed. */
+/** Ends a change of voters, to be published once the state with both groups is committed. */
 export const completeVotingChange = (state: State): State => {
   if (areVotersSettled(state)) return state;
   const { next } = state.voters;
--- a/packages/state/src/server-list.ts
+++ b/packages/state/src/server-list.ts
@@ -1,8 +1,8 @@
-/** The deployment's list of servers: its form, and how it is taken into the state. */
+/** The server list of the deployment: its schema, and how it is applied to the state. */
 import { z } from 'zod';
 import type { Server, State } from './state.js';
 
-/** A server as the list shows it. */
+/** A server of the list. */
 export const ListedServer = z
   .object({
     id: z.string(),
@@ -13,10 +13,10 @@
     draining: z.boolean(),
   })
   .readonly();
-/** A server as the list shows it; `places` is how many requests it works on at a time. */
+/** A server of the list; `places` is the number of requests that it processes concurrently. */
 export type ListedServer = z.infer<typeof ListedServer>;
 
-/** Whether the list changes nothing of a server; `down` is no matter of the list. */
+/** Whether the list leaves a server unchanged; `down` is not part of the list. */
 const isAsListed = (current: Server, listed: Server): boolean =>
   current.pool === listed.pool &&
   current.url === listed.url &&
@@ -24,8 +24,8 @@
   current.places === listed.places &&
   current.draining === listed.draining;
 
-/** The server that the list shows; one that drains goes on draining, whatever the list says of it later. */
-const listedAs = (
+/** The state's server for an entry of the list; a draining server stays draining, whatever the list says later. */
+const toServer = (
   listed: ListedServer,
   current: Server | undefined,
   isDraining: boolean,
@@ -36,14 +36,14 @@
   return current && isAsListed(current, server) ? current : server;
 };
 
-/** The state with the servers of the list and no others; the very state where the list alters nothing. */
+/** Replaces the servers of the state by those of the list; returns `state` itself if nothing changes. */
 export const applyServerList = (state: State, listed: readonly ListedServer[]): State => {
   const servers = new Map<string, Server>();
   for (const server of listed) {
     const current = state.servers.get(server.id);
     const listedBefore = servers.get(server.id);
     const isDraining = (current?.draining ?? false) || (listedBefore?.draining ?? false);
-    servers.set(server.id, listedAs(server, current, isDraining));
+    servers.set(server.id, toServer(server, current, isDraining));
   }
   const isUnchanged =
     servers.size === state.servers.size &&
--- a/packages/state/src/slots.ts
+++ b/packages/state/src/slots.ts
@@ -1,10 +1,10 @@
 /**
- * Slots: the fixed number of parts into which programs and operation keys are hashed, and the replicas of each that
- * take writes now and after a replica has joined.
+ * Slots: the fixed number of partitions into which programs and operation keys are hashed, and the replicas of each
+ * that take writes now and after a replica has joined.
  */
 import type { Slot } from './state.js';
 
-/** Slots that nobody owns and no store holds. */
+/** Slots without an owner and without replicas. */
 export const emptySlots = (count: number): readonly Slot[] =>
   Array.from({ length: count }, () => ({
     owner: '',
@@ -16,7 +16,9 @@
     replacedReplica: '',
   }));
 
-/** The slot of a key, from 0 to `count` - 1: FNV-1a over the UTF-16 units, then mixed so that short keys spread too. */
+/**
+ * The slot of a key, from 0 to `count` - 1: FNV-1a over the UTF-16 units, then mixed so that short keys spread as well.
+ */
 export const slotForKey = (key: string, count: number): number => {
   let hash = 0x811c9dc5;
   for (let index = 0; index < key.length; index++)
@@ -25,13 +27,13 @@
   return ((hash ^ (hash >>> 13)) >>> 0) % count;
 };
 
-/** The stores that a write goes to: the replicas and the joining one. */
+/** The stores that receive writes: the replicas and the joining one. */
 export const replicasToWrite = (slot: Slot): readonly string[] => [
   ...slot.replicas,
   ...slot.joiningReplicas,
 ];
 
-/** The replicas once the joining one counts; while it joins, a write needs a quorum of these too. */
+/** The replicas once the joining one has synced; until then, a write needs a quorum of these as well. */
 export const replicasAfterJoin = (slot: Slot): readonly string[] =>
   slot.joiningReplicas.length === 0
     ? slot.replicas
--- a/packages/state/src/state-table.ts
+++ b/packages/state/src/state-table.ts
@@ -1,6 +1,7 @@
 /**
- * The cluster state as a flat table of keys, in which it is kept on disk and published: `SECTION/ID` to the JSON text of
- * one entry. A diff is the set of changed keys and names the version that it starts from; it applies to no other.
+ * The cluster state as a flat table, the form in which it is stored and published: keys `SECTION/ID` to the JSON text
+ * of one entry. A diff is the set of changed keys and names the version that it starts from; it applies to no other
+ * version.
  */
 import { z } from 'zod';
 import {
@@ -14,26 +15,26 @@
 } from './state.js';
 import { isSameVersion, versionOf } from './versions.js';
 
-/** The JSON text of each entry, by its key. */
+/** JSON text of each entry, by its key. */
 export type StateTable = ReadonlyMap<string, string>;
 
 /** Entries of a table as they are sent and stored: pairs of key and JSON text. */
 export const TableEntries = z.array(z.tuple([z.string(), z.string()]));
 
-/** What changes a state of the version `base` into one of the version `to`. */
+/** The changes that turn a state of the version `base` into one of the version `to`. */
 export const StateDiff = z.object({
   base: StateVersion,
   to: StateVersion,
   set: TableEntries,
   drop: z.array(z.string()),
 });
-/** What changes a state of the version `base` into one of the version `to`. */
+/** The changes that turn a state of the version `base` into one of the version `to`. */
 export type StateDiff = z.infer<typeof StateDiff>;
 
-/** A table that is no state: its head is missing, or it has a section that this version does not know. */
+/** A table that is not a valid state: its head is missing, or it has a section that this version does not know. */
 export class InvalidStateError extends Error {}
 
-/** The sections of a state while they are read; whole once every entry has been. */
+/** The sections of a state that is being decoded; complete once every entry has been decoded. */
 interface StateDraft {
   readonly nodes: Map<string, Member>;
   readonly votingMembers: Map<string, Member>;
@@ -47,7 +48,7 @@
 
 type PutEntry = (key: string, json: string) => void;
 
-/** How one part of the state is written to the table and read from it. */
+/** Encodes and decodes one part of the state. */
 interface Section {
   readonly name: string;
   readonly encode: (state: State, put: PutEntry) => void;
@@ -57,18 +58,18 @@
 const headKey = 'head';
 const configKey = 'config';
 
-/** A configuration is large and stays for long, so its text is made once a record. */
+/** A configuration is large and changes rarely, so its JSON text is computed once per record. */
 const configTexts = new WeakMap<ConfigRecord, string>();
 
 const encodeConfig = (record: ConfigRecord): string => {
-  const known = configTexts.get(record);
-  if (known !== undefined) return known;
+  const cached = configTexts.get(record);
+  if (cached !== undefined) return cached;
   const text = JSON.stringify(record);
   configTexts.set(record, text);
   return text;
 };
 
-/** A section with one entry for each entry of a map. */
+/** Creates a section that encodes each entry of a map as one entry. */
 const mapSection = <Id, Value>(
   name: string,
   entriesOf: (state: State) => ReadonlyMap<Id, Value>,
@@ -81,10 +82,10 @@
   decode,
 });
 
-/** An earlier version kept other values here, which named nobody. */
+/** An earlier version stored other values here, which were not names. */
 const RetiringName = z.string().catch('');
 
-/** The sections beside the head, in the order in which they are written. */
+/** The sections other than the head, in encoding order. */
 const sections: readonly Section[] = [
   mapSection(
     'node',
@@ -149,7 +150,7 @@
   replication: state.replication,
 });
 
-/** The table of a state. */
+/** Encodes a state as a table. */
 export const encodeState = (state: State): StateTable => {
   const table = new Map<string, string>();
   table.set(headKey, JSON.stringify(headerOf(state)));
@@ -165,14 +166,14 @@
   const name = slash < 0 ? key : key.slice(0, slash);
   const id = slash < 0 ? '' : key.slice(slash + 1);
   const section = sectionsByName.get(name);
-  if (!section) throw new InvalidStateError(`unknown section ${name}`);
+  if (!section) throw new InvalidStateError(`the state table has an unknown section: ${name}`);
   section.decode(draft, id, JSON.parse(json));
 };
 
-/** The state of a table. Throws `InvalidStateError`, or `ZodError` where an entry breaks its schema. */
+/** Decodes a table. Throws `InvalidStateError`, or `ZodError` if an entry violates its schema. */
 export const decodeState = (table: StateTable): State => {
   const head = table.get(headKey);
-  if (head === undefined) throw new InvalidStateError('no head');
+  if (head === undefined) throw new InvalidStateError('the state table has no head entry');
   const header = StateHeader.parse(JSON.parse(head));
   const draft: StateDraft = {
     nodes: new Map(),
@@ -188,7 +189,7 @@
   return { ...header, ...draft };
 };
 
-/** What changes one state into another. */
+/** Computes the changes that turn one state into another. */
 export const diffStates = (base: State, next: State): StateDiff => {
   const from = encodeState(base);
   const to = encodeState(next);
@@ -197,13 +198,13 @@
   return { base: versionOf(base), to: versionOf(next), set, drop };
 };
 
-/** The state that a diff makes of this one; undefined where it starts from another version. */
+/** Applies a diff to a state; undefined if the diff starts from another version. */
 export const applyDiff = (state: State, diff: StateDiff): State | undefined => {
   if (!isSameVersion(state, diff.base)) return undefined;
   const table = new Map(encodeState(state));
   const keepsConfig =
     !diff.drop.includes(configKey) && !diff.set.some(([key]) => key === configKey);
-  // The record in place is taken over as it is: parsing it again would cost time at each publish.
+  // The current record is reused, since parsing it again would cost time at each publish.
   if (keepsConfig) table.delete(configKey);
   for (const key of diff.drop) table.delete(key);
   for (const [key, json] of diff.set) table.set(key, json);
--- a/packages/state/src/state.ts
+++ b/packages/state/src/state.ts
@@ -1,9 +1,9 @@
-/** The cluster state and its parts. The keys of the schemas are those of the inner wire and of the disk. */
+/** The cluster state and its parts. Keys of the schemas are those of the internal protocol and of the disk. */
 import { z } from 'zod';
 import { defaultReplication, Replication } from './replication.js';
 import type { AcceptedChanges } from './accepted-changes.js';
 
-/** A node as the cluster state knows it; `data` is the address of a front's proxy, '' for other nodes. */
+/** A node in the cluster state; `data` is the address of a front's proxy, '' for other nodes. */
 export const Member = z
   .object({
     id: z.string(),
@@ -15,7 +15,7 @@
     name: z.string().default(''),
   })
   .readonly();
-/** A node as the cluster state knows it: id (from its disk), kind, addresses, zone and the name for operators. */
+/** A node in the cluster state: id (from its disk), kind, addresses, zone and the name for operators. */
 export type Member = z.infer<typeof Member>;
 
 /** A slot: its owner and replicas, and the ownership epoch (a fencing token) that every change of them raises. */
@@ -33,7 +33,10 @@
 /** A slot: its owner and replicas, and the ownership epoch that every change of them raises. */
 export type Slot = z.infer<typeof Slot>;
 
-/** A server that does callers' work, and its marks: draining gets nothing new, down is reached by few fronts. */
+/**
+ * A server that processes callers' requests, and its marks: `draining` gets no new requests, `down` is unreachable for
+ * most fronts.
+ */
 export const Server = z
   .object({
     id: z.string(),
@@ -45,10 +48,10 @@
     places: z.number().default(0),
   })
   .readonly();
-/** A server that does callers' work, and its marks. */
+/** A server that processes callers' requests, and its marks. */
 export type Server = z.infer<typeof Server>;
 
-/** The configuration in place: the text that was handed in, its digest, and the JSON of its compiled form. */
+/** The current configuration: its text as submitted, the digest of the text, and the JSON of its compiled form. */
 export const ConfigRecord = z
   .object({
     version: z.number(),
@@ -58,25 +61,28 @@
     changeId: z.string().default(''),
   })
   .readonly();
-/** The configuration in place. */
+/** The current configuration. */
 export type ConfigRecord = z.infer<typeof ConfigRecord>;
 
-/** The ids of the voting controls, and of the next ones; the same unless a change is under way (joint consensus). */
+/**
+ * Ids of the current and of the next voting controls; both are the same unless a change is in progress (joint
+ * consensus).
+ */
 export const VotingConfiguration = z
   .object({
     current: z.array(z.string()).readonly(),
     next: z.array(z.string()).readonly(),
   })
   .readonly();
-/** The ids of the voting controls, and of the next ones. */
+/** Ids of the current and of the next voting controls. */
 export type VotingConfiguration = z.infer<typeof VotingConfiguration>;
 
-/** What a state is known by: the term of the master that published it, and its version. It never goes back. */
+/** Identifies a state: the term of the master that published it, and its version. It never decreases. */
 export const StateVersion = z.object({ term: z.number(), version: z.number() }).readonly();
-/** What a state is known by: the term of the master that published it, and its version. */
+/** Identifies a state: the term of the master that published it, and its version. It never decreases. */
 export type StateVersion = z.infer<typeof StateVersion>;
 
-/** What a state says of itself, and who may decide on it. */
+/** Header of a state: its cluster, its version, the master that published it, its voters and its replication. */
 export const StateHeader = z
   .object({
     clusterId: z.string(),
@@ -87,25 +93,25 @@
     replication: Replication.default(defaultReplication),
   })
   .readonly();
-/** What a state says of itself, and who may decide on it. */
+/** Header of a state: its cluster, its version, the master that published it, its voters and its replication. */
 export type StateHeader = z.infer<typeof StateHeader>;
 
 /**
- * The cluster state (design.md, "Cluster state"): one value, changed by reducers on the master only, and held by readers
- * as an immutable snapshot.
+ * The cluster state (design.md, "Cluster state"): one immutable value, changed by reducers on the master only and read
+ * as a snapshot.
  */
 export interface State extends StateHeader {
-  /** The members that are alive, by id. */
+  /** The live members, by id. */
   readonly nodes: ReadonlyMap<string, Member>;
-  /** The voting controls as they were last known, by id, whether they live or not. */
+  /** Last known member data of the voting controls, by id, whether they are live or not. */
   readonly votingMembers: ReadonlyMap<string, Member>;
-  /** Stores to be emptied and fronts to be drained: the id, and the name that the order was given for. */
+  /** Stores to be emptied and fronts to be drained: the id, and the node name that the order applies to. */
   readonly retiring: ReadonlyMap<string, string>;
   readonly slots: readonly Slot[];
   readonly config: ConfigRecord | undefined;
   readonly acceptedChanges: AcceptedChanges;
   readonly servers: ReadonlyMap<string, Server>;
-  /** The tuned weights, by `weightKey`; 1 where there is none. */
+  /** The tuned weights, by `weightKey`; a server without an entry has the weight 1. */
   readonly weights: ReadonlyMap<string, number>;
 }
 
--- a/tests/src/state/renamed-configuration-keys.test.ts
+++ b/tests/src/state/renamed-configuration-keys.test.ts
@@ -17,7 +17,7 @@
   const withdrawn = ['la', 'nes'].join('');
   const { config, findings } = checkConfig(file(withdrawn));
   assert.is(config, undefined);
-  assert.equal(findings, [{ place: withdrawn, text: 'unknown key; it is called routes now' }]);
+  assert.equal(findings, [{ place: withdrawn, text: 'unknown key; renamed to routes' }]);
   assert.equal(checkConfig(file('routes')).findings, []);
 });
 
