--- a/packages/state/src/config/schema.ts
+++ b/packages/state/src/config/schema.ts
@@ -48,7 +48,7 @@
     path: string()
       .strict()
       .matches(/^\/[A-Za-z0-9/_.~%!$&'()*+,;=:@-]*$/, {
-        message: '${path} must begin with / and contain only URL path characters',
+        message: '${path} must begin with / and hold plain characters',
       })
       .required(),
   })
--- a/tests/src/control/list-poll.test.ts
+++ b/tests/src/control/list-poll.test.ts
@@ -1,4 +1,4 @@
-/** The master's poll of the server list: which readings it takes over, and what it reports of them. */
+/** The master's poll of the server list: which readings it commits, and which ages it reports. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { ListPoll, ListReader, type ListedServer, type ServerList } from '@tillerstair/control';
@@ -10,7 +10,7 @@
 
 const poll = suite('poll of the server list');
 
-const listed = (id: string): ListedServer => ({
+const listedServer = (id: string): ListedServer => ({
   id,
   pool: 'p',
   url: 'http://127.0.0.1:1',
@@ -19,9 +19,9 @@
   draining: false,
 });
 
-/** A list that shows these servers, or fails where there are none. */
+/** A list of these servers; reading it fails if they are undefined. */
 class ScriptedList implements ServerList {
-  servers: readonly ListedServer[] | undefined = [listed('a')];
+  servers: readonly ListedServer[] | undefined = [listedServer('a')];
   reads = 0;
 
   async read(): Promise<readonly ListedServer[]> {
@@ -30,7 +30,7 @@
   }
 }
 
-const started = (state: State = sampleState([])) => {
+const setUpPoll = (state: State = sampleState([])) => {
   const clock = new SimClock();
   const list = new ScriptedList();
   const reader = new ListReader(clock, list, { listReadInterval: 500 }, silentLogger);
@@ -45,8 +45,8 @@
 
 const serverIds = (master: ScriptedMaster): readonly string[] => [...master.state.servers.keys()];
 
-poll('a reading is taken into the state once, and a failed one alters nothing', async () => {
-  const { clock, list, poll: polling, master } = started();
+poll('a reading is committed to the state once, and a failed one changes nothing', async () => {
+  const { clock, list, poll: polling, master } = setUpPoll();
   void polling.run(master);
   await clock.run(100);
   assert.equal(serverIds(master), ['a']);
@@ -61,28 +61,28 @@
   master.steppedDown.abort();
 });
 
-poll('nothing is reported for another term, nor by a master that stepped down', async () => {
-  const { clock, poll: polling, master } = started();
+poll('no ages are reported for another term, nor by a master that stepped down', async () => {
+  const { clock, poll: polling, master } = setUpPoll();
   void polling.run(master);
   await clock.run(100);
   assert.is(polling.reported(2).age === null, false);
   assert.equal(polling.reported(3), { age: null, readAge: null });
   assert.equal(polling.reported(undefined), { age: null, readAge: null });
-  const deposed = started();
-  const { submit } = deposed.master;
-  const stepsDown = Object.assign(deposed.master, {
+  const formerMaster = setUpPoll();
+  const { submit } = formerMaster.master;
+  const stepsDown = Object.assign(formerMaster.master, {
     submit: async (change: (state: State) => State) => {
-      deposed.master.steppedDown.abort();
+      formerMaster.master.steppedDown.abort();
       return submit(change);
     },
   });
-  void deposed.poll.run(stepsDown);
-  await deposed.clock.run(100);
-  assert.equal(deposed.poll.reported(2), { age: null, readAge: null });
+  void formerMaster.poll.run(stepsDown);
+  await formerMaster.clock.run(100);
+  assert.equal(formerMaster.poll.reported(2), { age: null, readAge: null });
 });
 
-poll('readings that are asked for at once, or soon again, are one reading', async () => {
-  const { clock, list, reader } = started();
+poll('concurrent reads, and reads within the interval, share one reading', async () => {
+  const { clock, list, reader } = setUpPoll();
   const both = Promise.all([reader.read(), reader.read()]);
   await clock.finish('both', both, 1000);
   await clock.finish('again', reader.read(), 1000);
@@ -92,22 +92,26 @@
   assert.is(list.reads, 2);
 });
 
-poll('a server that left the list leaves the state, a draining one stays draining', () => {
+poll('a server that left the list is removed from the state, a draining one stays draining', () => {
   const draining = applyServerList(sampleState([]), [
-    { ...listed('a'), draining: true },
-    listed('b'),
+    { ...listedServer('a'), draining: true },
+    listedServer('b'),
   ]);
-  const again = applyServerList(draining, [listed('a')]);
-  assert.equal([...again.servers.keys()], ['a']);
-  assert.is(again.servers.get('a')?.draining, true);
-  const twice = applyServerList(sampleState([]), [{ ...listed('a'), draining: true }, listed('a')]);
-  assert.is(twice.servers.get('a')?.draining, true);
-  const down = new Map([['a', { ...listed('a'), down: true }]]);
+  const relisted = applyServerList(draining, [listedServer('a')]);
+  assert.equal([...relisted.servers.keys()], ['a']);
+  assert.is(relisted.servers.get('a')?.draining, true);
+  const listedTwice = applyServerList(sampleState([]), [
+    { ...listedServer('a'), draining: true },
+    listedServer('a'),
+  ]);
+  assert.is(listedTwice.servers.get('a')?.draining, true);
+  const downServers = new Map([['a', { ...listedServer('a'), down: true }]]);
   assert.is(
-    applyServerList(sampleState([], { servers: down }), [listed('a')]).servers.get('a')?.down,
+    applyServerList(sampleState([], { servers: downServers }), [listedServer('a')]).servers.get('a')
+      ?.down,
     true,
   );
-  assert.is(applyServerList(again, [listed('a')]), again);
+  assert.is(applyServerList(relisted, [listedServer('a')]), relisted);
 });
 
 poll.run();
--- a/tests/src/control/many-changes.test.ts
+++ b/tests/src/control/many-changes.test.ts
@@ -1,34 +1,44 @@
+/**
+ * The election log and publishes under hundreds of configuration changes, with controls that are down or slow
+ * meanwhile.
+ */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { configDigest, encodeState, reduceState } from '@tillerstair/state';
 import { World, type Machine } from '@tillerstair/sim';
 import { configText } from '../support/world-helpers.js';
 
-const many = suite('hundreds of changes of a large configuration');
+const manyChanges = suite('hundreds of changes of a large configuration');
 
 const routes = 1000;
 const changes = 500;
-const awayFor = 100;
+const changesWhileDown = 100;
 
-const version = (m: Machine): number => m.control?.zen.applied?.config?.version ?? 0;
+const configVersion = (machine: Machine): number =>
+  machine.control?.zen.applied?.config?.version ?? 0;
 
-const masterOf = (w: World): Machine => {
-  const m = w.master;
-  if (!m) throw new Error('a master is needed');
-  return m;
+const masterOf = (cluster: World): Machine => {
+  const master = cluster.master;
+  if (!master) throw new Error('the cluster has no master');
+  return master;
 };
 
-const holds = (m: Machine): string => {
-  const s = m.control?.zen.accepted;
-  return s ? JSON.stringify([...encodeState(s)].filter(([k]) => k !== 'head').sort()) : '';
+const acceptedState = (machine: Machine): string => {
+  const accepted = machine.control?.zen.accepted;
+  return accepted
+    ? JSON.stringify([...encodeState(accepted)].filter(([key]) => key !== 'head').sort())
+    : '';
 };
 
-/** As the operator's interface hands a change in, without the check of its text, which is most of the time of a real one. */
-const change = async (w: World): Promise<void> => {
-  const lead = masterOf(w).control?.zen.leading;
-  if (!lead) throw new Error('a master is needed');
-  const old = lead.committed?.config;
-  const base = old?.version ?? 0;
+/**
+ * Submits a change like the operators' interface, but without the check of its text, which takes most of the time of a
+ * real change.
+ */
+const submitChange = async (cluster: World): Promise<void> => {
+  const master = masterOf(cluster).control?.zen.leading;
+  if (!master) throw new Error('the cluster has no master');
+  const current = master.committed?.config;
+  const base = current?.version ?? 0;
   const text = configText(base, 'models', 'shop', routes + (base % 3));
   const record = {
     version: base + 1,
@@ -37,76 +47,87 @@
     compiled: text,
     changeId: '',
   };
-  await w.clock.finish(
+  await cluster.clock.finish(
     'change',
-    lead.submit((s) => reduceState(s, { kind: 'config', record })),
+    master.submit((state) => reduceState(state, { kind: 'config', record })),
     2000,
   );
 };
 
-const allEqual = (w: World, ms: readonly Machine[]) => (): boolean => {
-  const master = w.master;
+const caughtUp = (cluster: World, machines: readonly Machine[]) => (): boolean => {
+  const master = cluster.master;
   return (
     master !== undefined &&
-    ms.every((m) => m.up && m.control !== undefined && version(m) === version(master))
+    machines.every(
+      (machine) =>
+        machine.up &&
+        machine.control !== undefined &&
+        configVersion(machine) === configVersion(master),
+    )
   );
 };
 
-many(
-  'logs and publishes stay bounded, and members that were away or slow are caught up within a second',
+manyChanges(
+  'logs and publishes stay bounded, controls that were down or slow catch up within a second',
   async () => {
-    const w = new World(1, { controls: 5, stores: 0, fronts: 0 });
-    w.start();
-    await w.clock.until('a master', () => w.master !== undefined, 12000);
+    const cluster = new World(1, { controls: 5, stores: 0, fronts: 0 });
+    cluster.start();
+    await cluster.clock.until('a master', () => cluster.master !== undefined, 12000);
     let published = 0;
-    let most = 0;
-    w.net.onMessage = (m) => {
-      if (m.kind !== 'zen/publish') return;
-      published += m.bytes;
-      most = Math.max(most, m.bytes);
+    let largest = 0;
+    cluster.net.onMessage = (message) => {
+      if (message.kind !== 'zen/publish') return;
+      published += message.bytes;
+      largest = Math.max(largest, message.bytes);
     };
-    const followers = w.of('control').filter((m) => m !== w.master);
+    const followers = cluster.of('control').filter((machine) => machine !== cluster.master);
     assert.is(followers.length, 4, 'five controls are needed');
-    const [short, long, slow] = followers;
-    long.kill('power');
+    const [brieflyDown, longDown, slow] = followers;
+    longDown.kill('power');
     slow.platter.delay = 400;
     let longest = 0;
-    const took: number[] = [];
-    for (let n = 0; n < changes; n++) {
-      if (n === 200) {
+    const tookMs: number[] = [];
+    for (let index = 0; index < changes; index++) {
+      if (index === 200) {
         slow.platter.delay = 0.2;
-        short.kill('process');
+        brieflyDown.kill('process');
       }
-      if (n === 200 + awayFor) {
-        short.start();
-        took.push(await w.clock.until('the one away for 100', allEqual(w, [short]), 5000));
+      if (index === 200 + changesWhileDown) {
+        brieflyDown.start();
+        tookMs.push(
+          await cluster.clock.until('down for 100', caughtUp(cluster, [brieflyDown]), 5000),
+        );
         slow.platter.delay = 400;
       }
-      await change(w);
-      longest = Math.max(longest, ...w.of('control').map((m) => m.platter.bytes('zen.log')));
+      await submitChange(cluster);
+      longest = Math.max(longest, ...cluster.of('control').map((m) => m.platter.bytes('zen.log')));
     }
     slow.platter.delay = 0.2;
-    await w.clock.until('the slow one', allEqual(w, [slow]), 1000);
-    long.start();
-    took.push(await w.clock.until('the one away for all', allEqual(w, [long]), 5000));
-    for (const m of w.of('control')) {
-      if (m === w.master) continue;
-      m.kill('power');
-      await w.clock.run(100);
-      m.start();
-      took.push(await w.clock.until('restarted', allEqual(w, [m]), 5000));
+    await cluster.clock.until('the slow control', caughtUp(cluster, [slow]), 1000);
+    longDown.start();
+    tookMs.push(await cluster.clock.until('down for all', caughtUp(cluster, [longDown]), 5000));
+    for (const machine of cluster.of('control')) {
+      if (machine === cluster.master) continue;
+      machine.kill('power');
+      await cluster.clock.run(100);
+      machine.start();
+      tookMs.push(await cluster.clock.until('restarted', caughtUp(cluster, [machine]), 5000));
     }
-    assert.ok(Math.max(...took) < 1000, took.join());
-    for (const m of w.of('control')) assert.is(holds(m), holds(masterOf(w)), m.addr);
-    assert.is(version(masterOf(w)), changes);
-    const state = holds(masterOf(w)).length;
-    assert.ok(longest < 4 * state, `the longest log has ${longest} bytes, the state ${state}`);
-    assert.ok(most < state / 4, `a publish has ${most} bytes, the state ${state}`);
+    assert.ok(Math.max(...tookMs) < 1000, tookMs.join());
+    for (const machine of cluster.of('control'))
+      assert.is(acceptedState(machine), acceptedState(masterOf(cluster)), machine.addr);
+    assert.is(configVersion(masterOf(cluster)), changes);
+    const stateBytes = acceptedState(masterOf(cluster)).length;
     assert.ok(
-      published / changes < 6 * most,
-      `${published / changes} bytes a change, ${most} in the largest publish`,
+      longest < 4 * stateBytes,
+      `the longest log has ${longest} bytes, the state ${stateBytes}`,
+    );
+    assert.ok(largest < stateBytes / 4, `a publish has ${largest} bytes, the state ${stateBytes}`);
+    assert.ok(
+      published / changes < 6 * largest,
+      `${published / changes} bytes a change, ${largest} in the largest publish`,
     );
   },
 );
 
-many.run();
+manyChanges.run();
--- a/tests/src/control/operations.test.ts
+++ b/tests/src/control/operations.test.ts
@@ -1,4 +1,7 @@
-/** The operators' interface against a scripted master: statuses, bodies, refusals, and what each answer waits for. */
+/**
+ * The operators' interface with a scripted master: statuses, bodies, refusals, and the calls on the master before each
+ * response.
+ */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { isReadOnly, operate, type OperatorResponse } from '@tillerstair/control';
@@ -14,14 +17,14 @@
 
 const operations = suite('operations');
 
-const fileText = (more: object = {}): string =>
+const fileText = (overrides: object = {}): string =>
   JSON.stringify({
     base: 0,
     pools: [{ name: 'm', kind: 'model' }],
     routes: [
       { name: 'chat', match: { kind: 'turn', path: '/chat' }, shares: [{ pool: 'm', share: 1 }] },
     ],
-    ...more,
+    ...overrides,
   });
 
 const ask = (
@@ -32,42 +35,42 @@
 ): Promise<OperatorResponse> =>
   operate(master, { method, path, body: typeof body === 'string' ? body : JSON.stringify(body) });
 
-const masterOf = (more: Partial<State> = {}, script: MasterScript = {}): ScriptedMaster =>
-  new ScriptedMaster(sampleState(undefined, more), script);
+const masterOf = (overrides: Partial<State> = {}, script: MasterScript = {}): ScriptedMaster =>
+  new ScriptedMaster(sampleState(undefined, overrides), script);
 
-const codeOf = (outcome: OperatorResponse): string =>
-  /"errorCode":"([^"]*)"/.exec(JSON.stringify(outcome.body))?.[1] ?? '';
+const codeOf = (response: OperatorResponse): string =>
+  /"errorCode":"([^"]*)"/.exec(JSON.stringify(response.body))?.[1] ?? '';
 
-const statusAndCode = (outcome: OperatorResponse): readonly [number, string] => [
-  outcome.status,
-  codeOf(outcome),
+const statusAndCode = (response: OperatorResponse): readonly [number, string] => [
+  response.status,
+  codeOf(response),
 ];
 
 const config = { version: 4, text: 'text 4', digest: 'd4', compiled: '{}', changeId: 'change 4' };
 const accepted: AcceptedChanges = recordAcceptedChange(new Map(), 4, 'change 4');
-const notRun = new RpcError('no-majority', 'no majority replied', 'no');
+const notExecuted = new RpcError('no-majority', 'no majority replied', 'no');
 const unclear = new RpcError('superseded', 'not master any more', 'unknown');
 
 operations('a configuration is acknowledged once it is committed and in force', async () => {
   const master = masterOf();
-  const outcome = await ask(master, 'PUT', '/v1/config', fileText({ changeId: 'a' }));
-  assert.is(outcome.status, 200);
+  const response = await ask(master, 'PUT', '/v1/config', fileText({ changeId: 'a' }));
+  assert.is(response.status, 200);
   assert.equal(master.calls, ['decide', 'waitUntilInForce']);
   assert.is(master.state.config?.version, 1);
-  assert.equal(outcome.body, { version: 1, digest: master.state.config?.digest });
+  assert.equal(response.body, { version: 1, digest: master.state.config?.digest });
 });
 
-operations('a configuration with findings changes nothing and asks for no majority', async () => {
+operations('a configuration with findings changes nothing and calls no master', async () => {
   const master = masterOf();
-  const outcome = await ask(master, 'PUT', '/v1/config', fileText({ pools: [] }));
-  assert.equal(statusAndCode(outcome), [422, 'findings']);
+  const response = await ask(master, 'PUT', '/v1/config', fileText({ pools: [] }));
+  assert.equal(statusAndCode(response), [422, 'findings']);
   assert.equal(master.calls, []);
 });
 
-operations('a configuration on another base is refused with the version in place', async () => {
+operations('a configuration on another base is refused with the current version', async () => {
   const master = masterOf({ config, acceptedChanges: accepted });
-  const outcome = await ask(master, 'PUT', '/v1/config', fileText({ base: 3 }));
-  assert.equal(outcome, {
+  const response = await ask(master, 'PUT', '/v1/config', fileText({ base: 3 }));
+  assert.equal(response, {
     status: 409,
     body: {
       executed: 'no',
@@ -80,51 +83,60 @@
 });
 
 operations('a change that was accepted is acknowledged again and not made again', async () => {
-  const later = { ...config, version: 9 };
-  const master = masterOf({ config: later, acceptedChanges: accepted });
-  const again = fileText({ base: 3, version: 4, changeId: 'change 4' });
-  const outcome = await ask(master, 'PUT', '/v1/config', again);
-  assert.is(outcome.status, 200);
-  assert.match(JSON.stringify(outcome.body), '"newest":9');
-  assert.is(master.state.config, later);
+  const laterConfig = { ...config, version: 9 };
+  const master = masterOf({ config: laterConfig, acceptedChanges: accepted });
+  const resentFile = fileText({ base: 3, version: 4, changeId: 'change 4' });
+  const response = await ask(master, 'PUT', '/v1/config', resentFile);
+  assert.is(response.status, 200);
+  assert.match(JSON.stringify(response.body), '"newest":9');
+  assert.is(master.state.config, laterConfig);
   assert.equal(master.calls, ['decide', 'waitUntilInForce']);
 });
 
-operations('a change older than the record is answered as unclear', async () => {
-  let taken: AcceptedChanges = new Map();
+operations('a change older than the record gets an unclear response', async () => {
+  let changes: AcceptedChanges = new Map();
   for (let version = 1; version <= minimumRememberedChanges + 100; version++)
-    taken = recordAcceptedChange(taken, version, `change ${version}`);
+    changes = recordAcceptedChange(changes, version, `change ${version}`);
   const master = masterOf({
     config: { ...config, version: minimumRememberedChanges + 100 },
-    acceptedChanges: taken,
+    acceptedChanges: changes,
   });
-  const old = fileText({ base: 0, version: 1, changeId: 'change 1' });
-  const outcome = await ask(master, 'PUT', '/v1/config', old);
-  assert.equal(statusAndCode(outcome), [504, 'unknown']);
-  assert.match(JSON.stringify(outcome.body), '"how":"GET /v1/config"');
+  const oldChange = fileText({ base: 0, version: 1, changeId: 'change 1' });
+  const response = await ask(master, 'PUT', '/v1/config', oldChange);
+  assert.equal(statusAndCode(response), [504, 'unknown']);
+  assert.match(JSON.stringify(response.body), '"how":"GET /v1/config"');
 });
 
-operations('a change whose end nobody knows is 504, one that surely was not made 503', async () => {
-  const lost = await ask(masterOf({}, { publishError: unclear }), 'PUT', '/v1/config', fileText());
-  assert.equal(statusAndCode(lost), [504, 'unknown']);
-  assert.match(JSON.stringify(lost.body), '"digest":');
-  const refused = await ask(
-    masterOf({}, { publishError: notRun }),
+operations('a change with an unknown outcome gets 504, one not made gets 503', async () => {
+  const unclearResponse = await ask(
+    masterOf({}, { publishError: unclear }),
     'PUT',
     '/v1/config',
     fileText(),
   );
-  assert.equal(statusAndCode(refused), [503, 'no-majority']);
+  assert.equal(statusAndCode(unclearResponse), [504, 'unknown']);
+  assert.match(JSON.stringify(unclearResponse.body), '"digest":');
+  const refusedResponse = await ask(
+    masterOf({}, { publishError: notExecuted }),
+    'PUT',
+    '/v1/config',
+    fileText(),
+  );
+  assert.equal(statusAndCode(refusedResponse), [503, 'no-majority']);
   for (const [error, expected] of [
     [unclear, [504, 'unknown']],
-    [notRun, [503, 'no-majority']],
+    [notExecuted, [503, 'no-majority']],
   ] as const) {
-    const drain = await ask(masterOf({}, { publishError: error }), 'POST', '/v1/fronts/f1/drain');
-    assert.equal(statusAndCode(drain), expected);
+    const drainResponse = await ask(
+      masterOf({}, { publishError: error }),
+      'POST',
+      '/v1/fronts/f1/drain',
+    );
+    assert.equal(statusAndCode(drainResponse), expected);
   }
 });
 
-operations('prepare tells whether a change was accepted, else the text it builds on', async () => {
+operations('prepare reports an accepted change, else the text of its base', async () => {
   const body = { base: 4, version: 5, changeId: 'x' };
   const master = masterOf({ config, acceptedChanges: accepted });
   assert.equal(await ask(master, 'POST', '/v1/config/prepare', body), {
@@ -132,35 +144,41 @@
     body: { taken: false, text: 'text 4' },
   });
   assert.equal(master.calls, ['confirm']);
-  const again = masterOf({ config, acceptedChanges: accepted });
-  const asked = { base: 3, version: 4, changeId: 'change 4' };
-  assert.equal(await ask(again, 'POST', '/v1/config/prepare', asked), {
+  const acceptingMaster = masterOf({ config, acceptedChanges: accepted });
+  const acceptedChange = { base: 3, version: 4, changeId: 'change 4' };
+  assert.equal(await ask(acceptingMaster, 'POST', '/v1/config/prepare', acceptedChange), {
     status: 200,
     body: { taken: true, version: 4 },
   });
-  assert.equal(again.calls, ['confirm', 'waitUntilInForce']);
+  assert.equal(acceptingMaster.calls, ['confirm', 'waitUntilInForce']);
 });
 
-operations('prepare is refused without a configuration, base, majority or sound body', async () => {
+operations('prepare is refused without a configuration, base, majority or valid body', async () => {
   const body = { base: 0, version: 5, changeId: 'x' };
   const path = '/v1/config/prepare';
   assert.equal(statusAndCode(await ask(masterOf(), 'POST', path, body)), [404, 'missing']);
-  const placed = masterOf({ config, acceptedChanges: accepted });
-  assert.equal(statusAndCode(await ask(placed, 'POST', path, body)), [409, 'wrong-base']);
-  assert.equal(statusAndCode(await ask(placed, 'POST', path, '{')), [422, 'findings']);
-  assert.equal(statusAndCode(await ask(placed, 'POST', path, { ...body, changeId: '' })), [
+  const configured = masterOf({ config, acceptedChanges: accepted });
+  assert.equal(statusAndCode(await ask(configured, 'POST', path, body)), [409, 'wrong-base']);
+  assert.equal(statusAndCode(await ask(configured, 'POST', path, '{')), [422, 'findings']);
+  assert.equal(statusAndCode(await ask(configured, 'POST', path, { ...body, changeId: '' })), [
     422,
     'findings',
   ]);
-  const alone = masterOf({ config, acceptedChanges: accepted }, { confirmError: notRun });
-  assert.equal(statusAndCode(await ask(alone, 'POST', path, body)), [503, 'no-majority']);
-  const doubtful = masterOf({ config, acceptedChanges: accepted }, { confirmError: unclear });
-  const outcome = await ask(doubtful, 'POST', path, body);
-  assert.equal(statusAndCode(outcome), [504, 'unknown']);
-  assert.match(JSON.stringify(outcome.body), '"how":"ask again"');
+  const withoutMajority = masterOf(
+    { config, acceptedChanges: accepted },
+    { confirmError: notExecuted },
+  );
+  assert.equal(statusAndCode(await ask(withoutMajority, 'POST', path, body)), [503, 'no-majority']);
+  const withUnclearMajority = masterOf(
+    { config, acceptedChanges: accepted },
+    { confirmError: unclear },
+  );
+  const response = await ask(withUnclearMajority, 'POST', path, body);
+  assert.equal(statusAndCode(response), [504, 'unknown']);
+  assert.match(JSON.stringify(response.body), '"how":"ask again"');
 });
 
-operations('the configuration is read on the word of a majority', async () => {
+operations('the configuration is read after a majority confirmed the master', async () => {
   const master = masterOf({ config });
   assert.equal(await ask(master, 'GET', '/v1/config'), {
     status: 200,
@@ -168,12 +186,15 @@
   });
   assert.equal(master.calls, ['confirm']);
   assert.equal(statusAndCode(await ask(masterOf(), 'GET', '/v1/config')), [404, 'missing']);
-  const alone = masterOf({ config }, { confirmError: unclear });
-  assert.equal(statusAndCode(await ask(alone, 'GET', '/v1/config')), [503, 'unavailable']);
+  const withoutMajority = masterOf({ config }, { confirmError: unclear });
+  assert.equal(statusAndCode(await ask(withoutMajority, 'GET', '/v1/config')), [
+    503,
+    'unavailable',
+  ]);
 });
 
-operations('a page that does not exist is 404, a method that a page lacks 405', async () => {
-  for (const path of ['/v2/status', '/v1/novel', '/v1/servers', '/v1/controls', '/v1/stores/s1'])
+operations('an unknown path gets 404, an unsupported method gets 405', async () => {
+  for (const path of ['/v2/status', '/v1/unknown', '/v1/servers', '/v1/controls', '/v1/stores/s1'])
     assert.equal(statusAndCode(await ask(masterOf(), 'GET', path)), [404, 'no-such-page'], path);
   for (const [method, path] of [
     ['PUT', '/v1/stores/s1/empty'],
@@ -198,7 +219,7 @@
     );
 });
 
-operations('a server is taken only with a pool and a URL by number', async () => {
+operations('a server is added only with a pool and a URL with an IP address', async () => {
   const path = '/v1/servers/a%20b';
   const master = masterOf();
   const url = 'http://127.0.0.1:80';
@@ -221,11 +242,11 @@
   assert.equal(master.calls, ['decide', 'decide', 'decide', 'decide']);
 });
 
-operations('a store is emptied by id, address or name, and again without a change', async () => {
+operations('a store is emptied by id, address or name; a repeat changes nothing', async () => {
   for (const id of ['s4', 's4:1', 's4-name']) {
     const master = masterOf();
-    const outcome = await ask(master, 'POST', `/v1/stores/${id}/empty`);
-    assert.is(outcome.status, 200);
+    const response = await ask(master, 'POST', `/v1/stores/${id}/empty`);
+    assert.is(response.status, 200);
     assert.ok(master.state.retiring.has('s4'));
     const before = master.state;
     assert.is((await ask(master, 'POST', `/v1/stores/${id}/empty`)).status, 200);
@@ -235,7 +256,7 @@
   }
 });
 
-operations('an order to empty that nobody can carry out is refused', async () => {
+operations('an order to empty a store that cannot be executed is refused', async () => {
   const master = masterOf({ retiring: new Map([['s3', 's3-name']]) });
   assert.equal(statusAndCode(await ask(master, 'POST', '/v1/stores/s4/empty')), [409, 'refused']);
   assert.equal(statusAndCode(await ask(master, 'POST', '/v1/stores/f1/empty')), [409, 'refused']);
@@ -244,7 +265,7 @@
   assert.equal([...master.state.retiring.keys()], ['s3']);
 });
 
-operations('an order to empty a store that is gone is acknowledged again, not given', async () => {
+operations('emptying an absent store is acknowledged again, but not cancelled', async () => {
   const master = masterOf({ retiring: new Map([['s9', 's9-name']]) });
   assert.is((await ask(master, 'POST', '/v1/stores/s9-name/empty')).status, 200);
   assert.equal(statusAndCode(await ask(master, 'DELETE', '/v1/stores/s9-name/empty')), [
@@ -265,27 +286,38 @@
   assert.is(master.state.retiring.size, 0);
 });
 
-const doneOf = async (more: Partial<State>, script: MasterScript = {}): Promise<boolean> => {
+const isEmptyingDone = async (
+  overrides: Partial<State>,
+  script: MasterScript = {},
+): Promise<boolean> => {
   const master = new ScriptedMaster(
-    sampleState(more.slots ?? [sampleSlot({ replicas: ['s1', 's2', 's3'] })], more),
+    sampleState(overrides.slots ?? [sampleSlot({ replicas: ['s1', 's2', 's3'] })], overrides),
     script,
   );
-  const outcome = await ask(master, 'GET', '/v1/stores/s4/empty');
-  assert.is(outcome.status, 200);
+  const response = await ask(master, 'GET', '/v1/stores/s4/empty');
+  assert.is(response.status, 200);
   assert.equal(master.calls, ['pingPeers', 'confirm']);
-  return JSON.stringify(outcome.body).includes('"done":true');
+  return JSON.stringify(response.body).includes('"done":true');
 };
 
-operations('emptying is done only when the store holds nothing and all others reply', async () => {
+operations('emptying is done once the store has no replicas and all others reply', async () => {
   const retiring = new Map([['s4', 's4-name']]);
-  assert.is(await doneOf({ retiring }), true);
-  assert.is(await doneOf({}), false, 'not ordered');
+  assert.is(await isEmptyingDone({ retiring }), true);
+  assert.is(await isEmptyingDone({}), false, 'emptying was not ordered');
   const joining = sampleSlot({ joiningReplicas: ['s4'], replacedReplica: 's1' });
-  assert.is(await doneOf({ retiring, slots: [joining] }), false, 'still named by a slot');
-  assert.is(await doneOf({ retiring }, { repliedNodes: ['s1', 's2'] }), false, 's3 is silent');
+  assert.is(
+    await isEmptyingDone({ retiring, slots: [joining] }),
+    false,
+    's4 is a joining replica of a slot',
+  );
+  assert.is(
+    await isEmptyingDone({ retiring }, { repliedNodes: ['s1', 's2'] }),
+    false,
+    's3 did not reply',
+  );
 });
 
-operations('only stores that are known can be asked how far their emptying is', async () => {
+operations('the emptying progress of a node that is not a known store is not found', async () => {
   assert.equal(statusAndCode(await ask(masterOf(), 'GET', '/v1/stores/f1/empty')), [
     404,
     'missing',
@@ -297,14 +329,14 @@
       ['s9', 's9-name'],
     ]),
   });
-  const outcome = await ask(master, 'GET', '/v1/stores/s9-name/empty');
-  assert.match(JSON.stringify(outcome.body), '"store":"s9"');
+  const response = await ask(master, 'GET', '/v1/stores/s9-name/empty');
+  assert.match(JSON.stringify(response.body), '"store":"s9"');
 });
 
-operations('a control votes only with the newest state on its disk', async () => {
+operations('a control gets a vote only with the newest state on its disk', async () => {
   const spare = { ...sampleState().nodes.get('c1'), id: 'c4', addr: 'c4:1', name: 'c4-name' };
-  const base = sampleState();
-  const nodes = new Map(base.nodes).set('c4', {
+  const sample = sampleState();
+  const nodes = new Map(sample.nodes).set('c4', {
     id: spare.id,
     kind: 'control',
     addr: spare.addr,
@@ -327,7 +359,7 @@
   );
 });
 
-operations('who is no control gets no vote, and the last vote is not taken', async () => {
+operations('only a control gets a vote, and the last voting control is not removed', async () => {
   const master = masterOf();
   assert.equal(statusAndCode(await ask(master, 'POST', '/v1/controls/s1')), [409, 'refused']);
   assert.equal(statusAndCode(await ask(master, 'POST', '/v1/controls/x')), [404, 'missing']);
@@ -336,18 +368,21 @@
   assert.equal(statusAndCode(await ask(single, 'DELETE', '/v1/controls/c1')), [409, 'refused']);
 });
 
-operations('status and margin count nodes that replied after the call came', async () => {
+operations('status and margin count nodes that replied after the request arrived', async () => {
   const master = masterOf({}, { repliedNodes: ['c1', 'c2', 's1', 's2'] });
   const margin = await ask(master, 'GET', '/v1/margin');
   assert.match(JSON.stringify(margin.body), '"leastSlotMargin":0');
   const status = await ask(master, 'GET', '/v1/status');
   assert.match(JSON.stringify(status.body), '"clusterId":"sample"');
   assert.equal(master.calls, ['pingPeers', 'confirm', 'pingPeers', 'confirm']);
-  const alone = masterOf({}, { confirmError: notRun });
-  assert.equal(statusAndCode(await ask(alone, 'GET', '/v1/status')), [503, 'unavailable']);
+  const withoutMajority = masterOf({}, { confirmError: notExecuted });
+  assert.equal(statusAndCode(await ask(withoutMajority, 'GET', '/v1/status')), [
+    503,
+    'unavailable',
+  ]);
 });
 
-operations('reads are those that alter nothing however they end', () => {
+operations('a request is read-only if it changes nothing whatever its outcome', () => {
   const read = (method: string, path: string): boolean => isReadOnly({ method, path, body: '' });
   assert.ok(read('GET', '/v1/status'));
   assert.ok(read('POST', '/v1/config/prepare'));
--- a/tests/src/control/operator-answers.test.ts
+++ b/tests/src/control/operator-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers to operators: findings, unknown outcomes, emptying stores by name, the operators' page. */
+/** Responses to operators: findings, unknown outcomes, emptying of stores by name, the platform's operator API. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { OperatorResponse } from '@tillerstair/control';
@@ -14,7 +14,7 @@
   operatorClient,
 } from '../support/operator-cluster.js';
 
-const answers = suite('answers to operators');
+const answers = suite('responses to operators');
 
 const invalidPatches = [
   { edition: 7, remove: { depots: ['d1'] } },
@@ -68,101 +68,111 @@
 ];
 
 answers('an invalid configuration is rejected with findings and changes nothing', async () => {
-  const w = await startCluster(49);
-  const desk = operatorClient(w);
-  assert.is((await desk.change('PUT', 0, platformConfiguration(5))).status, 200);
-  for (const [what, body] of invalidConfigurations)
-    assert.is((await desk.change('PUT', 5, body)).status, 400, what);
+  const cluster = await startCluster(49);
+  const client = operatorClient(cluster);
+  assert.is((await client.change('PUT', 0, platformConfiguration(5))).status, 200);
+  for (const [description, body] of invalidConfigurations)
+    assert.is((await client.change('PUT', 5, body)).status, 400, description);
   assert.match(
-    jsonText((await desk.change('PUT', 5, invalidConfigurations[2]?.[1])).body),
+    jsonText((await client.change('PUT', 5, invalidConfigurations[2]?.[1])).body),
     'pool none is not in this file',
   );
-  for (const p of invalidPatches)
-    assert.is((await desk.change('PATCH', 5, p)).status, 400, jsonText(p));
-  assert.is((await desk.change('PUT', 'five', platformConfiguration(7))).status, 400);
-  assert.is(await desk.read(), jsonText(platformConfiguration(5)));
-  assert.is((await desk.change('PUT', 5, platformConfiguration(7))).status, 200);
+  for (const patch of invalidPatches)
+    assert.is((await client.change('PATCH', 5, patch)).status, 400, jsonText(patch));
+  assert.is((await client.change('PUT', 'five', platformConfiguration(7))).status, 400);
+  assert.is(await client.read(), jsonText(platformConfiguration(5)));
+  assert.is((await client.change('PUT', 5, platformConfiguration(7))).status, 200);
 });
 
 answers('a configuration of ten thousand routes is accepted and read back', async () => {
-  const w = await startCluster(50);
-  const big = platformConfiguration(1, {
+  const cluster = await startCluster(50);
+  const largeConfiguration = platformConfiguration(1, {
     ways: Array.from({ length: 10000 }, (_, i) => platformRoute(`r${i}`)),
   });
-  assert.ok(jsonText(big).length > 2 << 20);
-  const desk = operatorClient(w);
-  assert.is((await desk.change('PUT', 0, big)).status, 200);
-  assert.is(await desk.read(), jsonText(big));
+  assert.ok(jsonText(largeConfiguration).length > 2 << 20);
+  const client = operatorClient(cluster);
+  assert.is((await client.change('PUT', 0, largeConfiguration)).status, 200);
+  assert.is(await client.read(), jsonText(largeConfiguration));
 });
 
 answers(
   'a change without a master is answered 503, and one whose outcome is unknown 504',
   async () => {
-    const w = await startCluster(51);
-    assert.is((await operatorClient(w).change('PUT', 0, platformConfiguration(1))).status, 200);
-    const [a, b, c] = w.of('control');
-    const alone = [a, b, c].find((m) => m !== w.master);
-    for (const m of [a, b, c]) if (m !== alone) m.kill('power');
-    await w.clock.run(8000);
-    const node = alone?.control;
-    if (!node) throw new Error('no control');
-    const desk = new OperatorAdapter((o) => node.operate(o));
-    const put = await w.clock.finish(
+    const cluster = await startCluster(51);
+    assert.is(
+      (await operatorClient(cluster).change('PUT', 0, platformConfiguration(1))).status,
+      200,
+    );
+    const [first, second, third] = cluster.of('control');
+    const survivor = [first, second, third].find((machine) => machine !== cluster.master);
+    for (const machine of [first, second, third]) if (machine !== survivor) machine.kill('power');
+    await cluster.clock.run(8000);
+    const node = survivor?.control;
+    if (!node) throw new Error('no control survived');
+    const adapter = new OperatorAdapter((request) => node.operate(request));
+    const put = await cluster.clock.finish(
       'PUT',
-      desk.change('PUT', '1', jsonText(platformConfiguration(2))),
+      adapter.change('PUT', '1', jsonText(platformConfiguration(2))),
       30000,
     );
     assert.is(put.status, 503);
     assert.ok((put.retryAfter ?? 0) > 0);
-    const read = await w.clock.finish('GET', desk.read(), 30000);
+    const read = await cluster.clock.finish('GET', adapter.read(), 30000);
     assert.is(typeof read === 'string' ? 200 : read.status, 503);
-    const late = new OperatorAdapter(() =>
+    const unclearAdapter = new OperatorAdapter(() =>
       Promise.resolve({ status: 504, body: { executed: 'unknown' } }),
     );
-    assert.is((await late.change('PUT', '1', jsonText(platformConfiguration(2)))).status, 504);
+    assert.is(
+      (await unclearAdapter.change('PUT', '1', jsonText(platformConfiguration(2)))).status,
+      504,
+    );
   },
 );
 
-answers('a store is emptied by its name; an unknown one is 404, too few others 409', async () => {
-  const w = await startCluster(52, { controls: 3, stores: 4, fronts: 2 });
-  await w.operate('PUT', '/v1/config', configText(0));
-  await w.clock.until(
-    'replicas',
-    () => w.committed?.slots.every((s) => s.replicas.length === 3) ?? false,
-    20000,
-  );
-  const desk = operatorClient(w);
-  const name = 'store-number-1';
-  assert.is((await desk.retire('POST', 'nobody')).status, 404);
-  assert.is((await desk.retire('GET', 'nobody')).status, 404);
-  assert.is((await desk.retire('GET', 'front-number-0')).status, 404);
-  assert.equal((await desk.retire('GET', name)).body, { state: 'in_service' });
-  const at = w.clock.now();
-  assert.is((await desk.retire('POST', name)).status, 200);
-  assert.is((await desk.retire('POST', name)).status, 200);
-  assert.is((await desk.retire('POST', 'store-number-2')).status, 409);
-  const id = w.at('store-1').store?.id ?? 'none';
-  await w.clock.until(
-    'emptied',
-    () =>
-      w.committed?.slots.every((s) => !s.replicas.includes(id) && s.joiningReplicas.length === 0) ??
-      false,
-    6000,
-  );
-  assert.ok(w.clock.now() - at < 6000);
-  assert.equal((await desk.retire('GET', name)).body, { state: 'delivered' });
-  w.at('store-1').kill('power');
-  await w.clock.until('away', () => !w.committed?.nodes.has(id), 20000);
-  assert.equal((await desk.retire('GET', name)).body, { state: 'delivered' });
-  assert.is((await desk.retire('POST', name)).status, 200);
-  w.master?.kill('power');
-  await w.clock.until('a new master', () => w.master !== undefined, 20000);
-  assert.equal((await operatorClient(w).retire('GET', name)).body, { state: 'delivered' });
-});
+answers(
+  'a store is emptied by its name; an unknown one gets 404, too few others get 409',
+  async () => {
+    const cluster = await startCluster(52, { controls: 3, stores: 4, fronts: 2 });
+    await cluster.operate('PUT', '/v1/config', configText(0));
+    await cluster.clock.until(
+      'replicas',
+      () => cluster.committed?.slots.every((slot) => slot.replicas.length === 3) ?? false,
+      20000,
+    );
+    const client = operatorClient(cluster);
+    const name = 'store-number-1';
+    assert.is((await client.retire('POST', 'nobody')).status, 404);
+    assert.is((await client.retire('GET', 'nobody')).status, 404);
+    assert.is((await client.retire('GET', 'front-number-0')).status, 404);
+    assert.equal((await client.retire('GET', name)).body, { state: 'in_service' });
+    const orderedAt = cluster.clock.now();
+    assert.is((await client.retire('POST', name)).status, 200);
+    assert.is((await client.retire('POST', name)).status, 200);
+    assert.is((await client.retire('POST', 'store-number-2')).status, 409);
+    const id = cluster.at('store-1').store?.id ?? 'none';
+    await cluster.clock.until(
+      'emptied',
+      () =>
+        cluster.committed?.slots.every(
+          (slot) => !slot.replicas.includes(id) && slot.joiningReplicas.length === 0,
+        ) ?? false,
+      6000,
+    );
+    assert.ok(cluster.clock.now() - orderedAt < 6000);
+    assert.equal((await client.retire('GET', name)).body, { state: 'delivered' });
+    cluster.at('store-1').kill('power');
+    await cluster.clock.until('away', () => !cluster.committed?.nodes.has(id), 20000);
+    assert.equal((await client.retire('GET', name)).body, { state: 'delivered' });
+    assert.is((await client.retire('POST', name)).status, 200);
+    cluster.master?.kill('power');
+    await cluster.clock.until('a new master', () => cluster.master !== undefined, 20000);
+    assert.equal((await operatorClient(cluster).retire('GET', name)).body, { state: 'delivered' });
+  },
+);
 
-answers("the operators' page uses the platform's statuses and forms", async () => {
-  const asked: string[] = [];
-  const outcomes = new Map<string, OperatorResponse>([
+answers("the operator API uses the platform's statuses and formats", async () => {
+  const requests: string[] = [];
+  const responses = new Map<string, OperatorResponse>([
     ['PUT /v1/config', { status: 409, body: {} }],
     [
       'GET /v1/config',
@@ -178,9 +188,11 @@
   const [port = 0] = await freePorts(1);
   const server = await serveHttp(
     `127.0.0.1:${port}`,
-    createOperatorApi(async (o) => {
-      asked.push(`${o.method} ${o.path}`);
-      return Promise.resolve(outcomes.get(`${o.method} ${o.path}`) ?? { status: 404, body: {} });
+    createOperatorApi(async (request) => {
+      requests.push(`${request.method} ${request.path}`);
+      return Promise.resolve(
+        responses.get(`${request.method} ${request.path}`) ?? { status: 404, body: {} },
+      );
     }),
   );
   try {
@@ -190,26 +202,26 @@
         headers: { 'If-Match': '3', connection: 'close' },
         ...(body === undefined ? {} : { body }),
       });
-    const pad = ' '.repeat(5 << 20);
+    const padding = ' '.repeat(5 << 20);
     assert.is(
-      (await ask('PUT', '/configuration', jsonText(platformConfiguration(4)) + pad)).status,
+      (await ask('PUT', '/configuration', jsonText(platformConfiguration(4)) + padding)).status,
       412,
     );
     const read = await ask('GET', '/configuration');
     assert.is(read.status, 200);
     assert.is(read.headers.get('content-type'), 'application/json');
     assert.is(await read.text(), '{"edition":4}');
-    const post = await ask('POST', '/retire/a%20b', '{"overS":10}');
-    assert.is(post.status, 200);
-    assert.equal(await post.json(), { state: 'in_service' });
-    const away = await ask('GET', '/retire/a%20b');
-    assert.is(away.status, 503);
-    assert.is(away.headers.get('retry-after'), '1');
+    const postResponse = await ask('POST', '/retire/a%20b', '{"overS":10}');
+    assert.is(postResponse.status, 200);
+    assert.equal(await postResponse.json(), { state: 'in_service' });
+    const unavailable = await ask('GET', '/retire/a%20b');
+    assert.is(unavailable.status, 503);
+    assert.is(unavailable.headers.get('retry-after'), '1');
     assert.is((await ask('GET', '/retire/none')).status, 404);
     assert.is((await ask('DELETE', '/configuration')).status, 404);
     assert.is((await ask('PATCH', '/configuration', '{"edition":9}')).status, 412);
     assert.is((await ask('PATCH', '/configuration', '{')).status, 400);
-    assert.is(asked.length, 6);
+    assert.is(requests.length, 6);
   } finally {
     server.close();
   }
--- a/tests/src/control/order-sent-again.test.ts
+++ b/tests/src/control/order-sent-again.test.ts
@@ -1,4 +1,4 @@
-/** An order that is sent again while later ones are on their way: it waits for its own change, not for theirs. */
+/** A change that is resent while later ones are in flight waits until it is in force itself, not for the later ones. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { operate, type OperatorResponse } from '@tillerstair/control';
@@ -12,7 +12,7 @@
   threeVoters,
 } from '../zen/master-rig.js';
 
-const orders = suite('orders that are sent again');
+const resentChanges = suite('resent changes while later ones are pending');
 
 const fileOn = (base: number): string =>
   JSON.stringify({
@@ -23,30 +23,38 @@
     ],
   });
 
-const put = (rig: MasterRig, base: number): Promise<OperatorResponse> =>
-  operate(rig.master, { method: 'PUT', path: '/v1/config', body: fileOn(base) });
+const put = (harness: MasterRig, base: number): Promise<OperatorResponse> =>
+  operate(harness.master, { method: 'PUT', path: '/v1/config', body: fileOn(base) });
 
-orders(
-  'an acknowledged order is acknowledged again at once, though a later one waits',
+resentChanges(
+  'an acknowledged change is acknowledged again immediately while a later one is pending',
   async () => {
     const newest = stateWith(threeVoters, [memberOf('f', 'front')]);
-    const rig = await MasterRig.begun({ newest });
-    await rig.clock.run(bounds.readLease);
-    const first = await rig.clock.finish('the first order', put(rig, 0), bounds.publishTimeout);
+    const harness = await MasterRig.begun({ newest });
+    await harness.clock.run(bounds.readLease);
+    const first = await harness.clock.finish(
+      'the first change',
+      put(harness, 0),
+      bounds.publishTimeout,
+    );
     assert.is(first.status, 200);
-    rig.peer('f').on('zen/commit', () => {
+    harness.peer('f').on('zen/commit', () => {
       throw new ElectionError('not-held', 'that state is not held');
     });
-    const second = put(rig, 1);
-    await rig.clock.run(roundTrip * 4);
-    const from = rig.clock.now();
-    const again = await rig.clock.finish('the first one again', put(rig, 0), bounds.readLease * 2);
-    assert.is(again.status, 200);
-    const tookMs = rig.clock.now() - from;
+    const second = put(harness, 1);
+    await harness.clock.run(roundTrip * 4);
+    const startedAt = harness.clock.now();
+    const repeated = await harness.clock.finish(
+      'the first change, resent',
+      put(harness, 0),
+      bounds.readLease * 2,
+    );
+    assert.is(repeated.status, 200);
+    const tookMs = harness.clock.now() - startedAt;
     assert.ok(tookMs <= roundTrip * 4, `${tookMs} ms`);
-    const later = await rig.clock.finish('the second order', second, bounds.readLease * 2);
+    const later = await harness.clock.finish('the second change', second, bounds.readLease * 2);
     assert.is(later.status, 200);
   },
 );
 
-orders.run();
+resentChanges.run();
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Configuration changes that are resent, concurrent or in conflict: each is made at most once, and its response stays
+ * the same.
+ */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { configHistory, type ConfigAnswer } from '@tillerstair/checker';
@@ -18,16 +22,16 @@
 } from '@tillerstair/state';
 import { small } from '../support/world-helpers.js';
 
-const repeatedChanges = suite('changes that are sent again');
+const repeatedChanges = suite('resent changes');
 
-const platformRoute = (name: string, more: object = {}) => ({
+const platformRoute = (name: string, overrides: object = {}) => ({
   name,
   host: 'a.example',
   pathPrefix: `/${name}/`,
   wayKind: 'repeatable',
   deadlineMs: 4000,
   depot: 'd1',
-  ...more,
+  ...overrides,
 });
 const configurationText = (edition: number, note = '') =>
   JSON.stringify({ edition, ways: [platformRoute('r1')], depots: [{ name: 'd1' }], note });
@@ -54,41 +58,54 @@
   body: patchText(version, name),
 });
 
-const answerOf = (o: OperatorResponse | undefined): ConfigAnswer => {
-  if (o?.status === 200) return { kind: 'accepted' };
-  if (o?.status === 412) return { kind: 'refused' };
-  return o?.status === 503 || o?.status === 400 ? { kind: 'no-effect' } : { kind: 'unclear' };
+const answerOf = (response: OperatorResponse | undefined): ConfigAnswer => {
+  if (response?.status === 200) return { kind: 'accepted' };
+  if (response?.status === 412) return { kind: 'refused' };
+  return response?.status === 503 || response?.status === 400
+    ? { kind: 'no-effect' }
+    : { kind: 'unclear' };
 };
 
-/** Operators, one at each control, with a record of their calls. */
+/** Operators, one for each control, with a record of their calls. */
 class Operators {
   readonly calls: ConfigCalls;
 
-  constructor(readonly w: World) {
-    this.calls = new ConfigCalls(w.clock);
+  constructor(readonly cluster: World) {
+    this.calls = new ConfigCalls(cluster.clock);
   }
 
   send(
-    o: ConfigurationChange,
-    at: Machine | undefined = this.w.master,
+    change: ConfigurationChange,
+    machine: Machine | undefined = this.cluster.master,
   ): Promise<OperatorResponse | undefined> {
-    const node = at?.control;
-    const what = {
+    const node = machine?.control;
+    const callInfo = {
       kind: 'change' as const,
-      changeId: `${o.method} ${o.base} ${o.body}`,
-      base: o.base,
-      version: o.version,
+      changeId: `${change.method} ${change.base} ${change.body}`,
+      base: change.base,
+      version: change.version,
       content: undefined,
     };
-    const desk = new OperatorAdapter(
-      async (x: OperatorRequest) => (await node?.operate(x)) ?? { status: 504, body: null },
+    const adapter = new OperatorAdapter(
+      async (request: OperatorRequest) =>
+        (await node?.operate(request)) ?? { status: 504, body: null },
+    );
+    return this.calls.record(
+      callInfo,
+      () => adapter.change(change.method, String(change.base), change.body),
+      answerOf,
     );
-    return this.calls.record(what, () => desk.change(o.method, String(o.base), o.body), answerOf);
   }
 
-  async status(o: ConfigurationChange, at?: Machine): Promise<number> {
+  async status(change: ConfigurationChange, machine?: Machine): Promise<number> {
     return (
-      (await this.w.clock.finish(`${o.method} ${o.version}`, this.send(o, at), 30000))?.status ?? 0
+      (
+        await this.cluster.clock.finish(
+          `${change.method} ${change.version}`,
+          this.send(change, machine),
+          30000,
+        )
+      )?.status ?? 0
     );
   }
 
@@ -98,11 +115,11 @@
 }
 
 const startOperators = async (seed: number): Promise<Operators> => {
-  const w = new World(seed, { ...small, stores: 1, fronts: 0 });
-  w.start();
-  await w.clock.until('a master', () => w.master !== undefined, 12000);
-  await w.clock.until('all nodes', () => w.committed?.nodes.size === 4, 12000);
-  return new Operators(w);
+  const cluster = new World(seed, { ...small, stores: 1, fronts: 0 });
+  cluster.start();
+  await cluster.clock.until('a master', () => cluster.master !== undefined, 12000);
+  await cluster.clock.until('all nodes', () => cluster.committed?.nodes.size === 4, 12000);
+  return new Operators(cluster);
 };
 
 const recordOf = (version: number) => ({
@@ -114,223 +131,255 @@
 });
 
 repeatedChanges(
-  'the record of accepted changes is bounded, exact within its bound, and in doubt beyond',
+  'the record of accepted changes is bounded, exact within its bound, and unknown beyond it',
   () => {
     const count = minimumRememberedChanges + 500;
-    let s: State = bootstrapState('x', [], 8);
-    let most = 0;
-    for (let v = 1; v <= count; v++) {
-      const next = reduceState(s, { kind: 'config', record: recordOf(v * 3) });
-      if (v % 100 === 0)
-        most = Math.max(
-          most,
-          JSON.stringify(diffStates(s, next).set.filter(([k]) => k.startsWith('taken/'))).length,
+    let state: State = bootstrapState('x', [], 8);
+    let largestDiff = 0;
+    for (let index = 1; index <= count; index++) {
+      const next = reduceState(state, { kind: 'config', record: recordOf(index * 3) });
+      if (index % 100 === 0)
+        largestDiff = Math.max(
+          largestDiff,
+          JSON.stringify(diffStates(state, next).set.filter(([key]) => key.startsWith('taken/')))
+            .length,
         );
-      s = next;
+      state = next;
     }
-    assert.ok(most < 1000, `${most} bytes of a diff`);
-    const bytes = [...encodeState(s)]
-      .filter(([k]) => k.startsWith('taken/'))
-      .reduce((n, [k, v]) => n + k.length + v.length, 0);
+    assert.ok(largestDiff < 1000, `${largestDiff} bytes of a diff`);
+    const bytes = [...encodeState(state)]
+      .filter(([key]) => key.startsWith('taken/'))
+      .reduce((total, [key, json]) => total + key.length + json.length, 0);
     assert.ok(bytes < 50000, `${bytes} bytes in all`);
-    const back = decodeState(encodeState(s));
-    assert.equal(back.acceptedChanges, s.acceptedChanges);
-    for (let v = 1; v <= count; v++) {
-      const outcome = acceptedChangeOutcome(back.acceptedChanges, v * 3, `order ${v * 3}`);
-      assert.is.not(outcome, 'not-accepted', `version ${v * 3}`);
-      if (v > count - minimumRememberedChanges) assert.is(outcome, 'accepted', `version ${v * 3}`);
+    const decoded = decodeState(encodeState(state));
+    assert.equal(decoded.acceptedChanges, state.acceptedChanges);
+    for (let index = 1; index <= count; index++) {
+      const outcome = acceptedChangeOutcome(
+        decoded.acceptedChanges,
+        index * 3,
+        `order ${index * 3}`,
+      );
+      assert.is.not(outcome, 'not-accepted', `version ${index * 3}`);
+      if (index > count - minimumRememberedChanges)
+        assert.is(outcome, 'accepted', `version ${index * 3}`);
     }
-    assert.is(acceptedChangeOutcome(back.acceptedChanges, 3, 'order 3'), 'forgotten');
-    assert.is(acceptedChangeOutcome(back.acceptedChanges, count * 3, 'another'), 'not-accepted');
+    assert.is(acceptedChangeOutcome(decoded.acceptedChanges, 3, 'order 3'), 'forgotten');
+    assert.is(acceptedChangeOutcome(decoded.acceptedChanges, count * 3, 'another'), 'not-accepted');
     assert.is(
-      acceptedChangeOutcome(back.acceptedChanges, count * 3 + 1, `order ${count * 3}`),
+      acceptedChangeOutcome(decoded.acceptedChanges, count * 3 + 1, `order ${count * 3}`),
       'not-accepted',
     );
   },
 );
 
-repeatedChanges('a version that begins or ends as another is told apart', () => {
-  const taken: AcceptedChanges = recordAcceptedChange(
+repeatedChanges('a version that begins or ends with the digits of another is distinguished', () => {
+  const changes: AcceptedChanges = recordAcceptedChange(
     recordAcceptedChange(new Map(), 1, 'a'),
     21,
     'b',
   );
-  assert.is(acceptedChangeOutcome(taken, 1, 'a'), 'accepted');
-  assert.is(acceptedChangeOutcome(taken, 1, 'b'), 'not-accepted');
-  assert.is(acceptedChangeOutcome(taken, 2, 'b'), 'not-accepted');
+  assert.is(acceptedChangeOutcome(changes, 1, 'a'), 'accepted');
+  assert.is(acceptedChangeOutcome(changes, 1, 'b'), 'not-accepted');
+  assert.is(acceptedChangeOutcome(changes, 2, 'b'), 'not-accepted');
   assert.is(acceptedChangeOutcome(new Map(), 1, 'a'), 'not-accepted');
 });
 
 repeatedChanges(
-  'hundreds of changes, eight under way, patches among them: each accepted one is acknowledged again by any control',
+  'of hundreds of changes and patches, eight at a time, each accepted one is acknowledged again by any control',
   async () => {
-    const d = await startOperators(61);
-    const { w } = d;
+    const operators = await startOperators(61);
+    const { cluster } = operators;
     const rng = seededRng(61);
-    const anyControl = (): Machine | undefined => w.of('control')[Math.floor(rng() * 3)];
-    const taken: ConfigurationChange[] = [put(0, 1)];
-    assert.is(await d.status(put(0, 1)), 200);
+    const randomControl = (): Machine | undefined => cluster.of('control')[Math.floor(rng() * 3)];
+    const acceptedChanges: ConfigurationChange[] = [put(0, 1)];
+    assert.is(await operators.status(put(0, 1)), 200);
     let version = 1;
-    const lost: ConfigurationChange[] = [];
-    const operator = async (n: number): Promise<void> => {
-      for (let k = 0; taken.length < 520; k++) {
+    const refusedChanges: ConfigurationChange[] = [];
+    const operator = async (operatorIndex: number): Promise<void> => {
+      for (let round = 0; acceptedChanges.length < 520; round++) {
         const base = version;
-        const next = base + 1 + ((n + k) % 3);
-        const o = k % 2 === 0 ? put(base, next, `${n} ${k}`) : patching(base, next, `x${n}`);
-        const status = (await d.send(o, anyControl()))?.status;
+        const next = base + 1 + ((operatorIndex + round) % 3);
+        const change =
+          round % 2 === 0
+            ? put(base, next, `${operatorIndex} ${round}`)
+            : patching(base, next, `x${operatorIndex}`);
+        const status = (await operators.send(change, randomControl()))?.status;
         assert.ok(status === 200 || status === 412, `${status}`);
-        if (status === 200) taken.push(o);
-        else lost.push(o);
+        if (status === 200) acceptedChanges.push(change);
+        else refusedChanges.push(change);
         if (status === 200) version = Math.max(version, next);
-        const again = taken[Math.floor(rng() * taken.length)];
-        if (k % 4 === 0)
+        const resentChange = acceptedChanges[Math.floor(rng() * acceptedChanges.length)];
+        if (round % 4 === 0)
           assert.is(
-            (await d.send(again, anyControl()))?.status,
+            (await operators.send(resentChange, randomControl()))?.status,
             200,
-            'an accepted change sent again',
+            'an accepted change that is resent',
           );
       }
     };
-    await w.clock.finish(
+    await cluster.clock.finish(
       'operators',
-      Promise.all(Array.from({ length: 8 }, (_, n) => operator(n))),
+      Promise.all(Array.from({ length: 8 }, (_, index) => operator(index))),
       300000,
     );
     assert.ok(
-      taken.length >= 520 && lost.length > 50,
-      `${taken.length} taken, ${lost.length} lost`,
+      acceptedChanges.length >= 520 && refusedChanges.length > 50,
+      `${acceptedChanges.length} taken, ${refusedChanges.length} lost`,
     );
-    for (const [n, o] of taken.entries())
-      if (n % 5 === 0) assert.is(await d.status(o, anyControl()), 200, `order ${n}`);
-    for (const o of lost.slice(0, 40)) assert.is(await d.status(o, anyControl()), 412);
-    w.master?.kill('power');
-    await w.clock.until('a new master', () => w.master !== undefined, 20000);
-    for (const o of [...taken.slice(0, 5), ...taken.slice(-5)]) assert.is(await d.status(o), 200);
-    d.check();
+    for (const [index, change] of acceptedChanges.entries())
+      if (index % 5 === 0)
+        assert.is(await operators.status(change, randomControl()), 200, `order ${index}`);
+    for (const change of refusedChanges.slice(0, 40))
+      assert.is(await operators.status(change, randomControl()), 412);
+    cluster.master?.kill('power');
+    await cluster.clock.until('a new master', () => cluster.master !== undefined, 20000);
+    for (const change of [...acceptedChanges.slice(0, 5), ...acceptedChanges.slice(-5)])
+      assert.is(await operators.status(change), 200);
+    operators.check();
   },
 );
 
 repeatedChanges(
-  'a patch whose base passes between its two steps is refused, or acknowledged if it was the one that won',
+  'a patch whose base is superseded between its two steps is refused, or acknowledged if it was itself accepted',
   async () => {
-    const d = await startOperators(62);
-    const { w } = d;
-    assert.is(await d.status(put(0, 1)), 200);
-    const node = w.master?.control;
-    if (!node) throw new Error('no master');
-    const patched = patching(1, 3, 'r2');
-    const midway = (between: () => Promise<OperatorResponse | undefined>) =>
-      new OperatorAdapter(async (o) => {
-        if (o.method === 'PUT') await between();
-        return node.operate(o);
+    const operators = await startOperators(62);
+    const { cluster } = operators;
+    assert.is(await operators.status(put(0, 1)), 200);
+    const node = cluster.master?.control;
+    if (!node) throw new Error('the cluster has no master');
+    const supersededPatch = patching(1, 3, 'r2');
+    const adapterWithConcurrentChange = (beforePut: () => Promise<OperatorResponse | undefined>) =>
+      new OperatorAdapter(async (request) => {
+        if (request.method === 'PUT') await beforePut();
+        return node.operate(request);
       });
-    const rival = put(1, 3, 'rival');
-    const overtaken = midway(() => d.send(rival)).change('PATCH', '1', patched.body);
-    assert.is((await w.clock.finish('overtaken', overtaken, 20000)).status, 412);
-    const second = patching(3, 5, 'r3');
-    const overtakenByItself = midway(async () => {
-      await d.send(second);
-      return d.send(put(5, 8, 'later'));
-    }).change('PATCH', '3', second.body);
-    assert.is((await w.clock.finish('its own', overtakenByItself, 20000)).status, 200);
-    assert.is(await d.status(patched), 412);
-    assert.is(w.committed?.config?.version, 8);
-    d.check();
+    const competing = put(1, 3, 'rival');
+    const supersededResult = adapterWithConcurrentChange(() => operators.send(competing)).change(
+      'PATCH',
+      '1',
+      supersededPatch.body,
+    );
+    assert.is(
+      (await cluster.clock.finish('superseded patch', supersededResult, 20000)).status,
+      412,
+    );
+    const acceptedPatch = patching(3, 5, 'r3');
+    const acceptedResult = adapterWithConcurrentChange(async () => {
+      await operators.send(acceptedPatch);
+      return operators.send(put(5, 8, 'later'));
+    }).change('PATCH', '3', acceptedPatch.body);
+    assert.is((await cluster.clock.finish('accepted patch', acceptedResult, 20000)).status, 200);
+    assert.is(await operators.status(supersededPatch), 412);
+    assert.is(cluster.committed?.config?.version, 8);
+    operators.check();
   },
 );
 
 repeatedChanges(
-  'two resends at once on different controls are both acknowledged, and change once',
+  'concurrent copies of a change on different controls are all acknowledged, and made once',
   async () => {
-    const d = await startOperators(63);
-    const { w } = d;
-    assert.is(await d.status(put(0, 1)), 200);
-    for (const o of [put(1, 2, 'a'), patching(2, 4, 'r2')]) {
-      const both = Promise.all(w.of('control').map((at) => d.send(o, at)));
+    const operators = await startOperators(63);
+    const { cluster } = operators;
+    assert.is(await operators.status(put(0, 1)), 200);
+    for (const change of [put(1, 2, 'a'), patching(2, 4, 'r2')]) {
+      const both = Promise.all(
+        cluster.of('control').map((machine) => operators.send(change, machine)),
+      );
       assert.equal(
-        (await w.clock.finish('both', both, 20000)).map((x) => x?.status),
+        (await cluster.clock.finish('both', both, 20000)).map((response) => response?.status),
         [200, 200, 200],
       );
-      assert.is(w.committed?.config?.version, o.version);
+      assert.is(cluster.committed?.config?.version, change.version);
     }
-    d.check();
+    operators.check();
   },
 );
 
 repeatedChanges(
-  'the same number for two changes: one is confirmed, the other is refused whenever it is sent',
+  'of changes with the same version one is accepted, the others are refused whenever they are sent',
   async () => {
     for (const seed of [64, 65, 66]) {
-      const d = await startOperators(seed);
-      const { w } = d;
-      assert.is(await d.status(put(0, 1)), 200);
-      const rivals = [put(1, 4, 'one'), put(1, 4, 'two'), patching(1, 4, 'r5')];
-      const race = Promise.all(rivals.map((o, n) => d.send(o, w.of('control')[n])));
-      const got = (await w.clock.finish('race', race, 20000)).map((o) => o?.status);
-      assert.equal([...got].sort(), [200, 412, 412]);
-      for (const at of w.of('control'))
-        for (const [n, o] of rivals.entries()) assert.is(await d.status(o, at), got[n]);
-      d.check();
+      const operators = await startOperators(seed);
+      const { cluster } = operators;
+      assert.is(await operators.status(put(0, 1)), 200);
+      const competingChanges = [put(1, 4, 'one'), put(1, 4, 'two'), patching(1, 4, 'r5')];
+      const race = Promise.all(
+        competingChanges.map((change, index) =>
+          operators.send(change, cluster.of('control')[index]),
+        ),
+      );
+      const statuses = (await cluster.clock.finish('race', race, 20000)).map(
+        (response) => response?.status,
+      );
+      assert.equal([...statuses].sort(), [200, 412, 412]);
+      for (const machine of cluster.of('control'))
+        for (const [index, change] of competingChanges.entries())
+          assert.is(await operators.status(change, machine), statuses[index]);
+      operators.check();
     }
   },
 );
 
-/** Sends a change to a master that is cut off from its peers just after its publish left it, or just before. */
+/** Sends a change to a master that is isolated from its peers just after its publish was sent, or just before. */
 const sendToIsolatedMaster = async (seed: number, reachesPeer: boolean) => {
-  const d = await startOperators(seed);
-  const { w } = d;
-  assert.is(await d.status(put(0, 1)), 200);
-  const old = w.master;
-  if (!old) throw new Error('no master');
-  const others = w.machines.filter((m) => m !== old);
-  for (const m of others) {
-    w.net.cut(m.addr, old.addr);
-    if (!reachesPeer) w.net.cut(old.addr, m.addr);
+  const operators = await startOperators(seed);
+  const { cluster } = operators;
+  assert.is(await operators.status(put(0, 1)), 200);
+  const old = cluster.master;
+  if (!old) throw new Error('the cluster has no master');
+  const otherMachines = cluster.machines.filter((machine) => machine !== old);
+  for (const machine of otherMachines) {
+    cluster.net.cut(machine.addr, old.addr);
+    if (!reachesPeer) cluster.net.cut(old.addr, machine.addr);
   }
   const lost = put(1, 3, 'lost');
-  const first = d.send(lost, old);
-  await w.clock.run(20);
+  const unanswered = operators.send(lost, old);
+  await cluster.clock.run(20);
   old.kill('power');
-  w.net.healCuts();
-  await w.clock.until('another master', () => w.master !== undefined && w.master !== old, 20000);
-  void first;
-  return { d, w, old, lost };
+  cluster.net.healCuts();
+  await cluster.clock.until(
+    'a new master',
+    () => cluster.master !== undefined && cluster.master !== old,
+    20000,
+  );
+  void unanswered;
+  return { d: operators, w: cluster, old, lost };
 };
 
 repeatedChanges(
-  'a change that got no majority and is adopted by the next master is acknowledged when sent again',
+  'a change that got no majority and is adopted by the next master is acknowledged when resent',
   async () => {
-    const { d, w, lost } = await sendToIsolatedMaster(67, true);
-    assert.is(w.committed?.config?.version, 3, 'the next master adopted it');
-    assert.is(await d.status(lost), 200);
-    assert.is(await d.status(put(1, 3, 'rival')), 412);
-    d.check();
+    const { d: operators, w: cluster, lost } = await sendToIsolatedMaster(67, true);
+    assert.is(cluster.committed?.config?.version, 3, 'the next master adopted it');
+    assert.is(await operators.status(lost), 200);
+    assert.is(await operators.status(put(1, 3, 'rival')), 412);
+    operators.check();
   },
 );
 
 repeatedChanges(
-  'a change that got no majority, with another accepted under its number meanwhile, is refused when sent again',
+  'a change that got no majority, with another accepted under its version meanwhile, is refused when resent',
   async () => {
-    const { d, w, old, lost } = await sendToIsolatedMaster(68, false);
-    assert.is(w.committed?.config?.version, 1);
-    const rival = put(1, 3, 'rival');
-    assert.is(await d.status(rival), 200);
-    assert.is(await d.status(lost), 412);
-    w.start([old]);
-    await w.clock.run(5000);
-    for (const at of w.of('control')) {
-      assert.is(await d.status(lost, at), 412);
-      assert.is(await d.status(rival, at), 200);
+    const { d: operators, w: cluster, old, lost } = await sendToIsolatedMaster(68, false);
+    assert.is(cluster.committed?.config?.version, 1);
+    const competing = put(1, 3, 'rival');
+    assert.is(await operators.status(competing), 200);
+    assert.is(await operators.status(lost), 412);
+    cluster.start([old]);
+    await cluster.clock.run(5000);
+    for (const machine of cluster.of('control')) {
+      assert.is(await operators.status(lost, machine), 412);
+      assert.is(await operators.status(competing, machine), 200);
     }
-    d.check();
+    operators.check();
   },
 );
 
 repeatedChanges(
-  'an invalid change is rejected each time, also where its base has passed',
+  'an invalid change is rejected each time, also when its base is outdated',
   async () => {
-    const d = await startOperators(69);
-    assert.is(await d.status(put(0, 5)), 200);
+    const operators = await startOperators(69);
+    assert.is(await operators.status(put(0, 5)), 200);
     const invalid = [
       put(5, 5),
       put(5, 4),
@@ -338,11 +387,12 @@
       { ...patching(5, 7, 'r'), body: '{"edition":7,"remove":{"depots":["d1"]}}' },
       patching(5, 5, 'r'),
     ];
-    for (const at of d.w.of('control'))
-      for (const o of invalid) assert.is(await d.status(o, at), 400);
-    assert.is(await d.status(put(5, 9)), 200);
-    for (const o of invalid) assert.ok([400, 412].includes(await d.status(o)), o.body);
-    d.check();
+    for (const machine of operators.cluster.of('control'))
+      for (const change of invalid) assert.is(await operators.status(change, machine), 400);
+    assert.is(await operators.status(put(5, 9)), 200);
+    for (const change of invalid)
+      assert.ok([400, 412].includes(await operators.status(change)), change.body);
+    operators.check();
   },
 );
 
--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -1,4 +1,4 @@
-/** How the list of servers is read: how often, by whom, and how fresh a reading is. */
+/** Reading of the server list: how often, by which control, and the age of a reading. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { applyServerList, bootstrapState } from '@tillerstair/state';
@@ -8,98 +8,103 @@
 import { ServerListMonitor } from '@tillerstair/agent';
 import { startListedCluster, sendLoad, roundRobinFronts } from '../support/listed-servers.js';
 
-const reading = suite('how the list of servers is read');
+const reading = suite('reading of the server list');
 
 const seeds = [21, 22, 23, 24];
 
-reading('in ordinary times one control alone asks, and no more often than its bound', async () => {
+reading('normally only one control reads the list, at most once per interval', async () => {
   for (const seed of seeds) {
-    const { cluster: w, serverList: shown } = await startListedCluster(seed);
-    const from = w.clock.now();
-    await sendLoad(w, 'o', 20000, roundRobinFronts(w));
-    assert.is(shown.readers(from).size, 1);
-    const span = w.clock.now() - from;
+    const { cluster, serverList } = await startListedCluster(seed);
+    const startedAt = cluster.clock.now();
+    await sendLoad(cluster, 'o', 20000, roundRobinFronts(cluster));
+    assert.is(serverList.readers(startedAt).size, 1);
+    const elapsedMs = cluster.clock.now() - startedAt;
     assert.ok(
-      shown.reads.filter((r) => r.at >= from).length <= span / w.bounds.listReadInterval + 1,
+      serverList.reads.filter((read) => read.at >= startedAt).length <=
+        elapsedMs / cluster.bounds.listReadInterval + 1,
     );
   }
 });
 
-reading('without a master no control asks more often than its bound', async () => {
-  const { cluster: w, serverList: shown } = await startListedCluster(23);
-  const core = w.of('control').map((m) => m.addr);
-  for (const a of core)
-    w.net.cutBoth(
-      [a],
-      core.filter((b) => b !== a),
+reading('without a master each control reads the list at most once per interval', async () => {
+  const { cluster, serverList } = await startListedCluster(23);
+  const controlAddresses = cluster.of('control').map((machine) => machine.addr);
+  for (const address of controlAddresses)
+    cluster.net.cutBoth(
+      [address],
+      controlAddresses.filter((other) => other !== address),
     );
-  const from = w.clock.now();
-  await w.clock.run(20000);
-  for (const by of core) {
-    const times = shown.reads.filter((r) => r.by === by && r.at >= from).map((r) => r.at);
-    times
+  const startedAt = cluster.clock.now();
+  await cluster.clock.run(20000);
+  for (const address of controlAddresses) {
+    const readTimes = serverList.reads
+      .filter((read) => read.by === address && read.at >= startedAt)
+      .map((read) => read.at);
+    readTimes
       .slice(1)
-      .forEach((t, i) => assert.ok(t - (times[i] ?? 0) >= w.bounds.listReadInterval - 0.01));
+      .forEach((time, index) =>
+        assert.ok(time - (readTimes[index] ?? 0) >= cluster.bounds.listReadInterval - 0.01),
+      );
   }
 });
 
-reading('a reader keeps one reading under way and its age counts from the asking', async () => {
+reading('a reader has one reading in flight, and its age counts from the request', async () => {
   const clock = new SimClock();
-  const shown = new SimList(clock);
-  shown.put({ id: 'a', pool: 'p' });
-  shown.readMs = 100;
+  const serverList = new SimList(clock);
+  serverList.put({ id: 'a', pool: 'p' });
+  serverList.readMs = 100;
   const reader = new ListReader(
     clock,
-    shown.reader('c', new Incarnation()),
+    serverList.reader('c', new Incarnation()),
     { listReadInterval: 500 },
     silentLogger,
   );
-  const t0 = clock.now();
+  const startedAt = clock.now();
   const both = Promise.all([reader.read(), reader.read()]);
-  const [one, two] = await clock.finish('both', both, 1000);
-  assert.is(one, two);
-  assert.is(one.readAt, t0);
-  assert.is(await clock.finish('again', reader.read(), 1000), one);
+  const [first, second] = await clock.finish('both', both, 1000);
+  assert.is(first, second);
+  assert.is(first.readAt, startedAt);
+  assert.is(await clock.finish('again', reader.read(), 1000), first);
   await clock.run(500);
-  shown.failing = true;
-  const failed = await clock.finish('failed', reader.read(), 1000);
-  assert.equal([failed.readAt, failed.servers.length], [t0, 1]);
-  assert.ok(failed.triedAt >= t0 + 500);
-  assert.is(shown.reads.length, 2);
+  serverList.failing = true;
+  const failedReading = await clock.finish('failed', reader.read(), 1000);
+  assert.equal([failedReading.readAt, failedReading.servers.length], [startedAt, 1]);
+  assert.ok(failedReading.triedAt >= startedAt + 500);
+  assert.is(serverList.reads.length, 2);
 });
 
-reading('a reader whose list hangs soon says that it tried', async () => {
+reading('a reader whose list hangs reports the age of its attempt soon', async () => {
   const clock = new SimClock();
-  const shown = new SimList(clock);
-  shown.hanging = true;
+  const serverList = new SimList(clock);
+  serverList.hanging = true;
   const reader = new ListReader(
     clock,
-    shown.reader('c', new Incarnation()),
+    serverList.reader('c', new Incarnation()),
     { listReadInterval: 500 },
     silentLogger,
   );
-  for (let i = 0; i < 5; i++) {
-    const t0 = clock.now();
+  for (let index = 0; index < 5; index++) {
+    const startedAt = clock.now();
     const reply = await clock.finish('reply', reader.reply(), 130);
     assert.ok((reply.reported?.age ?? Infinity) <= 500);
     assert.is(reply.reported?.readAge, null);
-    await clock.run(370 - (clock.now() - t0));
+    await clock.run(370 - (clock.now() - startedAt));
   }
 });
 
-reading('a new master goes by no reading from before it took office', async () => {
+reading('a new master ignores readings from before its term', async () => {
   const clock = new SimClock();
-  const shown = new SimList(clock);
-  shown.put({ id: 'a', pool: 'p' });
+  const serverList = new SimList(clock);
+  serverList.put({ id: 'a', pool: 'p' });
   const reader = new ListReader(
     clock,
-    shown.reader('c', new Incarnation()),
+    serverList.reader('c', new Incarnation()),
     { listReadInterval: 500 },
     silentLogger,
   );
-  const old = await clock.finish('old', reader.read(), 1000);
-  shown.put({ id: 'b', pool: 'p' });
-  const b = {
+  const oldReading = await clock.finish('old', reader.read(), 1000);
+  serverList.put({ id: 'b', pool: 'p' });
+  const addedServer = {
     id: 'b',
     pool: 'p',
     url: 'http://127.0.0.1:1',
@@ -107,13 +112,13 @@
     places: 16,
     draining: false,
   };
-  let committed = applyServerList(bootstrapState('c', [], 1), [...old.servers, b]);
+  let committed = applyServerList(bootstrapState('c', [], 1), [...oldReading.servers, addedServer]);
   let submits = 0;
-  const over = new AbortController();
+  const steppedDown = new AbortController();
   const poll = new ListPoll(clock, reader);
   void poll.run({
     term: 4,
-    lost: over.signal,
+    lost: steppedDown.signal,
     committed,
     committedAt: 0,
     unresponsiveFor: () => 0,
@@ -122,7 +127,7 @@
     pingPeers: () => Promise.resolve(new Set<string>()),
     waitUntilInForce: () => Promise.resolve(undefined),
     confirm: () => Promise.resolve(committed),
-    decide: () => Promise.reject(new Error('a poll asks for no proof')),
+    decide: () => Promise.reject(new Error('a poll must not call decide')),
     submit: (change) => {
       submits++;
       committed = change(committed);
@@ -131,14 +136,14 @@
   });
   assert.equal(poll.reported(4), { age: null, readAge: null });
   await clock.run(3000);
-  over.abort();
+  steppedDown.abort();
   assert.is(submits, 0);
   assert.ok((poll.reported(4).readAge ?? Infinity) < 600);
   assert.equal(poll.reported(5), { age: null, readAge: null });
 });
 
 reading(
-  'freshness counts from the asking, and is none until it is known whether there is a list',
+  'the list lease counts from the request, and is not held until it is known whether there is a list',
   () => {
     const clock = new SimClock();
     const transport: Transport = {
@@ -148,7 +153,7 @@
       onConnectionLost: () => undefined,
       close: () => Promise.resolve(),
     };
-    const watch = (): ServerListMonitor =>
+    const createMonitor = (): ServerListMonitor =>
       new ServerListMonitor(
         clock,
         transport,
@@ -156,25 +161,25 @@
         silentLogger,
         'f',
       );
-    const one = watch();
-    assert.is(one.leaseRenewedAt, -Infinity);
-    one.applyReport({ age: null, readAge: null }, 1000);
-    assert.is(one.leaseRenewedAt, -Infinity);
-    one.applyReport({ age: 300, readAge: null }, 1000);
-    assert.is(one.leaseRenewedAt, 700);
-    one.applyReport({ age: 900, readAge: 900 }, 1200);
-    assert.is(one.leaseRenewedAt, 700);
-    const two = watch();
-    two.applyReport(undefined, 1000);
-    assert.is(two.leaseRenewedAt, Infinity);
+    const monitor = createMonitor();
+    assert.is(monitor.leaseRenewedAt, -Infinity);
+    monitor.applyReport({ age: null, readAge: null }, 1000);
+    assert.is(monitor.leaseRenewedAt, -Infinity);
+    monitor.applyReport({ age: 300, readAge: null }, 1000);
+    assert.is(monitor.leaseRenewedAt, 700);
+    monitor.applyReport({ age: 900, readAge: 900 }, 1200);
+    assert.is(monitor.leaseRenewedAt, 700);
+    const withoutList = createMonitor();
+    withoutList.applyReport(undefined, 1000);
+    assert.is(withoutList.leaseRenewedAt, Infinity);
   },
 );
 
-reading('a reading that says nothing new leaves the state as it is', () => {
-  const one = { id: 'a', pool: 'p', url: 'u', zone: 'z', places: 3, draining: true };
-  const s = applyServerList(bootstrapState('c', [], 1), [one]);
-  assert.is(applyServerList(s, [{ ...one, draining: false }]), s);
-  assert.is(applyServerList(s, []).servers.size, 0);
+reading('a reading without changes leaves the state unchanged', () => {
+  const server = { id: 'a', pool: 'p', url: 'u', zone: 'z', places: 3, draining: true };
+  const state = applyServerList(bootstrapState('c', [], 1), [server]);
+  assert.is(applyServerList(state, [{ ...server, draining: false }]), state);
+  assert.is(applyServerList(state, []).servers.size, 0);
 });
 
 reading.run();
--- a/tests/src/control/server-list.test.ts
+++ b/tests/src/control/server-list.test.ts
@@ -1,4 +1,4 @@
-/** Servers known from a list: marks and losses reach every front, whatever fails. */
+/** Servers from a server list: draining marks and removals reach every front, whatever fails. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { World, type Machine } from '@tillerstair/sim';
@@ -12,285 +12,317 @@
 } from '../support/listed-servers.js';
 import { firstOf } from '../support/machines.js';
 
-const list = suite('servers known from a list');
+const list = suite('servers from a server list');
 
 const seeds = [21, 22, 23, 24];
 
-const drain = 3000;
+const drainMs = 3000;
 
-const began = (w: World, server: string, from: number, to = Infinity): number =>
-  w.servers.executed.filter((r) => r.server === server && r.began >= from && r.began < to).length;
+const countExecutions = (cluster: World, server: string, from: number, to = Infinity): number =>
+  cluster.servers.executed.filter(
+    (execution) => execution.server === server && execution.began >= from && execution.began < to,
+  ).length;
 
-const assertLeft = ({ cluster: w }: ListedCluster, server: string, at: number): void => {
-  assert.is(began(w, server, at + drain), 0);
-  assertNoBreach(recordsOf(w));
+const assertDrained = ({ cluster }: ListedCluster, server: string, drainedAt: number): void => {
+  assert.is(countExecutions(cluster, server, drainedAt + drainMs), 0);
+  assertNoBreach(recordsOf(cluster));
 };
 
-const frontsKnow = (w: World, server: string): boolean =>
-  w.of('front').some((m) => m.front?.owner.current?.state.servers.get(server)?.draining === true);
+const someFrontKnowsDraining = (cluster: World, server: string): boolean =>
+  cluster
+    .of('front')
+    .some((machine) => machine.front?.owner.current?.state.servers.get(server)?.draining === true);
 
-list('servers become known, with their zone and places, and vanish when unlisted', async () => {
+list('listed servers are added with their zone and places, and removed when unlisted', async () => {
   for (const seed of seeds) {
-    const { cluster: w, serverList: shown } = await startListedCluster(seed);
-    const at = shown.put({ id: 's3', pool: 'shop', zone: 'zone-2', places: 7 });
-    await w.clock.until('s3', () => serverIdsByFront(w).every((ids) => ids.includes('s3')), 700);
-    const s3 = w.committed?.servers.get('s3');
+    const { cluster, serverList } = await startListedCluster(seed);
+    const listedAt = serverList.put({ id: 's3', pool: 'shop', zone: 'zone-2', places: 7 });
+    await cluster.clock.until(
+      's3',
+      () => serverIdsByFront(cluster).every((ids) => ids.includes('s3')),
+      700,
+    );
+    const s3 = cluster.committed?.servers.get('s3');
     assert.equal([s3?.zone, s3?.places, s3?.draining], ['zone-2', 7, false]);
-    await sendLoad(w, 'a', 1500, roundRobinFronts(w));
-    assert.ok(began(w, 's3', at) > 0);
-    const gone = shown.drop('s3');
-    await w.clock.until(
+    await sendLoad(cluster, 'a', 1500, roundRobinFronts(cluster));
+    assert.ok(countExecutions(cluster, 's3', listedAt) > 0);
+    const unlistedAt = serverList.drop('s3');
+    await cluster.clock.until(
       's3 gone',
-      () => serverIdsByFront(w).every((ids) => !ids.includes('s3')),
+      () => serverIdsByFront(cluster).every((ids) => !ids.includes('s3')),
       700,
     );
-    await sendLoad(w, 'b', 1500, roundRobinFronts(w));
-    assert.is(began(w, 's3', gone + 700), 0);
-    assertLeft({ cluster: w, serverList: shown }, 's3', gone);
+    await sendLoad(cluster, 'b', 1500, roundRobinFronts(cluster));
+    assert.is(countExecutions(cluster, 's3', unlistedAt + 700), 0);
+    assertDrained({ cluster, serverList }, 's3', unlistedAt);
   }
 });
 
-list('a pool that no configuration names stays known', async () => {
-  const { cluster: w, serverList: shown } = await startListedCluster(21);
-  shown.put({ id: 'n1', pool: 'not-yet' });
-  await w.clock.until('n1', () => serverIdsByFront(w).every((ids) => ids.includes('n1')), 700);
-  assert.is(w.committed?.servers.get('n1')?.pool, 'not-yet');
+list('a server of a pool that no configuration names is kept', async () => {
+  const { cluster, serverList } = await startListedCluster(21);
+  serverList.put({ id: 'n1', pool: 'not-yet' });
+  await cluster.clock.until(
+    'n1',
+    () => serverIdsByFront(cluster).every((ids) => ids.includes('n1')),
+    700,
+  );
+  assert.is(cluster.committed?.servers.get('n1')?.pool, 'not-yet');
 });
 
-list('a mark reaches every front, also from a list that lags', async () => {
+list('a draining mark reaches every front, also from a list that lags', async () => {
   for (const seed of seeds) {
-    const up = await startListedCluster(seed, five, seed % 2 === 0 ? 0 : 800);
-    const { cluster: w, serverList: shown } = up;
-    const at = shown.mark('s1');
-    await w.clock.run(at - w.clock.now() + 700);
-    for (const m of w.of('front'))
-      assert.is(m.front?.owner.current?.state.servers.get('s1')?.draining, true);
-    const from = await sendLoad(w, 'm', 3500, roundRobinFronts(w));
-    assert.is(began(w, 's1', from), 0);
-    assert.ok(began(w, 's2', from) > 20);
-    assertLeft(up, 's1', at);
+    const listedCluster = await startListedCluster(seed, five, seed % 2 === 0 ? 0 : 800);
+    const { cluster, serverList } = listedCluster;
+    const markedAt = serverList.mark('s1');
+    await cluster.clock.run(markedAt - cluster.clock.now() + 700);
+    for (const machine of cluster.of('front'))
+      assert.is(machine.front?.owner.current?.state.servers.get('s1')?.draining, true);
+    const loadStart = await sendLoad(cluster, 'm', 3500, roundRobinFronts(cluster));
+    assert.is(countExecutions(cluster, 's1', loadStart), 0);
+    assert.ok(countExecutions(cluster, 's2', loadStart) > 20);
+    assertDrained(listedCluster, 's1', markedAt);
   }
 });
 
-list('a server that drains once drains for good under its id', async () => {
-  const { cluster: w, serverList: shown } = await startListedCluster(22);
-  shown.mark('s1');
-  await w.clock.run(1000);
-  shown.put({ id: 's1', pool: 'shop' });
-  await w.clock.run(2000);
-  assert.is(w.committed?.servers.get('s1')?.draining, true);
+list('a server that drained once stays draining under its id', async () => {
+  const { cluster, serverList } = await startListedCluster(22);
+  serverList.mark('s1');
+  await cluster.clock.run(1000);
+  serverList.put({ id: 's1', pool: 'shop' });
+  await cluster.clock.run(2000);
+  assert.is(cluster.committed?.servers.get('s1')?.draining, true);
 });
 
-const atMaster = async (what: string, harm: (w: World, master: Machine) => void): Promise<void> => {
-  let blind = 0;
+const testMasterFault = async (
+  label: string,
+  injectFault: (cluster: World, master: Machine) => void,
+): Promise<void> => {
+  let unawareSeeds = 0;
   for (const seed of seeds) {
-    const up = await startListedCluster(seed);
-    const { cluster: w, serverList: shown } = up;
-    const master = w.master;
-    if (!master) throw new Error('no master');
-    const at = shown.mark('s1');
-    harm(w, master);
-    const going = sendLoad(w, `${what}${seed}-`, 9000, roundRobinFronts(w));
-    await w.clock.run(1);
-    if (!frontsKnow(w, 's1')) blind++;
-    await going;
-    assertLeft(up, 's1', at);
-    assert.ok(began(w, 's2', at + drain) > 20, 'the other server goes on');
-    assert.ok(began(w, 's2', at, at + drain) > 20, 'it did so the whole time');
-    assert.is(w.committed?.servers.get('s1')?.draining, true);
+    const listedCluster = await startListedCluster(seed);
+    const { cluster, serverList } = listedCluster;
+    const master = cluster.master;
+    if (!master) throw new Error('the cluster has no master');
+    const markedAt = serverList.mark('s1');
+    injectFault(cluster, master);
+    const load = sendLoad(cluster, `${label}${seed}-`, 9000, roundRobinFronts(cluster));
+    await cluster.clock.run(1);
+    if (!someFrontKnowsDraining(cluster, 's1')) unawareSeeds++;
+    await load;
+    assertDrained(listedCluster, 's1', markedAt);
+    assert.ok(
+      countExecutions(cluster, 's2', markedAt + drainMs) > 20,
+      'the other server is used afterwards',
+    );
+    assert.ok(
+      countExecutions(cluster, 's2', markedAt, markedAt + drainMs) > 20,
+      'the other server is used until then',
+    );
+    assert.is(cluster.committed?.servers.get('s1')?.draining, true);
   }
-  assert.is(blind, seeds.length);
+  assert.is(unawareSeeds, seeds.length);
 };
 
-list('the master loses power right after the mark shows', () =>
-  atMaster('p', (_, master) => master.kill('power')),
+list('the master loses power right after a server is marked', () =>
+  testMasterFault('p', (_, master) => master.kill('power')),
 );
 
-list('the master freezes right after the mark shows', () =>
-  atMaster('f', (_, master) => master.freeze()),
+list('the master freezes right after a server is marked', () =>
+  testMasterFault('f', (_, master) => master.freeze()),
 );
 
-list('the master is cut from all others right after the mark shows', () =>
-  atMaster('c', (w, master) =>
-    w.net.cutBoth(
+list('the master is isolated right after a server is marked', () =>
+  testMasterFault('c', (cluster, master) =>
+    cluster.net.cutBoth(
       [master.addr],
-      w.machines.filter((m) => m !== master).map((m) => m.addr),
+      cluster.machines.filter((machine) => machine !== master).map((machine) => machine.addr),
     ),
   ),
 );
 
 list('the master loses power at any moment of its reading and publishing', async () => {
-  for (let ms = 0; ms < 560; ms += 70) {
-    const up = await startListedCluster(21 + (ms % 5));
-    const { cluster: w, serverList: shown } = up;
-    const at = shown.mark('s1');
-    const going = sendLoad(w, `q${ms}-`, 6000, roundRobinFronts(w));
-    w.clock.after(ms, () => w.master?.kill('power'));
-    await going;
-    assertLeft(up, 's1', at);
-    assert.ok(began(w, 's2', at + drain) > 20);
+  for (let delayMs = 0; delayMs < 560; delayMs += 70) {
+    const listedCluster = await startListedCluster(21 + (delayMs % 5));
+    const { cluster, serverList } = listedCluster;
+    const markedAt = serverList.mark('s1');
+    const load = sendLoad(cluster, `q${delayMs}-`, 6000, roundRobinFronts(cluster));
+    cluster.clock.after(delayMs, () => cluster.master?.kill('power'));
+    await load;
+    assertDrained(listedCluster, 's1', markedAt);
+    assert.ok(countExecutions(cluster, 's2', markedAt + drainMs) > 20);
   }
 });
 
-list('a server that disappears while there is no master gets nothing either', async () => {
+list('a server that is unlisted while there is no master gets no requests', async () => {
   for (const seed of seeds) {
-    const up = await startListedCluster(seed);
-    const { cluster: w, serverList: shown } = up;
-    w.master?.freeze();
-    const at = shown.drop('s1');
-    await sendLoad(w, 'd', 9000, roundRobinFronts(w));
-    assertLeft(up, 's1', at);
-    assert.ok(began(w, 's2', at + drain) > 20);
-    assert.is(w.committed?.servers.has('s1'), false);
+    const listedCluster = await startListedCluster(seed);
+    const { cluster, serverList } = listedCluster;
+    cluster.master?.freeze();
+    const unlistedAt = serverList.drop('s1');
+    await sendLoad(cluster, 'd', 9000, roundRobinFronts(cluster));
+    assertDrained(listedCluster, 's1', unlistedAt);
+    assert.ok(countExecutions(cluster, 's2', unlistedAt + drainMs) > 20);
+    assert.is(cluster.committed?.servers.has('s1'), false);
   }
 });
 
 list(
-  'after a partition of the controls, or of a front from them, nothing is sent late',
+  'after a partition of the controls, or of a front from them, no request is sent late',
   async () => {
     for (const seed of seeds) {
-      const up = await startListedCluster(seed);
-      const { cluster: w, serverList: shown } = up;
-      const core = w.of('control').map((m) => m.addr);
-      const lone = firstOf(w, 'front').addr;
-      const at = shown.mark('s1');
-      if (seed % 2 === 0) w.net.cutBoth([lone], core);
+      const listedCluster = await startListedCluster(seed);
+      const { cluster, serverList } = listedCluster;
+      const controlAddresses = cluster.of('control').map((machine) => machine.addr);
+      const isolatedAddress = firstOf(cluster, 'front').addr;
+      const markedAt = serverList.mark('s1');
+      if (seed % 2 === 0) cluster.net.cutBoth([isolatedAddress], controlAddresses);
       else
-        for (const a of core)
-          w.net.cutBoth(
-            [a],
-            core.filter((b) => b !== a),
+        for (const address of controlAddresses)
+          cluster.net.cutBoth(
+            [address],
+            controlAddresses.filter((other) => other !== address),
           );
-      await sendLoad(w, 'u', 6000, roundRobinFronts(w));
-      w.net.healCuts();
-      await w.clock.run(8000);
-      await sendLoad(w, 'v', 1500, roundRobinFronts(w));
-      assertLeft(up, 's1', at);
-      assert.ok(began(w, 's2', at + 14000) > 20);
+      await sendLoad(cluster, 'u', 6000, roundRobinFronts(cluster));
+      cluster.net.healCuts();
+      await cluster.clock.run(8000);
+      await sendLoad(cluster, 'v', 1500, roundRobinFronts(cluster));
+      assertDrained(listedCluster, 's1', markedAt);
+      assert.ok(countExecutions(cluster, 's2', markedAt + 14000) > 20);
     }
   },
 );
 
-list('an agent that starts anew while there is no master frees no barred server', async () => {
+list('an agent that restarts while there is no master releases no draining server', async () => {
   for (const seed of seeds) {
-    const up = await startListedCluster(seed);
-    const { cluster: w, serverList: shown } = up;
-    const at = shown.mark('s1');
-    w.master?.freeze();
-    const going = sendLoad(w, 'r', 8000, roundRobinFronts(w));
-    await w.clock.run(2200);
-    for (const m of w.of('front')) {
-      m.killAgent();
-      m.restartAgent();
+    const listedCluster = await startListedCluster(seed);
+    const { cluster, serverList } = listedCluster;
+    const markedAt = serverList.mark('s1');
+    cluster.master?.freeze();
+    const load = sendLoad(cluster, 'r', 8000, roundRobinFronts(cluster));
+    await cluster.clock.run(2200);
+    for (const machine of cluster.of('front')) {
+      machine.killAgent();
+      machine.restartAgent();
     }
-    await going;
-    assertLeft(up, 's1', at);
+    await load;
+    assertDrained(listedCluster, 's1', markedAt);
   }
 });
 
 list(
-  'the list is down, hangs or refuses, and serving goes on, with a change of master too',
+  'requests are served while the list fails or hangs, also across a change of master',
   async () => {
     for (const seed of seeds) {
-      const up = await startListedCluster(seed);
-      const { cluster: w, serverList: shown } = up;
-      if (seed % 2 === 0) shown.failing = true;
-      else shown.hanging = true;
-      const from = await sendLoad(w, 'x', 4000, roundRobinFronts(w));
-      for (let at = from + 500; at < from + 4000; at += 500)
-        assert.ok(began(w, 's1', at, at + 500) + began(w, 's2', at, at + 500) > 10);
-      w.master?.kill('power');
-      const on = await sendLoad(w, 'y', 8000, roundRobinFronts(w));
-      for (let at = on + 500; at < on + 8000; at += 500)
+      const listedCluster = await startListedCluster(seed);
+      const { cluster, serverList } = listedCluster;
+      if (seed % 2 === 0) serverList.failing = true;
+      else serverList.hanging = true;
+      const loadStart = await sendLoad(cluster, 'x', 4000, roundRobinFronts(cluster));
+      for (
+        let intervalStart = loadStart + 500;
+        intervalStart < loadStart + 4000;
+        intervalStart += 500
+      )
         assert.ok(
-          began(w, 's1', at, at + 500) + began(w, 's2', at, at + 500) > 0,
-          `gap at ${at - on}`,
+          countExecutions(cluster, 's1', intervalStart, intervalStart + 500) +
+            countExecutions(cluster, 's2', intervalStart, intervalStart + 500) >
+            10,
         );
-      assert.is(w.committed?.servers.size, servers.length);
-      shown.failing = false;
-      shown.hanging = false;
-      const at = shown.mark('s1');
-      await sendLoad(w, 'z', 4000, roundRobinFronts(w));
-      assertLeft(up, 's1', at);
-      assert.is(began(w, 's1', at + 1800), 0);
+      cluster.master?.kill('power');
+      const failoverStart = await sendLoad(cluster, 'y', 8000, roundRobinFronts(cluster));
+      for (
+        let intervalStart = failoverStart + 500;
+        intervalStart < failoverStart + 8000;
+        intervalStart += 500
+      )
+        assert.ok(
+          countExecutions(cluster, 's1', intervalStart, intervalStart + 500) +
+            countExecutions(cluster, 's2', intervalStart, intervalStart + 500) >
+            0,
+          `gap at ${intervalStart - failoverStart}`,
+        );
+      assert.is(cluster.committed?.servers.size, servers.length);
+      serverList.failing = false;
+      serverList.hanging = false;
+      const markedAt = serverList.mark('s1');
+      await sendLoad(cluster, 'z', 4000, roundRobinFronts(cluster));
+      assertDrained(listedCluster, 's1', markedAt);
+      assert.is(countExecutions(cluster, 's1', markedAt + 1800), 0);
     }
   },
 );
 
-list('a master that alone cannot reach the list keeps no draining server in use', async () => {
+list('if only the master cannot reach the list, no draining server stays in use', async () => {
   for (const seed of seeds) {
-    const up = await startListedCluster(seed);
-    const { cluster: w, serverList: shown } = up;
-    shown.cut.add(w.master?.addr ?? '');
-    const at = shown.mark('s1');
-    await sendLoad(w, 'k', 6000, roundRobinFronts(w));
-    assertLeft(up, 's1', at);
-    assert.ok(began(w, 's2', at + drain) > 20);
+    const listedCluster = await startListedCluster(seed);
+    const { cluster, serverList } = listedCluster;
+    serverList.cut.add(cluster.master?.addr ?? '');
+    const markedAt = serverList.mark('s1');
+    await sendLoad(cluster, 'k', 6000, roundRobinFronts(cluster));
+    assertDrained(listedCluster, 's1', markedAt);
+    assert.ok(countExecutions(cluster, 's2', markedAt + drainMs) > 20);
   }
 });
 
-list(
-  'a master slow to commit what it read leaves no front serving by an older reading',
-  async () => {
-    for (const seed of seeds) {
-      const up = await startListedCluster(seed);
-      const { cluster: w, serverList: shown } = up;
-      const lone = firstOf(w, 'front');
-      const core = w.of('control');
-      w.net.cutBoth(
-        [lone.addr],
-        core.filter((m) => m !== w.master).map((m) => m.addr),
-      );
-      for (const m of core) m.platter.delay = 1000;
-      let made = 0;
-      const churn = (): void => {
-        const n = ++made;
-        void w.master?.control?.operate({
-          method: 'PUT',
-          path: `/v1/servers/x${n}`,
-          body: JSON.stringify({ pool: 'idle', url: 'http://127.0.0.1:1' }),
-        });
-        if (n < 60) w.clock.after(100, churn);
-      };
-      churn();
-      shown.readMs = 480;
-      const reads = shown.reads.length;
-      await w.clock.until('a read', () => shown.reads.length > reads, 5000);
-      await w.clock.run(250);
-      const at = shown.mark('s1');
-      await sendLoad(w, 'l', 5000, () => lone);
-      assertLeft(up, 's1', at);
-      assert.is(began(w, 's1', at + w.bounds.readLease + 1), 0);
-      assert.ok(began(w, 's1', at) > 0);
-    }
-  },
-);
+list('while the master is slow to commit a reading, no front serves by an older one', async () => {
+  for (const seed of seeds) {
+    const listedCluster = await startListedCluster(seed);
+    const { cluster, serverList } = listedCluster;
+    const isolatedFront = firstOf(cluster, 'front');
+    const controls = cluster.of('control');
+    cluster.net.cutBoth(
+      [isolatedFront.addr],
+      controls.filter((machine) => machine !== cluster.master).map((machine) => machine.addr),
+    );
+    for (const machine of controls) machine.platter.delay = 1000;
+    let changesSubmitted = 0;
+    const submitChange = (): void => {
+      const number = ++changesSubmitted;
+      void cluster.master?.control?.operate({
+        method: 'PUT',
+        path: `/v1/servers/x${number}`,
+        body: JSON.stringify({ pool: 'idle', url: 'http://127.0.0.1:1' }),
+      });
+      if (number < 60) cluster.clock.after(100, submitChange);
+    };
+    submitChange();
+    serverList.readMs = 480;
+    const readsBefore = serverList.reads.length;
+    await cluster.clock.until('a read', () => serverList.reads.length > readsBefore, 5000);
+    await cluster.clock.run(250);
+    const markedAt = serverList.mark('s1');
+    await sendLoad(cluster, 'l', 5000, () => isolatedFront);
+    assertDrained(listedCluster, 's1', markedAt);
+    assert.is(countExecutions(cluster, 's1', markedAt + cluster.bounds.readLease + 1), 0);
+    assert.ok(countExecutions(cluster, 's1', markedAt) > 0);
+  }
+});
 
-list('another server at the address of one that left is a server of its own', async () => {
+list('a server at the address of one that left is a separate server', async () => {
   for (const seed of seeds) {
-    const up = await startListedCluster(seed);
-    const { cluster: w, serverList: shown } = up;
-    const at = shown.mark('s1');
-    await w.clock.run(1000);
-    shown.put({ id: 's9', pool: 'shop', url: 'http://127.0.0.1:1' });
-    await w.clock.run(4000);
-    shown.drop('s1');
-    const from = await sendLoad(w, 'i', 3000, roundRobinFronts(w));
-    assert.ok(began(w, 's9', from) > 10);
-    assert.is(w.committed?.servers.get('s9')?.draining, false);
-    assertLeft(up, 's1', at);
+    const listedCluster = await startListedCluster(seed);
+    const { cluster, serverList } = listedCluster;
+    const markedAt = serverList.mark('s1');
+    await cluster.clock.run(1000);
+    serverList.put({ id: 's9', pool: 'shop', url: 'http://127.0.0.1:1' });
+    await cluster.clock.run(4000);
+    serverList.drop('s1');
+    const loadStart = await sendLoad(cluster, 'i', 3000, roundRobinFronts(cluster));
+    assert.ok(countExecutions(cluster, 's9', loadStart) > 10);
+    assert.is(cluster.committed?.servers.get('s9')?.draining, false);
+    assertDrained(listedCluster, 's1', markedAt);
   }
 });
 
-list('operators make servers where there is no list', async () => {
-  const w = new World(21, five);
-  await w.bringUp((base) => configText(base), servers);
-  await w.clock.run(5000);
-  assert.is(w.committed?.servers.size, servers.length);
-  w.master?.kill('power');
-  await sendLoad(w, 'n', 6000, roundRobinFronts(w));
-  assert.is(w.committed?.servers.size, servers.length);
-  assertNoBreach(recordsOf(w));
+list('operators add servers where there is no list', async () => {
+  const cluster = new World(21, five);
+  await cluster.bringUp((base) => configText(base), servers);
+  await cluster.clock.run(5000);
+  assert.is(cluster.committed?.servers.size, servers.length);
+  cluster.master?.kill('power');
+  await sendLoad(cluster, 'n', 6000, roundRobinFronts(cluster));
+  assert.is(cluster.committed?.servers.size, servers.length);
+  assertNoBreach(recordsOf(cluster));
 });
 
 list.run();
--- a/tests/src/state/accepted-changes.test.ts
+++ b/tests/src/state/accepted-changes.test.ts
@@ -1,4 +1,4 @@
-/** The record of accepted configuration changes: what it knows, what it forgets, and how it stays bounded. */
+/** The record of accepted configuration changes: the outcomes that it gives, what it drops, and its bound. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -17,23 +17,26 @@
   return changes;
 };
 
-record('a version accepted under another change id is not taken for this one', () => {
+record('a version accepted under another change id does not count as accepted', () => {
   const changes = recordOf(2);
   assert.is(acceptedChangeOutcome(changes, 2, 'change 2'), 'accepted');
   assert.is(acceptedChangeOutcome(changes, 2, 'change 1'), 'not-accepted');
   assert.is(acceptedChangeOutcome(changes, 3, 'change 2'), 'not-accepted');
 });
 
-record('a version older than the record is in doubt, a newer one is not', () => {
-  const changes = recordOf(minimumRememberedChanges + 100);
-  assert.is(acceptedChangeOutcome(changes, 1, 'change 1'), 'forgotten');
-  assert.is(
-    acceptedChangeOutcome(changes, minimumRememberedChanges + 101, 'another'),
-    'not-accepted',
-  );
-});
+record(
+  'the outcome of a version older than the record is unknown, that of a newer one is not',
+  () => {
+    const changes = recordOf(minimumRememberedChanges + 100);
+    assert.is(acceptedChangeOutcome(changes, 1, 'change 1'), 'forgotten');
+    assert.is(
+      acceptedChangeOutcome(changes, minimumRememberedChanges + 101, 'another'),
+      'not-accepted',
+    );
+  },
+);
 
-record('while nothing was forgotten no version is in doubt', () => {
+record('while no block was dropped, no outcome is unknown', () => {
   assert.is(acceptedChangeOutcome(new Map(), 1, 'a'), 'not-accepted');
   assert.is(acceptedChangeOutcome(recordAcceptedChange(new Map(), 5, 'a'), 1, 'b'), 'not-accepted');
 });
--- a/tests/src/state/configuration-checks.test.ts
+++ b/tests/src/state/configuration-checks.test.ts
@@ -1,4 +1,4 @@
-/** A configuration file is refused with a finding for each thing that contradicts another. */
+/** Consistency checks of a configuration file, and the place of each finding. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { checkConfig } from '@tillerstair/state';
@@ -32,11 +32,11 @@
   assert.equal(placesOf({ version: 4, routes: [chat, passing] }), []);
 });
 
-checks('a version that is not above its base', () => {
+checks('a version that is not above its base is a finding', () => {
   assert.equal(placesOf({ base: 3, version: 3 }), ['version']);
 });
 
-checks('names that stand twice', () => {
+checks('duplicate names, matches and pools are findings', () => {
   assert.equal(placesOf({ pools: [model, model] }), ['pools[1].name']);
   const other = { ...chat, match: { kind: 'turn', path: '/other' } };
   assert.equal(placesOf({ routes: [chat, other] }), ['routes[1].name']);
@@ -46,22 +46,31 @@
   ]);
 });
 
-checks('a share of an unknown pool, of a pool of the wrong kind, and shares of nothing', () => {
-  const at = ['routes[0].shares[0].pool'];
-  assert.equal(placesOf({ routes: [{ ...chat, shares: [{ pool: 'x', share: 1 }] }] }), at);
-  assert.equal(placesOf({ routes: [{ ...chat, shares: [{ pool: 's', share: 1 }] }] }), at);
-  const passMatch = { kind: 'pass', host: 'h', path: '/p/' };
-  const unknownPool = [{ pool: 'x', share: 1 }];
-  assert.equal(
-    placesOf({ routes: [{ ...chat, match: passMatch, pass, shares: unknownPool }] }),
-    at,
-  );
-  assert.equal(placesOf({ routes: [{ ...chat, shares: [{ pool: 'm', share: 0 }] }] }), [
-    'routes[0].shares',
-  ]);
-});
+checks(
+  'shares of an unknown pool or of one of the wrong kind, and shares that are all 0, are findings',
+  () => {
+    const expectedPlaces = ['routes[0].shares[0].pool'];
+    assert.equal(
+      placesOf({ routes: [{ ...chat, shares: [{ pool: 'x', share: 1 }] }] }),
+      expectedPlaces,
+    );
+    assert.equal(
+      placesOf({ routes: [{ ...chat, shares: [{ pool: 's', share: 1 }] }] }),
+      expectedPlaces,
+    );
+    const passMatch = { kind: 'pass', host: 'h', path: '/p/' };
+    const unknownPool = [{ pool: 'x', share: 1 }];
+    assert.equal(
+      placesOf({ routes: [{ ...chat, match: passMatch, pass, shares: unknownPool }] }),
+      expectedPlaces,
+    );
+    assert.equal(placesOf({ routes: [{ ...chat, shares: [{ pool: 'm', share: 0 }] }] }), [
+      'routes[0].shares',
+    ]);
+  },
+);
 
-checks('pass routes without their rules, and other routes with them', () => {
+checks('pass routes without pass rules, and other routes with them, are findings', () => {
   const match = { kind: 'pass', host: 'h', path: '/p/' };
   assert.equal(placesOf({ routes: [{ ...chat, match }] }), ['routes[0].pass']);
   assert.equal(placesOf({ routes: [{ ...chat, match: { ...match, path: '/p' }, pass }] }), [
@@ -72,8 +81,8 @@
   assert.equal(placesOf({ routes: [{ ...chat, match: hosted }] }), ['routes[0].match']);
 });
 
-checks('unknown keys, and text that is no YAML, are named with their place', () => {
-  assert.equal(placesOf({ routes: [{ ...chat, novel: 1 }] }).length, 1);
+checks('unknown keys and invalid YAML are findings with a place', () => {
+  assert.equal(placesOf({ routes: [{ ...chat, unknown: 1 }] }).length, 1);
   assert.match(checkConfig('a: [').findings[0]?.place ?? '', /^line \d+, column \d+$/);
 });
 
--- a/tests/src/state/renamed-configuration-keys.test.ts
+++ b/tests/src/state/renamed-configuration-keys.test.ts
@@ -1,3 +1,4 @@
+/** Keys of earlier configuration files that were renamed. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { checkConfig } from '@tillerstair/state';
@@ -14,10 +15,10 @@
   });
 
 keys('a key that was renamed is a finding that names the new one', () => {
-  const withdrawn = ['la', 'nes'].join('');
-  const { config, findings } = checkConfig(file(withdrawn));
+  const oldKey = ['la', 'nes'].join('');
+  const { config, findings } = checkConfig(file(oldKey));
   assert.is(config, undefined);
-  assert.equal(findings, [{ place: withdrawn, text: 'unknown key; renamed to routes' }]);
+  assert.equal(findings, [{ place: oldKey, text: 'unknown key; renamed to routes' }]);
   assert.equal(checkConfig(file('routes')).findings, []);
 });
 
--- a/tests/src/support/listed-servers.ts
+++ b/tests/src/support/listed-servers.ts
@@ -1,4 +1,4 @@
-/** A world whose servers are known from a list. */
+/** A simulated cluster whose servers come from a server list. */
 import { SimList, World, type Machine, type WorldSizes } from '@tillerstair/sim';
 import { configText, five, servers } from './world-helpers.js';
 
@@ -7,47 +7,49 @@
   readonly serverList: SimList;
 }
 
-export const serverIdsByFront = (w: World): readonly (readonly string[])[] =>
-  w.readyFronts().map((m) => [...(m.front?.owner.current?.state.servers.keys() ?? [])].sort());
+export const serverIdsByFront = (cluster: World): readonly (readonly string[])[] =>
+  cluster
+    .readyFronts()
+    .map((machine) => [...(machine.front?.owner.current?.state.servers.keys() ?? [])].sort());
 
 export const startListedCluster = async (
   seed: number,
   sizes: WorldSizes = five,
-  lag = 0,
+  lagMs = 0,
 ): Promise<ListedCluster> => {
-  const w = new World(seed, sizes);
-  const shown = new SimList(w.clock, lag);
-  w.list = shown;
-  await w.bringUp((base) => configText(base), []);
-  for (const [id, pool] of servers) shown.put({ id, pool });
-  await w.clock.until(
+  const cluster = new World(seed, sizes);
+  const serverList = new SimList(cluster.clock, lagMs);
+  cluster.list = serverList;
+  await cluster.bringUp((base) => configText(base), []);
+  for (const [id, pool] of servers) serverList.put({ id, pool });
+  await cluster.clock.until(
     'servers',
     () =>
-      serverIdsByFront(w).length === sizes.fronts &&
-      serverIdsByFront(w).every((ids) => ids.length === servers.length),
-    3000 + lag,
+      serverIdsByFront(cluster).length === sizes.fronts &&
+      serverIdsByFront(cluster).every((ids) => ids.length === servers.length),
+    3000 + lagMs,
   );
-  await w.clock.run(1000 + (seed % 7) * 173);
-  return { cluster: w, serverList: shown };
+  await cluster.clock.run(1000 + (seed % 7) * 173);
+  return { cluster, serverList };
 };
 
 export const sendLoad = async (
-  w: World,
-  what: string,
-  forMs: number,
-  at: (i: number) => Machine | undefined,
+  cluster: World,
+  label: string,
+  durationMs: number,
+  selectFront: (i: number) => Machine | undefined,
 ): Promise<number> => {
-  const from = w.clock.now();
-  const going: Promise<unknown>[] = [];
-  for (let i = 0; w.clock.now() < from + forMs; i++) {
-    going.push(w.call(`${what}${i}`, '/hold', { what, i }, at(i)));
-    await w.clock.run(25);
+  const startedAt = cluster.clock.now();
+  const pending: Promise<unknown>[] = [];
+  for (let i = 0; cluster.clock.now() < startedAt + durationMs; i++) {
+    pending.push(cluster.call(`${label}${i}`, '/hold', { what: label, i }, selectFront(i)));
+    await cluster.clock.run(25);
   }
-  await w.clock.finish('all', Promise.all(going), 60000);
-  return from;
+  await cluster.clock.finish('all', Promise.all(pending), 60000);
+  return startedAt;
 };
 
 export const roundRobinFronts =
-  (w: World) =>
+  (cluster: World) =>
   (i: number): Machine | undefined =>
-    w.of('front')[i % w.of('front').length];
+    cluster.of('front')[i % cluster.of('front').length];
--- a/tests/src/support/operator-cluster.ts
+++ b/tests/src/support/operator-cluster.ts
@@ -1,10 +1,10 @@
-/** Configurations in the platform's words, and the desk that takes them. */
+/** Configurations in the platform's format, and a client for the platform's operator API on a simulated cluster. */
 import type { OperatorResponse } from '@tillerstair/control';
 import { OperatorAdapter } from '@tillerstair/platform';
 import { World } from '@tillerstair/sim';
 import { small } from './world-helpers.js';
 
-export const platformRoute = (name: string, more: object = {}) => ({
+export const platformRoute = (name: string, overrides: object = {}) => ({
   name,
   host: 'a.example',
   pathPrefix: `/${name}/`,
@@ -19,7 +19,7 @@
   pinned: true,
   resumable: true,
   gapTargetMs: 250,
-  ...more,
+  ...overrides,
 });
 
 export const engine = {
@@ -31,17 +31,17 @@
   models: [{ name: 'm' }],
 };
 
-export const platformService = (name: string, more: object = {}) => ({
+export const platformService = (name: string, overrides: object = {}) => ({
   name,
   healthPath: '/health',
   connLimit: 240,
   protocol: 'h1',
   tlsMode: false,
   selfDedupes: false,
-  ...more,
+  ...overrides,
 });
 
-export const platformConfiguration = (edition: number, more: object = {}) => ({
+export const platformConfiguration = (edition: number, overrides: object = {}) => ({
   edition,
   ways: [
     platformRoute('r1'),
@@ -63,37 +63,40 @@
     headerWaitMs: 3000,
     idleCloseMs: 15000,
   },
-  ...more,
+  ...overrides,
 });
 
-export const jsonText = (v: unknown): string => JSON.stringify(v);
+export const jsonText = (value: unknown): string => JSON.stringify(value);
 
 export const startCluster = async (seed: number, sizes = small): Promise<World> => {
-  const w = new World(seed, sizes);
-  w.start();
-  await w.clock.until('a master', () => w.master !== undefined, 12000);
-  const all = sizes.controls + sizes.stores + sizes.fronts;
-  await w.clock.until('all nodes', () => w.committed?.nodes.size === all, 12000);
-  return w;
+  const cluster = new World(seed, sizes);
+  cluster.start();
+  await cluster.clock.until('a master', () => cluster.master !== undefined, 12000);
+  const nodeCount = sizes.controls + sizes.stores + sizes.fronts;
+  await cluster.clock.until('all nodes', () => cluster.committed?.nodes.size === nodeCount, 12000);
+  return cluster;
 };
 
-export const operatorClient = (w: World, n?: number) => {
-  const node = n === undefined ? w.master?.control : w.of('control')[n]?.control;
-  if (!node) throw new Error('no control');
-  const desk = new OperatorAdapter((o) => node.operate(o));
+export const operatorClient = (cluster: World, controlIndex?: number) => {
+  const node =
+    controlIndex === undefined
+      ? cluster.master?.control
+      : cluster.of('control')[controlIndex]?.control;
+  if (!node) throw new Error('the cluster has no such control');
+  const adapter = new OperatorAdapter((request) => node.operate(request));
   return {
     change: (
       method: 'PUT' | 'PATCH',
       base: number | string,
       body: unknown,
     ): Promise<OperatorResponse> =>
-      w.clock.finish(
+      cluster.clock.finish(
         method,
-        desk.change(method, String(base), typeof body === 'string' ? body : jsonText(body)),
+        adapter.change(method, String(base), typeof body === 'string' ? body : jsonText(body)),
         30000,
       ),
-    read: () => w.clock.finish('GET', desk.read(), 30000),
+    read: () => cluster.clock.finish('GET', adapter.read(), 30000),
     retire: (method: 'POST' | 'GET', name: string) =>
-      w.clock.finish(method, desk.retire(method, name), 30000),
+      cluster.clock.finish(method, adapter.retire(method, name), 30000),
   };
 };
--- a/tests/src/support/sample-state.ts
+++ b/tests/src/support/sample-state.ts
@@ -4,7 +4,7 @@
 export const sampleMember = (
   id: string,
   kind: Member['kind'],
-  more: Partial<Member> = {},
+  overrides: Partial<Member> = {},
 ): Member => ({
   id,
   kind,
@@ -13,10 +13,10 @@
   zone: 'zone-0',
   data: '',
   name: `${id}-name`,
-  ...more,
+  ...overrides,
 });
 
-export const sampleSlot = (more: Partial<Slot> = {}): Slot => ({
+export const sampleSlot = (overrides: Partial<Slot> = {}): Slot => ({
   owner: 'f1',
   ownershipEpoch: 3,
   ownedSinceEpoch: 2,
@@ -24,17 +24,17 @@
   replicas: ['s1', 's2', 's3'],
   joiningReplicas: [],
   replacedReplica: '',
-  ...more,
+  ...overrides,
 });
 
 const controls = ['c1', 'c2', 'c3'].map((id) => sampleMember(id, 'control'));
 const stores = ['s1', 's2', 's3', 's4'].map((id) => sampleMember(id, 'store'));
 const fronts = ['f1', 'f2'].map((id) => sampleMember(id, 'front'));
 
-/** Three voting controls, four stores of which s4 holds nothing, two fronts, and these slots. */
+/** Three voting controls, four stores (s4 without replicas in the default slot), two fronts, and the given slots. */
 export const sampleState = (
   slots: readonly Slot[] = [sampleSlot()],
-  more: Partial<State> = {},
+  overrides: Partial<State> = {},
 ): State => ({
   ...bootstrapState('sample', controls, slots.length),
   term: 2,
@@ -42,5 +42,5 @@
   master: 'c1',
   nodes: new Map([...controls, ...stores, ...fronts].map((member) => [member.id, member])),
   slots,
-  ...more,
+  ...overrides,
 });
--- a/tests/src/support/scripted-master.ts
+++ b/tests/src/support/scripted-master.ts
@@ -1,11 +1,11 @@
-/** A master whose publishes and confirmations succeed at once, or fail as a test says, with a record of the calls. */
+/** A master whose publishes and confirmations succeed immediately or fail as scripted, with a record of the calls. */
 import type { State } from '@tillerstair/state';
 import type { MasterView } from '@tillerstair/zen';
 
 export interface MasterScript {
-  /** What a publish fails with, after the change was made and accepted. */
+  /** Error of a publish, thrown after the change was applied. */
   readonly publishError?: Error;
-  /** What a confirmation by a majority fails with. */
+  /** Error of a confirmation by a majority. */
   readonly confirmError?: Error;
   readonly syncedNodes?: readonly string[];
   readonly responsiveNodes?: readonly string[];
@@ -13,7 +13,7 @@
   readonly unresponsiveFor?: (id: string) => number;
 }
 
-/** Accepts every change, publishes to nobody and counts what was asked of it. */
+/** Applies every change without publishing it, and records the calls. */
 export class ScriptedMaster implements MasterView {
   readonly term = 2;
   readonly committedAt = 0;
