--- a/tests/src/control/operations.test.ts
+++ b/tests/src/control/operations.test.ts
@@ -355,7 +355,7 @@
   assert.equal(
     statusAndCode(await ask(master, 'DELETE', '/v1/controls/c1')),
     [409, 'refused'],
-    'while another change is under way',
+    'another change of voters is in progress',
   );
 });
 
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -224,7 +224,7 @@
     );
     assert.ok(
       acceptedChanges.length >= 520 && refusedChanges.length > 50,
-      `${acceptedChanges.length} taken, ${refusedChanges.length} lost`,
+      `${acceptedChanges.length} accepted, ${refusedChanges.length} refused`,
     );
     for (const [index, change] of acceptedChanges.entries())
       if (index % 5 === 0)
