--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -134,15 +134,15 @@
   private async dispatch(request: OperatorRequest): Promise<OperatorResponse> {
     const local = operateLocally(request, () => this.localView());
     if (local) return local;
-    const { leading, masterSeen } = this.zen;
+    const { leading, knownMaster } = this.zen;
     if (leading) return operate(leading, request);
-    if (!masterSeen)
+    if (!knownMaster)
       return notCarriedOut(
         'no-master',
         `control ${this.id} knows no master`,
         this.bounds.failureTimeout,
       );
-    return this.forward(masterSeen, request);
+    return this.forward(knownMaster, request);
   }
 
   /**
@@ -166,8 +166,8 @@
 
   /** The view of this control alone, which may be stale: it names the state version and waits for no majority. */
   private localView(): NodeView {
-    const { term, masterSeen, applied } = this.zen;
-    return nodeViewOf(this.self.id, 'control', term, masterSeen?.id ?? '', applied);
+    const { term, knownMaster, applied } = this.zen;
+    return nodeViewOf(this.self.id, 'control', term, knownMaster?.id ?? '', applied);
   }
 
   private requireMaster(): MasterView {
--- a/packages/control/src/operations/errors.ts
+++ b/packages/control/src/operations/errors.ts
@@ -1,6 +1,6 @@
 /**
  * Errors of operators' requests that the current state forbids. They are thrown while the master makes a change or
- * reads the state, and reach the operator once a majority has confirmed the master (`MasterView.decide` and `confirm`).
+ * reads the state, and reach the operator once a majority has confirmed the master (`MasterView.submitConfirmed` and `confirm`).
  */
 import { OperationError } from '@tillerstair/wire';
 import type { OperatorResponse } from '../messages.js';
--- a/packages/session-owner/src/placement.ts
+++ b/packages/session-owner/src/placement.ts
@@ -1,15 +1,15 @@
 /**
- * Placement of requests on servers: the pool by the route's shares, then the server of the pool that the policies rank
- * first (docs/design.md, "Placement"). Invariant: nothing new goes to a server that drains, is unhealthy or is full, or
- * whose pool has no share in the route.
+ * Placement of requests on servers: selects a pool by the route's shares, then the server of the pool that the policies
+ * rank first (docs/design.md, "Placement"). Invariant: no new request is placed on a server that is draining, unhealthy
+ * or full, or whose pool has no share in the route.
  */
 import { slotForKey, weightKey, type Route, type Server, type State } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import type { Backend, ReportedLoad } from './backend.js';
 import type { Candidate, PlacementContext, PlacementPolicy } from './policies.js';
-import { PoolCredit, sharesOf } from './pool-credit.js';
+import { PoolCredit, activeShares } from './pool-credit.js';
 import { PrefixIndex } from './prefix-index.js';
-import { tokensOf, type PrefixBlock } from './prefix-blocks.js';
+import { countTokens, type PrefixBlock } from './prefix-blocks.js';
 import {
   ServerObservations,
   type ObservationBounds,
@@ -18,26 +18,27 @@
 import { ServerPoller } from './server-poller.js';
 import type { CompiledState } from './compiled-state.js';
 
-/** Equal servers are ordered by a hash into so many values, another one at each front. */
+/** Servers with equal scores are ordered by a hash with this many values, which differs for each front. */
 const tieBreakRange = 1 << 20;
 
-/** What a `Placement` needs. */
+/** Dependencies and limits of a `Placement`. */
 export interface PlacementOptions {
   readonly clock: Clock;
   readonly backend: Backend;
-  /** Applied one after the other. */
+  /** Applied in this order. */
   readonly policies: readonly PlacementPolicy[];
   readonly bounds: ObservationBounds;
-  readonly table: () => CompiledState | undefined;
-  /** Requests that this front may have in flight at a server which does not say how many it can run. */
+  /** The newest state and configuration; undefined before the first publish. */
+  readonly compiledState: () => CompiledState | undefined;
+  /** Maximum number of this front's requests in flight at a server whose own limit is not known. */
   readonly maxInFlightPerServer: () => number;
-  /** The front that places; its zone comes first. */
+  /** The id of this front; servers in its zone are preferred. */
   readonly frontId: string;
 }
 
-/** Picks servers, and observes what comes of it. */
+/** Selects servers for requests and records their load, health and speed. */
 export class Placement {
-  private readonly table: () => CompiledState | undefined;
+  private readonly compiledState: () => CompiledState | undefined;
   private readonly policies: readonly PlacementPolicy[];
   private readonly maxInFlightPerServer: () => number;
   private readonly frontId: string;
@@ -47,53 +48,58 @@
   private readonly poolCredit = new PoolCredit();
 
   constructor(options: PlacementOptions) {
-    const { clock, backend, bounds, table } = options;
-    this.table = table;
+    const { clock, backend, bounds, compiledState } = options;
+    this.compiledState = compiledState;
     this.policies = options.policies;
     this.maxInFlightPerServer = options.maxInFlightPerServer;
     this.frontId = options.frontId;
     this.observations = new ServerObservations(clock, bounds);
     const { observations } = this;
-    this.poller = new ServerPoller({ clock, backend, bounds, table, observations });
+    this.poller = new ServerPoller({ clock, backend, bounds, compiledState, observations });
   }
 
-  /** Sets the servers that get nothing new, since the front's own copy of the server list does not offer them. */
+  /** Sets the ids of servers that get no new requests, as this front's copy of the server list does not offer them. */
   setBarred(ids: ReadonlySet<string>): void {
     this.observations.barred = ids;
   }
 
-  /** The server reported its load with a response. */
+  /** Records the load that the server reported with a response. */
   recordReportedLoad(server: Server, load: ReportedLoad): void {
     this.observations.recordReportedLoad(server, load);
   }
 
-  /** Whether a picked server may still be sent a request of the route: looked at right before it is sent. */
+  /** Whether a request of the route may still be sent to a picked server; checked right before it is sent. */
   isAllowed(picked: Server, route: Route): boolean {
-    const server = this.table()?.state.servers.get(picked.id);
+    const server = this.compiledState()?.state.servers.get(picked.id);
     if (server?.url !== picked.url || server.pool !== picked.pool) return false;
     if (server.draining || this.observations.observed(server).draining) return false;
-    return sharesOf(route).some(({ pool }) => pool === server.pool);
+    return activeShares(route).some(({ pool }) => pool === server.pool);
   }
 
-  /** Whether any server of the route is, or may soon be, able to run a request, be it full now or not. */
+  /** Whether any server of the route can run requests, or may after its first poll, even if it is full now. */
   hasUsableServer(route: Route, skip: ReadonlySet<string>): boolean {
-    const state = this.table()?.state;
+    const state = this.compiledState()?.state;
     if (!state) return false;
-    const pools = new Set(sharesOf(route).map(({ pool }) => pool));
+    const pools = new Set(activeShares(route).map(({ pool }) => pool));
     return [...state.servers.values()].some(
       (server) =>
         pools.has(server.pool) && !skip.has(server.id) && !server.draining && this.isUsable(server),
     );
   }
 
-  /** The server that a request of the route goes to, or undefined if none can run it now. `begin` is then called. */
+  /**
+   * The best server for a request of the route, or undefined if none can run it now. The caller then calls `begin`.
+   *
+   * @param stickyPool - the pool to try first; empty for none
+   * @param skip - ids of servers that must not be picked
+   */
   pick(
     route: Route,
     prompt: readonly PrefixBlock[],
     stickyPool: string,
     skip: ReadonlySet<string>,
   ): Server | undefined {
-    const state = this.table()?.state;
+    const state = this.compiledState()?.state;
     if (!state) return undefined;
     const context = this.contextOf(state, prompt);
     for (const pool of this.poolCredit.order(route, stickyPool)) {
@@ -105,30 +111,30 @@
     return undefined;
   }
 
-  /** A request with this prompt is sent to the server; `end` follows. */
+  /** Records that a request with this prompt goes to the server; `end` must be called once for it. */
   begin(server: Server, prompt: readonly PrefixBlock[]): void {
     this.observations.recordStart(server);
     this.prefixIndex.record(server.id, prompt);
   }
 
-  /** A request that was begun has ended, at some speed if that is known. */
+  /** Records the end of a request, with the speed of its generation if it is known. */
   end(server: Server, isSuccess: boolean, tokensPerSecond?: number): void {
     if (isSuccess) this.observations.recordSuccess(server, tokensPerSecond);
     else this.observations.recordFailure(server);
   }
 
-  /** Failures of a server since its last success. */
+  /** Number of failures of a server since its last success. */
   failuresOf(id: string): number {
     return this.observations.failuresOf(id);
   }
 
-  /** What this front reports to the master of every listed server. */
+  /** The report on every listed server that this front sends to the master. */
   report(): readonly ServerReport[] {
-    const servers = this.table()?.state.servers.values() ?? [];
+    const servers = this.compiledState()?.state.servers.values() ?? [];
     return [...servers].map((server) => this.observations.reportOf(server));
   }
 
-  /** Polls every listed server, or those alone that never responded before. Never rejects. */
+  /** Polls every listed server, or only those that have never responded to a poll. Never rejects. */
   poll(onlyNew = false): Promise<void> {
     return this.poller.poll(onlyNew);
   }
@@ -140,16 +146,16 @@
   }
 
   private maxInFlight(server: Server): number {
-    const pool = this.table()?.config?.pools.find(({ name }) => name === server.pool);
+    const pool = this.compiledState()?.config?.pools.find(({ name }) => name === server.pool);
     const places = pool?.engine?.places ?? server.places;
     return places > 0 ? places : this.maxInFlightPerServer();
   }
 
   private contextOf(state: State, prompt: readonly PrefixBlock[]): PlacementContext {
-    const pools = new Map(this.table()?.config?.pools.map((pool) => [pool.name, pool]));
+    const pools = new Map(this.compiledState()?.config?.pools.map((pool) => [pool.name, pool]));
     const zone = state.nodes.get(this.frontId)?.zone ?? '';
     return {
-      promptTokens: tokensOf(prompt),
+      promptTokens: countTokens(prompt),
       observed: (server) => this.observations.observed(server),
       cachedShare: this.prefixIndex.cachedShareOf(prompt),
       engine: (server) => pools.get(server.pool)?.engine,
--- a/packages/session-owner/src/server-poller.ts
+++ b/packages/session-owner/src/server-poller.ts
@@ -1,38 +1,42 @@
-/** Polling of all listed servers for their load and whether they drain. */
+/** Polls all listed servers for their load and their draining state. */
 import type { Server } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import type { Backend } from './backend.js';
 import type { ObservationBounds, ServerObservations } from './server-observations.js';
 import type { CompiledState } from './compiled-state.js';
 
-/** What a `ServerPoller` needs. */
+/** Dependencies of a `ServerPoller`. */
 export interface ServerPollerOptions {
   readonly clock: Clock;
   readonly backend: Backend;
   readonly bounds: ObservationBounds;
-  readonly table: () => CompiledState | undefined;
+  /** The newest state and configuration; undefined before the first publish. */
+  readonly compiledState: () => CompiledState | undefined;
   readonly observations: ServerObservations;
 }
 
-/** Polls the listed servers and records what they respond. */
+/** Polls the listed servers and records their responses as observations. */
 export class ServerPoller {
   private readonly clock: Clock;
   private readonly backend: Backend;
   private readonly bounds: ObservationBounds;
-  private readonly table: () => CompiledState | undefined;
+  private readonly compiledState: () => CompiledState | undefined;
   private readonly observations: ServerObservations;
 
   constructor(options: ServerPollerOptions) {
     this.clock = options.clock;
     this.backend = options.backend;
     this.bounds = options.bounds;
-    this.table = options.table;
+    this.compiledState = options.compiledState;
     this.observations = options.observations;
   }
 
-  /** Resolves when every server, or every one that never responded before, has responded or failed. Never rejects. */
+  /**
+   * Polls every listed server, or only those that have never responded. Resolves once each has responded or failed;
+   * never rejects.
+   */
   async poll(onlyNew: boolean): Promise<void> {
-    const state = this.table()?.state;
+    const state = this.compiledState()?.state;
     if (!state) return;
     this.observations.retain(state.servers);
     if (this.bounds.pollIntervalMs <= 0) return;
--- a/packages/session-owner/src/session-owner.ts
+++ b/packages/session-owner/src/session-owner.ts
@@ -1,9 +1,9 @@
 /**
- * The session owner of a front: runs the requests of the slots that the cluster state gives it.
+ * The session owner of a front: runs the requests of the slots that the cluster state assigns to this front.
  *
- * Owns the newest committed state, the read lease, and who watches which front; its parts own the slots, the queues and
- * the running requests. It serves only while the lease is valid, so that a front that is cut off stops before another
- * one takes its slots over (`docs/design.md`, "Freshness and the read lease").
+ * Holds the newest committed state, the read lease and the watches on other fronts; its components hold the slots, the
+ * admission queues and the requests in flight. It serves only while the lease is valid, so that a partitioned front
+ * stops serving before another front takes over its slots (`docs/design.md`, "Freshness and the read lease").
  */
 import {
   slotForKey,
@@ -36,21 +36,22 @@
 
 /** Time limits of a session owner, in ms. */
 export interface SessionOwnerBounds {
+  /** Interval of heartbeats; intervals of retries and maintenance derive from it. */
   readonly heartbeatInterval: number;
-  /** How long a replica may take for a write. */
-  readonly putWithin: number;
-  /** How long after its last renewal the read lease is valid. */
+  /** Timeout of one request to a replica. */
+  readonly putTimeoutMs: number;
+  /** How long the read lease stays valid after its last renewal. */
   readonly readLease: number;
-  /** The interval at which servers are asked for their load; 0 where they report it themselves. */
-  readonly poll: number;
-  /** How long values stay in memory after their last use. */
+  /** Interval between polls of the servers' load; 0 disables polling, for servers that report their load themselves. */
+  readonly pollIntervalMs: number;
+  /** How long stores retain values after the last write to their group; see `SlotReplicatorOptions.retentionMs`. */
   readonly retentionMs: number;
-  /** How long a front that is told to stop may take. */
+  /** Time limit of a front's graceful shutdown. */
   readonly stopWithin: number;
 }
 
-/** What a session owner is made from. */
-export interface SessionOwnerParts {
+/** Identity, dependencies and time limits of a `SessionOwner`. */
+export interface SessionOwnerOptions {
   /** The front's id in the cluster state. */
   readonly id: string;
   readonly clock: Clock;
@@ -58,36 +59,37 @@
   readonly backend: Backend;
   readonly bounds: SessionOwnerBounds;
   readonly log: Logger;
-  /** Whether servers are chosen by what their prefix cache has. */
+  /** Whether placement prefers servers whose prefix cache holds parts of the prompt. */
   readonly affinity: boolean;
 }
 
+/** One caller's interest in another front: `lost` is aborted when the front leaves the cluster state. */
 interface Watch {
   readonly front: string;
   readonly lost: AbortController;
 }
 
-/** Whether requests can be served, and why not. */
+/** Whether requests can be served; `why` is the reason if not, and "serving" otherwise. */
 export interface Readiness {
   readonly ready: boolean;
   readonly why: string;
 }
 
-/** How much an owner has to do and to remember. */
+/** Load of an owner: slots owned, items in memory and requests in the admission queues. */
 export interface OwnerSizes {
   readonly slots: number;
   readonly items: number;
   readonly waiting: number;
 }
 
-/** Requests at one server at once, before there is a configuration. */
-const defaultPerServer = 16;
-/** What a server said of itself counts for this share of the read lease. */
-const sightShare = 4 / 5;
+/** Limit of requests in flight at one server while there is no configuration. */
+const defaultMaxInFlightPerServer = 16;
+/** A server's response to a poll stays valid for this share of the read lease. */
+const pollValidityShareOfLease = 4 / 5;
 
-const isConfigured = (table: CompiledState): table is ConfiguredState => table.config !== undefined;
+const isConfigured = (state: CompiledState): state is ConfiguredState => state.config !== undefined;
 
-/** Runs the requests of the slots that the cluster state gives to this front. */
+/** Runs the requests of the slots that the cluster state assigns to this front. */
 export class SessionOwner implements OwnerServices {
   readonly clock: Clock;
   readonly backend: Backend;
@@ -102,44 +104,50 @@
   private readonly dispatch: ServerDispatch;
   private readonly watches = new Set<Watch>();
   private readonly stopping = createAbortController();
-  private table: CompiledState | undefined;
+  private compiledState: CompiledState | undefined;
   private leaseRenewedAt = -Infinity;
   private leaseGivenUp = false;
 
-  constructor(parts: SessionOwnerParts) {
-    const { id, clock, transport, backend, bounds, log } = parts;
+  constructor(options: SessionOwnerOptions) {
+    const { id, clock, transport, backend, bounds, log } = options;
     this.id = id;
     this.clock = clock;
     this.transport = transport;
     this.backend = backend;
     this.bounds = bounds;
-    const table = (): CompiledState | undefined => this.table;
+    const compiledState = (): CompiledState | undefined => this.compiledState;
     this.placement = new Placement({
       clock,
       backend,
-      policies: placementPolicies(parts.affinity),
+      policies: placementPolicies(options.affinity),
       bounds: {
-        pollIntervalMs: bounds.poll,
-        pollTimeoutMs: bounds.poll,
+        pollIntervalMs: bounds.pollIntervalMs,
+        pollTimeoutMs: bounds.pollIntervalMs,
         retryUnhealthyAfterMs: bounds.heartbeatInterval,
-        pollValidForMs: bounds.readLease * sightShare,
+        pollValidForMs: bounds.readLease * pollValidityShareOfLease,
         reportedLoadValidForMs: bounds.heartbeatInterval / 2,
       },
-      table,
-      maxInFlightPerServer: () => this.table?.config?.bounds.perServer ?? defaultPerServer,
+      compiledState,
+      maxInFlightPerServer: () =>
+        this.compiledState?.config?.bounds.perServer ?? defaultMaxInFlightPerServer,
       frontId: id,
     });
     const leaseValid = (): boolean => this.leaseValid;
-    this.dispatch = new ServerDispatch({ clock, placement: this.placement, table, leaseValid });
-    this.slots = new OwnedSlots(id, (n, ownedSinceEpoch) => {
-      // Read anew for each replicator: the bounds follow the settings file.
-      const { putWithin, heartbeatInterval, retentionMs } = bounds;
-      return new SlotReplicator(n, ownedSinceEpoch, {
+    this.dispatch = new ServerDispatch({
+      clock,
+      placement: this.placement,
+      compiledState,
+      leaseValid,
+    });
+    this.slots = new OwnedSlots(id, (slotNumber, ownedSinceEpoch) => {
+      // Read again for each replicator: a reload of the settings changes the bounds.
+      const { putTimeoutMs, heartbeatInterval, retentionMs } = bounds;
+      return new SlotReplicator(slotNumber, ownedSinceEpoch, {
         clock,
         transport,
         log,
-        table,
-        putTimeoutMs: putWithin,
+        compiledState,
+        putTimeoutMs,
         heartbeatIntervalMs: heartbeatInterval,
         retentionMs,
       });
@@ -149,59 +157,59 @@
     this.calls = new Calls(this);
   }
 
-  /** Begins to look after servers, queues and old values; ends with `stop`. */
+  /** Starts the maintenance loop: polls servers, reviews the queues and drops expired values until `stop`. */
   start(): void {
     void this.maintain();
   }
 
-  /** Ends what `start` began. */
+  /** Ends the maintenance loop that `start` began. */
   stop(): void {
     this.stopping.abort();
   }
 
   get current(): CompiledState | undefined {
-    return this.table;
+    return this.compiledState;
   }
 
   get leaseValid(): boolean {
     return !this.leaseGivenUp && this.clock.now() - this.leaseRenewedAt < this.bounds.readLease;
   }
 
-  /** Whether any slot is owned. */
+  /** Whether this front owns any slot. */
   get ownsSlots(): boolean {
     return this.slots.count > 0;
   }
 
-  /** How many requests wait for a server. */
+  /** Number of requests that wait for a server. */
   get waiting(): number {
     return this.dispatch.waiting;
   }
 
-  /** Follows a newer committed state. */
+  /** Applies a newly committed state: its configuration, servers, fronts and slots. */
   applyState(state: State): void {
-    this.table = compileState(state, this.table);
-    void this.placement.poll(true).then(() => this.dispatch.admit());
+    this.compiledState = compileState(state, this.compiledState);
+    void this.placement.poll(true).then(() => this.dispatch.admitWaiting());
     for (const watch of [...this.watches]) if (!state.nodes.has(watch.front)) watch.lost.abort();
     this.slots.apply(state.slots);
-    this.dispatch.admit();
+    this.dispatch.admitWaiting();
   }
 
-  /** Renews the read lease as of a time on this clock, in ms; an older one changes nothing. */
+  /** Renews the read lease as of `at`, in ms on this owner's clock; a time before the last renewal changes nothing. */
   renewLease(at: number): void {
     this.leaseRenewedAt = Math.max(this.leaseRenewedAt, at);
   }
 
-  /** Gives the read lease up for good: nothing begins to be served any more, whatever is renewed later. */
+  /** Gives up the read lease permanently: later renewals have no effect, and no further request is served. */
   releaseLease(): void {
     this.leaseGivenUp = true;
   }
 
-  /** Whether the lease was given up. */
+  /** Whether `releaseLease` was called. */
   get leaseReleased(): boolean {
     return this.leaseGivenUp;
   }
 
-  /** Replaces the servers that get nothing until they are listed anew. */
+  /** Replaces the set of barred servers, by id: they get no requests until they are listed again. */
   barServers(ids: ReadonlySet<string>): void {
     this.placement.setBarred(ids);
   }
@@ -213,10 +221,10 @@
   }
 
   requireLease(): ConfiguredState {
-    const { table } = this;
-    if (!table || !isConfigured(table) || !this.leaseValid)
+    const { compiledState } = this;
+    if (!compiledState || !isConfigured(compiledState) || !this.leaseValid)
       throw new UnavailableError('not-ready', this.readiness().why);
-    return table;
+    return compiledState;
   }
 
   /** The slot of a key. Throws an `UnavailableError` before the first state. */
@@ -224,12 +232,12 @@
     return slotForKey(key, this.requireState().slots.length);
   }
 
-  /** The id of the front that owns a slot; empty where there is none. */
+  /** The id of the front that owns a slot; empty if the slot has no owner or no state is known. */
   ownerOf(slot: number): string {
-    return this.table?.state.slots[slot]?.owner ?? '';
+    return this.compiledState?.state.slots[slot]?.owner ?? '';
   }
 
-  /** Takes no further requests into its slots; those in progress go on. */
+  /** Rejects new requests for its slots; requests in flight continue. */
   stopAccepting(): void {
     this.slots.stopAccepting();
   }
@@ -248,12 +256,12 @@
   async findTurn(attempt: string): Promise<readonly FoundTurn[]> {
     const { transport, bounds } = this;
     const state = this.requireState();
-    return findFinishedTurn({ transport, state, timeoutMs: bounds.putWithin }, attempt);
+    return findFinishedTurn({ transport, state, timeoutMs: bounds.putTimeoutMs }, attempt);
   }
 
-  /** Slots, with their ownership epochs, that can go to their transfer target. */
-  releases(): readonly (readonly [number, number])[] {
-    return this.slots.releases();
+  /** Releases the slots that are to move and have no request in flight; returns their numbers and ownership epochs. */
+  releaseIdleSlots(): readonly (readonly [number, number])[] {
+    return this.slots.releaseIdleSlots();
   }
 
   findRoute(kind: RouteKind, path: string): Route | undefined {
@@ -276,7 +284,7 @@
     this.placement.recordReportedLoad(server, load);
   }
 
-  /** How much there is to do and to remember. */
+  /** The numbers of owned slots, items in memory and waiting requests. */
   sizes(): OwnerSizes {
     const { count, itemCount } = this.slots;
     return { slots: count, items: itemCount, waiting: this.waiting };
@@ -285,29 +293,29 @@
   private async maintain(): Promise<void> {
     while (!this.stopping.signal.aborted) {
       await this.placement.poll();
-      this.dispatch.review();
+      this.dispatch.processQueues();
       this.slots.expire();
       await delay(this.clock, this.maintenanceIntervalMs, this.stopping.signal);
     }
   }
 
   private get maintenanceIntervalMs(): number {
-    const { poll, heartbeatInterval } = this.bounds;
-    return poll > 0 ? poll : heartbeatInterval / 4;
+    const { pollIntervalMs, heartbeatInterval } = this.bounds;
+    return pollIntervalMs > 0 ? pollIntervalMs : heartbeatInterval / 4;
   }
 
   private requireState(): State {
-    const state = this.table?.state;
+    const state = this.compiledState?.state;
     if (!state) throw new UnavailableError('not-ready', 'no committed state yet');
     return state;
   }
 
   private whyNotReady(): string | undefined {
-    const { table } = this;
-    if (!table) return 'no committed state yet';
-    if (!table.config) return 'no configuration yet';
+    const { compiledState } = this;
+    if (!compiledState) return 'no committed state yet';
+    if (!compiledState.config) return 'no configuration yet';
     if (!this.leaseValid) return 'the control link is down and its read lease ran out';
-    if (!table.state.nodes.has(this.id)) return 'not listed in the cluster state';
-    return table.state.retiring.has(this.id) ? 'being drained' : undefined;
+    if (!compiledState.state.nodes.has(this.id)) return 'not listed in the cluster state';
+    return compiledState.state.retiring.has(this.id) ? 'being drained' : undefined;
   }
 }
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -7,7 +7,7 @@
 import {
   DiskElectionStore,
   reloadableBounds,
-  type OuterBounds,
+  type ConfiguredBounds,
   type ReloadableBounds,
 } from '@tillerstair/zen';
 import { silentLogger, type Logger } from '@tillerstair/wire';
@@ -164,9 +164,9 @@
       backend: w.servers.backend(life, this.addr),
       bounds: {
         heartbeatInterval,
-        putWithin: failureTimeout / 2,
+        putTimeoutMs: failureTimeout / 2,
         readLease,
-        poll: heartbeatInterval / 4,
+        pollIntervalMs: heartbeatInterval / 4,
         retentionMs: w.retentionMs,
         stopWithin: 5 * heartbeatInterval,
       },
@@ -199,7 +199,7 @@
   }
 
   /** Reads the settings again while running (SIGHUP): seeds and bounds are swapped. */
-  reload(outer: OuterBounds): void {
+  reload(outer: ConfiguredBounds): void {
     this.settings.replace(outer);
     this.control?.zen.replaceSeeds(this.seeds);
     this.store?.zen.replaceSeeds(this.seeds);
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -114,7 +114,7 @@
     const { me, transport, electionStore, settle, onReport, onLead } = this.options;
     return new Leadership({
       masterOptions: {
-        me,
+        localMember: me,
         clock: this.clock,
         transport,
         electionStore,
@@ -169,7 +169,7 @@
   }
 
   /** The master as far as this node knows: itself, or the one that it follows. */
-  get masterSeen(): Member | undefined {
+  get knownMaster(): Member | undefined {
     return this.leading ? this.localNode.member : this.follower.master;
   }
 
@@ -285,7 +285,7 @@
   }
 
   private onConnectionLost(addr: string): void {
-    this.leadership.master?.connectionLost(addr);
+    this.leadership.master?.onConnectionLost(addr);
     if (this.follower.master?.addr === addr) this.sleep.wake();
   }
 }
--- a/tests/src/control/operations.test.ts
+++ b/tests/src/control/operations.test.ts
@@ -55,7 +55,7 @@
   const master = masterOf();
   const response = await ask(master, 'PUT', '/v1/config', fileText({ changeId: 'a' }));
   assert.is(response.status, 200);
-  assert.equal(master.calls, ['decide', 'waitUntilInForce']);
+  assert.equal(master.calls, ['submitConfirmed', 'waitUntilInForce']);
   assert.is(master.state.config?.version, 1);
   assert.equal(response.body, { version: 1, digest: master.state.config?.digest });
 });
@@ -90,7 +90,7 @@
   assert.is(response.status, 200);
   assert.match(JSON.stringify(response.body), '"newest":9');
   assert.is(master.state.config, laterConfig);
-  assert.equal(master.calls, ['decide', 'waitUntilInForce']);
+  assert.equal(master.calls, ['submitConfirmed', 'waitUntilInForce']);
 });
 
 operations('a change older than the record gets an unclear response', async () => {
@@ -239,7 +239,12 @@
   });
   assert.equal(await ask(master, 'DELETE', path), { status: 200, body: { id: 'a b', gone: true } });
   assert.equal(statusAndCode(await ask(master, 'POST', `${path}/draining`)), [404, 'missing']);
-  assert.equal(master.calls, ['decide', 'decide', 'decide', 'decide']);
+  assert.equal(master.calls, [
+    'submitConfirmed',
+    'submitConfirmed',
+    'submitConfirmed',
+    'submitConfirmed',
+  ]);
 });
 
 operations('a store is emptied by id, address or name; a repeat changes nothing', async () => {
--- a/tests/src/control/order-sent-again.test.ts
+++ b/tests/src/control/order-sent-again.test.ts
@@ -5,12 +5,12 @@
 import { ElectionError } from '@tillerstair/wire';
 import {
   bounds,
-  MasterRig,
+  MasterHarness,
   memberOf,
   roundTrip,
   stateWith,
   threeVoters,
-} from '../zen/master-rig.js';
+} from '../zen/master-harness.js';
 
 const resentChanges = suite('resent changes while later ones are pending');
 
@@ -23,14 +23,14 @@
     ],
   });
 
-const put = (harness: MasterRig, base: number): Promise<OperatorResponse> =>
+const put = (harness: MasterHarness, base: number): Promise<OperatorResponse> =>
   operate(harness.master, { method: 'PUT', path: '/v1/config', body: fileOn(base) });
 
 resentChanges(
   'an acknowledged change is acknowledged again immediately while a later one is pending',
   async () => {
     const newest = stateWith(threeVoters, [memberOf('f', 'front')]);
-    const harness = await MasterRig.begun({ newest });
+    const harness = await MasterHarness.started({ newest });
     await harness.clock.run(bounds.readLease);
     const first = await harness.clock.finish(
       'the first change',
--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -127,7 +127,7 @@
     pingPeers: () => Promise.resolve(new Set<string>()),
     waitUntilInForce: () => Promise.resolve(undefined),
     confirm: () => Promise.resolve(committed),
-    decide: () => Promise.reject(new Error('a poll must not call decide')),
+    submitConfirmed: () => Promise.reject(new Error('a poll must not call submitConfirmed')),
     submit: (change) => {
       submits++;
       committed = change(committed);
