--- a/packages/zen/src/change-queue.ts
+++ b/packages/zen/src/change-queue.ts
@@ -1,8 +1,8 @@
 /**
- * The master's task queue. Changes that arrive while a publish is under way wait together and are published as one
- * batch; each ends only when its outcome is known. It owns the changes that wait. Invariant: an outcome is reported
- * only if a majority has confirmed this master since the change came, by a publish or by a quorum read, where the
- * caller relies on it (docs/design.md, "Versions of the configuration").
+ * The master's queue of changes to the cluster state. Changes that arrive while a publish is in flight are published
+ * together as the next batch; each ends only when its outcome is known. The queue owns the pending changes. Invariant:
+ * the outcome of a change submitted with `submitConfirmed` is reported only if a majority has confirmed this master
+ * since the change arrived, by a publish or by a quorum read (docs/design.md, "Versions of the configuration").
  */
 import { completeVotingChange, type State } from '@tillerstair/state';
 import { RpcError, TaskQueue, toRpcError } from '@tillerstair/wire';
@@ -11,10 +11,10 @@
 import type { Mastership } from './mastership.js';
 import type { PublishedState } from './published-state.js';
 
-/** One change that waits for its outcome. */
+/** A submitted change whose outcome is not known yet. */
 interface Task {
   readonly change: Change;
-  /** Whether a majority must confirm this master before the task ends without a publish. */
+  /** Whether a majority must confirm this master before an outcome without a publish is reported. */
   readonly needsConfirmation: boolean;
   resolve(committed: CommittedState): void;
   reject(reason: Error): void;
@@ -25,18 +25,18 @@
   readonly reason: RpcError;
 }
 
-/** What the changes of one batch come to, one applied after the other. */
+/** The result of applying the changes of one batch in order: the next state and the fate of each change. */
 interface Batch {
   readonly next: State;
   readonly applied: readonly Task[];
   readonly refused: readonly RefusedTask[];
 }
 
-/** What a change queue works with. */
+/** The dependencies of a `ChangeQueue`. */
 export interface ChangeQueueOptions {
   readonly mastership: Mastership;
   readonly published: PublishedState;
-  /** Derives from a batch's outcome what follows from it, such as the owners of slots. */
+  /** Derives the dependent parts of the state after a batch, such as the owners of slots. */
   readonly settle: (state: State) => State;
   /** Publishes, commits and applies a state. */
   readonly publish: (state: State) => Promise<void>;
@@ -59,7 +59,7 @@
   return { next, applied, refused };
 };
 
-/** Takes changes of the cluster state and publishes them, one batch after the other. */
+/** Applies submitted changes to the cluster state and publishes them, one batch at a time. */
 export class ChangeQueue {
   private readonly mastership: Mastership;
   private readonly published: PublishedState;
@@ -78,30 +78,31 @@
   }
 
   /**
-   * Makes a change; resolves once the state with it is committed and applied here, at once if it alters nothing.
+   * Applies a change; resolves once the resulting state is committed and applied at this control, or without a publish
+   * if the change alters nothing.
    *
-   * @throws whatever the change throws to refuse; NotMasterError if nothing was done; UnknownOutcomeError if the change
-   * may have been made.
+   * @throws whatever the change throws to refuse; NotMasterError if the change was not made; UnknownOutcomeError if the
+   * change may have been made.
    */
   submit(change: Change): Promise<CommittedState> {
     return this.enqueue(change, false);
   }
 
   /**
-   * As `submit`, but a refusal, and a change that alters nothing, end only once a majority has confirmed this master
-   * since the call.
+   * As `submit`, but the outcome of a change that is refused or alters nothing is reported only once a majority has
+   * confirmed this master since the call.
    *
-   * @throws also QuorumUnavailableError if no majority does.
+   * @throws also QuorumUnavailableError if no majority confirms it.
    */
   submitConfirmed(change: Change): Promise<CommittedState> {
     return this.enqueue(change, true);
   }
 
-  /** Refuses all changes that wait, and those that come later. */
+  /** Refuses all pending changes and all later ones with a NotMasterError. */
   close(): void {
-    const { pendingTasks: waiting } = this;
+    const { pendingTasks } = this;
     this.pendingTasks = [];
-    for (const task of waiting) task.reject(new NotMasterError());
+    for (const task of pendingTasks) task.reject(new NotMasterError());
     this.taskQueue.close();
   }
 
@@ -124,37 +125,40 @@
     try {
       const isPublished = next !== this.published.base || !this.published.committed;
       if (isPublished) await this.publish(next);
-      this.reportOutcomes(batch, isPublished);
+      this.report(batch, isPublished);
     } catch (e) {
       this.failBatch(batch, toRpcError(e));
     }
   }
 
-  private reportOutcomes(batch: Batch, isPublished: boolean): void {
+  private report(batch: Batch, isPublished: boolean): void {
     const { committed: state, committedAt: at } = this.published;
-    if (!state) throw new NotMasterError('nothing is committed');
+    if (!state) throw new NotMasterError(`no state is committed in term ${this.mastership.term}`);
     for (const task of batch.applied)
-      this.endTask(task, isPublished, () => task.resolve({ state, at }));
+      this.end(task, isPublished, () => task.resolve({ state, at }));
     for (const { task, reason } of batch.refused)
-      this.endTask(task, isPublished, () => task.reject(reason));
+      this.end(task, isPublished, () => task.reject(reason));
     if (completeVotingChange(state) !== state)
       void this.submit(completeVotingChange).catch(() => undefined);
   }
 
-  /** Ends a task at once where a publish since it came has confirmed this master, else after a quorum read. */
-  private endTask(task: Task, isPublished: boolean, report: () => void): void {
+  /**
+   * Reports an outcome immediately if the batch was published, which confirms this master, or if no confirmation is
+   * needed; otherwise after a quorum read.
+   */
+  private end(task: Task, isPublished: boolean, reportOutcome: () => void): void {
     if (isPublished || !task.needsConfirmation) {
-      report();
+      reportOutcome();
       return;
     }
-    this.confirm().then(report, (e: unknown) =>
+    this.confirm().then(reportOutcome, (e: unknown) =>
       task.reject(new QuorumUnavailableError(toRpcError(e).message)),
     );
   }
 
   /**
-   * After a publish that failed, members may hold the state: whether its changes are made is for the next master to
-   * find out. A refusal may rest on one of them, so it is not reported then.
+   * After a failed publish, some members may have accepted the state, and the next master decides whether its changes
+   * are made: their outcome is unknown. A refusal may depend on one of these changes, so it is not reported either.
    */
   private failBatch(batch: Batch, { message }: RpcError): void {
     for (const task of batch.applied) task.reject(new UnknownOutcomeError(message));
--- a/packages/zen/src/front-barrier.ts
+++ b/packages/zen/src/front-barrier.ts
@@ -1,9 +1,10 @@
 /**
- * The moment from which no front serves from an older state any more. A front either reports that it has applied the
- * state, or its read lease has run out since the commit; fronts that the master does not know of hold a lease of the
- * earlier master, and those that left the list one of the time before they left. Invariant: no lease of a front that has
- * not applied a state is renewed after the commit of that state, so nobody waits for longer than one read lease from it
- * on, however many fronts leave meanwhile (docs/design.md, "Freshness and the read lease"; docs/control-safety.md).
+ * Determines when a committed state is in force: when no front serves from an older state any more. Each front has
+ * either reported that it applied the state, or its read lease has expired since the commit. Fronts unknown to this
+ * master may have a lease renewed under the previous master, and fronts that left the list of nodes one renewed before
+ * they left. Invariant: the lease of a front that has not applied a state is never renewed after the commit of that
+ * state, so the wait is at most one read lease from the commit, however many fronts leave in that time (docs/design.md,
+ * "Freshness and the read lease"; docs/control-safety.md).
  */
 import { isNewerVersion, versionOf, type State, type StateVersion } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
@@ -13,20 +14,21 @@
 import type { Mastership } from './mastership.js';
 import type { MemberContacts } from './member-contacts.js';
 
-/** Departures are forgotten after this many read leases; one is what the barrier needs. */
-const leasesBeforeForgotten = 2;
+/** How long departures of fronts are kept, in read leases; the barrier needs one. */
+const departureRetentionLeases = 2;
 
-/** A front that left the list: when, and what it had applied. */
+/** A front that left the list of nodes. */
 interface Departure {
-  /** Clock time of the commit, in ms. */
+  /** Clock time, in ms, of the commit that removed the front. */
   readonly at: number;
+  /** The newest state that the front had reported as applied. */
   readonly applied: StateVersion;
 }
 
-/** Lets callers wait until every front has applied a committed state or has lost its lease. */
+/** Lets callers wait until every front has applied a committed state or its read lease has expired. */
 export class FrontBarrier {
   private readonly departures = new Map<string, Departure>();
-  /** Fronts that said that they serve no more; an id is never used again. */
+  /** Ids of fronts that have released their read lease; an id is never reused. */
   private readonly leasesReleased = new Set<string>();
   private readonly waiters = new Set<() => void>();
   private readonly electedAt: number;
@@ -40,16 +42,16 @@
     this.electedAt = clock.now();
   }
 
-  /** Remembers the fronts that a commit took off the list of nodes, unless their lease was released. */
+  /** Records the fronts that a commit removed from the list of nodes, unless they have released their lease. */
   noteDeparted(previous: State, committed: State): void {
     const now = this.clock.now();
     for (const [id, member] of previous.nodes)
       if (member.kind === 'front' && !committed.nodes.has(id)) this.noteDeparture(id, now);
     for (const [id, { at }] of this.departures)
-      if (now - at > this.bounds.readLease * leasesBeforeForgotten) this.departures.delete(id);
+      if (now - at > this.bounds.readLease * departureRetentionLeases) this.departures.delete(id);
   }
 
-  /** A front that is about to leave serves no more, whatever its lease was: nobody waits for it. */
+  /** Records that a leaving front has stopped serving, so that the barrier no longer waits for its lease. */
   noteLeaseReleased(frontId: string): void {
     this.leasesReleased.add(frontId);
     this.wakeAll();
@@ -60,28 +62,28 @@
     this.departures.set(id, { at, applied: this.contacts.appliedBy(id) });
   }
 
-  /** Lets everybody who waits look again. */
+  /** Makes all waiting callers check the barrier again. */
   wakeAll(): void {
     for (const wake of [...this.waiters]) wake();
   }
 
   /**
-   * Resolves once no front serves from a state older than the committed one, at most one read lease after the commit or
-   * the election.
+   * Resolves once no front serves from a state older than the committed one: at most one read lease after the commit or
+   * the election, whichever is later.
    *
-   * @throws UnknownOutcomeError when this control steps down meanwhile.
+   * @throws UnknownOutcomeError if this control steps down before that.
    */
   async waitUntilPassed(committed: CommittedState): Promise<void> {
     for (;;) {
       if (this.mastership.lost.aborted)
-        throw new UnknownOutcomeError('this control stopped being master meanwhile');
+        throw new UnknownOutcomeError('this control stepped down before the state was in force');
       const remaining = this.passesAt(committed) - this.clock.now();
       if (remaining <= 0) return;
-      await this.waitOrWake(remaining + 1);
+      await this.waitUntilWoken(remaining + 1);
     }
   }
 
-  /** Clock time, in ms, at which the barrier passes if no front reports meanwhile. */
+  /** Clock time, in ms, at which the barrier passes if no front reports before that. */
   private passesAt({ state, at }: CommittedState): number {
     const renewals = [
       this.electedAt,
@@ -91,7 +93,7 @@
     return Math.max(...renewals) + this.bounds.readLease;
   }
 
-  /** The latest moments, in ms, at which leases of departed fronts that have not applied a state were renewed. */
+  /** Latest possible renewal times, in ms, of the leases of departed fronts that have not applied the state. */
   private lastRenewalsOfDeparted(state: State, committedAt: number): readonly number[] {
     const version = versionOf(state);
     return [...this.departures.values()]
@@ -99,6 +101,7 @@
       .map(({ at }) => Math.min(at, committedAt));
   }
 
+  /** Whether each listed front has applied the state or released its lease. */
   private isAppliedByFronts(state: State): boolean {
     const version = versionOf(state);
     return [...state.nodes.values()].every(
@@ -111,14 +114,14 @@
     return !isNewerVersion(version, this.contacts.appliedBy(memberId));
   }
 
-  private waitOrWake(ms: number): Promise<void> {
+  private waitUntilWoken(timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
         timer.stop();
         this.waiters.delete(wake);
         resolve();
       };
-      const timer = this.clock.after(ms, wake);
+      const timer = this.clock.after(timeoutMs, wake);
       this.waiters.add(wake);
     });
   }
--- a/packages/zen/src/leave.ts
+++ b/packages/zen/src/leave.ts
@@ -1,26 +1,26 @@
-/** How a node that stops in order leaves the cluster (docs/zen.md, "Changed or added": the number of controls). */
+/** Graceful departure of a node from the cluster (docs/zen.md, "Changed or added": the number of controls). */
 import { reduceState, type Member } from '@tillerstair/state';
 import { RequestTimeoutError, withTimeout, type Transport, type Clock } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { MasterView } from './master-types.js';
 
-/** What a leave works with. */
+/** The dependencies of `leaveCluster`. */
 export interface LeaveOptions {
   readonly me: Member;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly bounds: Pick<ZenBounds, 'heartbeatInterval'>;
-  /** Whether this is the node of a front that serves nothing any more. */
+  /** Whether this node is a front that has stopped serving and so releases its read lease. */
   readonly leaseReleased?: boolean;
 }
 
 /**
- * Tells the master that this node stops in order; a master commits its leave itself before it steps down, so that
- * its vote can pass to a spare with the same commit. Waits for one heartbeat at most.
+ * Notifies the master that this node is shutting down. A master commits its own leave before it steps down, so that its
+ * vote can pass to a spare control in the same commit. Waits for at most one heartbeat.
  *
  * @param followed - The master that this node follows, if any.
  * @param leading - This node's mastership, if it is master itself.
- * @throws RequestTimeoutError, or the master's error; the node stops all the same, and fault detection finds it gone.
+ * @throws RequestTimeoutError, or the master's error; the caller stops the node anyway, and fault detection removes it.
  */
 export const leaveCluster = async (
   { me: localMember, clock, transport, bounds, leaseReleased = false }: LeaveOptions,
--- a/packages/zen/src/master-errors.ts
+++ b/packages/zen/src/master-errors.ts
@@ -1,4 +1,4 @@
-/** Errors with which a master ends changes and reads; their codes go over the wire, see docs/errors.md. */
+/** Errors of changes and reads at a master; their codes are sent over the wire (docs/errors.md). */
 import {
   ElectionError,
   ProtocolError,
@@ -6,34 +6,37 @@
   type ExecutionStatus,
 } from '@tillerstair/wire';
 
-/** This control is not master, or not any more; with `executed: 'no'` the change may be sent to another control. */
+/** This control is not the master, or no longer; with `executed: 'no'` the change may be sent to another control. */
 export class NotMasterError extends ElectionError {
   override readonly name = 'NotMasterError';
 
-  constructor(message = 'this control is no longer master', executed: ExecutionStatus = 'no') {
+  constructor(message = 'this control is no longer the master', executed: ExecutionStatus = 'no') {
     super('not-master', message, executed);
   }
 }
 
-/** No majority of the voters has synced a published state in time. */
+/** No majority of the voters synced a published state to disk before the publish timeout. */
 export class PublishTimeoutError extends ElectionError {
   override readonly name = 'PublishTimeoutError';
 
   constructor() {
-    super('no-majority', 'no majority synced the state in time');
+    super(
+      'no-majority',
+      'no majority of the voters synced the published state before the publish timeout',
+    );
   }
 }
 
-/** This control has voted in a later term, so that it may publish nothing more in its earlier one. */
+/** This control has voted in a later term and must not publish in its own term any more. */
 export class StaleMasterError extends ElectionError {
   override readonly name = 'StaleMasterError';
 
   constructor(laterTerm: number) {
-    super('stale', `term ${laterTerm} was voted for meanwhile`);
+    super('stale', `this control has since voted in term ${laterTerm}`);
   }
 }
 
-/** No majority of the voters confirms this master: a read or a refusal cannot be answered, and nothing was done. */
+/** No majority of the voters confirmed this master: a read or a refusal cannot be reported, and nothing was changed. */
 export class QuorumUnavailableError extends UnavailableError {
   override readonly name = 'QuorumUnavailableError';
 
@@ -42,7 +45,7 @@
   }
 }
 
-/** Whether a change was made is not known: the next master may or may not find it at a majority. */
+/** It is unknown whether a change was made: the next master may or may not find it accepted by a majority. */
 export class UnknownOutcomeError extends ProtocolError {
   override readonly name = 'UnknownOutcomeError';
 
--- a/packages/zen/src/master-fault-detection.ts
+++ b/packages/zen/src/master-fault-detection.ts
@@ -1,7 +1,8 @@
 /**
  * Master fault detection (docs/zen.md, "Kept, on the ordinary path"): a node pings the master that it follows once a
- * heartbeat, and leaves it after the failure timeout without a response or a second refused connection, or as soon as
- * the master answers that it leads no more, in a lower term, or twice without listing this node.
+ * heartbeat. It stops following the master after the failure timeout without a response, after a second refused
+ * connection in a row, or when the master responds that it no longer leads, that its term is lower than the node's, or
+ * twice in a row that this node is not on its list.
  */
 import { isNewerVersion, versionOf, type Member, type State } from '@tillerstair/state';
 import { ConnectionRefusedError, type Clock, type Transport } from '@tillerstair/wire';
@@ -11,34 +12,34 @@
 import { MasterPingResponse, type MasterPing } from './messages.js';
 import type { ReadLease } from './read-lease.js';
 
-/** So many refused connections in a row end a master. */
+/** The master has failed after this many refused connections in a row. */
 const maxRefusals = 2;
-/** So many responses in a row that do not list this node end its membership. */
+/** The node leaves the master after this many responses in a row that do not list it. */
 const maxUnlistedResponses = 2;
-/** After a first refused connection the next ping is sent after this part of a heartbeat. */
+/** After a refused connection the next ping is sent this many times sooner than a heartbeat later. */
 const retriesPerHeartbeat = 10;
 
-/** What master fault detection needs of its node. */
+/** The dependencies of a `MasterFaultDetection`. */
 export interface MasterFaultDetectionOptions {
   readonly clock: Clock;
   readonly transport: Transport;
   readonly bounds: ZenBounds;
   readonly localNode: LocalNode;
   readonly readLease: ReadLease;
-  /** The master followed now: a publish by another that this node voted for changes it. */
+  /** The master that this node follows; it changes with a publish by another master that this node voted for. */
   readonly followed: () => Member | undefined;
   /** The committed state that this node has applied. */
   readonly applied: () => State | undefined;
-  /** What each ping tells the master of this node. */
+  /** This node's report to the master, sent with each ping. */
   readonly report: () => unknown;
-  /** Hears what a master that lists this node reports, and the clock time at which it was asked. */
+  /** Receives the report of a master that lists this node, and the clock time, in ms, at which the ping was sent. */
   readonly onListReport: (reported: unknown, requestedAt: number) => void;
-  /** Ended early when the connection to the master is lost. */
+  /** The wait between pings; interrupted when the connection to the master is lost. */
   readonly sleep: InterruptibleSleep;
   readonly stopping: AbortSignal;
 }
 
-/** Watches one master; made anew after each join. */
+/** Monitors one master; a new instance is created after each join. */
 export class MasterFaultDetection {
   private readonly clock: Clock;
   private readonly transport: Transport;
@@ -70,7 +71,7 @@
     this.lastResponseAt = options.clock.now();
   }
 
-  /** Resolves when the master has failed or gives up this node, or the node stops. */
+  /** Pings until the master fails, stops leading or no longer lists this node, or until the node stops. */
   async run(): Promise<void> {
     while (!this.stopping.aborted) {
       const master = this.followed();
@@ -78,12 +79,13 @@
       const isFollowable = await this.ping(master);
       if (!isFollowable || this.hasFailed()) return;
       const { heartbeatInterval } = this.bounds;
-      const wait = this.refusals > 0 ? heartbeatInterval / retriesPerHeartbeat : heartbeatInterval;
-      await this.sleep.sleep(wait);
+      const waitMs =
+        this.refusals > 0 ? heartbeatInterval / retriesPerHeartbeat : heartbeatInterval;
+      await this.sleep.sleep(waitMs);
     }
   }
 
-  /** Resolves with false if the master answers that it is none, or not this node's. */
+  /** Pings once; resolves with false if the response shows that this node must not follow the master any more. */
   private async ping(master: Member): Promise<boolean> {
     const sentAt = this.clock.now();
     try {
@@ -113,7 +115,7 @@
     );
   }
 
-  /** The lease is dated back to the master's last contact with a majority (docs/design.md, "Freshness"). */
+  /** Renews the read lease as of the master's last contact with a majority (docs/design.md, "Freshness"). */
   private renewLease(response: MasterPingResponse, sentAt: number): void {
     if (!response.listed || isNewerVersion(response.committed, versionOf(this.applied()))) return;
     this.readLease.renew(sentAt - response.age);
--- a/packages/zen/src/master.ts
+++ b/packages/zen/src/master.ts
@@ -1,8 +1,8 @@
 /**
- * A control that was elected: from the votes of a majority to its step-down (docs/zen.md, "One master a term"). This
- * module joins the master's parts and answers the messages of other nodes; each part owns its state:
- * the states in `published-state.ts`, the changes that wait in `change-queue.ts`, what members hold in
- * `state-sender.ts`, when they were heard of in `member-contacts.ts`.
+ * The elected master, from the votes of a majority to its step-down (docs/zen.md, "One master a term"). This module
+ * connects the components of the master and handles the messages of other nodes. Each component owns its data: the
+ * published states in `published-state.ts`, the pending changes in `change-queue.ts`, the versions that members have
+ * accepted in `state-sender.ts`, and the times of their replies in `member-contacts.ts`.
  */
 import { reduceState, versionOf, type Member, type State } from '@tillerstair/state';
 import type { Clock, Logger, Transport } from '@tillerstair/wire';
@@ -45,14 +45,14 @@
   private readonly sender: StateSender;
   private readonly publisher: Publisher;
   private readonly quorumRead: QuorumRead;
-  private readonly changeQueue: ChangeQueue;
-  private readonly frontBarrier: FrontBarrier;
+  private readonly changes: ChangeQueue;
+  private readonly fronts: FrontBarrier;
   private readonly faultDetector: NodesFaultDetector;
   private pingsFromAnotherMaster = 0;
 
   /**
    * @param term - The term that a majority of the voters granted to this control.
-   * @param newest - The newest accepted state among those votes.
+   * @param newest - The newest accepted state that came with those votes.
    */
   constructor(options: MasterOptions, term: number, newest: State) {
     this.localMember = options.localMember;
@@ -66,33 +66,33 @@
     this.mastership = new Mastership(term, options.log);
     this.published = new PublishedState(newest);
     this.contacts = new MemberContacts(this.localMember.id, this.clock);
-    const parts = {
+    const shared = {
       ...options,
       mastership: this.mastership,
       published: this.published,
       contacts: this.contacts,
     };
-    this.sender = new StateSender(parts);
-    this.publisher = new Publisher({ ...parts, sender: this.sender });
+    this.sender = new StateSender(shared);
+    this.publisher = new Publisher({ ...shared, sender: this.sender });
     this.quorumRead = this.createQuorumRead();
-    this.changeQueue = new ChangeQueue({
-      ...parts,
+    this.changes = new ChangeQueue({
+      ...shared,
       publish: (state) => this.publish(state),
       confirm: () => this.confirm(),
     });
-    this.frontBarrier = new FrontBarrier(this.clock, this.bounds, this.mastership, this.contacts);
+    this.fronts = new FrontBarrier(this.clock, this.bounds, this.mastership, this.contacts);
     this.faultDetector = new NodesFaultDetector({
-      ...parts,
+      ...shared,
       sender: this.sender,
       removeMember: (id) => this.removeMember(id),
     });
     this.published.onCommit((previous, committed) => {
-      this.frontBarrier.noteDeparted(previous, committed);
+      this.fronts.noteDeparted(previous, committed);
     });
-    this.contacts.onApplied(() => this.frontBarrier.wakeAll());
+    this.contacts.onApplied(() => this.fronts.wakeAll());
     this.mastership.onEnd(() => {
-      this.changeQueue.close();
-      this.frontBarrier.wakeAll();
+      this.changes.close();
+      this.fronts.wakeAll();
     });
   }
 
@@ -112,16 +112,17 @@
     return this.published.committedAt;
   }
 
-  /** Ends this mastership; does nothing when it has ended before. */
+  /** Ends this mastership; does nothing if it has already ended. */
   stepDown(reason: string): void {
     this.mastership.stepDown(reason);
   }
 
   /**
-   * Publishes the newest accepted state under this term, with this control and those that voted for it on the list;
-   * whatever an earlier master committed stays in force. Resolves once that is committed.
+   * Publishes the newest accepted state in this term, with this control and the joiners on the list of nodes; whatever
+   * an earlier master committed stays in force. Resolves once this state is committed.
    *
-   * @param askedAt - Clock time, in ms, at which the votes were asked for.
+   * @param joiners - The nodes that voted for this control.
+   * @param askedAt - Clock time, in ms, at which the votes were requested.
    */
   async begin(joiners: readonly Member[], askedAt: number): Promise<void> {
     for (const { id } of joiners) this.contacts.reset(id, askedAt);
@@ -142,11 +143,11 @@
   }
 
   submit(change: Change): Promise<CommittedState> {
-    return this.changeQueue.submit(change);
+    return this.changes.submit(change);
   }
 
   submitConfirmed(change: Change): Promise<CommittedState> {
-    return this.changeQueue.submitConfirmed(change);
+    return this.changes.submitConfirmed(change);
   }
 
   confirm(): Promise<State> {
@@ -154,7 +155,7 @@
   }
 
   waitUntilInForce(committed: CommittedState): Promise<void> {
-    return this.frontBarrier.waitUntilPassed(committed);
+    return this.fronts.waitUntilPassed(committed);
   }
 
   unresponsiveFor(memberId: string): number {
@@ -180,16 +181,16 @@
     );
   }
 
-  /** Pings the member at this address at once: a connection to it was lost. */
+  /** Pings the member at this address without delay because a connection to it was lost. */
   onConnectionLost(address: string): void {
     this.faultDetector.onConnectionLost(address);
   }
 
   /**
-   * Takes a node into the cluster: once it has validated its join, it is put on the list and sent the state in full.
+   * Adds a node to the cluster: once the node has validated its join, it is listed and sent the full state.
    *
    * @throws NotMasterError if the node has voted in a later term, which ends this mastership; the node's error if it
-   * does not validate.
+   * refuses the validation.
    */
   async onJoin(join: Join): Promise<JoinResponse> {
     const member = join.from;
@@ -209,7 +210,7 @@
     return { term: this.term };
   }
 
-  /** Takes a follower's ping, with its report if it is on the list. */
+  /** Answers a follower's ping; the report in it is used only if the follower is on the list of nodes. */
   onMasterPing(ping: MasterPing): MasterStatus {
     const { id } = ping.from;
     const listed = this.committed?.nodes.has(id) ?? false;
@@ -227,7 +228,7 @@
     };
   }
 
-  /** Takes a ping of another master: with a later term often enough, it ends this mastership. */
+  /** Counts pings of another master in a later term; `pingsFromAnotherMaster` of them end this mastership. */
   onPingFromAnotherMaster(term: number, address: string): void {
     if (term <= this.term) return;
     this.pingsFromAnotherMaster++;
@@ -235,9 +236,9 @@
       this.stepDown(`${address} is master in term ${term}`);
   }
 
-  /** A front that is about to leave has released its read lease. */
+  /** Records that a leaving front has released its read lease. */
   noteLeaseReleased(frontId: string): void {
-    this.frontBarrier.noteLeaseReleased(frontId);
+    this.fronts.noteLeaseReleased(frontId);
   }
 
   private createQuorumRead(): QuorumRead {
--- a/packages/zen/src/mastership.ts
+++ b/packages/zen/src/mastership.ts
@@ -1,11 +1,11 @@
 /**
- * One mastership: the term in which this control was elected, and its end. It owns the signal by which everything that
- * runs on behalf of the master learns of the end. Invariant: a mastership that has ended never begins again; the
- * next election makes another one (docs/zen.md, "One master a term").
+ * One mastership: the term in which this control was elected, and its end. It owns the signal that stops everything
+ * running on behalf of the master. Invariant: a mastership that has ended never begins again; the next election creates
+ * another one (docs/zen.md, "One master a term").
  */
 import { createAbortController, type Logger } from '@tillerstair/wire';
 
-/** The time from an election that this control won until it steps down. */
+/** The period from an election that this control won until it steps down. */
 export class Mastership {
   private readonly ended = createAbortController();
   private readonly endListeners: (() => void)[] = [];
@@ -21,12 +21,12 @@
     return this.ended.signal;
   }
 
-  /** Runs `listener` when this control steps down, after everybody who waits on `lost` was notified. */
+  /** Runs `listener` when this control steps down, after the listeners of `lost`. */
   onEnd(listener: () => void): void {
     this.endListeners.push(listener);
   }
 
-  /** Ends this mastership; does nothing when it has ended before. */
+  /** Ends this mastership and logs the reason; does nothing if it has already ended. */
   stepDown(reason: string): void {
     if (this.lost.aborted) return;
     this.log.warn(`Stepping down in term ${this.term}: ${reason}.`);
--- a/packages/zen/src/member-contacts.ts
+++ b/packages/zen/src/member-contacts.ts
@@ -1,6 +1,7 @@
 /**
- * When the members were last heard of and what they have applied. It owns one contact a member. Invariants: a reply is
- * dated at the moment of asking, so that no age is ever too small; what a member has applied never goes back.
+ * Records when each member last replied and which state it has applied. It owns one contact per member. Invariants: a
+ * reply counts from the time its request was sent, so that no age is ever underestimated; the applied version of a
+ * member never goes back.
  */
 import {
   isNewerVersion,
@@ -10,11 +11,11 @@
 } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 
-/** A member that replied within this many heartbeats is responsive. */
+/** A member is responsive if it answered a request sent within this many heartbeats. */
 const responsiveHeartbeats = 2;
 
 interface Contact {
-  /** Clock time, in ms, at which the newest question that it answered was asked. */
+  /** Clock time, in ms, at which the newest request that the member answered was sent. */
   readonly repliedAt: number;
   readonly applied: StateVersion;
 }
@@ -34,22 +35,22 @@
     this.electedAt = clock.now();
   }
 
-  /** Calls `listener` whenever a member reports what it has applied. */
+  /** Calls `listener` whenever a member reports the version that it has applied. */
   onApplied(listener: () => void): void {
     this.appliedListeners.push(listener);
   }
 
-  /** Begins anew with a member that joins; it answered a question asked at `askedAt`. */
+  /** Replaces the contact of a member that joins, which answered a request sent at `askedAt`. */
   reset(memberId: string, askedAt: number): void {
     this.contacts.set(memberId, { ...noContact, repliedAt: askedAt });
   }
 
-  /** Notes that the member answered a question asked at `askedAt`. */
+  /** Records that the member answered a request sent at `askedAt`, a clock time in ms. */
   noteReply(memberId: string, askedAt: number): void {
     this.contacts.set(memberId, { ...this.contactWith(memberId), repliedAt: askedAt });
   }
 
-  /** Notes what the member says it has applied. */
+  /** Records the version that the member reports as applied; an older version than the known one is ignored. */
   noteApplied(memberId: string, applied: StateVersion): void {
     const contact = this.contactWith(memberId);
     if (isNewerVersion(applied, contact.applied))
@@ -62,29 +63,29 @@
     return this.contactWith(memberId).applied;
   }
 
-  /** Clock time, in ms, of the newest question that the member answered; -Infinity before the first. */
+  /** Clock time, in ms, at which the newest answered request to the member was sent; -Infinity before the first. */
   lastReplyAt(memberId: string): number {
     return this.contactWith(memberId).repliedAt;
   }
 
-  /** For how long, in ms, the member has not answered; at most the time since the election. */
+  /** Time, in ms, since the newest request that the member answered was sent; at most the time since the election. */
   unresponsiveFor(memberId: string): number {
     return this.clock.now() - Math.max(this.electedAt, this.lastReplyAt(memberId));
   }
 
-  /** Whether the member replied lately; this control itself always did. */
+  /** Whether the member answered a request sent within the last two heartbeats; always true for this control itself. */
   isResponsive(memberId: string, heartbeatInterval: number): boolean {
     if (memberId === this.selfId) return true;
     const age = this.clock.now() - this.lastReplyAt(memberId);
     return age <= heartbeatInterval * responsiveHeartbeats;
   }
 
-  /** For how long, in ms, this control has not heard of a majority of each group of the voters. */
+  /** Time, in ms, since this control last had contact with a majority of each group of the voters. */
   majorityAge(voters: VotingConfiguration): number {
     return Math.max(this.medianAge(voters.current), this.medianAge(voters.next));
   }
 
-  /** The age below which a majority of the group lies, this control's own being 0. */
+  /** The smallest age, in ms, within which a majority of the group has replied; this control's own age is 0. */
   private medianAge(group: readonly string[]): number {
     const now = this.clock.now();
     const ages = group.map((id) => (id === this.selfId ? 0 : now - this.lastReplyAt(id)));
--- a/packages/zen/src/nodes-fault-detector.ts
+++ b/packages/zen/src/nodes-fault-detector.ts
@@ -1,6 +1,7 @@
 /**
- * Nodes fault detection: the master pings every member, takes those that failed off the list, and brings those that are
- * behind up to date (docs/zen.md, "Kept, on the ordinary path": pings both ways). It owns one watch a member.
+ * Nodes fault detection: the master pings every member, removes failed members from the list of nodes, and sends the
+ * committed state to those that are behind (docs/zen.md, "Kept, on the ordinary path": pings both ways). It owns one
+ * watch per member.
  */
 import { isNewerVersion, versionOf, type Member, type StateVersion } from '@tillerstair/state';
 import {
@@ -18,12 +19,12 @@
 import { peersOf, type PublishedState } from './published-state.js';
 import type { StateSender } from './state-sender.js';
 
-/** A member that refuses this many pings in a row has failed: its process is gone, or another node has its address. */
+/** A member that refuses this many pings in a row has failed: its process is gone or another node has its address. */
 const maxRefusals = 2;
-/** After a first refusal the next ping follows this many times sooner than a heartbeat. */
+/** After a first refusal the next ping is sent this many times sooner than a heartbeat later. */
 const retriesPerHeartbeat = 10;
 
-/** What a detector works with. */
+/** The dependencies of a `NodesFaultDetector`. */
 export interface NodesFaultDetectorOptions {
   readonly localMember: Member;
   readonly clock: Clock;
@@ -34,21 +35,21 @@
   readonly published: PublishedState;
   readonly contacts: MemberContacts;
   readonly sender: StateSender;
-  /** Takes a failed member off the list of nodes. */
+  /** Removes a failed member from the list of nodes. */
   readonly removeMember: (memberId: string) => void;
-  /** Hears what a member reports of itself with each reply. */
+  /** Receives the report that a member sends with each reply. */
   readonly onReport: (memberId: string, report: unknown) => void;
 }
 
-/** What is known of one member while it is watched. */
+/** The replies and refusals of one member that is being watched. */
 interface Watch {
-  /** Clock time, in ms, of the newest reply to this watch, or of its beginning. */
+  /** Clock time, in ms, of the newest reply to a ping of this watch, or of the start of the watch. */
   repliedAt: number;
-  /** Pings refused since the newest reply. */
+  /** Number of pings refused since the newest reply. */
   refusals: number;
 }
 
-/** Watches all members for as long as the mastership lasts. */
+/** Pings all members for as long as the mastership lasts. */
 export class NodesFaultDetector {
   private readonly localMember: Member;
   private readonly clock: Clock;
@@ -62,7 +63,7 @@
   private readonly removeMember: (memberId: string) => void;
   private readonly onReport: (memberId: string, report: unknown) => void;
   private readonly watchedIds = new Set<string>();
-  /** Ends the wait before the next ping, by the address of the member. */
+  /** Aborts the delay before the next ping to the member at the address. */
   private readonly pingDelays = new Map<string, AbortController>();
 
   constructor(options: NodesFaultDetectorOptions) {
@@ -79,7 +80,7 @@
     this.onReport = options.onReport;
   }
 
-  /** Begins to watch the members of the newest state that are not watched yet. */
+  /** Starts to watch the members of the newest state that are not watched yet. */
   watchMembers(): void {
     for (const { id } of peersOf(this.published.base, this.localMember.id)) {
       if (this.watchedIds.has(id)) continue;
@@ -88,12 +89,12 @@
     }
   }
 
-  /** Pings the member at this address at once: a connection to it was lost. */
+  /** Pings the member at this address without delay because a connection to it was lost. */
   onConnectionLost(address: string): void {
     this.pingDelays.get(address)?.abort();
   }
 
-  /** Pings a member until it is no voter and off the list, or the mastership ends. */
+  /** Pings a member until it is neither a voter nor on the list of nodes, or the mastership ends. */
   private async watch(id: string): Promise<void> {
     const watch: Watch = { repliedAt: this.clock.now(), refusals: 0 };
     while (!this.mastership.lost.aborted) {
@@ -107,7 +108,7 @@
     this.watchedIds.delete(id);
   }
 
-  /** Pings once; resolves with whether the watch goes on, which it does unless the member is in a later term. */
+  /** Pings once; resolves with false, which ends the watch, if the member is in a later term. */
   private async ping(member: Member, watch: Watch): Promise<boolean> {
     const { term } = this.mastership;
     const { clusterId } = this.published.base;
@@ -143,27 +144,29 @@
   }
 
   private removeIfFailed(member: Member, watch: Watch): void {
-    // A voter stays watched when it is off the list; without this each round would report it as failed again.
+    // A voter is watched even when it is not listed; without this check each ping would report it as failed again.
     if (!this.published.base.nodes.has(member.id)) return;
-    const heardAt = Math.max(watch.repliedAt, this.contacts.lastReplyAt(member.id));
-    const isSilent = this.clock.now() - heardAt > this.bounds.failureTimeout;
-    if (watch.refusals < maxRefusals && !isSilent) return;
+    const repliedAt = Math.max(watch.repliedAt, this.contacts.lastReplyAt(member.id));
+    const isTimedOut = this.clock.now() - repliedAt > this.bounds.failureTimeout;
+    if (watch.refusals < maxRefusals && !isTimedOut) return;
     watch.refusals = 0;
-    this.log.info(`Member ${member.kind} ${member.addr} failed.`);
+    this.log.info(
+      `Member ${member.kind} ${member.addr} failed; removing it from the list of nodes.`,
+    );
     this.removeMember(member.id);
   }
 
   private async delayNextPing(member: Member, { refusals }: Watch): Promise<void> {
     const { heartbeatInterval } = this.bounds;
-    const ms = refusals === 1 ? heartbeatInterval / retriesPerHeartbeat : heartbeatInterval;
-    const pause = new AbortController();
-    const end = (): void => pause.abort();
-    this.pingDelays.set(member.addr, pause);
-    this.mastership.lost.addEventListener('abort', end, { once: true });
+    const delayMs = refusals === 1 ? heartbeatInterval / retriesPerHeartbeat : heartbeatInterval;
+    const pingDelay = new AbortController();
+    const endDelay = (): void => pingDelay.abort();
+    this.pingDelays.set(member.addr, pingDelay);
+    this.mastership.lost.addEventListener('abort', endDelay, { once: true });
     try {
-      await delay(this.clock, ms, pause.signal);
+      await delay(this.clock, delayMs, pingDelay.signal);
     } finally {
-      this.mastership.lost.removeEventListener('abort', end);
+      this.mastership.lost.removeEventListener('abort', endDelay);
       this.pingDelays.delete(member.addr);
     }
   }
--- a/packages/zen/src/publication.ts
+++ b/packages/zen/src/publication.ts
@@ -1,6 +1,6 @@
 /**
- * A state on its way to the members, in the forms in which it is sent: the diff to the state before it, or in full,
- * compressed (docs/zen.md, "Kept, on the ordinary path").
+ * A state to be published and its compressed payloads: the diff from the previous state, or the full state
+ * (docs/zen.md, "Kept, on the ordinary path").
  */
 import { deflateSync } from 'node:zlib';
 import {
@@ -15,9 +15,9 @@
 const compressPayload = (payload: PublishPayload): string =>
   deflateSync(JSON.stringify(payload)).toString('base64');
 
-/** One state to be sent; each form is made once, whatever the number of members. */
+/** One state to be sent; each payload is encoded once for all members. */
 export class Publication {
-  /** The change from `base`, for members that hold that; none when there is no base to start from. */
+  /** The compressed diff from `base`, for members that have accepted `base`; undefined without a base. */
   readonly diff: string | undefined;
   private fullPayload: string | undefined;
 
@@ -28,12 +28,13 @@
     this.diff = base && compressPayload({ diff: diffStates(base, state) });
   }
 
-  /** The whole state. */
+  /** The compressed full state; encoded on first use. */
   get full(): string {
     this.fullPayload ??= compressPayload({ full: [...encodeState(this.state)] });
     return this.fullPayload;
   }
 
+  /** The term and version of the state. */
   get version(): StateVersion {
     return versionOf(this.state);
   }
--- a/packages/zen/src/publish-receiver.ts
+++ b/packages/zen/src/publish-receiver.ts
@@ -1,7 +1,7 @@
 /**
- * The receiving side of a publish (docs/zen.md, "Fence" and "State that survives"): accepts states of the master that this
- * node voted for, on disk, and applies them once committed. Owns the state that is applied. Invariant: neither the
- * accepted nor the applied (term, version) ever goes back.
+ * The receiving side of a publish (docs/zen.md, "Fence" and "State that survives"): stores the states published by the
+ * master that this node voted for, and applies them once they are committed. It owns the applied state. Invariant:
+ * neither the accepted nor the applied (term, version) ever goes back.
  */
 import { inflateSync } from 'node:zlib';
 import {
@@ -18,21 +18,21 @@
 import type { ElectionStore } from './election-store.js';
 import { PublishPayload, type Publish, type PublishResponse } from './messages.js';
 
-/** What a receiver needs of its node. */
+/** The dependencies of a `PublishReceiver`. */
 export interface PublishReceiverOptions {
   readonly electionStore: ElectionStore;
-  /** Called with each committed state, one after the other; the state counts as applied once it resolves. */
+  /** Called with one committed state at a time; the state counts as applied once the promise resolves. */
   readonly onApplied: (state: State) => Promise<void>;
-  /** Whether this node joins or follows the node of this id. */
+  /** Whether this node is joining or following the node with this id. */
   readonly isMaster: (id: string) => boolean;
-  /** Hears the term of each publish that is about to be accepted. */
+  /** Called with the term and the sender of each publish that is about to be accepted. */
   readonly onTerm: (term: number, publisher: Member) => void;
-  /** Hears who published each accepted state. */
+  /** Called with the sender of each publish once its state is accepted. */
   readonly onPublished: (publisher: Member) => void;
 }
 
-/** What a published payload comes to on top of the accepted state. */
-type DecodedPublish =
+/** The state that a published payload yields, or why it yields none: accepted before, or a diff from another state. */
+type ResolvedPublish =
   | { readonly kind: 'state'; readonly state: State }
   | { readonly kind: 'already-accepted' }
   | { readonly kind: 'other-base' };
@@ -40,7 +40,7 @@
 const decompressPayload = (packed: string): PublishPayload =>
   PublishPayload.parse(JSON.parse(inflateSync(Buffer.from(packed, 'base64')).toString('utf8')));
 
-const resolvePublish = (payload: PublishPayload, accepted: State | undefined): DecodedPublish => {
+const resolvePublish = (payload: PublishPayload, accepted: State | undefined): ResolvedPublish => {
   const isAccepted = (version: StateVersion): boolean =>
     accepted !== undefined && isSameVersion(versionOf(accepted), version);
   if ('full' in payload) {
@@ -75,7 +75,7 @@
     return this.appliedState;
   }
 
-  /** Applies a committed state; one that is not newer than the applied state is passed over. */
+  /** Applies a committed state; ignores one that is not newer than the applied state. */
   apply(state: State): Promise<void> {
     return this.applyQueue.run(async () => {
       if (this.appliedState && !isNewerVersion(versionOf(state), versionOf(this.appliedState)))
@@ -86,37 +86,41 @@
   }
 
   /**
-   * Accepts a published state; resolves once it is on disk, or with `need-full` if a difference starts from another
-   * state than the accepted one. Rejects with `other-cluster`, `stale-term` or `stale-state`.
+   * Accepts a published state; resolves with `accepted` once it is on disk, or with `need-full` if the payload is a
+   * diff from another state than the accepted one. Rejects with `other-cluster`, `stale-term` or `stale-state`.
    */
   async onPublish(publish: Publish): Promise<PublishResponse> {
     this.requireCluster(publish);
     this.requireTerm(publish);
-    const decoded = resolvePublish(
+    const resolved = resolvePublish(
       decompressPayload(publish.packed),
       this.electionStore.persisted.accepted,
     );
-    switch (decoded.kind) {
+    switch (resolved.kind) {
       case 'other-base':
         return { outcome: 'need-full' };
       case 'already-accepted':
         await this.electionStore.synced();
         return { outcome: 'accepted' };
       case 'state':
-        return this.accept(publish, decoded.state);
+        return this.accept(publish, resolved.state);
     }
   }
 
-  /** A node without a state takes its first from the master that it joins or follows alone. */
+  /** A node without a state accepts its first one only from the master that it is joining or following. */
   private requireCluster({ from, clusterId }: Publish): void {
     const localClusterId = this.electionStore.persisted.accepted?.clusterId ?? '';
     const isExpected = localClusterId ? localClusterId === clusterId : this.isMaster(from.id);
-    if (!isExpected) throw new ElectionError('other-cluster', 'this node is not of that cluster');
+    if (!isExpected)
+      throw new ElectionError(
+        'other-cluster',
+        `this node accepts no state of cluster ${clusterId} from ${from.addr}`,
+      );
   }
 
   /**
-   * One vote a term, as in `vote.ts`: accepting a state of a term that this node has not voted in is its vote for the
-   * publisher (see `accept`), and one that it gave to another binds it here too.
+   * Enforces one vote per term, as `vote.ts` does: accepting a state of a term in which this node has not voted is its
+   * vote for the publisher (see `accept`), and a vote for another master in this term refuses the publish.
    */
   private requireTerm({ from, term }: Publish): void {
     const { term: votedTerm, votedFor } = this.electionStore.persisted;
@@ -132,7 +136,7 @@
     if (state.term !== term)
       throw new ElectionError(
         'stale-state',
-        `a state of term ${state.term} is published in ${term}`,
+        `a state of term ${state.term} was published in term ${term}`,
       );
     this.requireNewer(state);
     this.onTerm(term, from);
@@ -140,7 +144,7 @@
     if (electionStore.persisted.term !== term)
       throw new ElectionError(
         'stale-term',
-        `voted in term ${electionStore.persisted.term} meanwhile`,
+        `this node has since voted in term ${electionStore.persisted.term}`,
       );
     this.requireNewer(state);
     await electionStore.accept(state);
@@ -148,20 +152,26 @@
     return { outcome: 'accepted' };
   }
 
-  /** Checked before the vote, and again after it: another state may have been accepted while it was stored. */
+  /** Called before and after the vote: another state may have been accepted while the vote was being stored. */
   private requireNewer(state: State): void {
     const { accepted } = this.electionStore.persisted;
     if (accepted && !isNewerVersion(versionOf(state), versionOf(accepted)))
-      throw new ElectionError('stale-state', 'a newer state has been accepted');
+      throw new ElectionError(
+        'stale-state',
+        `version ${state.version} of term ${state.term} is not newer than the accepted state`,
+      );
   }
 
-  /** Applies the accepted state if that is the committed one; rejects with `not-held` if it is another. */
+  /** Applies the accepted state if it is the committed one; rejects with `not-held` if this node accepted another. */
   async onCommit(committed: StateVersion): Promise<object> {
     const { accepted } = this.electionStore.persisted;
-    if (!accepted) throw new ElectionError('not-held', 'no state has been accepted');
+    if (!accepted) throw new ElectionError('not-held', 'this node has not accepted any state');
     if (this.applied && !isNewerVersion(committed, versionOf(this.applied))) return {};
     if (!isSameVersion(versionOf(accepted), committed))
-      throw new ElectionError('not-held', 'that state has not been accepted');
+      throw new ElectionError(
+        'not-held',
+        `version ${committed.version} of term ${committed.term} is not the accepted state`,
+      );
     await this.apply(accepted);
     return {};
   }
--- a/packages/zen/src/published-state.ts
+++ b/packages/zen/src/published-state.ts
@@ -1,6 +1,6 @@
 /**
- * The newest states of a master. It owns the state that the next publish starts from and the newest committed one, and
- * keeps them in step: from the first commit on they are the same (docs/zen.md, "State that survives").
+ * The newest states of a master. It owns the base of the next publish and the newest committed state; from the first
+ * commit on, both are the same state (docs/zen.md, "State that survives").
  */
 import {
   isNewerVersion,
@@ -10,22 +10,22 @@
   type StateVersion,
 } from '@tillerstair/state';
 
-/** Hears of each commit: the state before it, and the committed one. */
+/** Called at each commit with the previous state and the committed one. */
 export type CommitListener = (previous: State, committed: State) => void;
 
-/** What a master has published so far. */
+/** The base state and the newest committed state of one mastership. */
 export class PublishedState {
   private readonly commitListeners: CommitListener[] = [];
   private baseState: State;
   private committedState: State | undefined;
   private committedTime = -Infinity;
 
-  /** @param newest - The newest accepted state among the votes of this master. */
+  /** @param newest - The newest accepted state that came with the votes for this master. */
   constructor(newest: State) {
     this.baseState = newest;
   }
 
-  /** The state that the next publish starts from. */
+  /** The state on which the next publish is based. */
   get base(): State {
     return this.baseState;
   }
@@ -35,17 +35,17 @@
     return this.committedState;
   }
 
-  /** Clock time, in ms, of the newest commit. */
+  /** Clock time, in ms, of the newest commit; -Infinity before the first. */
   get committedAt(): number {
     return this.committedTime;
   }
 
-  /** Calls `listener` at each commit, before anybody else can see the new state. */
+  /** Calls `listener` synchronously at each commit, before any other code can see the new state. */
   onCommit(listener: CommitListener): void {
     this.commitListeners.push(listener);
   }
 
-  /** Notes that a majority has accepted `state`. */
+  /** Records that a majority accepted `state` at the clock time `at`, in ms. */
   commit(state: State, at: number): void {
     const previous = this.baseState;
     this.baseState = state;
@@ -54,13 +54,13 @@
     for (const listener of this.commitListeners) listener(previous, state);
   }
 
-  /** Whether a state of this version, or a newer one, is committed. */
+  /** Whether this master has committed this version or a newer one. */
   isCommitted(version: StateVersion): boolean {
     return this.committed !== undefined && !isNewerVersion(version, versionOf(this.committed));
   }
 }
 
-/** All members of a state but this one: the voters first, then the other nodes. */
+/** All members of a state except the local one: the voters first, then the other nodes. */
 export const peersOf = (state: State, selfId: string): readonly Member[] => {
   const members = new Map([...state.votingMembers, ...state.nodes]);
   members.delete(selfId);
--- a/packages/zen/src/publisher.ts
+++ b/packages/zen/src/publisher.ts
@@ -1,6 +1,6 @@
 /**
- * Publishes states: offers each to all members, and commits it once a majority of the voters has it on disk. Invariant:
- * no commit is sent, and nothing is taken for committed, before that majority has accepted; nothing is published after
+ * Publishes states: sends each to all members and commits it once a majority of the voters has it on disk. Invariants:
+ * no commit is sent, and no state counts as committed, before that majority has accepted it; nothing is published after
  * this control has voted in a later term (docs/zen.md, "State that survives").
  */
 import type { Member, State } from '@tillerstair/state';
@@ -14,10 +14,10 @@
 import { peersOf, type PublishedState } from './published-state.js';
 import type { StateSender } from './state-sender.js';
 
-/** A voter that did not accept is offered the state again this often in a heartbeat. */
+/** Number of times per heartbeat that a state is sent again to a voter that has not accepted it. */
 const retriesPerHeartbeat = 20;
 
-/** What a publisher works with. */
+/** The dependencies of a `Publisher`. */
 export interface PublisherOptions {
   readonly localMember: Member;
   readonly clock: Clock;
@@ -29,7 +29,7 @@
   readonly sender: StateSender;
 }
 
-/** Brings one state after the other to a majority of the voters. */
+/** Replicates one state at a time to a majority of the voters. */
 export class Publisher {
   private readonly localMember: Member;
   private readonly clock: Clock;
@@ -52,10 +52,10 @@
   }
 
   /**
-   * Publishes a state under this master's term and the next version; resolves once it is committed.
+   * Publishes a state with this master's term and the next version; resolves once it is committed.
    *
    * @throws StaleMasterError, PublishTimeoutError or NotMasterError; after any of them the caller has to step down,
-   * since members may hold a state that was not committed.
+   * since some members may have accepted a state that was not committed.
    */
   async publish(content: State): Promise<State> {
     const { base } = this.published;
@@ -85,7 +85,7 @@
       round.fail(new PublishTimeoutError());
     });
     const onLost = (): void => {
-      round.fail(new NotMasterError('stepped down meanwhile', 'unknown'));
+      round.fail(new NotMasterError('this control stepped down during the publish', 'unknown'));
     };
     this.mastership.lost.addEventListener('abort', onLost, { once: true });
     try {
@@ -101,7 +101,10 @@
     const { state } = publication;
     this.electionStore.accept(state).then(
       () => round.accept(this.localMember),
-      (e: unknown) => this.log.warn(`Not synced here: ${toRpcError(e).message}.`),
+      (e: unknown) =>
+        this.log.warn(
+          `State version ${state.version} was not synced to the local disk: ${toRpcError(e).message}.`,
+        ),
     );
     for (const member of peersOf(state, this.localMember.id))
       void this.offer(member, publication, round);
@@ -119,8 +122,9 @@
   }
 
   /**
-   * A voter is offered the state until a majority has accepted it, any other node once; fault detection catches up with
-   * those that missed it. Without a majority the loop ends with the mastership, after `publishTimeout`.
+   * Sends the state to a voter until it accepts or the state is committed, and to any other node only once; fault
+   * detection sends it later to the nodes that missed it. Without a majority the mastership, and this loop, end after
+   * `publishTimeout`. Resolves with whether the member accepted the state.
    */
   private async sendUntilAccepted(member: Member, publication: Publication): Promise<boolean> {
     const isVoter = publication.state.votingMembers.has(member.id);
--- a/packages/zen/src/quorum-read.ts
+++ b/packages/zen/src/quorum-read.ts
@@ -2,11 +2,11 @@
  * Confirms with a majority of the voters that no later term has begun, so that the committed state may be reported to
  * an operator (docs/design.md, "Versions of the configuration").
  *
- * A confirmation counts for a request only if its round of messages began after the request came: calls share the next
- * round to begin, never one under way. The state is read as the round begins. A voter that answers in this master's
- * term has not voted in a later one; any later master needs votes of a majority that meets this one, so nothing that it
- * commits precedes the round. Of a joint change of the voters both halves must confirm; where the change is committed
- * while the round runs, a later master still needs a vote of one of those that answered.
+ * A confirmation counts for a call only if its round of requests began after the call: calls share the next round to
+ * begin, never one in progress. The state is read when the round begins. A voter that replies in this master's term has
+ * not voted in a later one, and any later master needs the votes of a majority that overlaps this one, so nothing that
+ * it commits precedes the round. During a joint change of the voters both groups must confirm; if the change is
+ * committed while the round is in progress, a later master still needs the vote of one of those that replied.
  */
 import { hasQuorum, type Member, type State } from '@tillerstair/state';
 import { toRpcError, delay, type Transport, type Clock } from '@tillerstair/wire';
@@ -14,10 +14,10 @@
 import { NotMasterError, QuorumUnavailableError } from './master-errors.js';
 import { NodePingResponse } from './messages.js';
 
-/** The longest wait for the round under way, and the wait before a voter is asked again: parts of a heartbeat. */
+/** Divisor of a heartbeat: the longest wait for the round in progress, and the delay before a voter is retried. */
 const waitsPerHeartbeat = 4;
 
-/** What a quorum read needs to know of the master on whose behalf it asks. */
+/** The dependencies of a `QuorumRead`. */
 export interface QuorumReadOptions {
   readonly localMember: Member;
   readonly clock: Clock;
@@ -27,15 +27,15 @@
   readonly term: number;
   /** Aborts once this control has stepped down. */
   readonly lost: AbortSignal;
-  /** The newest state that a majority holds, if this master has committed one. */
+  /** The newest state that this master has committed, if any. */
   readonly committed: () => State | undefined;
   /** Whether this control has itself voted in a later term. */
   readonly hasVotedInLaterTerm: () => boolean;
-  /** Hears of a voter that answered in a later term. */
+  /** Called with the term and the address of a voter that replied in a later term. */
   readonly onLaterTerm: (term: number, address: string) => void;
 }
 
-/** The quorum reads of one master; owns the round under way and the one that comes next. */
+/** The quorum reads of one master; owns the round in progress and the next one. */
 export class QuorumRead {
   private readonly localMember: Member;
   private readonly clock: Clock;
@@ -62,7 +62,7 @@
   }
 
   /**
-   * The committed state, once a majority has confirmed this master since the call.
+   * Resolves with the committed state once a majority has confirmed this master since the call.
    *
    * @throws NotMasterError or QuorumUnavailableError, at the latest after 1.25 heartbeats.
    */
@@ -71,7 +71,7 @@
     return this.nextRound;
   }
 
-  /** Waits for the round under way, though not for long, and then starts the one that all callers since share. */
+  /** Waits, up to a timeout, for the round in progress, and then starts the round that all calls since then share. */
   private async beginNextRound(): Promise<State> {
     await this.currentRoundOrTimeout();
     this.nextRound = undefined;
@@ -82,61 +82,64 @@
   }
 
   private async currentRoundOrTimeout(): Promise<void> {
-    const timer = new AbortController();
+    const timeout = new AbortController();
     const timeoutMs = this.bounds.heartbeatInterval / waitsPerHeartbeat;
-    await Promise.race([this.currentRound, delay(this.clock, timeoutMs, timer.signal)]);
-    timer.abort();
+    await Promise.race([this.currentRound, delay(this.clock, timeoutMs, timeout.signal)]);
+    timeout.abort();
   }
 
   private async round(deadline: number): Promise<State> {
     const state = this.committed();
-    if (!state) throw new NotMasterError('nothing is committed yet');
+    if (!state) throw new NotMasterError(`no state is committed yet in term ${this.term}`);
     const confirmedBy = await this.collectConfirmations(state, deadline);
     if (this.lost.aborted || this.hasVotedInLaterTerm() || !hasQuorum(state.voters, confirmedBy))
-      throw new QuorumUnavailableError('no majority confirms this master');
+      throw new QuorumUnavailableError(
+        `no majority of the voters confirmed the master of term ${this.term}`,
+      );
     return state;
   }
 
-  /** Asks all voters; ends with the majority, or once each has answered or the deadline has passed. */
+  /** Asks all voters; resolves with a majority, or once each has replied or the deadline has passed. */
   private async collectConfirmations(state: State, deadline: number): Promise<ReadonlySet<string>> {
     const confirmedBy = new Set([this.localMember.id]);
     const others = [...state.votingMembers.values()].filter(({ id }) => id !== this.localMember.id);
-    const over = new AbortController();
+    const roundEnded = new AbortController();
     await new Promise<void>((resolve) => {
       const endIfQuorum = (): void => {
         if (hasQuorum(state.voters, confirmedBy)) resolve();
       };
       endIfQuorum();
       const requests = others.map(async (voter) => {
-        if (!(await this.isConfirmedBy(voter, state.clusterId, deadline, over.signal))) return;
+        if (!(await this.isConfirmedBy(voter, state.clusterId, deadline, roundEnded.signal)))
+          return;
         confirmedBy.add(voter.id);
         endIfQuorum();
       });
       void Promise.all(requests).then(() => resolve());
     });
-    over.abort();
+    roundEnded.abort();
     return confirmedBy;
   }
 
-  /** Asks one voter until it answers, the round is over or its time is up. */
+  /** Asks one voter until it replies, the round has ended or the deadline has passed. */
   private async isConfirmedBy(
     voter: Member,
     clusterId: string,
     deadline: number,
-    over: AbortSignal,
+    roundEnded: AbortSignal,
   ): Promise<boolean> {
-    while (this.clock.now() < deadline && !this.lost.aborted && !over.aborted) {
+    while (this.clock.now() < deadline && !this.lost.aborted && !roundEnded.aborted) {
       try {
         return await this.isInSameTerm(voter, clusterId, deadline);
       } catch (e) {
         if (toRpcError(e).code === 'other-node') return false;
       }
-      await delay(this.clock, this.bounds.heartbeatInterval / waitsPerHeartbeat, over);
+      await delay(this.clock, this.bounds.heartbeatInterval / waitsPerHeartbeat, roundEnded);
     }
     return false;
   }
 
-  /** Whether the voter is in this master's term still. */
+  /** Asks the voter once whether it is still in this master's term. */
   private async isInSameTerm(voter: Member, clusterId: string, deadline: number): Promise<boolean> {
     const { localMember, term } = this;
     const body = { from: localMember, to: voter.id, term, clusterId };
--- a/packages/zen/src/read-lease-renewal.ts
+++ b/packages/zen/src/read-lease-renewal.ts
@@ -1,27 +1,28 @@
 /**
- * Keeps the read lease of a front from running out while its master is silent (docs/design.md, "Freshness and the read
- * lease"): a ping round in which a majority of controls hold nothing newer renews it as well as the master does.
+ * Keeps the read lease of a front from expiring while its master does not respond (docs/design.md, "Freshness and the
+ * read lease"): a ping round in which a majority of the controls have accepted nothing newer renews it just as the
+ * master's reply does.
  */
 import { delay, type Clock } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { PingRoundResult } from './ping-round.js';
 
-/** How often the lease is looked at: times in a heartbeat. */
+/** Number of checks of the lease per heartbeat interval. */
 const checksPerHeartbeat = 4;
 
-/** What renewing a read lease needs of its node. */
+/** The dependencies of `renewReadLease`. */
 export interface ReadLeaseRenewalOptions {
   readonly clock: Clock;
   readonly bounds: ZenBounds;
   readonly isFollowing: () => boolean;
-  /** Clock time in milliseconds at which the lease was renewed last. */
+  /** Clock time, in ms, as of which the lease was last renewed. */
   readonly renewedAt: () => number;
   readonly pingRound: () => Promise<PingRoundResult>;
   readonly onRound: (round: PingRoundResult) => void;
   readonly stopping: AbortSignal;
 }
 
-/** Pings the controls whenever half of the lease has passed under a master; resolves when the node stops. */
+/** While following a master, pings the controls once half of the lease has elapsed; resolves when the node stops. */
 export const renewReadLease = async (options: ReadLeaseRenewalOptions): Promise<void> => {
   const { clock, bounds, stopping } = options;
   while (!stopping.aborted) {
--- a/packages/zen/src/request-dispatcher.ts
+++ b/packages/zen/src/request-dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Requests of other nodes, by kind: each is parsed here, refused if it is for another node, and handed to the part of
- * this node that answers it.
+ * Dispatches the requests of other nodes by kind: parses each request, refuses it if it is addressed to another node,
+ * and passes it to the component that answers it.
  */
 import { reduceState, versionOf, type State } from '@tillerstair/state';
 import { ElectionError, ProtocolError, type RpcRequest } from '@tillerstair/wire';
@@ -31,7 +31,7 @@
 import type { PublishReceiver } from './publish-receiver.js';
 import { grantVote } from './vote.js';
 
-/** The parts of a node that answer requests. */
+/** The components of a node that answer requests, and the values that go into the responses. */
 export interface RequestDispatcherOptions {
   readonly localNode: LocalNode;
   readonly knownMembers: KnownMembers;
@@ -40,11 +40,13 @@
   readonly leadership: Leadership;
   readonly follower: Follower;
   readonly receiver: PublishReceiver;
-  /** Woken when a join arrives, or the master says that it stepped down. */
+  /** Woken when a join arrives or the master announces that it stepped down. */
   readonly sleep: InterruptibleSleep;
   /** The committed state that this node has applied. */
   readonly applied: () => State | undefined;
+  /** This node's report to the master, for responses to its pings. */
   readonly report: () => unknown;
+  /** The master's report on the list of servers, for responses to the pings of followers. */
   readonly listReport: () => unknown;
 }
 
@@ -92,7 +94,7 @@
     ]);
   }
 
-  /** Resolves with the response; rejects with an `RpcError` that says why the request is refused. */
+  /** Resolves with the response; rejects with an `RpcError` whose code tells why the request is refused. */
   async handle(request: RpcRequest): Promise<unknown> {
     requireAddressee(this.localNode.member, request, (from) => this.knownMembers.learn([from]));
     const handler = this.handlers.get(request.kind);
@@ -109,7 +111,10 @@
   private onJoin(join: Join): Promise<JoinResponse> {
     const { clusterId } = this.localNode;
     if (join.clusterId && join.clusterId !== clusterId)
-      throw new ElectionError('other-cluster', `this is cluster ${clusterId}`);
+      throw new ElectionError(
+        'other-cluster',
+        `this node belongs to cluster ${clusterId}, not ${join.clusterId}`,
+      );
     const master = this.leadership.active;
     if (master) return master.onJoin(join);
     const response = this.pendingJoins.add(join);
@@ -117,7 +122,10 @@
     return response;
   }
 
-  /** A ping of this cluster's master in a later term ends a master here (docs/zen.md, "One master a term"). */
+  /**
+   * Answers the ping of a master; a ping of another master of this cluster in a later term ends a mastership here
+   * (docs/zen.md, "One master a term").
+   */
   private onNodePing({ from, term, clusterId }: NodePing): NodePingResponse {
     if (clusterId === this.localNode.clusterId)
       this.leadership.master?.onPingFromAnotherMaster(term, from.addr);
--- a/packages/zen/src/state-sender.ts
+++ b/packages/zen/src/state-sender.ts
@@ -1,7 +1,7 @@
 /**
- * Sends states and commits to single members. It owns what each member is known to hold on its disk, which decides
- * between diff and full state. Invariant: a version stands there only after the member has acknowledged it, and not
- * after anything sent to it has failed since (docs/zen.md, "Kept, on the ordinary path").
+ * Sends states and commits to individual members. It owns the version that each member is known to have on disk, which
+ * decides between diff and full state. Invariant: a version is recorded only after the member has acknowledged it, and
+ * removed when a later message to the member fails (docs/zen.md, "Kept, on the ordinary path").
  */
 import {
   isNewerVersion,
@@ -19,10 +19,10 @@
 import { Publication } from './publication.js';
 import type { PublishedState } from './published-state.js';
 
-/** What a member answers to a published state. */
+/** A member's response to a published state. */
 type PublishOutcome = 'accepted' | 'need-full';
 
-/** What a state sender works with. */
+/** The dependencies of a `StateSender`. */
 export interface StateSenderOptions {
   readonly localMember: Member;
   readonly transport: Transport;
@@ -33,7 +33,7 @@
   readonly contacts: MemberContacts;
 }
 
-/** Brings states to members, one member at a time. */
+/** Sends published and committed states to individual members. */
 export class StateSender {
   private readonly localMember: Member;
   private readonly transport: Transport;
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Sends a state; resolves with whether the member has synced it. Never rejects. A member that has voted in a later
-   * term ends the mastership.
+   * Sends a state; resolves with whether the member has synced it to its disk. Never rejects. A reply that the member
+   * has voted in a later term ends the mastership.
    */
   async send(member: Member, publication: Publication): Promise<boolean> {
     try {
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Tells a member that the state which it has accepted is committed; resolves once it has applied it. Never rejects. */
+  /** Sends the commit of an accepted state; resolves once the member has applied it or failed to. Never rejects. */
   async commit(member: Member, stateVersion: StateVersion): Promise<void> {
     const body = { from: this.localMember, to: member.id, stateVersion };
     try {
@@ -86,34 +86,36 @@
     }
   }
 
-  /** Sends a committed state in full to a member that is behind, then the commit. */
+  /** Sends the full committed state to a member that is behind, then its commit. Never rejects. */
   async catchUp(member: Member, state: State): Promise<void> {
     const publication = new Publication(state, undefined);
     if (await this.send(member, publication)) await this.commit(member, publication.version);
   }
 
-  /** Whether the member is known to hold this version on its disk, or a newer one. */
+  /** Whether the member is known to have this version, or a newer one, on its disk. */
   holds(memberId: string, version: StateVersion): boolean {
     return !isNewerVersion(version, versionOf(this.acceptedVersions.get(memberId)));
   }
 
-  /** Forgets what the member holds, so that it is sent the full state next: it may have started anew. */
+  /** Discards the recorded version of a member that may have restarted, so that it is sent the full state next. */
   forget(memberId: string): void {
     this.acceptedVersions.delete(memberId);
   }
 
   private async offer(member: Member, publication: Publication): Promise<boolean> {
     const { state, diff } = publication;
-    const first =
+    const firstOutcome =
       diff !== undefined && this.holdsBase(member.id)
         ? await this.publish(member, state, diff)
         : await this.publish(member, state, publication.full);
-    const last =
-      first === 'need-full' ? await this.publish(member, state, publication.full) : first;
-    return last === 'accepted';
+    const outcome =
+      firstOutcome === 'need-full'
+        ? await this.publish(member, state, publication.full)
+        : firstOutcome;
+    return outcome === 'accepted';
   }
 
-  /** Whether a diff, which starts from the base, is of use to the member. */
+  /** Whether the member is known to have the base on disk, so that it can apply a diff from it. */
   private holdsBase(memberId: string): boolean {
     const accepted = this.acceptedVersions.get(memberId);
     return accepted !== undefined && isSameVersion(accepted, versionOf(this.published.base));
--- a/packages/zen/src/stepped-down.ts
+++ b/packages/zen/src/stepped-down.ts
@@ -1,19 +1,19 @@
 /**
- * The notice of a master that stepped down because its disk takes no writes, so that its followers need not wait for
- * their next ping to elect another (docs/design.md, "Disk"). Owns no state; nothing relies on the notice arriving.
+ * The notice of a master that stepped down because its disk accepts no writes, so that its followers elect another
+ * master without waiting for their next ping (docs/design.md, "Disk"). Owns no state; delivery is best-effort.
  */
 import type { Member, State } from '@tillerstair/state';
 import type { Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 
-/** What the notice is sent with. */
+/** The dependencies of `notifySteppedDown`. */
 export interface SteppedDownOptions {
   readonly localMember: Member;
   readonly transport: Transport;
   readonly bounds: Pick<ZenBounds, 'heartbeatInterval'>;
 }
 
-/** Notifies all members of the newest committed state; does not wait for their answers. */
+/** Notifies all other nodes listed in the newest committed state; does not wait for their replies. */
 export const notifySteppedDown = (
   { localMember, transport, bounds }: SteppedDownOptions,
   committed: State | undefined,
