--- a/tests/src/zen/addressed-requests.test.ts
+++ b/tests/src/zen/addressed-requests.test.ts
@@ -1,11 +1,11 @@
-/** Requests that name the node they are for, which a node that took over an address must refuse. */
+/** Requests that name their addressee: a node that has taken over the address of another must refuse them. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Member } from '@tillerstair/state';
 import { requireAddressee } from '@tillerstair/zen';
 import { a, b } from '../support/zen-rig.js';
 
-const addressed = suite('a request for a named node');
+const addressed = suite('a request addressed to a node');
 
 const request = (kind: string, to: string) => ({ from: a.addr, kind, body: { from: a, to } });
 
@@ -19,7 +19,7 @@
     assert.equal(learned, [a, a]);
   });
 
-addressed('a ping names no node and is answered by whoever stands at the address', () => {
+addressed('a ping names no addressee and is answered by any node at the address', () => {
   requireAddressee(b, { from: a.addr, kind: 'zen/ping', body: {} }, () => assert.unreachable());
 });
 
--- a/tests/src/zen/following.test.ts
+++ b/tests/src/zen/following.test.ts
@@ -1,4 +1,4 @@
-/** When a node trusts the master that it follows, and when it looks for another. */
+/** When a node keeps following its master, and when it looks for another. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Member } from '@tillerstair/state';
@@ -27,15 +27,15 @@
 
 const follows = suite('a node that follows a master');
 
-/** Whether the node has lost its master after so much time with these answers to its pings. */
+/** Whether the node, given these replies to its pings, looks for another master within `ms`. */
 const hasLostMaster = async (
   masterPing: () => Promise<unknown>,
   ms: number,
-  more: NodeOptions = {},
+  options: NodeOptions = {},
 ): Promise<boolean> => {
   let pings = 0;
-  const rig = await followingRig({
-    ...more,
+  const harness = await followingRig({
+    ...options,
     answers: {
       'zen/ping': (request) => {
         pings++;
@@ -44,65 +44,65 @@
       'zen/master-ping': masterPing,
     },
   });
-  const joinedWith = pings;
-  await rig.clock.run(ms);
-  return pings > joinedWith;
+  const pingsToJoin = pings;
+  await harness.clock.run(ms);
+  return pings > pingsToJoin;
 };
-const isLostAfter = (answer: object, ms: number, more?: NodeOptions): Promise<boolean> =>
-  hasLostMaster(() => Promise.resolve({ ...masterPingResponse, ...answer }), ms, more);
+const isLostAfter = (response: object, ms: number, options?: NodeOptions): Promise<boolean> =>
+  hasLostMaster(() => Promise.resolve({ ...masterPingResponse, ...response }), ms, options);
 const severalPings = bounds.heartbeatInterval * 5;
 
-follows('keeps it while it leads and lists the node', async () => {
+follows('keeps following it while it leads and lists the node', async () => {
   assert.is(await isLostAfter({}, severalPings), false);
 });
 
-follows('leaves it once it leads no more', async () => {
+follows('stops following it once it no longer leads', async () => {
   assert.is(await isLostAfter({ leading: false }, bounds.heartbeatInterval / 2), true);
 });
 
-follows('leaves it if it is in a lower term than the node has voted in', async () => {
+follows('stops following it if its term is lower than the one the node voted in', async () => {
   const voted = await nodeRig({ me: b });
   await voted.electionStore.recordVote(3, 'a');
   const { electionStore } = voted;
   assert.is(await isLostAfter({ term: 2 }, settleMs, { electionStore }), true);
-  const again = await nodeRig({ me: b });
-  await again.electionStore.recordVote(3, 'a');
+  const votedAgain = await nodeRig({ me: b });
+  await votedAgain.electionStore.recordVote(3, 'a');
   assert.is(
-    await isLostAfter({ term: 3 }, settleMs, { electionStore: again.electionStore }),
+    await isLostAfter({ term: 3 }, settleMs, { electionStore: votedAgain.electionStore }),
     false,
   );
 });
 
-follows('leaves it if it is not listed twice in a row', async () => {
+follows('stops following it after two responses in a row that do not list the node', async () => {
   assert.is(await isLostAfter({ listed: false }, bounds.heartbeatInterval / 2), false);
   assert.is(await isLostAfter({ listed: false }, bounds.heartbeatInterval * 1.5), true);
   let pings = 0;
-  const isListedInBetween = (): Promise<unknown> =>
+  const listedEverySecondTime = (): Promise<unknown> =>
     Promise.resolve({ ...masterPingResponse, listed: pings++ % 2 === 1 });
-  assert.is(await hasLostMaster(isListedInBetween, severalPings), false);
+  assert.is(await hasLostMaster(listedEverySecondTime, severalPings), false);
 });
 
-follows('leaves it after two refused connections, or the failure timeout', async () => {
+follows('stops following it after two refused connections or the failure timeout', async () => {
   const refuses = () => Promise.reject(new ConnectionRefusedError(a.addr));
   assert.is(await hasLostMaster(refuses, bounds.heartbeatInterval / 20), false);
   assert.is(await hasLostMaster(refuses, bounds.heartbeatInterval / 2), true);
-  const isSilent = () => Promise.reject(new RequestTimeoutError(a.addr));
+  const timesOut = () => Promise.reject(new RequestTimeoutError(a.addr));
   assert.is(
-    await hasLostMaster(isSilent, bounds.failureTimeout - bounds.heartbeatInterval / 2),
+    await hasLostMaster(timesOut, bounds.failureTimeout - bounds.heartbeatInterval / 2),
     false,
   );
-  assert.is(await hasLostMaster(isSilent, bounds.failureTimeout + severalPings), true);
+  assert.is(await hasLostMaster(timesOut, bounds.failureTimeout + severalPings), true);
 });
 
 follows('renews its read lease only while it is listed and has the newest state', async () => {
-  const renewalsWith = async (answer: object): Promise<number> => {
+  const renewalsWith = async (response: object): Promise<number> => {
     let renewals = 0;
-    const rig = await followingRig({
-      answers: { 'zen/master-ping': answersWith({ ...masterPingResponse, ...answer }) },
+    const harness = await followingRig({
+      answers: { 'zen/master-ping': answersWith({ ...masterPingResponse, ...response }) },
       more: { onListReport: () => renewals++ },
     });
-    await rig.clock.run(settleMs);
-    assert.is(rig.node.leaseRenewedAt > 0, renewals > 0);
+    await harness.clock.run(settleMs);
+    assert.is(harness.node.leaseRenewedAt > 0, renewals > 0);
     return renewals;
   };
   assert.ok((await renewalsWith({})) > 0);
@@ -110,28 +110,28 @@
   assert.is(await renewalsWith({ committed: { term: 1, version: 2 } }), 0);
 });
 
-follows('dates its read lease back to the last contact of the master with a majority', async () => {
-  const rig = await followingRig({
+follows('renews its read lease as of the last contact of the master with a majority', async () => {
+  const harness = await followingRig({
     answers: { 'zen/master-ping': answersWith({ ...masterPingResponse, age: 700 }) },
   });
-  assert.ok(rig.node.leaseRenewedAt <= rig.clock.now() - 700);
+  assert.ok(harness.node.leaseRenewedAt <= harness.clock.now() - 700);
 });
 
 follows('refuses joins', async () => {
-  const rig = await followingRig();
-  assert.is(await outcomeOf(rig.join(c)), 'not-master');
+  const harness = await followingRig();
+  assert.is(await outcomeOf(harness.join(c)), 'not-master');
 });
 
-follows('looks again at once only if its own master says that it stepped down', async () => {
-  const rig = await followingRig();
-  const count = () => rig.transport.count('zen/master-ping');
-  const before = count();
-  await rig.handle('zen/stepped-down', { from: c }, c);
-  await rig.clock.run(settleMs);
-  assert.is(count(), before);
-  await rig.handle('zen/stepped-down', { from: a }, a);
-  await rig.clock.run(settleMs);
-  assert.is(count(), before + 1);
+follows('pings immediately only if its own master announces its step-down', async () => {
+  const harness = await followingRig();
+  const masterPings = () => harness.transport.count('zen/master-ping');
+  const before = masterPings();
+  await harness.handle('zen/stepped-down', { from: c }, c);
+  await harness.clock.run(settleMs);
+  assert.is(masterPings(), before);
+  await harness.handle('zen/stepped-down', { from: a }, a);
+  await harness.clock.run(settleMs);
+  assert.is(masterPings(), before + 1);
 });
 
 const joining = suite('a node that joins a master');
@@ -145,33 +145,36 @@
   have: { term: 0, version: 1 },
 });
 
-joining('votes for this one and for nobody else', async () => {
-  const rig = await followingRig({ answers: { 'zen/join': neverAnswers } });
-  assert.is(await outcomeOf(rig.handle('zen/validate', validateBy(c), c)), 'not-joining');
-  assert.is(await outcomeOf(rig.handle('zen/validate', validateBy(a), a)), 'done');
-  assert.equal([rig.electionStore.persisted.term, rig.electionStore.persisted.votedFor], [1, 'a']);
+joining('votes for that master and for no other', async () => {
+  const harness = await followingRig({ answers: { 'zen/join': neverAnswers } });
+  assert.is(await outcomeOf(harness.handle('zen/validate', validateBy(c), c)), 'not-joining');
+  assert.is(await outcomeOf(harness.handle('zen/validate', validateBy(a), a)), 'done');
+  assert.equal(
+    [harness.electionStore.persisted.term, harness.electionStore.persisted.votedFor],
+    [1, 'a'],
+  );
 });
 
-joining('votes no more once it has joined', async () => {
-  const rig = await followingRig();
-  assert.is(await outcomeOf(rig.handle('zen/validate', validateBy(a), a)), 'not-joining');
+joining('does not vote once it has joined', async () => {
+  const harness = await followingRig();
+  assert.is(await outcomeOf(harness.handle('zen/validate', validateBy(a), a)), 'not-joining');
 });
 
-joining('takes a first state from the master it joins or follows alone', async () => {
+joining('accepts its first state only from the master it joins or follows', async () => {
   const publish = (from: Member) => publishOf(from, stateAt(1, 2), 'b');
-  const joins = await followingRig({ state: undefined, answers: { 'zen/join': neverAnswers } });
-  assert.is(await outcomeOf(joins.handle('zen/publish', publish(c), c)), 'other-cluster');
-  assert.is(await outcomeOf(joins.handle('zen/publish', publish(a), a)), 'done');
-  const followsA = await followingRig({ state: undefined });
-  assert.is(await outcomeOf(followsA.handle('zen/publish', publish(c), c)), 'other-cluster');
-  assert.is(await outcomeOf(followsA.handle('zen/publish', publish(a), a)), 'done');
+  const joiner = await followingRig({ state: undefined, answers: { 'zen/join': neverAnswers } });
+  assert.is(await outcomeOf(joiner.handle('zen/publish', publish(c), c)), 'other-cluster');
+  assert.is(await outcomeOf(joiner.handle('zen/publish', publish(a), a)), 'done');
+  const follower = await followingRig({ state: undefined });
+  assert.is(await outcomeOf(follower.handle('zen/publish', publish(c), c)), 'other-cluster');
+  assert.is(await outcomeOf(follower.handle('zen/publish', publish(a), a)), 'done');
 });
 
-joining('drops the joins of others that it queued while it looked for a master', async () => {
-  const rig = await nodeRig({ me: b, answers: masterA });
-  rig.node.start();
-  const join = outcomeOf(rig.join(member('d')));
-  await rig.clock.run(settleMs);
+joining('refuses the joins that it queued while it looked for a master', async () => {
+  const harness = await nodeRig({ me: b, answers: masterA });
+  harness.node.start();
+  const join = outcomeOf(harness.join(member('d')));
+  await harness.clock.run(settleMs);
   assert.is(await join, 'not-master');
 });
 
--- a/tests/src/zen/front-barrier.test.ts
+++ b/tests/src/zen/front-barrier.test.ts
@@ -1,4 +1,4 @@
-/** How long a change waits for fronts that leave: at most for one read lease, however many of them leave. */
+/** Time until a change is in force while fronts leave: at most one read lease, however many of them leave. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { reduceState, type State } from '@tillerstair/state';
@@ -24,71 +24,78 @@
   (state: State): State =>
     reduceState(state, { kind: 'leave', id });
 
-/** A master with several fronts, after the read lease of its election has run out. */
+/** A master with several fronts, one read lease after its election. */
 const masterWithFronts = async (): Promise<MasterHarness> => {
   const members = fronts.map((id) => memberOf(id, 'front'));
-  const rig = await MasterHarness.started({ newest: stateWith(threeVoters, members) });
-  await rig.clock.run(bounds.readLease);
-  return rig;
+  const harness = await MasterHarness.started({ newest: stateWith(threeVoters, members) });
+  await harness.clock.run(bounds.readLease);
+  return harness;
 };
 
 barrier(
-  'fronts that leave one after the other hold a change up for one read lease only',
+  'fronts that leave one after the other delay a change by at most one read lease',
   async () => {
-    const rig = await masterWithFronts();
+    const harness = await masterWithFronts();
     const [first, ...others] = fronts;
-    await rig.clock.finish('leave', rig.master.submit(leave(first)), bounds.publishTimeout);
-    const change = rig.master.submit(addStore);
-    const committed = await rig.clock.finish('change', change, bounds.publishTimeout);
-    const from = rig.clock.now();
-    const inForce = outcomeOf(rig.master.waitUntilInForce(committed));
+    await harness.clock.finish('leave', harness.master.submit(leave(first)), bounds.publishTimeout);
+    const change = harness.master.submit(addStore);
+    const committed = await harness.clock.finish('change', change, bounds.publishTimeout);
+    const committedAt = harness.clock.now();
+    const inForce = outcomeOf(harness.master.waitUntilInForce(committed));
     for (const id of others) {
-      await rig.clock.run(leaveEveryMs);
-      void rig.master.submit(leave(id)).catch(() => undefined);
+      await harness.clock.run(leaveEveryMs);
+      void harness.master.submit(leave(id)).catch(() => undefined);
     }
-    assert.is(await rig.clock.finish('in force', inForce, roundTrip), 'done');
-    assert.ok(rig.clock.now() - from >= bounds.readLease - roundTrip * 10);
+    assert.is(await harness.clock.finish('in force', inForce, roundTrip), 'done');
+    assert.ok(harness.clock.now() - committedAt >= bounds.readLease - roundTrip * 10);
   },
 );
 
 barrier(
-  'a change is in force one read lease after its commit though fronts go on leaving',
+  'a change is in force one read lease after its commit even if fronts keep leaving',
   async () => {
-    const rig = await masterWithFronts();
-    const change = rig.master.submit(addStore);
-    const committed = await rig.clock.finish('change', change, bounds.publishTimeout);
-    const from = rig.clock.now();
-    const tookMs = outcomeOf(rig.master.waitUntilInForce(committed)).then(
-      () => rig.clock.now() - from,
+    const harness = await masterWithFronts();
+    const change = harness.master.submit(addStore);
+    const committed = await harness.clock.finish('change', change, bounds.publishTimeout);
+    const committedAt = harness.clock.now();
+    const tookMs = outcomeOf(harness.master.waitUntilInForce(committed)).then(
+      () => harness.clock.now() - committedAt,
     );
     for (const id of fronts) {
-      void rig.master.submit(leave(id)).catch(() => undefined);
-      await rig.clock.run(leaveEveryMs);
+      void harness.master.submit(leave(id)).catch(() => undefined);
+      await harness.clock.run(leaveEveryMs);
     }
-    const took = await rig.clock.finish('in force', tookMs, bounds.readLease * fronts.length);
+    const took = await harness.clock.finish('in force', tookMs, bounds.readLease * fronts.length);
     assert.ok(took <= bounds.readLease + roundTrip * 2, `${took} ms`);
   },
 );
 
-barrier('a front that left without its lease holds nothing up; one that kept it does', async () => {
-  for (const leaseReleased of [true, false]) {
-    const rig = await masterWithFronts();
-    const [first, ...others] = fronts;
-    for (const id of others)
-      await rig.clock.finish('leave', rig.master.submit(leave(id)), bounds.publishTimeout);
-    await rig.clock.run(bounds.readLease);
-    if (leaseReleased) rig.master.noteLeaseReleased(first);
-    const left = rig.master.submit(leave(first));
-    const committed = await rig.clock.finish('leave', left, bounds.publishTimeout);
-    const from = rig.clock.now();
-    await rig.clock.finish(
-      'in force',
-      rig.master.waitUntilInForce(committed),
-      bounds.readLease * 2,
-    );
-    const took = rig.clock.now() - from;
-    assert.is(took < roundTrip, leaseReleased, `${took} ms`);
-  }
-});
+barrier(
+  'a front that released its lease before leaving delays no change; one that kept it does',
+  async () => {
+    for (const leaseReleased of [true, false]) {
+      const harness = await masterWithFronts();
+      const [first, ...others] = fronts;
+      for (const id of others)
+        await harness.clock.finish(
+          'leave',
+          harness.master.submit(leave(id)),
+          bounds.publishTimeout,
+        );
+      await harness.clock.run(bounds.readLease);
+      if (leaseReleased) harness.master.noteLeaseReleased(first);
+      const left = harness.master.submit(leave(first));
+      const committed = await harness.clock.finish('leave', left, bounds.publishTimeout);
+      const committedAt = harness.clock.now();
+      await harness.clock.finish(
+        'in force',
+        harness.master.waitUntilInForce(committed),
+        bounds.readLease * 2,
+      );
+      const took = harness.clock.now() - committedAt;
+      assert.is(took < roundTrip, leaseReleased, `${took} ms`);
+    }
+  },
+);
 
 barrier.run();
--- a/tests/src/zen/master-harness.ts
+++ b/tests/src/zen/master-harness.ts
@@ -1,4 +1,4 @@
-/** A master `a` whose peers are scripted, on a simulated clock: what it sends is recorded, what they answer is chosen. */
+/** A master `a` with scripted peers on a simulated clock: its requests are recorded, and the test sets the replies. */
 import { inflateSync } from 'node:zlib';
 import { SimClock } from '@tillerstair/sim';
 import {
@@ -34,11 +34,11 @@
   failureTimeout: 3000,
 });
 
-/** How long a message takes from the master to a peer and back, in ms. */
+/** Time, in ms, from a request of the master to the reply of a peer. */
 export const roundTrip = 10;
-/** The term in which the tested master was elected. */
+/** The term in which the master under test was elected. */
 export const term = 4;
-/** The version of the state that the master starts with, accepted in an earlier term. */
+/** The version of the initial state of the master, which was accepted in an earlier term. */
 export const newestVersion = 7;
 
 export const memberOf = (id: string, kind: Member['kind'] = 'control'): Member => ({
@@ -53,7 +53,7 @@
 
 export const noVersion: StateVersion = { term: -1, version: 0 };
 
-/** The state that the master starts with: the given voters, with all of them and the given others on the list of nodes. */
+/** An initial state of the master with these voters; they and the other members are on the list of nodes. */
 export const stateWith = (voters: VotingConfiguration, others: readonly Member[] = []): State => {
   const votingMembers = [...new Set([...voters.current, ...voters.next])].map((id) => memberOf(id));
   return {
@@ -79,26 +79,26 @@
 
 type Reply = (message: SentMessage) => unknown;
 
-/** What the peer of one address answers. */
+/** The scripted peer at one address. */
 export class FakePeer {
   private readonly replies = new Map<string, Reply>();
-  /** Nothing is heard of it; each call ends with its time-out. */
+  /** Whether the peer never replies, so that each call ends with a timeout. */
   silent = false;
-  /** Its host refuses connections. */
+  /** Whether the peer's host refuses connections. */
   refusing = false;
-  /** How long its replies take, in ms. */
+  /** Time, in ms, that the peer takes to reply. */
   delayMs = roundTrip;
   term = term;
   applied: StateVersion = noVersion;
 
-  /** Answers requests of this kind by `reply` from now on, which may throw. */
+  /** From now on, answers requests of this kind with the result of `reply`, which may throw. */
   on(kind: string, reply: Reply): void {
     this.replies.set(kind, reply);
   }
 
   answer(message: SentMessage): unknown {
-    const scripted = this.replies.get(message.kind);
-    if (scripted) return scripted(message);
+    const reply = this.replies.get(message.kind);
+    if (reply) return reply(message);
     switch (message.kind) {
       case 'zen/commit':
         this.applied = Commit.parse(message.body).stateVersion;
@@ -126,14 +126,14 @@
 /** Whether a recorded `zen/publish` carried the whole state. */
 export const isFull = (message: SentMessage): boolean => 'full' in payloadOf(message);
 
-/** What a call came to: `done`, or its error's code and how far it was executed. */
+/** The outcome of a call: `done`, or the code and the `executed` status of its error. */
 export const outcomeOf = (work: Promise<unknown>): Promise<string> =>
   work.then(
     () => 'done',
     (e: unknown) => `${toRpcError(e).code} ${toRpcError(e).executed}`,
   );
 
-/** A store in memory whose disk may be said to take no writes. */
+/** An in-memory election store that a test can mark as not writable. */
 class TestElectionStore implements ElectionStore {
   writable = true;
   private readonly memory = new MemoryElectionStore('a');
@@ -183,9 +183,9 @@
       this.sent.push(message);
       const peer = this.peer(to);
       if (peer.refusing) throw new ConnectionRefusedError(to);
-      const late = peer.silent || peer.delayMs > timeoutMs;
-      await delay(this.clock, late ? timeoutMs : peer.delayMs);
-      if (late || peer.silent) throw new RequestTimeoutError(to);
+      const timesOut = peer.silent || peer.delayMs > timeoutMs;
+      await delay(this.clock, timesOut ? timeoutMs : peer.delayMs);
+      if (timesOut || peer.silent) throw new RequestTimeoutError(to);
       return peer.answer(message);
     },
   };
@@ -218,21 +218,21 @@
     );
   }
 
-  /** A master that has won its election and not published yet. */
+  /** A master that has won its election and has not published yet. */
   static async elected(options: MasterHarnessOptions = {}): Promise<MasterHarness> {
     const newest = options.newest ?? stateWith(threeVoters);
-    const rig = new MasterHarness(newest, options);
-    await rig.electionStore.accept(newest);
-    await rig.electionStore.recordVote(term, 'a');
-    return rig;
+    const harness = new MasterHarness(newest, options);
+    await harness.electionStore.accept(newest);
+    await harness.electionStore.recordVote(term, 'a');
+    return harness;
   }
 
   /** A master that has committed its first state. */
   static async started(options: MasterHarnessOptions = {}): Promise<MasterHarness> {
-    const rig = await MasterHarness.elected(options);
-    await rig.clock.finish('begin', rig.begin(), bounds.publishTimeout);
-    await rig.clock.run(roundTrip * 2);
-    return rig;
+    const harness = await MasterHarness.elected(options);
+    await harness.clock.finish('begin', harness.begin(), bounds.publishTimeout);
+    await harness.clock.run(roundTrip * 2);
+    return harness;
   }
 
   /** The first publish, on the votes of all voters. */
@@ -242,17 +242,19 @@
   }
 
   peer(id: string): FakePeer {
-    const known = this.peers.get(id) ?? new FakePeer();
-    this.peers.set(id, known);
-    return known;
+    const peer = this.peers.get(id) ?? new FakePeer();
+    this.peers.set(id, peer);
+    return peer;
   }
 
-  /** What was sent of a kind, to one peer or to all. */
+  /** The messages of a kind that were sent to one peer, or to all if `to` is left out. */
   sentOf(kind: string, to?: string): readonly SentMessage[] {
-    return this.sent.filter((m) => m.kind === kind && (to === undefined || m.to === to));
+    return this.sent.filter(
+      (message) => message.kind === kind && (to === undefined || message.to === to),
+    );
   }
 
-  /** Resolves with what `work` comes to, while simulated time runs. */
+  /** Advances simulated time until `work` ends, for at most `withinMs`; resolves with its outcome. */
   outcome(work: Promise<unknown>, withinMs = bounds.failureTimeout * 2): Promise<string> {
     return this.clock.finish('an outcome', outcomeOf(work), withinMs);
   }
--- a/tests/src/zen/partitioned-control.test.ts
+++ b/tests/src/zen/partitioned-control.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Answers of a control that is cut off from the others, or frozen while another master is elected. It must report no
+ * outdated state, and must refuse in time what it cannot confirm with a majority.
+ */
 import { suite } from 'uvu';
 import { z } from 'zod';
 import * as assert from 'uvu/assert';
@@ -10,12 +14,16 @@
 
 const Base = z.object({ base: z.number() });
 const cutMs = 20000;
-const afterMs = 8000;
-const operators = 3;
-const settleMs = 100;
+/** Time, in ms, that the operators go on after the network has healed. */
+const recoveryMs = 8000;
+const operatorCount = 3;
+/** Calls sent within this time, in ms, after the cut are not judged. */
+const graceMs = 100;
 
-type Way = 'both' | 'in' | 'out';
+/** The messages that are dropped, seen from the target: both directions, only to it, or only from it. */
+type CutDirection = 'both' | 'in' | 'out';
 
+/** One call to a control: the HTTP status, 0 without an answer, and the clock times, in ms, of call and answer. */
 interface Answered {
   readonly at: Machine;
   readonly operation: OperatorRequest;
@@ -24,17 +32,17 @@
   readonly to: number;
 }
 
-const cut = (w: World, target: Machine, way: Way): void => {
-  for (const m of w.machines.filter((x) => x !== target)) {
-    if (way !== 'out') w.net.cut(m.addr, target.addr);
-    if (way !== 'in') w.net.cut(target.addr, m.addr);
+const cut = (sim: World, target: Machine, direction: CutDirection): void => {
+  for (const machine of sim.machines.filter((candidate) => candidate !== target)) {
+    if (direction !== 'out') sim.net.cut(machine.addr, target.addr);
+    if (direction !== 'in') sim.net.cut(target.addr, machine.addr);
   }
 };
 
-const wait = (w: World, ms: number): Promise<void> =>
-  new Promise((done) => void w.clock.after(ms, done));
+const wait = (sim: World, ms: number): Promise<void> =>
+  new Promise((done) => void sim.clock.after(ms, done));
 
-/** Operators that go on sending changes, refusable changes, reads and resends to every control, and keep all answers. */
+/** Operators that send new, outdated and repeated changes and reads to random controls, and record all answers. */
 class Operators {
   readonly calls: ConfigCalls;
   readonly answered: Answered[] = [];
@@ -45,10 +53,10 @@
   private over = false;
 
   constructor(
-    private readonly w: World,
+    private readonly sim: World,
     seed: number,
   ) {
-    this.calls = new ConfigCalls(w.clock);
+    this.calls = new ConfigCalls(sim.clock);
     this.rng = seededRng(seed * 31 + 7);
   }
 
@@ -58,10 +66,16 @@
 
   send(at: Machine) {
     return async (operation: OperatorRequest) => {
-      const from = this.w.clock.now();
-      const got = await at.control?.operate(operation);
-      this.answered.push({ at, operation, status: got?.status ?? 0, from, to: this.w.clock.now() });
-      return got;
+      const from = this.sim.clock.now();
+      const response = await at.control?.operate(operation);
+      this.answered.push({
+        at,
+        operation,
+        status: response?.status ?? 0,
+        from,
+        to: this.sim.clock.now(),
+      });
+      return response;
     };
   }
 
@@ -72,46 +86,46 @@
   }
 
   private async change(text: string): Promise<void> {
-    for (let tries = 0; tries < 5 && !this.over; tries++) {
-      const at = this.pick(this.w.of('control'));
-      const got = at && (await this.calls.put(text, this.send(at)));
-      if (got?.status === 200)
+    for (let attempt = 0; attempt < 5 && !this.over; attempt++) {
+      const at = this.pick(this.sim.of('control'));
+      const response = at && (await this.calls.put(text, this.send(at)));
+      if (response?.status === 200)
         this.version = Math.max(this.version, Base.parse(JSON.parse(text)).base + 1);
-      if (got?.status === 200 || got?.status === 409) return;
-      await wait(this.w, 100 + this.rng() * 300);
+      if (response?.status === 200 || response?.status === 409) return;
+      await wait(this.sim, 100 + this.rng() * 300);
     }
   }
 
-  private async other(): Promise<void> {
-    const at = this.pick(this.w.of('control'));
-    const path = this.pick([
+  private async sendOtherOperation(): Promise<void> {
+    const at = this.pick(this.sim.of('control'));
+    const operation = this.pick([
       'GET /v1/status',
       'GET /v1/stores/nobody/empty',
       'POST /v1/servers/nobody/draining',
       'POST /v1/stores/front-0/empty',
       'DELETE /v1/servers/nobody',
     ]);
-    const [method = '', where = ''] = path?.split(' ') ?? [];
-    if (at) await this.send(at)({ method, path: where, body: '' });
+    const [method = '', path = ''] = operation?.split(' ') ?? [];
+    if (at) await this.send(at)({ method, path, body: '' });
   }
 
   private async read(): Promise<void> {
-    const at = this.pick(this.w.of('control'));
-    const got = at && (await this.calls.read(this.send(at)));
-    const last = this.calls.calls.findLast((c) => c.answer.kind === 'value')?.answer;
-    if (got?.status === 200 && last?.kind === 'value')
-      this.version = Math.max(this.version, last.version);
+    const at = this.pick(this.sim.of('control'));
+    const response = at && (await this.calls.read(this.send(at)));
+    const lastValue = this.calls.calls.findLast((call) => call.answer.kind === 'value')?.answer;
+    if (response?.status === 200 && lastValue?.kind === 'value')
+      this.version = Math.max(this.version, lastValue.version);
   }
 
   async run(): Promise<void> {
     while (!this.over) {
-      const n = this.rng();
-      if (n < 0.25) await this.read();
-      else if (n < 0.6) await this.change(this.newText(this.version));
-      else if (n < 0.7) await this.change(this.newText(Math.max(0, this.version - 1)));
-      else if (n < 0.85) await this.change(this.pick(this.sent) ?? this.newText(this.version));
-      else await this.other();
-      await wait(this.w, this.rng() * 150);
+      const choice = this.rng();
+      if (choice < 0.25) await this.read();
+      else if (choice < 0.6) await this.change(this.newText(this.version));
+      else if (choice < 0.7) await this.change(this.newText(Math.max(0, this.version - 1)));
+      else if (choice < 0.85) await this.change(this.pick(this.sent) ?? this.newText(this.version));
+      else await this.sendOtherOperation();
+      await wait(this.sim, this.rng() * 150);
     }
   }
 
@@ -125,75 +139,83 @@
   readonly calls: readonly ConfigCall[];
   readonly target: Machine;
   readonly cutAt: number;
-  readonly mendedAt: number;
+  readonly healedAt: number;
 }
 
-const cutRun = async (w: World, seed: number, target: Machine, way: Way): Promise<CutRun> => {
-  const ops = new Operators(w, seed);
-  const master = w.master;
-  if (!master) throw new Error('no master');
-  await w.clock.finish('first', ops.calls.put(configText(0), ops.send(master)), 5000);
-  const going = Promise.all(Array.from({ length: operators }, () => ops.run()));
-  await w.clock.run(1500);
-  cut(w, target, way);
-  const cutAt = w.clock.now();
-  await w.clock.run(cutMs);
-  w.net.healCuts();
-  const mendedAt = w.clock.now();
-  await w.clock.run(afterMs);
-  ops.stop();
-  await w.clock.finish('operators', going, 20000);
-  for (const at of w.of('control')) {
-    const got = await w.clock.finish('read', ops.calls.read(ops.send(at)), 5000);
-    assert.is(got?.status, 200);
+const cutRun = async (
+  sim: World,
+  seed: number,
+  target: Machine,
+  direction: CutDirection,
+): Promise<CutRun> => {
+  const operators = new Operators(sim, seed);
+  const master = sim.master;
+  if (!master) throw new Error('the cluster has no master');
+  await sim.clock.finish('first', operators.calls.put(configText(0), operators.send(master)), 5000);
+  const running = Promise.all(Array.from({ length: operatorCount }, () => operators.run()));
+  await sim.clock.run(1500);
+  cut(sim, target, direction);
+  const cutAt = sim.clock.now();
+  await sim.clock.run(cutMs);
+  sim.net.healCuts();
+  const healedAt = sim.clock.now();
+  await sim.clock.run(recoveryMs);
+  operators.stop();
+  await sim.clock.finish('operators', running, 20000);
+  for (const at of sim.of('control')) {
+    const response = await sim.clock.finish('read', operators.calls.read(operators.send(at)), 5000);
+    assert.is(response?.status, 200);
   }
-  return { answered: ops.answered, calls: ops.calls.calls, target, cutAt, mendedAt };
+  return { answered: operators.answered, calls: operators.calls.calls, target, cutAt, healedAt };
 };
 
-const duringCut = (r: CutRun): readonly Answered[] =>
-  r.answered.filter((a) => a.from >= r.cutAt + settleMs && a.to <= r.mendedAt);
+const answeredDuringCut = (run: CutRun): readonly Answered[] =>
+  run.answered.filter((answer) => answer.from >= run.cutAt + graceMs && answer.to <= run.healedAt);
 
-const isChange = (a: Answered): boolean => a.operation.method === 'PUT';
+const isChange = (answer: Answered): boolean => answer.operation.method === 'PUT';
 
-const ways: readonly Way[] = ['both', 'in', 'out'];
+const directions: readonly CutDirection[] = ['both', 'in', 'out'];
 
 const roles = ['master', 'follower'];
 
 roles.forEach((role, roleIndex) => {
-  ways.forEach((way, n) => {
+  directions.forEach((direction, directionIndex) => {
     cutOff(
-      `${role}, ${way === 'both' ? 'both ways' : `one way ${way}`}, for 20 s: every answer is true and comes in good time`,
+      `${role}, ${direction === 'both' ? 'in both directions' : `in direction ${direction} only`}, for 20 s: every answer is correct and in time`,
       async () => {
-        for (const seed of [1 + roleIndex * ways.length + n]) {
-          const w = await worldUp(seed, small);
-          const target = w.of('control').find((m) => (m === w.master) === (role === 'master'));
-          if (!target) throw new Error('no control');
-          const run = await cutRun(w, seed, target, way);
-          const outcome = configHistory(run.calls);
-          assert.equal(outcome.breaches, [], `seed ${seed}`);
-          assert.ok(outcome.checked > 50);
-          const { heartbeatInterval, failureTimeout, readLease } = w.bounds;
-          const atTarget = duringCut(run).filter((a) => a.at === target);
+        for (const seed of [1 + roleIndex * directions.length + directionIndex]) {
+          const sim = await worldUp(seed, small);
+          const target = sim
+            .of('control')
+            .find((control) => (control === sim.master) === (role === 'master'));
+          if (!target) throw new Error(`no control is a ${role}`);
+          const run = await cutRun(sim, seed, target, direction);
+          const history = configHistory(run.calls);
+          assert.equal(history.breaches, [], `seed ${seed}`);
+          assert.ok(history.checked > 50);
+          const { heartbeatInterval, failureTimeout, readLease } = sim.bounds;
+          const atTarget = answeredDuringCut(run).filter((answer) => answer.at === target);
           assert.ok(atTarget.length > 10);
-          for (const a of atTarget) {
-            const what = `seed ${seed}: ${a.operation.method} ${a.operation.path} got ${a.status} from ${a.from - run.cutAt} to ${a.to - run.cutAt}`;
-            assert.ok(a.status === 503 || a.status === 504, what);
-            if (!isChange(a) && a.operation.method === 'GET') assert.is(a.status, 503, what);
-            assert.ok(a.to - a.from <= failureTimeout + heartbeatInterval, what);
-            if (role === 'master' && a.operation.method === 'GET')
-              assert.ok(a.to - a.from <= heartbeatInterval * 1.5, what);
+          for (const answer of atTarget) {
+            const description = `seed ${seed}: ${answer.operation.method} ${answer.operation.path} got ${answer.status} from ${answer.from - run.cutAt} to ${answer.to - run.cutAt}`;
+            assert.ok(answer.status === 503 || answer.status === 504, description);
+            if (!isChange(answer) && answer.operation.method === 'GET')
+              assert.is(answer.status, 503, description);
+            assert.ok(answer.to - answer.from <= failureTimeout + heartbeatInterval, description);
+            if (role === 'master' && answer.operation.method === 'GET')
+              assert.ok(answer.to - answer.from <= heartbeatInterval * 1.5, description);
           }
-          for (const a of run.answered)
+          for (const answer of run.answered)
             assert.ok(
-              a.to - a.from <= failureTimeout * 2 + readLease,
-              `${a.operation.method} ${a.operation.path} took ${a.to - a.from}`,
+              answer.to - answer.from <= failureTimeout * 2 + readLease,
+              `${answer.operation.method} ${answer.operation.path} took ${answer.to - answer.from}`,
             );
-          const elsewhere = duringCut(run).filter(
-            (a) => a.at !== target && isChange(a) && a.status === 200,
+          const changesElsewhere = answeredDuringCut(run).filter(
+            (answer) => answer.at !== target && isChange(answer) && answer.status === 200,
           );
           assert.ok(
-            elsewhere.length > 5,
-            `seed ${seed}: ${elsewhere.length} changes while the control was cut off`,
+            changesElsewhere.length > 5,
+            `seed ${seed}: ${changesElsewhere.length} changes while the control was cut off`,
           );
         }
       },
@@ -201,145 +223,148 @@
   });
 });
 
-/** Cuts the master off and restarts the other controls, which elect another long before the old one misses them. */
-const deposedUnknowing = async (seed: number) => {
-  const w = await worldUp(seed, small);
-  const calls = new ConfigCalls(w.clock);
-  const old = w.master;
-  const oldNode = old?.control;
-  if (!old || !oldNode) throw new Error('no master');
-  const toOld = (o: OperatorRequest) => oldNode.operate(o);
-  const toNew = async (o: OperatorRequest) => w.master?.control?.operate(o);
-  await w.clock.finish('first', calls.put(configText(0), toOld), 5000);
-  const others = w.of('control').filter((m) => m !== old);
-  for (const m of others) m.kill();
-  cut(w, old, 'both');
-  w.start(others);
-  await w.clock.until('another master', () => w.master !== undefined && w.master !== old, 2500);
-  return { w, calls, oldNode, toOld, toNew };
+/** Cuts the master off and restarts the other controls, which elect another before the old one notices the cut. */
+const withUnawareMaster = async (seed: number) => {
+  const sim = await worldUp(seed, small);
+  const calls = new ConfigCalls(sim.clock);
+  const oldMaster = sim.master;
+  const oldNode = oldMaster?.control;
+  if (!oldMaster || !oldNode) throw new Error('the cluster has no master');
+  const sendToOld = (request: OperatorRequest) => oldNode.operate(request);
+  const sendToNew = async (request: OperatorRequest) => sim.master?.control?.operate(request);
+  await sim.clock.finish('first', calls.put(configText(0), sendToOld), 5000);
+  const others = sim.of('control').filter((control) => control !== oldMaster);
+  for (const control of others) control.kill();
+  cut(sim, oldMaster, 'both');
+  sim.start(others);
+  await sim.clock.until(
+    'another master',
+    () => sim.master !== undefined && sim.master !== oldMaster,
+    2500,
+  );
+  return { sim, calls, oldNode, sendToOld, sendToNew };
 };
 
-cutOff(
-  'a master that does not know of its successor yet says nothing from its old state',
-  async () => {
-    for (const seed of [1, 2, 3, 4, 5]) {
-      const { w, calls, oldNode, toOld, toNew } = await deposedUnknowing(seed);
-      const next = configText(1, 'models', 'shop', 2);
-      const put = calls.put(next, toNew);
-      await w.clock.until('the next version', () => w.committed?.config?.version === 2, 2000);
-      assert.ok(oldNode.zen.leading, 'the old master still leads in its own eyes');
-      const late = [
-        calls.put(configText(2, 'models', 'shop', 3), toOld),
-        calls.put(configText(0), toOld),
-        calls.read(toOld),
-        toOld({
-          method: 'POST',
-          path: '/v1/config/prepare',
-          body: JSON.stringify({ base: 2, version: 3, changeId: 'an order' }),
-        }),
-        toOld({ method: 'GET', path: '/v1/status', body: '' }),
-        toOld({ method: 'GET', path: '/v1/stores/nobody/empty', body: '' }),
-        toOld({ method: 'POST', path: '/v1/servers/nobody/draining', body: '' }),
-        toOld({ method: 'POST', path: '/v1/stores/front-0/empty', body: '' }),
-      ];
-      const got = await w.clock.finish(
-        'late calls',
-        Promise.all(late),
-        w.bounds.heartbeatInterval * 1.5,
-      );
-      for (const [n, o] of got.entries())
-        assert.is(o?.status, 503, `call ${n}: ${JSON.stringify(o)}`);
-      assert.is((await w.clock.finish('put', put, 10000))?.status, 200);
-      assert.equal(configHistory(calls.calls).breaches, []);
-    }
-  },
-);
-
-cutOff('a refusal that rests on a change of the same batch waits for that change', async () => {
-  const { w, calls, oldNode, toOld } = await deposedUnknowing(6);
-  assert.ok(oldNode.zen.leading);
-  const rivals = [1, 2].map((n) => calls.put(configText(1, 'models', 'shop', n), toOld));
-  const got = await w.clock.finish('rivals', Promise.all(rivals), 5000);
-  assert.equal(
-    got.map((o) => o?.status),
-    [504, 503],
-  );
+cutOff('a master unaware of its successor reports nothing from its outdated state', async () => {
+  for (const seed of [1, 2, 3, 4, 5]) {
+    const { sim, calls, oldNode, sendToOld, sendToNew } = await withUnawareMaster(seed);
+    const next = configText(1, 'models', 'shop', 2);
+    const put = calls.put(next, sendToNew);
+    await sim.clock.until('the next version', () => sim.committed?.config?.version === 2, 2000);
+    assert.ok(oldNode.zen.leading, 'the old master still considers itself the master');
+    const lateCalls = [
+      calls.put(configText(2, 'models', 'shop', 3), sendToOld),
+      calls.put(configText(0), sendToOld),
+      calls.read(sendToOld),
+      sendToOld({
+        method: 'POST',
+        path: '/v1/config/prepare',
+        body: JSON.stringify({ base: 2, version: 3, changeId: 'an order' }),
+      }),
+      sendToOld({ method: 'GET', path: '/v1/status', body: '' }),
+      sendToOld({ method: 'GET', path: '/v1/stores/nobody/empty', body: '' }),
+      sendToOld({ method: 'POST', path: '/v1/servers/nobody/draining', body: '' }),
+      sendToOld({ method: 'POST', path: '/v1/stores/front-0/empty', body: '' }),
+    ];
+    const responses = await sim.clock.finish(
+      'late calls',
+      Promise.all(lateCalls),
+      sim.bounds.heartbeatInterval * 1.5,
+    );
+    for (const [index, response] of responses.entries())
+      assert.is(response?.status, 503, `call ${index}: ${JSON.stringify(response)}`);
+    assert.is((await sim.clock.finish('put', put, 10000))?.status, 200);
+    assert.equal(configHistory(calls.calls).breaches, []);
+  }
 });
 
 cutOff(
-  'a master woken after another led refuses and confirms nothing from its old state',
+  'a refusal due to a change of the same batch waits for the outcome of that change',
   async () => {
-    for (const seed of [1, 2, 3, 4, 5]) {
-      const w = await worldUp(seed, small);
-      const calls = new ConfigCalls(w.clock);
-      const old = w.master;
-      const oldNode = old?.control;
-      if (!old || !oldNode) throw new Error('no master');
-      const toOld = (o: OperatorRequest) => oldNode.operate(o);
-      const toNew = async (o: OperatorRequest) => w.master?.control?.operate(o);
-      await w.clock.finish('first', calls.put(configText(0), toOld), 5000);
-      old.freeze();
-      await w.clock.until(
-        'another master',
-        () => w.master !== undefined && w.master !== old,
-        12000,
-      );
-      const next = configText(1, 'models', 'shop', 2);
-      assert.is((await w.clock.finish('next', calls.put(next, toNew), 20000))?.status, 200);
-      old.wake();
-      const late = await w.clock.finish(
-        'late calls',
-        Promise.all([
-          calls.put(configText(2, 'models', 'shop', 3), toOld),
-          calls.put(configText(0), toOld),
-          calls.put(next, toOld),
-          calls.read(toOld),
-          toOld({ method: 'GET', path: '/v1/stores/nobody/empty', body: '' }),
-          toOld({ method: 'POST', path: '/v1/servers/nobody/draining', body: '' }),
-        ]),
-        30000,
-      );
-      for (const got of late)
-        assert.ok(got?.status === 503 || got?.status === 504, JSON.stringify(got));
-      assert.equal(configHistory(calls.calls).breaches, []);
-    }
+    const { sim, calls, oldNode, sendToOld } = await withUnawareMaster(6);
+    assert.ok(oldNode.zen.leading);
+    const conflicting = [1, 2].map((extra) =>
+      calls.put(configText(1, 'models', 'shop', extra), sendToOld),
+    );
+    const responses = await sim.clock.finish('conflicting changes', Promise.all(conflicting), 5000);
+    assert.equal(
+      responses.map((response) => response?.status),
+      [504, 503],
+    );
   },
 );
 
-cutOff('invalid configurations are refused without a majority', async () => {
-  const w = await worldUp(6, small);
-  const master = w.master;
-  if (!master) throw new Error('no master');
-  cut(w, master, 'both');
-  assert.is((await w.operate('PUT', '/v1/config', '{}', master, 50)).status, 422);
+cutOff('a master frozen until another led reports nothing from its outdated state', async () => {
+  for (const seed of [1, 2, 3, 4, 5]) {
+    const sim = await worldUp(seed, small);
+    const calls = new ConfigCalls(sim.clock);
+    const oldMaster = sim.master;
+    const oldNode = oldMaster?.control;
+    if (!oldMaster || !oldNode) throw new Error('the cluster has no master');
+    const sendToOld = (request: OperatorRequest) => oldNode.operate(request);
+    const sendToNew = async (request: OperatorRequest) => sim.master?.control?.operate(request);
+    await sim.clock.finish('first', calls.put(configText(0), sendToOld), 5000);
+    oldMaster.freeze();
+    await sim.clock.until(
+      'another master',
+      () => sim.master !== undefined && sim.master !== oldMaster,
+      12000,
+    );
+    const next = configText(1, 'models', 'shop', 2);
+    assert.is((await sim.clock.finish('next', calls.put(next, sendToNew), 20000))?.status, 200);
+    oldMaster.wake();
+    const responses = await sim.clock.finish(
+      'late calls',
+      Promise.all([
+        calls.put(configText(2, 'models', 'shop', 3), sendToOld),
+        calls.put(configText(0), sendToOld),
+        calls.put(next, sendToOld),
+        calls.read(sendToOld),
+        sendToOld({ method: 'GET', path: '/v1/stores/nobody/empty', body: '' }),
+        sendToOld({ method: 'POST', path: '/v1/servers/nobody/draining', body: '' }),
+      ]),
+      30000,
+    );
+    for (const response of responses)
+      assert.ok(response?.status === 503 || response?.status === 504, JSON.stringify(response));
+    assert.equal(configHistory(calls.calls).breaches, []);
+  }
+});
+
+cutOff('an invalid configuration is refused without a majority', async () => {
+  const sim = await worldUp(6, small);
+  const master = sim.master;
+  if (!master) throw new Error('the cluster has no master');
+  cut(sim, master, 'both');
+  assert.is((await sim.operate('PUT', '/v1/config', '{}', master, 50)).status, 422);
 });
 
-cutOff('reads and refusals that come together share one round of messages', async () => {
-  const w = await worldUp(7, small);
-  const asked = { rounds: 0 };
-  const master = w.master;
-  w.net.onMessage = (m) => {
+cutOff('concurrent reads and refusals share rounds of messages', async () => {
+  const sim = await worldUp(7, small);
+  const counted = { rounds: 0 };
+  const master = sim.master;
+  sim.net.onMessage = (message) => {
     if (
-      m.kind === 'zen/node-ping' &&
-      m.from === master?.addr &&
-      m.to === w.of('control').find((c) => c !== master)?.addr
+      message.kind === 'zen/node-ping' &&
+      message.from === master?.addr &&
+      message.to === sim.of('control').find((control) => control !== master)?.addr
     )
-      asked.rounds++;
+      counted.rounds++;
   };
   const node = master?.control;
-  if (!node) throw new Error('no master');
-  const many = Array.from({ length: 40 }, (_, n) =>
-    n % 2 === 0
+  if (!node) throw new Error('the cluster has no master');
+  const requests = Array.from({ length: 40 }, (_, index) =>
+    index % 2 === 0
       ? node.operate({ method: 'GET', path: '/v1/config', body: '' })
       : node.operate({
           method: 'PUT',
           path: '/v1/config',
-          body: configText(7, 'models', 'shop', n),
+          body: configText(7, 'models', 'shop', index),
         }),
   );
-  const got = await w.clock.finish('many', Promise.all(many), 500);
-  assert.equal(new Set(got.map((o) => o.status)), new Set([200, 409]));
-  assert.ok(asked.rounds <= 8, `${asked.rounds} messages`);
+  const responses = await sim.clock.finish('requests', Promise.all(requests), 500);
+  assert.equal(new Set(responses.map((response) => response.status)), new Set([200, 409]));
+  assert.ok(counted.rounds <= 8, `${counted.rounds} messages`);
 });
 
 cutOff.run();
--- a/tests/src/zen/publish-receiver.test.ts
+++ b/tests/src/zen/publish-receiver.test.ts
@@ -1,4 +1,4 @@
-/** What a follower does with states that reach it while it is still storing something else. */
+/** States that arrive while a follower is still storing its vote for an earlier one. */
 import { deflateSync } from 'node:zlib';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -21,21 +21,21 @@
 const bootstrapped = bootstrapState('cluster', [master, memberOf('b')], 1);
 const stateAt = (version: number): State => ({ ...bootstrapped, term: 2, version, master: 'a' });
 
-const publishOf = (s: State): Publish => ({
+const publishOf = (state: State): Publish => ({
   from: master,
-  term: s.term,
-  clusterId: s.clusterId,
-  packed: deflateSync(JSON.stringify({ full: [...encodeState(s)] })).toString('base64'),
+  term: state.term,
+  clusterId: state.clusterId,
+  packed: deflateSync(JSON.stringify({ full: [...encodeState(state)] })).toString('base64'),
 });
 
-/** Lets a test decide when a vote is on disk. */
+/** A store in which a vote counts as synced only once the test calls `voteSynced`. */
 class SlowVoteElectionStore extends MemoryElectionStore {
   private release: () => void = () => undefined;
 
   override async recordVote(term: number, to: string): Promise<void> {
     await super.recordVote(term, to);
-    await new Promise<void>((done) => {
-      this.release = done;
+    await new Promise<void>((resolve) => {
+      this.release = resolve;
     });
   }
 
@@ -44,24 +44,27 @@
   }
 }
 
-receiver('an older state that waited for its vote never replaces a newer one', async () => {
-  const electionStore = new SlowVoteElectionStore('b');
-  await electionStore.accept(bootstrapped);
-  const r = new PublishReceiver({
-    electionStore,
-    onApplied: () => Promise.resolve(),
-    isMaster: () => true,
-    onTerm: () => undefined,
-    onPublished: () => undefined,
-  });
-  const older = r.onPublish(publishOf(stateAt(4))).then(
-    (a) => a.outcome,
-    (e: unknown) => toRpcError(e).code,
-  );
-  assert.equal(await r.onPublish(publishOf(stateAt(5))), { outcome: 'accepted' });
-  electionStore.voteSynced();
-  assert.is(await older, 'stale-state');
-  assert.is(electionStore.persisted.accepted?.version, 5);
-});
+receiver(
+  'an older state that waited for a vote to be stored never replaces a newer one',
+  async () => {
+    const electionStore = new SlowVoteElectionStore('b');
+    await electionStore.accept(bootstrapped);
+    const publishReceiver = new PublishReceiver({
+      electionStore,
+      onApplied: () => Promise.resolve(),
+      isMaster: () => true,
+      onTerm: () => undefined,
+      onPublished: () => undefined,
+    });
+    const older = publishReceiver.onPublish(publishOf(stateAt(4))).then(
+      (response) => response.outcome,
+      (e: unknown) => toRpcError(e).code,
+    );
+    assert.equal(await publishReceiver.onPublish(publishOf(stateAt(5))), { outcome: 'accepted' });
+    electionStore.voteSynced();
+    assert.is(await older, 'stale-state');
+    assert.is(electionStore.persisted.accepted?.version, 5);
+  },
+);
 
 receiver.run();
--- a/tests/src/zen/publish-refusals.test.ts
+++ b/tests/src/zen/publish-refusals.test.ts
@@ -17,7 +17,7 @@
 
 const refusals = suite('a published state');
 
-const receiverOf = (electionStore: MemoryElectionStore, known: readonly string[] = []) => {
+const receiverOf = (electionStore: MemoryElectionStore, masterIds: readonly string[] = []) => {
   const applied: State[] = [];
   const terms: number[] = [];
   const publishers: Member[] = [];
@@ -27,7 +27,7 @@
       applied.push(state);
       return Promise.resolve();
     },
-    isMaster: (id) => known.includes(id),
+    isMaster: (id) => masterIds.includes(id),
     onTerm: (term) => terms.push(term),
     onPublished: (from) => publishers.push(from),
   });
@@ -36,7 +36,7 @@
   return { receiver, publish, applied, terms, publishers };
 };
 
-refusals('of a lower term is refused, also from the master that this node voted for', async () => {
+refusals('of a lower term is refused even from the master that this node voted for', async () => {
   const electionStore = await storeWith(bootstrapped);
   await electionStore.recordVote(4, 'a');
   const { publish } = receiverOf(electionStore);
@@ -44,7 +44,7 @@
   assert.is(await publish(a, stateAt(4, 9)), 'done');
 });
 
-refusals('of a lower term is not acknowledged, also if it was accepted before', async () => {
+refusals('of a lower term is not acknowledged even if it was accepted before', async () => {
   const electionStore = await storeWith(stateAt(3, 9));
   await electionStore.recordVote(4, 'b');
   const { publish } = receiverOf(electionStore);
@@ -66,13 +66,16 @@
   assert.is(await publish(a, stateAt(4, 9, { clusterId: 'y' })), 'other-cluster');
 });
 
-refusals('reaches a blank node only from the master that it joins or follows', async () => {
-  const { publish } = receiverOf(await storeWith(undefined), ['b']);
-  assert.is(await publish(a, stateAt(4, 9)), 'other-cluster');
-  assert.is(await publish(b, stateAt(4, 9)), 'done');
-});
+refusals(
+  'is accepted by a node without a state only from the master it joins or follows',
+  async () => {
+    const { publish } = receiverOf(await storeWith(undefined), ['b']);
+    assert.is(await publish(a, stateAt(4, 9)), 'other-cluster');
+    assert.is(await publish(b, stateAt(4, 9)), 'done');
+  },
+);
 
-refusals('must be of the term it is published in', async () => {
+refusals('with a term other than that of its publish is refused', async () => {
   const { receiver } = receiverOf(await storeWith(bootstrapped));
   const mislabelled = { ...publishOf(a, stateAt(3, 9)), term: 4 };
   assert.is(await outcomeOf(receiver.onPublish(mislabelled)), 'stale-state');
@@ -87,7 +90,7 @@
   assert.is(electionStore.persisted.accepted?.version, 9);
 });
 
-refusals('in a later term is a vote for its master, recorded before the state', async () => {
+refusals('in a later term counts as a vote for its master, recorded before the state', async () => {
   const electionStore = await storeWith(bootstrapped);
   const { publish, terms } = receiverOf(electionStore);
   assert.is(await publish(a, stateAt(4, 9)), 'done');
@@ -95,7 +98,7 @@
   assert.equal(terms, [4]);
 });
 
-/** Runs other work while a vote is on its way to the disk. */
+/** A store that runs `meanwhile` while a vote is being written. */
 class InterruptedElectionStore extends MemoryElectionStore {
   meanwhile: () => Promise<unknown> = () => Promise.resolve();
 
@@ -107,16 +110,19 @@
   }
 }
 
-refusals('is refused if a later term was voted for while its own vote was stored', async () => {
-  const electionStore = new InterruptedElectionStore('me');
-  await electionStore.accept(bootstrapped);
-  const { publish } = receiverOf(electionStore);
-  electionStore.meanwhile = () => electionStore.recordVote(5, 'c');
-  assert.is(await publish(a, stateAt(4, 9)), 'stale-term');
-  assert.is(electionStore.persisted.accepted?.version, 1);
-});
-
-refusals('is refused if a newer one was accepted while its own vote was stored', async () => {
+refusals(
+  'is refused if the node voted in a later term while the vote for it was stored',
+  async () => {
+    const electionStore = new InterruptedElectionStore('me');
+    await electionStore.accept(bootstrapped);
+    const { publish } = receiverOf(electionStore);
+    electionStore.meanwhile = () => electionStore.recordVote(5, 'c');
+    assert.is(await publish(a, stateAt(4, 9)), 'stale-term');
+    assert.is(electionStore.persisted.accepted?.version, 1);
+  },
+);
+
+refusals('is refused if a newer state was accepted while the vote for it was stored', async () => {
   const electionStore = new InterruptedElectionStore('me');
   await electionStore.accept(bootstrapped);
   const { publish } = receiverOf(electionStore);
@@ -125,7 +131,7 @@
   assert.is(electionStore.persisted.accepted?.version, 10);
 });
 
-refusals('that is accepted already is acknowledged once it is on disk', async () => {
+refusals('that was accepted before is acknowledged again once it is on disk', async () => {
   const electionStore = new ObservedElectionStore('me');
   const accepted = stateAt(4, 9);
   await electionStore.accept(accepted);
@@ -138,23 +144,26 @@
   for (const body of bodies) assert.is(await outcomeOf(receiver.onPublish(body)), 'internal');
 });
 
-refusals('as a difference from a state that is not accepted asks for the whole', async () => {
-  const electionStore = await storeWith(stateAt(4, 7));
-  await electionStore.recordVote(4, 'a');
-  const { receiver } = receiverOf(electionStore);
-  const skips = publishDiffOf(a, stateAt(4, 8), stateAt(4, 9));
-  assert.equal(await receiver.onPublish(skips), { outcome: 'need-full' });
-  assert.is(electionStore.persisted.accepted?.version, 7);
-  const follows = publishDiffOf(a, stateAt(4, 7), stateAt(4, 8));
-  assert.equal(await receiver.onPublish(follows), { outcome: 'accepted' });
-});
+refusals(
+  'sent as a diff from a state other than the accepted one requests the full state',
+  async () => {
+    const electionStore = await storeWith(stateAt(4, 7));
+    await electionStore.recordVote(4, 'a');
+    const { receiver } = receiverOf(electionStore);
+    const diffFromUnaccepted = publishDiffOf(a, stateAt(4, 8), stateAt(4, 9));
+    assert.equal(await receiver.onPublish(diffFromUnaccepted), { outcome: 'need-full' });
+    assert.is(electionStore.persisted.accepted?.version, 7);
+    const diffFromAccepted = publishDiffOf(a, stateAt(4, 7), stateAt(4, 8));
+    assert.equal(await receiver.onPublish(diffFromAccepted), { outcome: 'accepted' });
+  },
+);
 
 const commits = suite('a commit');
 
 commits('is refused unless it names the accepted state', async () => {
-  const blank = receiverOf(await storeWith(undefined));
+  const withoutState = receiverOf(await storeWith(undefined));
   const commit = { term: 4, version: 9 };
-  assert.is(await outcomeOf(blank.receiver.onCommit(commit)), 'not-held');
+  assert.is(await outcomeOf(withoutState.receiver.onCommit(commit)), 'not-held');
   const { receiver, applied } = receiverOf(await storeWith(stateAt(4, 9)));
   assert.is(await outcomeOf(receiver.onCommit({ term: 4, version: 8 })), 'not-held');
   assert.is(await outcomeOf(receiver.onCommit({ term: 5, version: 9 })), 'not-held');
@@ -163,7 +172,7 @@
   assert.is(applied.length, 1);
 });
 
-commits('of a state that is applied already changes nothing', async () => {
+commits('of a state that is already applied changes nothing', async () => {
   const electionStore = await storeWith(stateAt(4, 9));
   const { receiver, applied } = receiverOf(electionStore);
   await receiver.onCommit({ term: 4, version: 9 });
--- a/tests/src/zen/quorum-read.test.ts
+++ b/tests/src/zen/quorum-read.test.ts
@@ -1,3 +1,4 @@
+/** Which replies of the voters confirm a quorum read, and which calls share a round of requests. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
@@ -31,21 +32,21 @@
   data: '',
   name: '',
 });
-const stateOf = (now: readonly string[], next: readonly string[], version = 7): State => ({
-  ...bootstrapState('x', [...new Set([...now, ...next])].map(member), 1),
+const stateOf = (current: readonly string[], next: readonly string[], version = 7): State => ({
+  ...bootstrapState('x', [...new Set([...current, ...next])].map(member), 1),
   term,
   version,
-  voters: { current: now, next },
+  voters: { current, next },
 });
 
-/** A master `a` among voters of which some answer, each with its term or with an error code. */
-const master = (
+/** The quorum reads of a master `a`; the listed voters reply with a term or an error code, all others time out. */
+const masterAmong = (
   state: State | undefined,
   terms: ReadonlyMap<string, number | RpcErrorCodeOf<'election'>>,
-  more: { readonly deposed?: boolean } = {},
+  options: { readonly deposed?: boolean } = {},
 ) => {
   const clock = new SimClock();
-  const held = { state, asked: 0, later: 0 };
+  const scenario = { state, asked: 0, later: 0 };
   const lost = new AbortController();
   const read = new QuorumRead({
     localMember: member('a'),
@@ -53,10 +54,10 @@
     bounds,
     term,
     lost: lost.signal,
-    committed: () => held.state,
-    hasVotedInLaterTerm: () => more.deposed ?? false,
-    onLaterTerm: (t) => {
-      held.later = t;
+    committed: () => scenario.state,
+    hasVotedInLaterTerm: () => options.deposed ?? false,
+    onLaterTerm: (laterTerm) => {
+      scenario.later = laterTerm;
       lost.abort();
     },
     transport: {
@@ -65,7 +66,7 @@
       serve: () => Promise.resolve(),
       close: () => Promise.resolve(),
       call: async (to, _kind, _body, { timeoutMs }) => {
-        held.asked++;
+        scenario.asked++;
         const answer = terms.get(to);
         await delay(clock, answer === undefined ? timeoutMs : roundTrip);
         if (answer === undefined) throw new RequestTimeoutError(to);
@@ -74,45 +75,48 @@
       },
     },
   });
-  return { clock, held, lost, read };
+  return { clock, scenario, lost, read };
 };
 
 const outcome = (work: Promise<State>): Promise<string> =>
   work.then(
-    (s) => `version ${s.version}`,
+    (state) => `version ${state.version}`,
     (e: unknown) => toRpcError(e).code,
   );
 
-const three = ['a', 'b', 'c'];
+const voterIds = ['a', 'b', 'c'];
 
-reads('a majority in the own term confirms, without waiting for a dead voter', async () => {
-  const { clock, read } = master(stateOf(three, three), new Map([['b', term]]));
-  assert.is(await clock.finish('read', outcome(read.confirm()), roundTrip * 2), 'version 7');
-});
+reads(
+  'a majority in the term of the master confirms it without waiting for a voter that does not reply',
+  async () => {
+    const { clock, read } = masterAmong(stateOf(voterIds, voterIds), new Map([['b', term]]));
+    assert.is(await clock.finish('read', outcome(read.confirm()), roundTrip * 2), 'version 7');
+  },
+);
 
-reads('silence of the others refuses within 1.25 heartbeats', async () => {
-  const { clock, read } = master(stateOf(three, three), new Map());
+reads('without replies a read is refused within 1.25 heartbeats', async () => {
+  const { clock, read } = masterAmong(stateOf(voterIds, voterIds), new Map());
   assert.is(
     await clock.finish('read', outcome(read.confirm()), bounds.heartbeatInterval * 1.25 + 1),
     'unavailable',
   );
 });
 
-reads('a joint change needs a majority of both groups', async () => {
+reads('during a joint change a majority of both groups has to confirm', async () => {
   const next = ['c', 'd', 'e'];
-  const onlyOld = master(
-    stateOf(three, next),
+  const currentOnly = masterAmong(
+    stateOf(voterIds, next),
     new Map([
       ['b', term],
       ['c', term],
     ]),
   );
   assert.is(
-    await onlyOld.clock.finish('old', outcome(onlyOld.read.confirm()), 2000),
+    await currentOnly.clock.finish('old', outcome(currentOnly.read.confirm()), 2000),
     'unavailable',
   );
-  const both = master(
-    stateOf(three, next),
+  const both = masterAmong(
+    stateOf(voterIds, next),
     new Map([
       ['b', term],
       ['c', term],
@@ -122,21 +126,21 @@
   assert.is(await both.clock.finish('both', outcome(both.read.confirm()), 2000), 'version 7');
 });
 
-reads('an answer of a later term does not count, and is told', async () => {
-  const { clock, held, read } = master(
-    stateOf(three, three),
+reads('a reply in a later term does not confirm and is passed on', async () => {
+  const { clock, scenario, read } = masterAmong(
+    stateOf(voterIds, voterIds),
     new Map([
       ['b', term + 1],
       ['c', term + 1],
     ]),
   );
   assert.is(await clock.finish('read', outcome(read.confirm()), 2000), 'unavailable');
-  assert.is(held.later, term + 1);
+  assert.is(scenario.later, term + 1);
 });
 
-reads('an answer of an earlier term does not count', async () => {
-  const { clock, read } = master(
-    stateOf(three, three),
+reads('a reply in an earlier term does not confirm', async () => {
+  const { clock, read } = masterAmong(
+    stateOf(voterIds, voterIds),
     new Map([
       ['b', term - 1],
       ['c', term - 1],
@@ -146,19 +150,24 @@
 });
 
 reads('a master that voted in a later term confirms nothing', async () => {
-  const { clock, read } = master(stateOf(three, three), new Map([['b', term]]), { deposed: true });
+  const { clock, read } = masterAmong(stateOf(voterIds, voterIds), new Map([['b', term]]), {
+    deposed: true,
+  });
   assert.is(await clock.finish('read', outcome(read.confirm()), 2000), 'unavailable');
 });
 
 reads('a master that stepped down begins no round', async () => {
-  const { clock, held, lost, read } = master(stateOf(three, three), new Map([['b', term]]));
+  const { clock, scenario, lost, read } = masterAmong(
+    stateOf(voterIds, voterIds),
+    new Map([['b', term]]),
+  );
   lost.abort();
   assert.is(await clock.finish('read', outcome(read.confirm()), 2000), 'not-master');
-  assert.is(held.asked, 0);
+  assert.is(scenario.asked, 0);
 });
 
 reads('a master that steps down during the round confirms nothing', async () => {
-  const { clock, lost, read } = master(stateOf(three, three), new Map([['b', term]]));
+  const { clock, lost, read } = masterAmong(stateOf(voterIds, voterIds), new Map([['b', term]]));
   const work = outcome(read.confirm());
   await clock.run(roundTrip / 2);
   lost.abort();
@@ -166,42 +175,39 @@
 });
 
 reads('a master that has committed nothing confirms nothing', async () => {
-  const { clock, held, read } = master(undefined, new Map([['b', term]]));
+  const { clock, scenario, read } = masterAmong(undefined, new Map([['b', term]]));
   assert.is(await clock.finish('read', outcome(read.confirm()), 2000), 'not-master');
-  assert.is(held.asked, 0);
+  assert.is(scenario.asked, 0);
 });
 
-reads('a voter whose address holds another node is not asked again', async () => {
-  const { clock, held, read } = master(
-    stateOf(three, three),
+reads('a voter whose address belongs to another node is not asked again', async () => {
+  const { clock, scenario, read } = masterAmong(
+    stateOf(voterIds, voterIds),
     new Map([
       ['b', 'other-node' as const],
       ['c', 'other-node' as const],
     ]),
   );
   assert.is(await clock.finish('read', outcome(read.confirm()), roundTrip * 2), 'unavailable');
-  assert.is(held.asked, 2);
+  assert.is(scenario.asked, 2);
 });
 
-reads(
-  'a call that comes while a round runs waits for the next, which all such calls share',
-  async () => {
-    const { clock, held, read } = master(
-      stateOf(three, three),
-      new Map([
-        ['b', term],
-        ['c', term],
-      ]),
-    );
-    const first = outcome(read.confirm());
-    await clock.run(roundTrip / 2);
-    assert.is(held.asked, 2);
-    held.state = stateOf(three, three, 8);
-    const later = [read.confirm(), read.confirm(), read.confirm()].map(outcome);
-    const got = await clock.finish('all', Promise.all([first, ...later]), roundTrip * 4);
-    assert.equal(got, ['version 7', 'version 8', 'version 8', 'version 8']);
-    assert.is(held.asked, 4);
-  },
-);
+reads('calls during a round wait for the next one and share it', async () => {
+  const { clock, scenario, read } = masterAmong(
+    stateOf(voterIds, voterIds),
+    new Map([
+      ['b', term],
+      ['c', term],
+    ]),
+  );
+  const first = outcome(read.confirm());
+  await clock.run(roundTrip / 2);
+  assert.is(scenario.asked, 2);
+  scenario.state = stateOf(voterIds, voterIds, 8);
+  const later = [read.confirm(), read.confirm(), read.confirm()].map(outcome);
+  const outcomes = await clock.finish('all', Promise.all([first, ...later]), roundTrip * 4);
+  assert.equal(outcomes, ['version 7', 'version 8', 'version 8', 'version 8']);
+  assert.is(scenario.asked, 4);
+});
 
 reads.run();
--- a/tests/src/zen/read-lease.test.ts
+++ b/tests/src/zen/read-lease.test.ts
@@ -1,4 +1,4 @@
-/** The read lease of a front, and the bounds from which its length is derived. */
+/** What renews the read lease of a front, and the bounds from which its duration is derived. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PingResponse } from '@tillerstair/zen';
@@ -28,7 +28,7 @@
   return lease.leaseRenewedAt;
 };
 
-leases('a round in which a majority holds nothing newer renews the lease', () => {
+leases('a round in which a majority has accepted nothing newer renews the lease', () => {
   assert.is(renewedBy([replyOf('a'), replyOf('b'), replyOf('c', 1)]), 500);
 });
 
@@ -36,7 +36,7 @@
   assert.is(renewedBy([replyOf('a')]), -Infinity);
 });
 
-leases('voters that hold a newer state do not renew the lease', () => {
+leases('voters that have accepted a newer state do not renew the lease', () => {
   assert.is(renewedBy([replyOf('a'), replyOf('b', 1), replyOf('c', 1)]), -Infinity);
 });
 
@@ -54,41 +54,43 @@
   assert.is(lease.leaseRenewedAt, -Infinity);
 });
 
-leases('an earlier moment never takes a lease back', () => {
+leases('a renewal as of an earlier time does not shorten the lease', () => {
   const lease = new ReadLease();
   lease.renew(700);
   lease.renew(600);
   assert.is(lease.leaseRenewedAt, 700);
 });
 
-const outer = {
+const settings = {
   serveWithin: 12000,
   drainingWithin: 3000,
   heartbeatInterval: 1000,
   failureTimeout: 3000,
 };
 
-leases('bounds follow a later replace, and so do the paces of disks derived from them', () => {
-  const reloadable = reloadableBounds(outer);
+leases('replaced settings change the bounds and the disk timings derived from them', () => {
+  const reloadable = reloadableBounds(settings);
   const { bounds } = reloadable;
-  const paces = [controlPace, storePace].map((pace) => pace(new SimClock(), bounds, silentLogger));
+  const diskTimings = [controlPace, storePace].map((timingOf) =>
+    timingOf(new SimClock(), bounds, silentLogger),
+  );
   const values = () => [
     ...Object.values({ ...bounds }),
-    ...paces.flatMap((pace) => [pace.syncTimeoutMs, pace.retryIntervalMs]),
+    ...diskTimings.flatMap((timing) => [timing.syncTimeoutMs, timing.retryIntervalMs]),
   ];
   const before = values();
   assert.is(bounds.readLease, 2500);
   assert.equal(
-    paces.map((pace) => pace.syncTimeoutMs),
+    diskTimings.map((timing) => timing.syncTimeoutMs),
     [1500, 3000],
   );
-  reloadable.replace({ ...outer, drainingWithin: 6000, failureTimeout: 4000 });
+  reloadable.replace({ ...settings, drainingWithin: 6000, failureTimeout: 4000 });
   assert.is(bounds.readLease, 5000);
   assert.equal(
-    paces.map((pace) => pace.syncTimeoutMs),
+    diskTimings.map((timing) => timing.syncTimeoutMs),
     [2000, 4000],
   );
-  reloadable.replace(outer);
+  reloadable.replace(settings);
   assert.equal(values(), before);
 });
 
