--- a/packages/zen/src/publisher.ts
+++ b/packages/zen/src/publisher.ts
@@ -101,10 +101,7 @@
     const { state } = publication;
     this.electionStore.accept(state).then(
       () => round.accept(this.localMember),
-      (e: unknown) =>
-        this.log.warn(
-          `State version ${state.version} was not synced to the local disk: ${toRpcError(e).message}.`,
-        ),
+      (e: unknown) => this.log.warn(`Not synced here: ${toRpcError(e).message}.`),
     );
     for (const member of peersOf(state, this.localMember.id))
       void this.offer(member, publication, round);
