--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -27,7 +27,7 @@
 import { tuneWeights } from './weight-tuning.js';
 
 /** What a control is made of: what zen needs, and the deployment's list of servers if there is one. */
-export interface ControlParts extends Omit<
+export interface ControlNodeOptions extends Omit<
   ZenNodeOptions,
   'settle' | 'onApplied' | 'report' | 'onReport' | 'onLead' | 'listReport' | 'onListReport'
 > {
@@ -54,11 +54,11 @@
   private readonly allocationController: AllocationController;
   private readonly list: PolledList | undefined;
   private readonly me: Member;
-  private readonly clock: ControlParts['clock'];
-  private readonly transport: ControlParts['transport'];
-  private readonly bounds: ControlParts['bounds'];
+  private readonly clock: ControlNodeOptions['clock'];
+  private readonly transport: ControlNodeOptions['transport'];
+  private readonly bounds: ControlNodeOptions['bounds'];
 
-  constructor(parts: ControlParts) {
+  constructor(parts: ControlNodeOptions) {
     const { me, clock, transport, bounds, log, electionStore } = parts;
     this.me = me;
     this.clock = clock;
@@ -66,7 +66,7 @@
     this.bounds = bounds;
     this.allocationController = new AllocationController(clock, bounds, log);
     const { accepted } = electionStore.persisted;
-    if (accepted) this.allocationController.learn(accepted);
+    if (accepted) this.allocationController.recordAddresses(accepted);
     if (parts.list) {
       const reader = new ListReader(clock, parts.list, bounds, log);
       this.list = { reader, poll: new ListPoll(clock, reader) };
@@ -76,7 +76,7 @@
       ...parts,
       settle: this.allocationController.settle,
       onApplied: (state) => {
-        this.allocationController.learn(state);
+        this.allocationController.recordAddresses(state);
         return Promise.resolve();
       },
       onReport: this.allocationController.onReport,
@@ -134,11 +134,11 @@
   private async dispatch(request: OperatorRequest): Promise<OperatorResponse> {
     const local = operateLocally(request, () => this.localView());
     if (local) return local;
-    const { leading, masterSeen } = this.zen;
+    const { leading, knownMaster } = this.zen;
     if (leading) return operate(leading, request);
-    if (!masterSeen)
+    if (!knownMaster)
       return notCarriedOut('no-master', 'no master is known', this.bounds.failureTimeout);
-    return this.forward(masterSeen, request);
+    return this.forward(knownMaster, request);
   }
 
   /** Asks the master, for no longer than it may publish twice; a change without a clear answer may have been made. */
@@ -159,8 +159,8 @@
 
   /** What this control alone holds, which may be old: it names the state's version and waits for no majority. */
   private localView(): NodeView {
-    const { term, masterSeen, applied } = this.zen;
-    return nodeViewOf(this.me.id, 'control', term, masterSeen?.id ?? '', applied);
+    const { term, knownMaster, applied } = this.zen;
+    return nodeViewOf(this.me.id, 'control', term, knownMaster?.id ?? '', applied);
   }
 
   private leadingMaster(): MasterView {
--- a/packages/session-owner/src/streams.ts
+++ b/packages/session-owner/src/streams.ts
@@ -75,7 +75,7 @@
     if (this.running.has(key))
       return refused(status.conflict, 'running', 'this attempt is in progress');
     this.running.add(key);
-    const leave = replicator?.enter();
+    const leave = replicator?.beginRequest();
     try {
       return await this.runAttempt({ request, rules, config, replicator, key, emit, signal });
     } catch (error) {
@@ -141,7 +141,7 @@
       const local = PassTurn.safeParse(replicator.get(streamTurnKey(program, at)));
       const turn = local.success ? local.data : found.get(at);
       if (!turn) {
-        const refusal = await this.findElsewhere(at, found);
+        const refusal = await this.findInOtherPrograms(at, found);
         if (refusal) return { refusal };
         continue;
       }
@@ -154,7 +154,7 @@
   }
 
   /** Adds a turn of any program, and those it goes on from, to `found`. */
-  private async findElsewhere(
+  private async findInOtherPrograms(
     attempt: string,
     found: Map<string, PassTurn>,
   ): Promise<CallOutcome | undefined> {
--- a/tests/src/zen/following.test.ts
+++ b/tests/src/zen/following.test.ts
@@ -6,13 +6,13 @@
 import {
   answersPings,
   answersWith,
-  followingRig,
-  masterA,
+  followingHarness,
+  masterAnswers,
   masterPingResponse,
-  type NodeOptions,
-  nodeRig,
+  type HarnessOptions,
+  createHarness,
   settleMs,
-} from '../support/zen-node-rig.js';
+} from '../support/zen-node-harness.js';
 import {
   a,
   b,
@@ -23,7 +23,7 @@
   pingResponse,
   publishOf,
   stateAt,
-} from '../support/zen-rig.js';
+} from '../support/zen-fixtures.js';
 
 const follows = suite('a node that follows a master');
 
@@ -31,10 +31,10 @@
 const hasLostMaster = async (
   masterPing: () => Promise<unknown>,
   ms: number,
-  options: NodeOptions = {},
+  options: HarnessOptions = {},
 ): Promise<boolean> => {
   let pings = 0;
-  const harness = await followingRig({
+  const harness = await followingHarness({
     ...options,
     answers: {
       'zen/ping': (request) => {
@@ -48,7 +48,7 @@
   await harness.clock.run(ms);
   return pings > pingsToJoin;
 };
-const isLostAfter = (response: object, ms: number, options?: NodeOptions): Promise<boolean> =>
+const isLostAfter = (response: object, ms: number, options?: HarnessOptions): Promise<boolean> =>
   hasLostMaster(() => Promise.resolve({ ...masterPingResponse, ...response }), ms, options);
 const severalPings = bounds.heartbeatInterval * 5;
 
@@ -61,11 +61,11 @@
 });
 
 follows('stops following it if its term is lower than the one the node voted in', async () => {
-  const voted = await nodeRig({ me: b });
+  const voted = await createHarness({ me: b });
   await voted.electionStore.recordVote(3, 'a');
   const { electionStore } = voted;
   assert.is(await isLostAfter({ term: 2 }, settleMs, { electionStore }), true);
-  const votedAgain = await nodeRig({ me: b });
+  const votedAgain = await createHarness({ me: b });
   await votedAgain.electionStore.recordVote(3, 'a');
   assert.is(
     await isLostAfter({ term: 3 }, settleMs, { electionStore: votedAgain.electionStore }),
@@ -97,9 +97,9 @@
 follows('renews its read lease only while it is listed and has the newest state', async () => {
   const renewalsWith = async (response: object): Promise<number> => {
     let renewals = 0;
-    const harness = await followingRig({
+    const harness = await followingHarness({
       answers: { 'zen/master-ping': answersWith({ ...masterPingResponse, ...response }) },
-      more: { onListReport: () => renewals++ },
+      overrides: { onListReport: () => renewals++ },
     });
     await harness.clock.run(settleMs);
     assert.is(harness.node.leaseRenewedAt > 0, renewals > 0);
@@ -111,19 +111,19 @@
 });
 
 follows('renews its read lease as of the last contact of the master with a majority', async () => {
-  const harness = await followingRig({
+  const harness = await followingHarness({
     answers: { 'zen/master-ping': answersWith({ ...masterPingResponse, age: 700 }) },
   });
   assert.ok(harness.node.leaseRenewedAt <= harness.clock.now() - 700);
 });
 
 follows('refuses joins', async () => {
-  const harness = await followingRig();
+  const harness = await followingHarness();
   assert.is(await outcomeOf(harness.join(c)), 'not-master');
 });
 
 follows('pings immediately only if its own master announces its step-down', async () => {
-  const harness = await followingRig();
+  const harness = await followingHarness();
   const masterPings = () => harness.transport.count('zen/master-ping');
   const before = masterPings();
   await harness.handle('zen/stepped-down', { from: c }, c);
@@ -146,7 +146,7 @@
 });
 
 joining('votes for that master and for no other', async () => {
-  const harness = await followingRig({ answers: { 'zen/join': neverAnswers } });
+  const harness = await followingHarness({ answers: { 'zen/join': neverAnswers } });
   assert.is(await outcomeOf(harness.handle('zen/validate', validateBy(c), c)), 'not-joining');
   assert.is(await outcomeOf(harness.handle('zen/validate', validateBy(a), a)), 'done');
   assert.equal(
@@ -156,22 +156,25 @@
 });
 
 joining('does not vote once it has joined', async () => {
-  const harness = await followingRig();
+  const harness = await followingHarness();
   assert.is(await outcomeOf(harness.handle('zen/validate', validateBy(a), a)), 'not-joining');
 });
 
 joining('accepts its first state only from the master it joins or follows', async () => {
   const publish = (from: Member) => publishOf(from, stateAt(1, 2), 'b');
-  const joiner = await followingRig({ state: undefined, answers: { 'zen/join': neverAnswers } });
+  const joiner = await followingHarness({
+    state: undefined,
+    answers: { 'zen/join': neverAnswers },
+  });
   assert.is(await outcomeOf(joiner.handle('zen/publish', publish(c), c)), 'other-cluster');
   assert.is(await outcomeOf(joiner.handle('zen/publish', publish(a), a)), 'done');
-  const follower = await followingRig({ state: undefined });
+  const follower = await followingHarness({ state: undefined });
   assert.is(await outcomeOf(follower.handle('zen/publish', publish(c), c)), 'other-cluster');
   assert.is(await outcomeOf(follower.handle('zen/publish', publish(a), a)), 'done');
 });
 
 joining('refuses the joins that it queued while it looked for a master', async () => {
-  const harness = await nodeRig({ me: b, answers: masterA });
+  const harness = await createHarness({ me: b, answers: masterAnswers });
   harness.node.start();
   const join = outcomeOf(harness.join(member('d')));
   await harness.clock.run(settleMs);
--- a/tests/src/zen/leading.test.ts
+++ b/tests/src/zen/leading.test.ts
@@ -5,19 +5,19 @@
 import { ElectionError } from '@tillerstair/wire';
 import {
   answersWith,
-  followersOfA,
-  leadingRig,
-  nodeRig,
+  followerAnswers,
+  leadingHarness,
+  createHarness,
   settleMs,
-} from '../support/zen-node-rig.js';
-import { a, b, bounds, c, member, outcomeOf, publishOf, stateAt } from '../support/zen-rig.js';
+} from '../support/zen-node-harness.js';
+import { a, b, bounds, c, member, outcomeOf, publishOf, stateAt } from '../support/zen-fixtures.js';
 
 const leads = suite('a candidate');
 
 leads('leads in a new term once a majority has joined and voted', async () => {
-  const harness = await leadingRig();
+  const harness = await leadingHarness();
   assert.is(harness.node.leading?.term, 1);
-  assert.is(harness.node.masterSeen?.id, 'a');
+  assert.is(harness.node.knownMaster?.id, 'a');
   assert.equal(
     [harness.electionStore.persisted.term, harness.electionStore.persisted.votedFor],
     [1, 'a'],
@@ -26,7 +26,7 @@
 });
 
 leads('does not raise the term before a majority has joined', async () => {
-  const harness = await nodeRig({ answers: followersOfA });
+  const harness = await createHarness({ answers: followerAnswers });
   await harness.startFor(bounds.joinTimeout * 2);
   assert.is(harness.electionStore.persisted.term, 0);
   assert.is(harness.transport.count('zen/validate'), 0);
@@ -34,7 +34,7 @@
 });
 
 leads('chooses a term above that of every node that joins', async () => {
-  const harness = await nodeRig({ answers: followersOfA });
+  const harness = await createHarness({ answers: followerAnswers });
   await harness.startFor(settleMs);
   void harness.join(b, { term: 7 }).catch(() => undefined);
   await harness.clock.run(settleMs);
@@ -43,7 +43,7 @@
 
 leads('does not lead without the votes of a majority', async () => {
   const refused = () => Promise.reject(new ElectionError('stale-term', ''));
-  const harness = await nodeRig({ answers: { ...followersOfA, 'zen/validate': refused } });
+  const harness = await createHarness({ answers: { ...followerAnswers, 'zen/validate': refused } });
   await harness.startFor(settleMs);
   assert.is(
     await harness.clock.finish('join', outcomeOf(harness.join(b)), bounds.joinTimeout),
@@ -59,7 +59,9 @@
     to === `${voter}:1`
       ? Promise.resolve({ accepted: { term: 0, version: 2 }, state: [...encodeState(state)] })
       : Promise.reject(new ElectionError('stale-term', ''));
-  const harness = await nodeRig({ answers: { ...followersOfA, 'zen/validate': validate } });
+  const harness = await createHarness({
+    answers: { ...followerAnswers, 'zen/validate': validate },
+  });
   await harness.startFor(settleMs);
   void harness.join(store).catch(() => undefined);
   void harness.join(b).catch(() => undefined);
@@ -80,9 +82,9 @@
 });
 
 leads('does not lead in its term once it has voted in a later one', async () => {
-  const harness = await nodeRig({
+  const harness = await createHarness({
     answers: {
-      ...followersOfA,
+      ...followerAnswers,
       'zen/validate': async () => {
         await harness.handle('zen/publish', publishOf(c, stateAt(9, 9), 'a'), c);
         return { accepted: { term: 0, version: 1 } };
@@ -103,13 +105,13 @@
 const masters = suite('a master');
 
 masters('steps down for a publish in a later term', async () => {
-  const harness = await leadingRig();
+  const harness = await leadingHarness();
   await harness.handle('zen/publish', publishOf(c, stateAt(2, 9), 'a'), c);
   assert.is(harness.node.leading, undefined);
 });
 
 masters('steps down for a member that pings it in a later term', async () => {
-  const harness = await leadingRig();
+  const harness = await leadingHarness();
   const ping = (term: number) => ({
     from: b,
     term,
@@ -128,7 +130,7 @@
 });
 
 masters('steps down for another master of its own cluster, not of another', async () => {
-  const harness = await leadingRig();
+  const harness = await leadingHarness();
   const ping = (clusterId: string) => ({ from: c, to: 'a', term: 2, clusterId });
   await harness.handle('zen/node-ping', ping('y'), c);
   assert.ok(harness.node.leading);
@@ -137,7 +139,7 @@
 });
 
 masters('that stepped down validates no join', async () => {
-  const harness = await leadingRig();
+  const harness = await leadingHarness();
   const before = harness.transport.count('zen/validate');
   const other = { from: c, to: 'a', term: 2, clusterId: 'x' };
   void harness.handle('zen/node-ping', other, c);
@@ -147,7 +149,7 @@
 });
 
 masters('commits the leave of a node that announces it', async () => {
-  const harness = await leadingRig();
+  const harness = await leadingHarness();
   assert.ok(harness.node.applied?.nodes.has('b'));
   await harness.clock.finish(
     'leave',
@@ -158,7 +160,7 @@
 });
 
 masters('refuses a join with the id of another cluster', async () => {
-  const harness = await leadingRig({ answers: { 'zen/commit': answersWith({}) } });
+  const harness = await leadingHarness({ answers: { 'zen/commit': answersWith({}) } });
   const before = harness.transport.count('zen/validate');
   assert.is(await outcomeOf(harness.join(c, { clusterId: 'y' })), 'other-cluster');
   assert.is(harness.transport.count('zen/validate'), before);
@@ -167,7 +169,7 @@
     'done',
   );
   assert.ok(harness.node.applied?.nodes.has(c.id));
-  assert.is(harness.node.masterSeen?.id, a.id);
+  assert.is(harness.node.knownMaster?.id, a.id);
 });
 
 leads.run();
--- a/tests/src/zen/read-lease.test.ts
+++ b/tests/src/zen/read-lease.test.ts
@@ -2,7 +2,12 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PingResponse } from '@tillerstair/zen';
-import { controlPace, ReadLease, reloadableBounds, storePace } from '@tillerstair/zen';
+import {
+  controlJournalTimings,
+  ReadLease,
+  reloadableBounds,
+  storeJournalTimings,
+} from '@tillerstair/zen';
 import { SimClock } from '@tillerstair/sim';
 import { silentLogger } from '@tillerstair/wire';
 import { memberOf, stateWith, term, threeVoters } from './master-harness.js';
@@ -71,7 +76,7 @@
 leases('replaced settings change the bounds and the disk timings derived from them', () => {
   const reloadable = reloadableBounds(settings);
   const { bounds } = reloadable;
-  const diskTimings = [controlPace, storePace].map((timingOf) =>
+  const diskTimings = [controlJournalTimings, storeJournalTimings].map((timingOf) =>
     timingOf(new SimClock(), bounds, silentLogger),
   );
   const values = () => [
