--- a/packages/zen/src/bootstrapper.ts
+++ b/packages/zen/src/bootstrapper.ts
@@ -1,6 +1,6 @@
 /**
  * Bootstraps a cluster of blank controls exactly once (docs/zen.md, "Bootstrapping happens once", with the argument why
- * no two clusters come up). Owns what the last ping round showed; votes and the state stand in the election store.
+ * no two clusters form). Owns the closure of the last ping round; votes and the state are in the election store.
  */
 import { bootstrapState, type Member, type Replication } from '@tillerstair/state';
 import { toRpcError, type Clock, type Logger, type Transport } from '@tillerstair/wire';
@@ -9,7 +9,7 @@
 import type { ElectionStore } from './election-store.js';
 import { BootstrapVoteResponse, type BootstrapVote } from './messages.js';
 
-/** What a bootstrapper needs of its node. */
+/** Dependencies of a `Bootstrapper`, and the parameters of a new cluster. */
 export interface BootstrapperOptions {
   readonly clock: Clock;
   readonly transport: Transport;
@@ -18,11 +18,11 @@
   readonly log: Logger;
   /** Number of slots of a new cluster. */
   readonly slots: number;
-  /** Replicas and write quorum of a new cluster. */
+  /** Replicas and write quorum of each slot of a new cluster. */
   readonly replication?: Replication | undefined;
 }
 
-/** Proposes a bootstrap where this control is the first of the closure, and votes on the proposals of others. */
+/** Proposes a bootstrap if this control has the lowest id of the closure, and votes on proposals of other controls. */
 export class Bootstrapper {
   private readonly clock: Clock;
   private readonly transport: Transport;
@@ -31,8 +31,9 @@
   private readonly log: Logger;
   private readonly slots: number;
   private readonly replication: Replication | undefined;
-  /** Key of the closure that the last round saw, empty if there was none. */
+  /** Key of the closure of the last ping round, empty if there was none. */
   private lastClosureKey = '';
+  /** Clock time in milliseconds since which every ping round has had the closure of `lastClosureKey`. */
   private unchangedSince = 0;
 
   constructor(options: BootstrapperOptions) {
@@ -45,7 +46,7 @@
     this.replication = options.replication;
   }
 
-  /** Looks at a ping round; resolves with true if this control has bootstrapped the cluster. */
+  /** Processes the result of a ping round; resolves with true if this control has bootstrapped the cluster. */
   async onPingRound(view: BootstrapView): Promise<boolean> {
     const { members, reason } = closureOf(view);
     const closureKey = membersKey(members);
@@ -75,7 +76,7 @@
     return true;
   }
 
-  /** Whether the local vote still names these members, and no state was accepted, after the others were asked. */
+  /** Whether, after the requests to the others, the local vote is still for these members and no state was accepted. */
   private mayStillBootstrap(members: readonly Member[]): boolean {
     const { accepted, bootstrapVote } = this.electionStore.persisted;
     return membersKey(bootstrapVote) === membersKey(members) && !accepted;
@@ -92,14 +93,16 @@
       const response = await this.transport.call(voter.addr, 'zen/bootstrap', body, { timeoutMs });
       return BootstrapVoteResponse.parse(response).yes;
     } catch (e) {
-      this.log.warn(`No bootstrapping vote from ${voter.addr}: ${toRpcError(e).message}.`);
+      this.log.warn(
+        `Request for a bootstrap vote to ${voter.addr} failed: ${toRpcError(e).message}.`,
+      );
       return false;
     }
   }
 
   /**
-   * Votes for these members, if this control has accepted no state and the members cover every address that it has
-   * voted for before; resolves with true once the vote is on disk.
+   * Votes for these members if they include this control, it has accepted no state, and they cover every address of its
+   * earlier vote. Resolves with true once the vote is on disk, and with false if it refuses.
    */
   private async vote(localMember: Member, members: readonly Member[]): Promise<boolean> {
     const { accepted, bootstrapVote } = this.electionStore.persisted;
@@ -114,7 +117,7 @@
     return true;
   }
 
-  /** Answers another control's proposal: yes only if the local last round saw exactly these members. */
+  /** Answers another control's proposal: yes only if the closure of this control's last ping round is these members. */
   async onVoteRequest(
     localMember: Member,
     { members }: BootstrapVote,
--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -1,6 +1,7 @@
 /**
- * A node that elected itself (docs/zen.md, "Fence"): it waits for joins from a majority, votes for itself in a new term,
- * and asks the joiners for their votes. Invariant: no term is raised before a majority has joined.
+ * Candidacy of a node that chose itself as master (docs/zen.md, "Fence"): it waits for joins from a majority, votes for
+ * itself in a new term, and requests votes from the joined nodes. Invariant: the term is not raised before a majority
+ * has joined.
  */
 import { hasQuorum, type State } from '@tillerstair/state';
 import type { Clock, Logger } from '@tillerstair/wire';
@@ -10,31 +11,31 @@
 import type { LocalNode } from './local-node.js';
 import type { PendingJoin, PendingJoins } from './pending-joins.js';
 
-/** How often a candidate looks at the joins at least, without one that wakes it: parts of the join time-out. */
+/** Checks for a majority of joins per join timeout, beside the check after each join. */
 const checksPerJoinTimeout = 4;
 
-/** An election that was won. */
+/** Outcome of a won election. */
 export interface WonElection {
   readonly term: number;
-  /** The newest state that the candidate or one of its voters has accepted. */
+  /** Newest state that the candidate or one of its voters has accepted. */
   readonly newestState: State;
-  /** Clock time in milliseconds before which no vote was asked for. */
+  /** Clock time in milliseconds before which no vote of this term was requested. */
   readonly requestedAt: number;
-  /** The joins of those that voted. */
+  /** Joins of the nodes that voted for the candidate. */
   readonly joins: readonly PendingJoin[];
 }
 
-/** What a candidate needs of its node. */
+/** Dependencies of a `Candidate`. */
 export interface CandidateOptions extends RequestOptions {
   readonly log: Logger;
   readonly localNode: LocalNode;
   readonly pendingJoins: PendingJoins;
-  /** Ended early by each join. */
+  /** Wait between majority checks; each join wakes it. */
   readonly sleep: InterruptibleSleep;
   readonly stopping: AbortSignal;
 }
 
-/** Stands for election; an instance may do so any number of times. */
+/** Runs elections with the local node as candidate; reusable for any number of elections. */
 export class Candidate {
   private readonly clock: Clock;
   private readonly bounds: ZenBounds;
@@ -54,29 +55,35 @@
     this.stopping = options.stopping;
   }
 
-  /** Resolves with the election if it was won; else all pending joins are rejected. */
+  /**
+   * Runs one election; resolves with its outcome if won. Otherwise resolves with undefined, and all pending joins are
+   * rejected, unless this node has accepted no state and so cannot be a candidate.
+   */
   async run(): Promise<WonElection | undefined> {
     const { accepted } = this.localNode;
     if (!accepted) return undefined;
-    const won = (await this.waitForMajority(accepted))
+    const election = (await this.waitForMajority(accepted))
       ? await this.requestVotes(accepted)
       : undefined;
-    if (!won) this.pendingJoins.rejectAll();
-    return won;
+    if (!election) this.pendingJoins.rejectAll();
+    return election;
   }
 
-  /** Resolves with false if no majority of the voters has joined within the join time-out. */
+  /** Waits for a majority of the voters to join; resolves with false after the join timeout, or when the node stops. */
   private async waitForMajority(accepted: State): Promise<boolean> {
-    const end = this.clock.now() + this.bounds.joinTimeout;
+    const deadline = this.clock.now() + this.bounds.joinTimeout;
     while (!hasQuorum(accepted.voters, this.withLocal(this.pendingJoins.nodeIds()))) {
-      if (this.clock.now() >= end || this.stopping.aborted) return false;
-      const wait = Math.min(this.bounds.joinTimeout / checksPerJoinTimeout, end - this.clock.now());
+      if (this.clock.now() >= deadline || this.stopping.aborted) return false;
+      const wait = Math.min(
+        this.bounds.joinTimeout / checksPerJoinTimeout,
+        deadline - this.clock.now(),
+      );
       await this.sleep.sleep(wait);
     }
     return true;
   }
 
-  /** Votes for this node in a new term, above that of every joiner, and asks the joiners for their votes. */
+  /** Votes for this node in a new term, higher than that of every joiner, and requests the joiners' votes. */
   private async requestVotes(accepted: State): Promise<WonElection | undefined> {
     const joins = this.pendingJoins.list();
     const requestedAt = this.clock.now();
@@ -86,17 +93,18 @@
     const joiners = joins.map(({ join }) => join.from);
     const votes = await gatherVotes(this.options, accepted, term, joiners);
     if (!this.hasWon(term, accepted, votes)) {
-      this.log.info(`Won no majority in term ${term}.`);
+      this.log.info(`Lost the election of term ${term}.`);
       return undefined;
     }
-    this.log.info(`Master in term ${term} with ${votes.granted.size + 1} votes.`);
+    this.log.info(`Elected master in term ${term} with ${votes.granted.size + 1} votes.`);
     const granted = joins.filter(({ join }) => votes.granted.has(join.from.id));
     return { term, newestState: votes.newestState, requestedAt, joins: granted };
   }
 
   /**
-   * Whether a majority of the voters voted, both by the candidate's state and by the newest that a voter has accepted,
-   * and the candidate itself has not voted in a later term meanwhile (docs/zen.md, "One master a term").
+   * Whether the votes are a majority of the voters both in the candidate's accepted state and in the newest state that
+   * a voter has accepted, and the candidate itself has not voted in a later term meanwhile (docs/zen.md, "One master a
+   * term").
    */
   private hasWon(term: number, accepted: State, { granted, newestState }: GatheredVotes): boolean {
     const voted = this.withLocal(granted);
--- a/packages/zen/src/disk-election-store.ts
+++ b/packages/zen/src/disk-election-store.ts
@@ -1,4 +1,4 @@
-/** The election store of controls and stores: a journal on disk, with what it holds in memory. */
+/** Election store of controls and stores: a journal on disk, with its current state in memory. */
 import { defaultTimings, type Disk, type Journal, type JournalTimings } from '@tillerstair/journal';
 import { diffStates, encodeState, type Member, type State } from '@tillerstair/state';
 import { delay } from '@tillerstair/wire';
@@ -12,7 +12,10 @@
 } from './election-log.js';
 import type { ElectionStore } from './election-store.js';
 
-/** Invariant: the log on disk is never ahead of `persisted`, and nothing is acknowledged that is not on disk. */
+/**
+ * Election store backed by a journal. Invariant: the log on disk is never ahead of `persisted`, and nothing is
+ * acknowledged that is not on disk.
+ */
 export class DiskElectionStore implements ElectionStore {
   private lastAppend: Promise<void> = Promise.resolve();
 
@@ -25,41 +28,41 @@
   }
 
   /**
-   * Opens the store on a disk; resolves once the node's id is on it. A log longer than `rewriteAtBytes`, and twice as
-   * long as when it was last written anew, is written anew.
+   * Opens the store; resolves once the node's id is on disk, taken from `createId` if the log has none. The log is
+   * rewritten when it is longer than `rewriteAtBytes` and twice as long as after its last rewrite.
    */
   static async open(
     disk: Disk,
-    freshId: () => string,
+    createId: () => string,
     rewriteAtBytes: number,
-    pace: JournalTimings = defaultTimings,
+    timings: JournalTimings = defaultTimings,
   ): Promise<DiskElectionStore> {
-    const { journal, persisted } = await openElectionLog(disk, pace);
+    const { journal, persisted } = await openElectionLog(disk, timings);
     const electionStore = new DiskElectionStore(journal, persisted, rewriteAtBytes);
-    if (!persisted.id) await electionStore.recordId(freshId(), pace);
+    if (!persisted.id) await electionStore.recordId(createId(), timings);
     return electionStore;
   }
 
-  private async recordId(id: string, pace: JournalTimings): Promise<void> {
+  private async recordId(id: string, timings: JournalTimings): Promise<void> {
     await this.record({ t: 'id', id }).catch(() => undefined);
-    while (!this.writable) await delay(pace.clock, pace.retryIntervalMs);
+    while (!this.writable) await delay(timings.clock, timings.retryIntervalMs);
   }
 
-  /** Whether the disk takes records; after a failed write not before the log has been written anew. */
+  /** Whether the disk accepts writes; false from a failed write until the log has been rewritten. */
   get writable(): boolean {
     return this.journal.writable;
   }
 
-  /** Gives up this identity for good; its log stays under another name. */
+  /** Closes the journal and renames its log, so that this node's id is never used again. */
   async retireIdentity(disk: Disk): Promise<void> {
     await this.journal.close();
     await disk.setAside(electionLogName);
   }
 
   /**
-   * Memory changes before the disk does. When the append fails the record may or may not be on disk, so it stays in
-   * memory: a vote that may be on disk is not given again, a state that may be on disk is taken for accepted. Neither is
-   * acknowledged to anyone, and the journal takes no more before the disk holds just what memory holds.
+   * Updates memory before the disk. If the append fails the record may or may not be on disk, so it stays in memory: a
+   * vote that may be on disk is not given to another candidate, and a state that may be on disk counts as accepted.
+   * Neither is acknowledged to anyone, and the journal rejects appends until the disk matches memory.
    */
   private async record(
     record: ElectionRecord,
@@ -73,23 +76,23 @@
       void this.journal.rewrite(() => recordsOf(this.persisted)).catch(() => undefined);
   }
 
-  /** Resolves once all that has been recorded is on disk; rejects while the disk takes no records. */
+  /** Resolves once every record so far is on disk; rejects while the disk accepts no writes. */
   async synced(): Promise<void> {
     await this.lastAppend.catch(() => undefined);
     this.journal.requireWritable();
   }
 
-  /** Records the vote of a term. */
+  /** Records a vote for a candidate in a term. */
   recordVote(term: number, candidateId: string): Promise<void> {
     return this.record({ t: 'vote', term, to: candidateId });
   }
 
-  /** Records the members that this node votes to bootstrap a cluster with. */
+  /** Records a vote to bootstrap a cluster with these members. */
   recordBootstrapVote(members: readonly Member[]): Promise<void> {
     return this.record({ t: 'bootstrap-vote', members: [...members] });
   }
 
-  /** Records an accepted state: as a difference from the one before, unless that is of another cluster or missing. */
+  /** Records an accepted state: as a diff from the previous one, or in full without one of the same cluster. */
   accept(state: State): Promise<void> {
     const { accepted } = this.persisted;
     const next = { ...this.persisted, accepted: state };
--- a/packages/zen/src/elect.ts
+++ b/packages/zen/src/elect.ts
@@ -1,6 +1,7 @@
 /**
- * The choice of a master after a ping round (docs/zen.md, "Kept, on the ordinary path"): the first by id of the masters
- * that others report, else of the former members, else of all; the last two only where enough voters replied.
+ * Choice of a master after a ping round (docs/zen.md, "Kept, on the ordinary path"): the lowest id among the masters
+ * that others report, else among candidates that have followed or led a master before, else among all candidates. The
+ * last two require replies from a majority of the voters.
  */
 import {
   isNewerVersion,
@@ -12,7 +13,7 @@
 import type { LocalCandidate } from './local-node.js';
 import type { PingResponse } from './messages.js';
 
-/** Whom a ping round makes the master, and from which of the three lists; or why nobody. */
+/** The chosen master and which of the three groups it came from, or the reason why there is none. */
 export type ElectionResult =
   | {
       readonly kind: 'master';
@@ -24,7 +25,7 @@
 const firstById = (members: readonly Member[]): Member | undefined =>
   [...members].sort((a, b) => (a.id < b.id ? -1 : a.id > b.id ? 1 : 0))[0];
 
-/** The voters of the newest state that this node or anyone who replied has accepted. */
+/** Voters in the newest state that this node or any respondent has accepted. */
 const newestVoters = (
   local: LocalCandidate,
   replies: readonly PingResponse[],
@@ -40,8 +41,8 @@
 };
 
 /**
- * The first of the masters that others report. One that did not reply to this round itself is passed over: it may be
- * the one that was just lost (docs/zen.md, "A reported master must itself have replied").
+ * The reported master with the lowest id. A reported master that did not reply in this round itself is skipped: it may
+ * be the one that just failed (docs/zen.md, "A reported master must itself have replied").
  */
 const reportedMaster = (
   local: LocalCandidate,
@@ -55,7 +56,7 @@
   );
 };
 
-/** Whether those that replied, with this node if it can sync a vote, are a majority of the voters. */
+/** Whether the respondents are a majority of the voters, counting this node if it is a control that can sync a vote. */
 const hasVoterQuorum = (local: LocalCandidate, replies: readonly PingResponse[]): boolean => {
   const voters = newestVoters(local, replies);
   if (voters === undefined) return false;
@@ -64,7 +65,7 @@
   return hasQuorum(voters, active);
 };
 
-/** Chooses a master from the replies to one ping round; those of nodes that are not eligible count for nothing. */
+/** Chooses a master from the replies of one ping round; replies of nodes that are not eligible are ignored. */
 export const elect = (
   local: LocalCandidate,
   pingResponses: readonly PingResponse[],
@@ -73,7 +74,7 @@
   const reported = reportedMaster(local, replies);
   if (reported) return { kind: 'master', member: reported, by: 'reported' };
   if (!hasVoterQuorum(local, replies))
-    return { kind: 'none', reason: 'too few eligible members replied' };
+    return { kind: 'none', reason: 'too few eligible voters replied for a majority' };
   const others = replies.map((reply) => ({ ...reply, member: reply.from }));
   const candidates = [...others, local].filter((candidate) => candidate.canWin);
   const former = firstById(
@@ -82,5 +83,5 @@
   if (former) return { kind: 'master', member: former, by: 'former' };
   const active = firstById(candidates.map(({ member }) => member));
   if (active) return { kind: 'master', member: active, by: 'active' };
-  return { kind: 'none', reason: 'no member can win' };
+  return { kind: 'none', reason: 'none of the members that replied can win an election' };
 };
--- a/packages/zen/src/election-log.ts
+++ b/packages/zen/src/election-log.ts
@@ -1,7 +1,7 @@
 /**
- * The log of what an election needs after a restart: its records, and the replay that must prove it complete
- * (docs/design.md, "Disk"). Invariant: each record follows from those before it, so that neither a vote nor an accepted
- * state can have been lost from the middle.
+ * Log of a node's votes and accepted states: its records, and the replay that verifies that none is missing
+ * (docs/design.md, "Disk"). Invariant: each record is consistent with the records before it, so that neither a vote nor
+ * an accepted state can have been lost from the middle.
  */
 import {
   isTransientDiskError,
@@ -24,21 +24,21 @@
 } from '@tillerstair/state';
 import { z } from 'zod';
 
-/** What an election needs after a restart. */
+/** Election state that must survive a restart. */
 export interface PersistentState {
-  /** Id of this node; a member that lost its disk gets another. */
+  /** Id of this node; a node that lost its disk gets a new one. */
   readonly id: string;
-  /** The term of the newest vote. */
+  /** Term of the newest vote. */
   readonly term: number;
-  /** Id of the node that this one voted for in `term`; empty if it is not known. */
+  /** Id of the node that this node voted for in `term`; empty if unknown. */
   readonly votedFor: string;
-  /** The members that this node voted to bootstrap a cluster with. */
+  /** Members that this node voted to bootstrap a cluster with; empty before such a vote. */
   readonly bootstrapVote: readonly Member[];
-  /** The newest state that this node has accepted, committed or not. */
+  /** Newest state that this node has accepted, committed or not. */
   readonly accepted: State | undefined;
 }
 
-/** What a node that has lost its disk, or never had one, starts with. */
+/** Initial state of a node with an empty disk: a new node, or one that lost its disk. */
 export const blankState: PersistentState = {
   id: '',
   term: 0,
@@ -47,7 +47,7 @@
   accepted: undefined,
 };
 
-/** A record as it stands on disk; its names and forms are those of stored data. */
+/** Schema of a log record; its field names and shapes are part of the stored format. */
 const ElectionRecord = z.discriminatedUnion('t', [
   z.object({ t: z.literal('id'), id: z.string() }),
   z.object({ t: z.literal('vote'), term: z.number(), to: z.string() }),
@@ -55,24 +55,24 @@
   z.object({ t: z.literal('full'), state: TableEntries }),
   z.object({ t: z.literal('diff'), diff: StateDiff }),
 ]);
-/** A record of the log. */
+/** One record of the election log. */
 export type ElectionRecord = z.infer<typeof ElectionRecord>;
 
-/** The log does not prove that it is complete: its last records must not be relied on. */
+/** A log record contradicts the records before it: records may be missing, so the log must not be used. */
 class IncompleteLogError extends Error {
   override readonly name = 'IncompleteLogError';
 }
 
-const patched = (base: State | undefined, diff: StateDiff): State => {
+const applyDiffOrThrow = (base: State | undefined, diff: StateDiff): State => {
   const next = base && applyDiff(base, diff);
   if (!next)
     throw new IncompleteLogError(
-      `a change of version ${diff.base.version} follows version ${base?.version ?? 'none'}`,
+      `a diff from version ${diff.base.version} follows version ${base?.version ?? 'none'}`,
     );
   return next;
 };
 
-/** The state after one more record; throws `IncompleteLogError` for a difference from another state. */
+/** Applies one record; throws `IncompleteLogError` if it is a diff that does not start from the accepted state. */
 export const applyRecord = (before: PersistentState, record: ElectionRecord): PersistentState => {
   switch (record.t) {
     case 'id':
@@ -84,11 +84,11 @@
     case 'full':
       return { ...before, accepted: decodeState(new Map(record.state)) };
     case 'diff':
-      return { ...before, accepted: patched(before.accepted, record.diff) };
+      return { ...before, accepted: applyDiffOrThrow(before.accepted, record.diff) };
   }
 };
 
-/** The fewest records that say the same: what a log is written anew from. */
+/** The shortest sequence of records that yields this state; a rewritten log starts with it. */
 export const recordsOf = (persisted: PersistentState): readonly ElectionRecord[] => {
   const { id, term, votedFor, bootstrapVote, accepted } = persisted;
   const records: ElectionRecord[] = [
@@ -105,7 +105,9 @@
     throw new IncompleteLogError(`term ${after.term} follows term ${before.term}`);
   const isSecondVote = before.votedFor !== '' && after.votedFor !== before.votedFor;
   if (after.term === before.term && isSecondVote)
-    throw new IncompleteLogError(`two votes were given in term ${after.term}`);
+    throw new IncompleteLogError(
+      `two votes in term ${after.term}, for ${before.votedFor} and ${after.votedFor}`,
+    );
 };
 
 const requireStateFollows = (before: PersistentState, after: PersistentState): void => {
@@ -115,20 +117,23 @@
     );
   const isReplaced = before.accepted !== undefined && after.accepted !== before.accepted;
   if (isReplaced && !isNewerVersion(versionOf(after.accepted), versionOf(before.accepted)))
-    throw new IncompleteLogError('an older state follows a newer one');
+    throw new IncompleteLogError(
+      `version ${after.accepted?.version ?? 'none'} of term ${after.accepted?.term ?? 'none'} follows ` +
+        `version ${before.accepted.version} of term ${before.accepted.term}`,
+    );
 };
 
-/** Takes the records of a log one by one; throws `IncompleteLogError` at the first that does not follow. */
+/** Replays a log record by record; `restore` throws `IncompleteLogError` for a record that contradicts earlier ones. */
 export class ElectionLogReplay implements JournalOwner {
   persisted: PersistentState = blankState;
 
   constructor(readonly journal: Journal) {}
 
-  /** Takes the next record as it was read from disk. */
+  /** Parses and applies the next record, as it was read from disk. */
   restore(raw: unknown): void {
     const record = ElectionRecord.parse(raw);
     if (this.persisted.id === '' && record.t !== 'id')
-      throw new IncompleteLogError('its beginning is missing');
+      throw new IncompleteLogError(`the first record is '${record.t}', not 'id'`);
     const after = applyRecord(this.persisted, record);
     requireVoteFollows(this.persisted, after);
     requireStateFollows(this.persisted, after);
@@ -136,31 +141,31 @@
   }
 }
 
-/** Name of the log on a node's disk. */
+/** File name of the election log on a node's disk. */
 export const electionLogName = 'zen.log';
 
-const replay = (disk: Disk, pace: JournalTimings): Promise<ElectionLogReplay> =>
-  Journal.open(disk, electionLogName, pace, (journal) => new ElectionLogReplay(journal));
+const replay = (disk: Disk, timings: JournalTimings): Promise<ElectionLogReplay> =>
+  Journal.open(disk, electionLogName, timings, (journal) => new ElectionLogReplay(journal));
 
 /**
- * Opens the log of a node. A damaged one stays under another name, and the member starts as one that lost its disk, with
- * a fresh id and no state: under the old id it could vote twice in a term, or count a state that it no longer has.
+ * Opens the log of a node. A damaged log is renamed, and the node starts like one that lost its disk, with a new id and
+ * no state: under the old id it could vote twice in a term, or count as a holder of a state that it no longer has.
  */
 export const openElectionLog = async (
   disk: Disk,
-  pace: JournalTimings,
+  timings: JournalTimings,
 ): Promise<ElectionLogReplay> => {
   try {
-    return await replay(disk, pace);
+    return await replay(disk, timings);
   } catch (e) {
-    // The journal itself waits for a disk that fails, so that no such error arrives here; were one to, a sound log must
-    // not be set aside for it.
+    // The journal retries transient disk errors itself, so none is expected here. If one arrives nevertheless, an
+    // intact log must not be renamed because of it.
     if (isTransientDiskError(e)) throw e;
     const reason = e instanceof Error ? e.message : String(e);
-    pace.log?.warn(
-      `${electionLogName} is incomplete (${reason}): set aside as ${electionLogName}.damaged, starting as a new member.`,
+    timings.log?.warn(
+      `${electionLogName} is incomplete (${reason}): renamed to ${electionLogName}.damaged, starting as a new member.`,
     );
-    await retryTransientDiskErrors(pace, electionLogName, () => disk.setAside(electionLogName));
-    return replay(disk, pace);
+    await retryTransientDiskErrors(timings, electionLogName, () => disk.setAside(electionLogName));
+    return replay(disk, timings);
   }
 };
--- a/packages/zen/src/election-store.ts
+++ b/packages/zen/src/election-store.ts
@@ -1,25 +1,28 @@
-/** What a node must remember across restarts to vote once a term and to lose no accepted state (docs/zen.md, "Fence"). */
+/**
+ * Durable election state of a node: after a restart it neither votes twice in a term nor lacks a state that it accepted
+ * (docs/zen.md, "Fence").
+ */
 import { versionOf, type Member, type State, type StateVersion } from '@tillerstair/state';
 import type { PersistentState } from './election-log.js';
 
 export type { PersistentState } from './election-log.js';
 
-/** Keeps votes and the newest accepted state; each method resolves once its record is on disk. */
+/** Stores votes and the newest accepted state; each method that records resolves once its record is on disk. */
 export interface ElectionStore {
-  /** What has been recorded so far, synced or not. */
+  /** State after every record so far, including records that are not synced yet. */
   readonly persisted: PersistentState;
-  /** Whether the disk takes records; without it nothing may be voted, accepted or acknowledged. */
+  /** Whether the disk accepts writes; while false, this node must not vote, accept a state or acknowledge one. */
   readonly writable: boolean;
-  /** Records the vote of a term, which the caller has checked to be free. */
+  /** Records a vote; the caller has checked that this node may vote for the candidate in the term. */
   recordVote(term: number, candidateId: string): Promise<void>;
-  /** Records the members that this node votes to bootstrap a cluster with. */
+  /** Records a vote to bootstrap a cluster with these members. */
   recordBootstrapVote(members: readonly Member[]): Promise<void>;
-  /** Records a state, which the caller has checked to be newer than the accepted one. */
+  /** Records an accepted state; the caller has checked that it is newer than the accepted one. */
   accept(state: State): Promise<void>;
-  /** Resolves once all that has been recorded is on disk; rejects while the disk takes no records. */
+  /** Resolves once every record so far is on disk; rejects while the disk accepts no writes. */
   synced(): Promise<void>;
 }
 
-/** The version of the newest state that has been accepted. */
+/** Version of the newest accepted state; that of `versionOf(undefined)` if none was accepted. */
 export const acceptedVersion = (electionStore: ElectionStore): StateVersion =>
   versionOf(electionStore.persisted.accepted);
--- a/packages/zen/src/gather-votes.ts
+++ b/packages/zen/src/gather-votes.ts
@@ -1,4 +1,4 @@
-/** A candidate's request for votes to the nodes that joined it (docs/zen.md, "Fence"). */
+/** Requests votes for a candidate from the nodes that joined it (docs/zen.md, "Fence"). */
 import {
   isNewerVersion,
   hasQuorum,
@@ -11,12 +11,12 @@
 import type { ZenBounds } from './bounds.js';
 import { ValidateResponse } from './messages.js';
 
-/** How often a candidate looks whether it has a majority: parts of a heartbeat. */
+/** Checks for a majority of votes per heartbeat interval. */
 const checksPerHeartbeat = 50;
-/** How long it waits for the votes still open once it has a majority: a part of a heartbeat. */
+/** Once a majority has voted, outstanding votes are awaited for the heartbeat interval divided by this. */
 const lateVotesPerHeartbeat = 20;
 
-/** What a request to another node needs of this one. */
+/** Sender, transport and timeouts of requests to other nodes. */
 export interface RequestOptions {
   readonly localMember: Member;
   readonly clock: Clock;
@@ -24,15 +24,15 @@
   readonly bounds: ZenBounds;
 }
 
-/** The votes of a term, and what the voters have accepted. */
+/** Votes granted in a term, and the newest state among the voters. */
 export interface GatheredVotes {
-  /** Ids of the nodes that voted; without the candidate itself. */
+  /** Ids of the nodes that voted, excluding the candidate itself. */
   readonly granted: ReadonlySet<string>;
-  /** The newest state that the candidate or one of its voters has accepted. */
+  /** Newest state that the candidate or one of its voters has accepted. */
   readonly newestState: State;
 }
 
-/** Votes of one term as they come in. */
+/** Collects the votes of one term. */
 class VoteRound {
   private readonly granted = new Set<string>();
   private newestState: State;
@@ -59,7 +59,7 @@
     return hasQuorum(this.accepted.voters, voted);
   }
 
-  /** Resolves once every request is answered or has failed; never rejects. */
+  /** Requests a vote from each voter; resolves once every request is answered or has failed, never rejects. */
   async requestVotes(voters: readonly Member[]): Promise<void> {
     await Promise.allSettled(voters.map((voter) => this.requestVote(voter)));
     this.isEveryRequestAnswered = true;
@@ -85,8 +85,9 @@
 }
 
 /**
- * Asks the joiners to vote for this node in the term, which it has voted for itself. Ends shortly after a majority of
- * the voters of `accepted` has voted, when all have answered, or after the join time-out; the caller counts again.
+ * Requests votes for this node from the joiners; this node has voted for itself in the term already. Resolves shortly
+ * after a majority of the voters of `accepted` has voted, when every joiner has answered, or after the join timeout.
+ * The votes need not be a majority: the caller must check.
  */
 export const gatherVotes = async (
   options: RequestOptions,
@@ -97,8 +98,8 @@
   const { clock, bounds } = options;
   const round = new VoteRound(options, accepted, term);
   void round.requestVotes(joiners);
-  const end = clock.now() + bounds.joinTimeout;
-  while (round.isOpen && clock.now() < end && !round.hasVoterQuorum)
+  const deadline = clock.now() + bounds.joinTimeout;
+  while (round.isOpen && clock.now() < deadline && !round.hasVoterQuorum)
     await delay(clock, bounds.heartbeatInterval / checksPerHeartbeat);
   if (round.isOpen) await delay(clock, bounds.heartbeatInterval / lateVotesPerHeartbeat);
   return round.votes;
--- a/packages/zen/src/join-master.ts
+++ b/packages/zen/src/join-master.ts
@@ -1,4 +1,4 @@
-/** A node's blocking join of the master that it elected, with retries (docs/zen.md, "Kept, on the ordinary path"). */
+/** Joins the elected master, with retries (docs/zen.md, "Kept, on the ordinary path"). */
 import type { Member } from '@tillerstair/state';
 import {
   ConnectionRefusedError,
@@ -20,12 +20,13 @@
   const timeoutMs = bounds.pingRoundTimeout;
   const response = await transport.call(master.addr, 'zen/ping', ping, { timeoutMs });
   if (PingResponse.parse(response).from.id !== master.id)
-    throw new ElectionError('other-node', `${master.addr} is another node now`);
+    throw new ElectionError('other-node', `the node at ${master.addr} is no longer ${master.id}`);
 };
 
 /**
- * Checks that the elected node is still the one at its address, then asks to join until the master has validated the
- * join. Fails after `joinAttempts` attempts, or at once if the master says that it is none or refuses the connection.
+ * Pings the elected master to check that its address still belongs to the same node, then sends the join; resolves once
+ * the master has validated it. Rejects after `joinAttempts` attempts, and without a retry if the node answers that it
+ * is not master, or refuses the connection.
  */
 export const joinMaster = async (
   options: RequestOptions,
--- a/packages/zen/src/master-finder.ts
+++ b/packages/zen/src/master-finder.ts
@@ -1,6 +1,6 @@
 /**
- * How a node finds a master (docs/zen.md, "Kept, on the ordinary path"): rounds of pings, each followed by a bootstrap
- * where the cluster is new, or by the choice of a master. Owns the count of rounds that found none.
+ * How a node finds a master (docs/zen.md, "Kept, on the ordinary path"): ping rounds, each followed by a bootstrap
+ * attempt if the cluster is new, and by the choice of a master. Owns the count of rounds without a master.
  */
 import type { Member } from '@tillerstair/state';
 import { delay, type Clock, type Logger } from '@tillerstair/wire';
@@ -12,12 +12,12 @@
 import type { PendingJoins } from './pending-joins.js';
 import type { PingRoundResult } from './ping-round.js';
 
-/** The pause after a round without a master is this part of a heartbeat, times the number of such rounds. */
+/** Backoff after a round without a master: the heartbeat interval divided by this, times the number of such rounds. */
 const pausesPerHeartbeat = 20;
-/** The pause grows up to this many rounds without a master. */
+/** Number of consecutive rounds without a master up to which the backoff grows. */
 const maxCountedRounds = 5;
 
-/** What a search for a master needs of its node. */
+/** Dependencies of a `MasterFinder`. */
 export interface MasterFinderOptions {
   readonly clock: Clock;
   readonly bounds: ZenBounds;
@@ -26,16 +26,16 @@
   readonly knownMembers: KnownMembers;
   readonly pendingJoins: PendingJoins;
   readonly bootstrapper: Bootstrapper;
-  /** Whether this node may help to bootstrap a cluster. */
+  /** Whether this node may take part in bootstrapping a cluster. */
   readonly mayBootstrap: boolean;
   readonly seeds: () => readonly string[];
   readonly pingRound: () => Promise<PingRoundResult>;
-  /** Hears of every round, for the read lease. */
+  /** Called with the result of every ping round, to renew the read lease. */
   readonly onRound: (round: PingRoundResult) => void;
   readonly stopping: AbortSignal;
 }
 
-/** Looks for a master, one ping round at a time. */
+/** Searches for a master, one ping round per call of `find`. */
 export class MasterFinder {
   private readonly clock: Clock;
   private readonly bounds: ZenBounds;
@@ -66,7 +66,7 @@
     this.stopping = options.stopping;
   }
 
-  /** Makes one round; resolves with the elected master, or after a pause with undefined if there is none yet. */
+  /** Runs one ping round; resolves with the chosen master, or with undefined if there is none yet, after a backoff. */
   async find(): Promise<Member | undefined> {
     if (!this.localNode.electionStore.writable) return this.waitForDisk();
     if (this.localNode.member.kind === 'control') this.pendingJoins.open();
@@ -77,13 +77,13 @@
     return this.choose(round);
   }
 
-  /** A node that cannot sync a vote neither stands for election nor joins; it only answers pings. */
+  /** A node that cannot sync a vote neither becomes a candidate nor joins a master; it only answers pings. */
   private async waitForDisk(): Promise<undefined> {
     this.pendingJoins.rejectAll();
     await delay(this.clock, this.bounds.diskRetryInterval, this.stopping);
   }
 
-  /** The bootstrapper refuses by itself beside an accepted state; to look here as well saves its work and its log lines. */
+  /** The bootstrapper refuses once a state is accepted; the same check here avoids its work and its log lines. */
   private async bootstrap(round: PingRoundResult): Promise<boolean> {
     const { member, accepted } = this.localNode;
     if (member.kind !== 'control' || accepted || !this.mayBootstrap) return false;
@@ -98,18 +98,18 @@
   private async choose(round: PingRoundResult): Promise<Member | undefined> {
     const result = elect(this.localNode.asCandidate(), this.ofThisCluster(round));
     if (result.kind === 'none') {
-      this.log.debug(`No master yet: ${result.reason}.`);
+      this.log.debug(`No master elected: ${result.reason}.`);
       this.roundsWithoutMaster = Math.min(this.roundsWithoutMaster + 1, maxCountedRounds);
       const wait = (this.bounds.heartbeatInterval / pausesPerHeartbeat) * this.roundsWithoutMaster;
       await delay(this.clock, wait, this.stopping);
       return undefined;
     }
     this.roundsWithoutMaster = 0;
-    this.log.info(`Elected ${result.member.addr} (${result.by}).`);
+    this.log.info(`Chose ${result.member.addr} as master (${result.by}).`);
     return result.member;
   }
 
-  /** The responses of nodes that belong to the same cluster as this one, or to none yet. */
+  /** Responses of nodes that belong to the same cluster as this node, or to no cluster yet. */
   private ofThisCluster(round: PingRoundResult): PingRoundResult['pingResponses'] {
     const { clusterId } = this.localNode;
     if (!clusterId) return round.pingResponses;
--- a/packages/zen/src/memory-election-store.ts
+++ b/packages/zen/src/memory-election-store.ts
@@ -1,9 +1,9 @@
-/** The election store of agents, which never vote: they need nothing after a restart. */
+/** Election store of agents, which never vote and so need no state after a restart. */
 import type { Member, State } from '@tillerstair/state';
 import { blankState, type PersistentState } from './election-log.js';
 import type { ElectionStore } from './election-store.js';
 
-/** Keeps everything in memory; every method resolves at once. */
+/** Election store in memory, always writable; every method resolves without waiting. */
 export class MemoryElectionStore implements ElectionStore {
   persisted: PersistentState;
   readonly writable: boolean = true;
@@ -12,22 +12,22 @@
     this.persisted = { ...blankState, id };
   }
 
-  /** Records the vote of a term. */
+  /** Records a vote for a candidate in a term. */
   recordVote(term: number, candidateId: string): Promise<void> {
     return this.record({ term, votedFor: candidateId });
   }
 
-  /** Records the members that this node votes to bootstrap a cluster with. */
+  /** Records a vote to bootstrap a cluster with these members. */
   recordBootstrapVote(members: readonly Member[]): Promise<void> {
     return this.record({ bootstrapVote: members });
   }
 
-  /** Records an accepted state. */
+  /** Records an accepted state in full. */
   accept(state: State): Promise<void> {
     return this.record({ accepted: state });
   }
 
-  /** Resolves at once: there is no disk to wait for. */
+  /** Resolves without waiting: there is no disk. */
   synced(): Promise<void> {
     return Promise.resolve();
   }
