--- a/packages/zen/src/addressee.ts
+++ b/packages/zen/src/addressee.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that name the node they are for (docs/zen.md, "Fence"): a control that lost its disk comes back at its address
- * as another node, and must not be counted as the voter that it was.
+ * Requests that carry the id of their receiver (docs/zen.md, "Fence"): a control that lost its disk returns at the same
+ * address with a new id, and must not be counted as the voter that it was before.
  */
 import type { Member } from '@tillerstair/state';
 import { ElectionError, type RpcRequest } from '@tillerstair/wire';
@@ -14,8 +14,8 @@
 ]);
 
 /**
- * Throws `other-node` if the request names another node than this one. The sender of a request that names a node is
- * handed to `learn` first, also if the request is refused.
+ * Throws `other-node` if the request carries a receiver id other than this node's. `learn` is called with the sender of
+ * each request that carries a receiver id, even if the request is rejected.
  */
 export const requireAddressee = (
   localMember: Member,
@@ -26,5 +26,8 @@
   const { from, to } = AddressedRequest.parse(request.body);
   learn(from);
   if (to !== localMember.id)
-    throw new ElectionError('other-node', `${to} is another node, this is ${localMember.id}`);
+    throw new ElectionError(
+      'other-node',
+      `${request.kind} is for node ${to}, this node is ${localMember.id}`,
+    );
 };
--- a/packages/zen/src/bounds.ts
+++ b/packages/zen/src/bounds.ts
@@ -1,83 +1,83 @@
 /**
- * Times that membership, election and publishing work with, all derived as ratios of the outer
- * bounds that a deployment states (docs/zen.md, "Free values"). Every derived time is a whole, positive number of
- * milliseconds, since platform timers refuse fractions.
+ * Intervals and timeouts of membership, election and publishing, all derived as ratios of the bounds that a deployment
+ * configures (docs/zen.md, "Free values"). Every derived time is a whole, positive number of milliseconds, since
+ * platform timers reject fractions.
  */
 import { toTimerMs } from '@tillerstair/wire';
 
-/** Times used inside a cluster, in whole milliseconds (`joinAttempts` and `pingsFromAnotherMaster` are counts). */
+/** Timings inside a cluster, in whole milliseconds; `joinAttempts` and `pingsFromAnotherMaster` are counts. */
 export interface ZenBounds {
-  /** Between two pings of a master and a follower. */
+  /** Interval between pings from a master to a follower, and from a follower to its master. */
   readonly heartbeatInterval: number;
-  /** How long a node may be silent before it is taken for failed. */
+  /** Time without a response after which a node counts as failed. */
   readonly failureTimeout: number;
-  /** How long a ping round waits for nodes that do not answer. */
+  /** Time that a ping round waits for responses. */
   readonly pingRoundTimeout: number;
-  /** How long a candidate waits for joins and votes, and a joining node for its master. */
+  /** Time that a candidate waits for joins, and then for votes; also the timeout of one join request. */
   readonly joinTimeout: number;
-  /** Attempts to join an elected master before another is looked for. */
+  /** Attempts to join the elected master before the node searches for a master again. */
   readonly joinAttempts: number;
-  /** How long a publish may take to reach a majority before the master steps down. */
+  /** Time within which a majority must accept a published state; otherwise the master steps down. */
   readonly publishTimeout: number;
-  /** How long a sync of a control may last before it neither leads nor votes until its disk accepts writes again. */
+  /** Timeout of a control's disk sync; after it, the control neither leads nor votes until its disk accepts writes. */
   readonly syncTimeout: number;
-  /** How long to wait between attempts to write to a disk that failed. */
+  /** Interval between attempts to write to a failed disk. */
   readonly diskRetryInterval: number;
-  /** For how long every ping round must show the same blank controls before they bootstrap a cluster. */
+  /** Time for which every ping round must yield the same blank controls before they bootstrap a cluster. */
   readonly bootstrapStablePeriod: number;
-  /** How long a store may be silent before its replicas are filled elsewhere. */
+  /** Time without a response from a store after which its replicas are rebuilt on other stores. */
   readonly replicaReplacementDelay: number;
-  /** How long a front may serve without hearing that no newer state is committed. */
+  /** Time that a front may serve after the last confirmation that no newer state was committed. */
   readonly readLease: number;
-  /** How long after an operator's call a draining mark may be committed for the call to be reported successful. */
+  /** Time after an operator's call within which the draining mark must be committed for the call to succeed. */
   readonly drainingCommitTimeout: number;
-  /** Between two readings of the list of servers. */
+  /** Interval between reads of the server list. */
   readonly listReadInterval: number;
-  /** Pings of another master with a later term that make a master step down. */
+  /** Number of pings from another master with a later term after which a master steps down. */
   readonly pingsFromAnotherMaster: number;
 }
 
-/** What a deployment states, in whole milliseconds. */
+/** Bounds that a deployment configures, in whole milliseconds. */
 export interface ConfiguredBounds {
-  /** Within which time a cluster that starts must serve. */
+  /** Time within which a starting cluster must serve. */
   readonly serveWithin: number;
-  /** Within which time a server that drains must get nothing new. */
+  /** Time within which a draining server must stop receiving new requests. */
   readonly drainingWithin: number;
-  /** Between two pings of a master and a follower. */
+  /** Interval between pings from a master to a follower, and from a follower to its master. */
   readonly heartbeatInterval: number;
-  /** How long a node may be silent before it is taken for failed. */
+  /** Time without a response after which a node counts as failed. */
   readonly failureTimeout: number;
 }
 
-/** Derives the inner times from the outer bounds. */
-export const zenBounds = (outer: ConfiguredBounds): ZenBounds => ({
-  heartbeatInterval: toTimerMs(outer.heartbeatInterval),
-  failureTimeout: toTimerMs(outer.failureTimeout),
-  pingRoundTimeout: toTimerMs(outer.serveWithin / 24),
-  joinTimeout: toTimerMs(outer.serveWithin / 8),
+/** Derives the intervals and timeouts inside a cluster from the configured bounds. */
+export const zenBounds = (configured: ConfiguredBounds): ZenBounds => ({
+  heartbeatInterval: toTimerMs(configured.heartbeatInterval),
+  failureTimeout: toTimerMs(configured.failureTimeout),
+  pingRoundTimeout: toTimerMs(configured.serveWithin / 24),
+  joinTimeout: toTimerMs(configured.serveWithin / 8),
   joinAttempts: 3,
-  publishTimeout: toTimerMs(outer.failureTimeout / 2),
-  syncTimeout: toTimerMs(outer.failureTimeout / 2),
-  diskRetryInterval: toTimerMs(outer.heartbeatInterval / 4),
-  bootstrapStablePeriod: toTimerMs(outer.serveWithin / 6),
-  replicaReplacementDelay: toTimerMs(outer.failureTimeout * 2),
-  readLease: toTimerMs((outer.drainingWithin * 5) / 6),
-  drainingCommitTimeout: toTimerMs(outer.drainingWithin / 6),
-  listReadInterval: toTimerMs(outer.drainingWithin / 6),
+  publishTimeout: toTimerMs(configured.failureTimeout / 2),
+  syncTimeout: toTimerMs(configured.failureTimeout / 2),
+  diskRetryInterval: toTimerMs(configured.heartbeatInterval / 4),
+  bootstrapStablePeriod: toTimerMs(configured.serveWithin / 6),
+  replicaReplacementDelay: toTimerMs(configured.failureTimeout * 2),
+  readLease: toTimerMs((configured.drainingWithin * 5) / 6),
+  drainingCommitTimeout: toTimerMs(configured.drainingWithin / 6),
+  listReadInterval: toTimerMs(configured.drainingWithin / 6),
   pingsFromAnotherMaster: 1,
 });
 
-/** Bounds that can be replaced while the process runs. */
+/** Bounds that can be reloaded while the process runs. */
 export interface ReloadableBounds {
-  /** Always shows the values in force now; whoever keeps a copy of a value does not follow. */
+  /** The current values, updated in place by `replace`; read them at each use, since a copied value is not updated. */
   readonly bounds: ZenBounds;
-  /** Puts other values in force, at once and for everybody who holds `bounds`. */
-  replace(outer: ConfiguredBounds): void;
+  /** Replaces the values of `bounds` in place, for all its users. */
+  replace(configured: ConfiguredBounds): void;
 }
 
-/** Derives bounds whose values follow a later `replace`, for settings that are read again. */
-export const reloadableBounds = (outer: ConfiguredBounds): ReloadableBounds => {
-  const bounds = zenBounds(outer);
+/** Derives bounds that can be replaced later, for settings that are reloaded. */
+export const reloadableBounds = (configured: ConfiguredBounds): ReloadableBounds => {
+  const bounds = zenBounds(configured);
   return {
     bounds,
     replace: (next) => {
--- a/packages/zen/src/follower.ts
+++ b/packages/zen/src/follower.ts
@@ -1,6 +1,6 @@
 /**
- * A node's membership under a master (docs/zen.md, "Kept, on the ordinary path"): it joins the master that it elected and
- * follows it until that fails. Owns whom this node joins and whom it follows.
+ * A node's membership under a master (docs/zen.md, "Kept, on the ordinary path"): it joins the master that it chose and
+ * follows it until the master fails. Owns which master this node is joining or follows.
  */
 import type { Member, State } from '@tillerstair/state';
 import { delay, type Logger } from '@tillerstair/wire';
@@ -14,10 +14,10 @@
 import type { PendingJoins } from './pending-joins.js';
 import type { ReadLease } from './read-lease.js';
 
-/** A node that lost its master before it accepted any state looks again after this part of a heartbeat. */
+/** A node that loses its master before it has accepted a state waits for the heartbeat interval divided by this. */
 const blankPausesPerHeartbeat = 10;
 
-/** What following a master needs of a node. */
+/** Dependencies of a `Follower`. */
 export interface FollowerOptions extends RequestOptions {
   readonly log: Logger;
   readonly localNode: LocalNode;
@@ -26,12 +26,12 @@
   readonly applied: () => State | undefined;
   readonly report: () => unknown;
   readonly onListReport: (reported: unknown, requestedAt: number) => void;
-  /** Ended early when the connection to the master is lost. */
+  /** Wait between pings to the master; woken when the connection to it is lost. */
   readonly sleep: InterruptibleSleep;
   readonly stopping: AbortSignal;
 }
 
-/** Joins and follows one master at a time. */
+/** Joins and follows at most one master at a time. */
 export class Follower {
   private joining: Member | undefined;
   private followed: Member | undefined;
@@ -43,29 +43,29 @@
     return this.followed;
   }
 
-  /** Id of the candidate that this node is joining: the only one it votes for. */
+  /** Id of the candidate that this node is joining, the only one that it may vote for. */
   get joiningId(): string | undefined {
     return this.joining?.id;
   }
 
-  /** Whether the node of this id is the master that this node joins or follows. */
+  /** Whether the id is that of the master that this node is joining or follows. */
   isMaster(id: string): boolean {
     return this.joining?.id === id || this.followed?.id === id;
   }
 
-  /** Follows the publisher from now on; this node has voted for it. */
+  /** If this node follows another master, follows the publisher of a state instead, for which it has voted. */
   onPublished(publisher: Member): void {
     if (this.followed && this.followed.id !== publisher.id) this.followed = publisher;
   }
 
-  /** Joins the master and follows it until it is lost; rejects if the join fails. */
+  /** Joins the master and follows it until it fails; rejects if the join fails. */
   async run(master: Member): Promise<void> {
     const { clock, bounds, log, localNode, stopping } = this.options;
     this.options.pendingJoins.rejectAll();
     await this.join(master);
-    log.info(`Joined ${master.addr}.`);
+    log.info(`Joined master ${master.addr}.`);
     await this.faultDetection().run();
-    log.info('Lost the master.');
+    log.info(`Lost master ${this.followed?.addr ?? master.addr}.`);
     this.followed = undefined;
     if (localNode.accepted === undefined)
       await delay(clock, bounds.heartbeatInterval / blankPausesPerHeartbeat, stopping);
--- a/packages/zen/src/index.ts
+++ b/packages/zen/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Discovery, election, publishing and fault detection between the nodes of a cluster (docs/zen.md). The parts that tests
- * alone use stand last.
+ * Discovery, election, publishing and fault detection between the nodes of a cluster (docs/zen.md). Exports that only
+ * tests use are last.
  */
 export * from './bounds.js';
 export * from './messages.js';
--- a/packages/zen/src/interruptible-sleep.ts
+++ b/packages/zen/src/interruptible-sleep.ts
@@ -1,20 +1,20 @@
-/** Pauses that another part of the node may end early, such as the wait before the next ping of a master. */
+/** Sleeps that another part of the node can end early, such as the wait before the next ping to the master. */
 import { delay, type Clock } from '@tillerstair/wire';
 
-/** At most one pause at a time; `wake` ends the one that is under way. */
+/** Sleeps at most once at a time; `wake` ends the current sleep. */
 export class InterruptibleSleep {
-  private sleeper = new AbortController();
+  private interruption = new AbortController();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Ends the pause under way; without one it does nothing. */
+  /** Ends the current sleep; does nothing if there is none. */
   wake(): void {
-    this.sleeper.abort();
+    this.interruption.abort();
   }
 
-  /** Resolves after so many milliseconds, or when `wake` is called. */
+  /** Resolves after `ms` milliseconds, or when `wake` is called. */
   sleep(ms: number): Promise<void> {
-    this.sleeper = new AbortController();
-    return delay(this.clock, ms, this.sleeper.signal);
+    this.interruption = new AbortController();
+    return delay(this.clock, ms, this.interruption.signal);
   }
 }
--- a/packages/zen/src/journal-timings.ts
+++ b/packages/zen/src/journal-timings.ts
@@ -1,12 +1,12 @@
 /**
- * How long writes to disk may last on each kind of member (docs/design.md, "Disk"). The values follow bounds that are
- * replaced while the process runs.
+ * Journal timeouts of each kind of node (docs/design.md, "Disk"). Getters read the bounds at each use, so that the
+ * values follow bounds that are reloaded while the process runs.
  */
 import type { JournalTimings } from '@tillerstair/journal';
 import type { Clock, Logger } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 
-/** For controls: a sync that lasts longer than a publish waits is of no use to any majority. */
+/** Journal timings of controls: a sync that takes longer than a publish waits cannot count towards its majority. */
 export const controlJournalTimings = (
   clock: Clock,
   bounds: ZenBounds,
@@ -22,7 +22,7 @@
   },
 });
 
-/** For stores: a slow sync still makes a replica complete, though the slot's writes do not wait for it. */
+/** Journal timings of stores: a slow sync still completes a replica, though writes to the slot do not wait for it. */
 export const storeJournalTimings = (
   clock: Clock,
   bounds: ZenBounds,
--- a/packages/zen/src/known-members.ts
+++ b/packages/zen/src/known-members.ts
@@ -1,19 +1,19 @@
-/** The members that a node has heard of, by address, so that ping rounds reach more than the seeds. */
+/** Members that a node knows of, by address, so that ping rounds reach more nodes than the seeds. */
 import type { Member } from '@tillerstair/state';
 
-/** Addresses beyond this number are forgotten, the longest unheard of first. */
+/** Limit on the number of known members; beyond it, the least recently mentioned are removed. */
 const maxKnownMembers = 256;
-/** After so many rounds in a row without its reply an address is forgotten. */
+/** An address that misses more consecutive ping rounds than this is removed. */
 const maxMissedRounds = 20;
 
-/** Keeps the members heard of in the order of the latest word of them; never the node itself. */
+/** Known members, ordered by when they were last mentioned; never contains the node itself. */
 export class KnownMembers {
   private readonly byAddress = new Map<string, Member>();
   private readonly missedRounds = new Map<string, number>();
 
   constructor(private readonly localAddress: string) {}
 
-  /** Remembers these members; one that takes over an address replaces the earlier. */
+  /** Adds these members as the most recently mentioned; a member replaces the previous one at the same address. */
   learn(members: Iterable<Member>): void {
     for (const member of members) {
       if (member.addr === this.localAddress) continue;
@@ -31,24 +31,24 @@
     }
   }
 
-  /** Notes that the address replied to a ping. */
+  /** Records that the address replied to a ping, which resets its count of missed rounds. */
   noteReply(addr: string): void {
     this.missedRounds.delete(addr);
   }
 
-  /** Notes that the address did not reply to a ping; one that never replies is forgotten. */
+  /** Records that a ping to the address failed; removes its member after too many failures in a row. */
   noteMissedReply(addr: string): void {
     const missed = (this.missedRounds.get(addr) ?? 0) + 1;
     this.missedRounds.set(addr, missed);
     if (missed > maxMissedRounds) this.byAddress.delete(addr);
   }
 
-  /** All members heard of. */
+  /** All known members, the least recently mentioned first. */
   all(): readonly Member[] {
     return [...this.byAddress.values()];
   }
 
-  /** The controls among them: the only nodes that are pinged. */
+  /** Known controls: beside the seeds, ping rounds go only to them. */
   controls(): Member[] {
     return this.all().filter((member) => member.kind === 'control');
   }
--- a/packages/zen/src/leadership.ts
+++ b/packages/zen/src/leadership.ts
@@ -1,6 +1,6 @@
 /**
- * The time for which this node is master: makes the master, answers the joins that waited for it, and ends when it steps
- * down. Owns which master, if any, this node runs.
+ * A node's time as master: creates the master, answers the pending joins, and ends when the master steps down. Owns the
+ * reference to this node's master, if any.
  */
 import { toRpcError } from '@tillerstair/wire';
 import type { WonElection } from './candidate.js';
@@ -9,11 +9,11 @@
 import type { PendingJoin, PendingJoins } from './pending-joins.js';
 import { notifySteppedDown } from './stepped-down.js';
 
-/** What a leadership needs of its node. */
+/** Dependencies of a `Leadership`. */
 export interface LeadershipOptions {
   readonly masterOptions: MasterOptions;
   readonly pendingJoins: PendingJoins;
-  /** Hears of each new master once it has committed its first state. */
+  /** Called with each new master once it has committed its first state. */
   readonly onLead: (master: MasterView) => void;
 }
 
@@ -24,12 +24,12 @@
     else master.lost.addEventListener('abort', () => resolve(), { once: true });
   });
 
-/** Runs one master at a time. */
+/** Runs at most one master at a time. */
 export class Leadership {
   private readonly masterOptions: MasterOptions;
   private readonly pendingJoins: PendingJoins;
   private readonly onLead: (master: MasterView) => void;
-  private running: Master | undefined;
+  private current: Master | undefined;
 
   constructor(options: LeadershipOptions) {
     this.masterOptions = options.masterOptions;
@@ -37,50 +37,50 @@
     this.onLead = options.onLead;
   }
 
-  /** The master that runs here, also while it steps down. */
+  /** The master on this node, also while it steps down. */
   get master(): Master | undefined {
-    return this.running;
+    return this.current;
   }
 
-  /** The master that runs here and has not stepped down. */
+  /** The master on this node, unless it has stepped down. */
   get active(): Master | undefined {
-    return this.running?.lost.aborted ? undefined : this.running;
+    return this.current?.lost.aborted ? undefined : this.current;
   }
 
-  /** Leads in the term that was won; resolves once the master has stepped down. */
+  /** Leads in the term of the won election; resolves once the master has stepped down. */
   async run(election: WonElection): Promise<void> {
     const { masterOptions } = this;
     const master = new Master(masterOptions, election.term, election.newestState);
-    this.running = master;
-    const pending = this.pendingJoins.drain();
+    this.current = master;
+    const pendingJoins = this.pendingJoins.drain();
     try {
       const joiners = election.joins.map(({ join }) => join.from);
       await master.begin(joiners, election.requestedAt);
-      this.answerJoins(master, election, pending);
+      this.answerJoins(master, election, pendingJoins);
       this.onLead(master);
       await steppedDown(master);
     } catch (e) {
-      for (const waiting of pending) waiting.reject(toRpcError(e));
+      for (const pendingJoin of pendingJoins) pendingJoin.reject(toRpcError(e));
       master.stepDown(toRpcError(e).message);
     } finally {
-      this.running = undefined;
+      this.current = undefined;
       if (!masterOptions.electionStore.writable) notifySteppedDown(masterOptions, master.committed);
     }
   }
 
-  /** Those that voted are members by the first publish; the master validates the others one by one. */
+  /** Voters became members with the first publish; the master validates the other pending joins one by one. */
   private answerJoins(
     master: Master,
     { term, joins }: WonElection,
-    pending: readonly PendingJoin[],
+    pendingJoins: readonly PendingJoin[],
   ): void {
-    for (const voted of joins) voted.resolve({ term });
+    for (const votersJoin of joins) votersJoin.resolve({ term });
     const voterIds = new Set(joins.map(({ join }) => join.from.id));
-    for (const waiting of pending) {
-      if (voterIds.has(waiting.join.from.id)) continue;
-      master.onJoin(waiting.join).then(
-        (response) => waiting.resolve(response),
-        (error: unknown) => waiting.reject(toRpcError(error)),
+    for (const pendingJoin of pendingJoins) {
+      if (voterIds.has(pendingJoin.join.from.id)) continue;
+      master.onJoin(pendingJoin.join).then(
+        (response) => pendingJoin.resolve(response),
+        (error: unknown) => pendingJoin.reject(toRpcError(error)),
       );
     }
   }
--- a/packages/zen/src/local-node.ts
+++ b/packages/zen/src/local-node.ts
@@ -1,4 +1,4 @@
-/** What a node knows of itself, and says of itself to others; all of it stands in its election store. */
+/** A node's identity, and its election state as read from the election store and reported to other nodes. */
 import {
   versionOf,
   type Member,
@@ -9,47 +9,47 @@
 import type { ElectionStore } from './election-store.js';
 import type { PingResponse } from './messages.js';
 
-/** What a node contributes to its own choice of a master. */
+/** The local node as an input of `elect`. */
 export interface LocalCandidate {
   readonly member: Member;
-  /** Whether it is a voter that holds a state and can sync a vote. */
+  /** Whether the node is a voter, has an accepted state and can sync a vote. */
   readonly canWin: boolean;
-  /** Whether it can sync a vote; without that it counts for no majority. */
+  /** Whether the node can sync a vote; if false, it does not count towards a majority. Defaults to true. */
   readonly writable?: boolean;
-  /** Whether it has followed or led a master before. */
+  /** Whether the node has accepted a state beyond the bootstrap state, and so followed or been a master before. */
   readonly joinedBefore: boolean;
   readonly accepted: StateVersion;
   readonly voters: VotingConfiguration | undefined;
 }
 
-/** The identity of this node with the votes and the state that it holds on disk. */
+/** Identity of this node, and its election store. */
 export class LocalNode {
   constructor(
     readonly member: Member,
     readonly electionStore: ElectionStore,
   ) {}
 
-  /** The term in which this node voted last. */
+  /** Term of this node's newest vote. */
   get term(): number {
     return this.electionStore.persisted.term;
   }
 
-  /** The newest state that this node has accepted, committed or not. */
+  /** Newest state that this node has accepted, committed or not. */
   get accepted(): State | undefined {
     return this.electionStore.persisted.accepted;
   }
 
-  /** The cluster that this node belongs to; empty before it accepted a first state. */
+  /** Id of the cluster that this node belongs to; empty before it has accepted a state. */
   get clusterId(): string {
     return this.accepted?.clusterId ?? '';
   }
 
-  /** Whether the node is a control, and the disk takes its votes. */
+  /** Whether the node is a control whose disk accepts writes. */
   get isEligible(): boolean {
     return this.member.kind === 'control' && this.electionStore.writable;
   }
 
-  /** Only a voting control that holds an accepted state can win (docs/zen.md, "Who can win"). */
+  /** Only a voting control with an accepted state, whose disk accepts writes, can win (docs/zen.md, "Who can win"). */
   private get canWin(): boolean {
     const voters = this.accepted?.voters;
     if (!this.electionStore.writable || !voters) return false;
@@ -57,7 +57,7 @@
     return voters.current.includes(id) || voters.next.includes(id);
   }
 
-  /** This node as its own election sees it. */
+  /** This node as an input of its own choice of a master. */
   asCandidate(): LocalCandidate {
     const { accepted } = this;
     return {
@@ -70,7 +70,7 @@
     };
   }
 
-  /** The response to a ping, with the master and the controls that this node knows of. */
+  /** Builds the response to a ping, with the current master and the controls that this node knows of. */
   pingResponse(master: Member | undefined, known: Member[]): PingResponse {
     const { canWin, joinedBefore, accepted, voters } = this.asCandidate();
     return {
--- a/packages/zen/src/messages.ts
+++ b/packages/zen/src/messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between nodes, as they go over the inner wire: their names and forms are part of the protocol. Each is parsed
- * where it arrives, and nowhere else.
+ * Messages between nodes: field names and shapes are part of the internal protocol. Each message is parsed only by its
+ * receiver.
  */
 import {
   StateDiff,
@@ -11,12 +11,12 @@
 } from '@tillerstair/state';
 import { z } from 'zod';
 
-/** `zen/ping`: who asks, the controls it knows of, and its cluster (empty if it has none). */
+/** Schema of `zen/ping`: the sender, the controls that it knows of, and its cluster id (empty if it has none). */
 export const Ping = z.object({ from: Member, known: z.array(Member), clusterId: z.string() });
-/** A request to say what a node knows of the cluster and its master. */
+/** Discovery request: asks a node for its election state, its master and the controls that it knows of. */
 export type Ping = z.infer<typeof Ping>;
 
-/** The response to a ping: what the node can do in an election, and the master that it sees. */
+/** Schema of the response to `zen/ping`: the node's election state, its master and the controls that it knows of. */
 export const PingResponse = z.object({
   from: Member,
   eligible: z.boolean(),
@@ -29,28 +29,28 @@
   voters: VotingConfiguration.optional(),
   known: z.array(Member),
 });
-/** What a node says of itself in a ping round. */
+/** Response to a ping; absent `master` and `voters` mean that the node has no master or no accepted state. */
 export type PingResponse = z.infer<typeof PingResponse>;
 
-/** `zen/join`: a node joins the master that it elected. */
+/** Schema of `zen/join`: a node asks the master that it chose to add it to the cluster. */
 export const Join = z.object({
   from: Member,
   term: z.number(),
   accepted: StateVersion,
   clusterId: z.string(),
 });
-/** A request to become a member under a master. */
+/** Request to join a master, with the sender's term, accepted version and cluster id. */
 export type Join = z.infer<typeof Join>;
 
-/** The response to a join: the term of the master that validated it. */
+/** Response to a join: the term of the master that validated it. */
 export interface JoinResponse {
   readonly term: number;
 }
 
-/** What every request that names its node has in common: the sender, and the id of the node it is for. */
+/** Schema of the fields common to all requests that carry a receiver: the sender, and the receiver's id. */
 export const AddressedRequest = z.object({ from: Member, to: z.string() });
 
-/** `zen/validate`: a candidate or master asks a joining node for its vote in a term. */
+/** Schema of `zen/validate`: a candidate or master, whose state has version `have`, requests a joining node's vote. */
 export const Validate = z.object({
   from: Member,
   term: z.number(),
@@ -58,68 +58,71 @@
   have: StateVersion,
 });
 
-/** A request for a vote, or for the confirmation of one. */
+/** Request for a vote in a term, or for confirmation of a vote given earlier. */
 export type Validate = z.infer<typeof Validate>;
 
-/** The response to a validation is a vote on disk, with the accepted state if that is ahead. */
+/** Schema of the response to `zen/validate`, with the voter's accepted state if it is newer than the sender's. */
 export const ValidateResponse = z.object({
   accepted: StateVersion,
   state: TableEntries.optional(),
 });
-/** A vote, or the confirmation of one. */
+/** A vote, or the confirmation of an earlier one; the vote is on disk before this is sent. */
 export type ValidateResponse = z.infer<typeof ValidateResponse>;
 
-/** `zen/publish`: a state of the master of a term; `packed` is a `PublishPayload` as compressed JSON in base 64. */
+/** Schema of `zen/publish`: a state from its master; `packed` is a `PublishPayload` as deflated JSON in base 64. */
 export const Publish = z.object({
   from: Member,
   term: z.number(),
   clusterId: z.string(),
   packed: z.string(),
 });
-/** A request to accept a state. */
+/** Request to accept a state. */
 export type Publish = z.infer<typeof Publish>;
 
-/** A published state: the difference from the one before, or all of it. */
+/** Schema of a published state: a diff from the previous state, or the full state. */
 export const PublishPayload = z.union([
   z.object({ diff: StateDiff }),
   z.object({ full: TableEntries }),
 ]);
-/** What a publish carries. */
+/** A published state, as a diff or in full. */
 export type PublishPayload = z.infer<typeof PublishPayload>;
 
-/** The response to a publish: the state is on disk, or the difference starts from a state that is not there. */
+/** Schema of the response to `zen/publish`: the state is on disk, or the diff starts from a state that is not there. */
 export const PublishResponse = z.object({ outcome: z.enum(['accepted', 'need-full']) });
-/** What became of a published state. */
+/** Outcome of a publish at its receiver. */
 export type PublishResponse = z.infer<typeof PublishResponse>;
 
-/** `zen/commit`: a majority has accepted the state of this version. */
+/** Schema of `zen/commit`: a majority has accepted the state of this version. */
 export const Commit = z.object({ from: Member, stateVersion: StateVersion });
 
-/** `zen/node-ping`: nodes fault detection, from the master of a term. */
+/** Schema of `zen/node-ping`: nodes fault detection, sent by the master of a term. */
 export const NodePing = z.object({ from: Member, term: z.number(), clusterId: z.string() });
-/** A sign of life from a master. */
+/** Heartbeat from a master to a member. */
 export type NodePing = z.infer<typeof NodePing>;
 
-/** The response to a node ping: the term that the node voted in, what it has applied, and its report. */
+/** Schema of the response to `zen/node-ping`: the term of the node's newest vote, its applied version, its report. */
 export const NodePingResponse = z.object({
   term: z.number(),
   applied: StateVersion,
   report: z.unknown(),
 });
-/** A sign of life from a node, to its master. */
+/** Response of a member to its master's heartbeat. */
 export type NodePingResponse = z.infer<typeof NodePingResponse>;
 
-/** `zen/master-ping`: master fault detection, from a node that follows the master. */
+/** Schema of `zen/master-ping`: master fault detection, sent by a node that follows the master. */
 export const MasterPing = z.object({
   from: Member,
   term: z.number(),
   applied: StateVersion,
   report: z.unknown(),
 });
-/** A sign of life from a node that follows a master. */
+/** Heartbeat from a follower to its master. */
 export type MasterPing = z.infer<typeof MasterPing>;
 
-/** The response to a master ping; `age` is the time in milliseconds since a majority last responded to the master. */
+/**
+ * Schema of the response to `zen/master-ping`; `listed` is whether the master's state lists the sender, and `age`
+ * the time in milliseconds since a majority last responded to the master.
+ */
 export const MasterPingResponse = z.object({
   leading: z.boolean(),
   listed: z.boolean(),
@@ -128,25 +131,25 @@
   age: z.number(),
   reported: z.unknown().optional(),
 });
-/** A sign of life from a master, with what renews a read lease. */
+/** Response of a master to a follower's heartbeat, with the data that renews a read lease. */
 export type MasterPingResponse = z.infer<typeof MasterPingResponse>;
 
-/** `zen/bootstrap`: a blank control asks another for its vote on these members. */
+/** Schema of `zen/bootstrap`: a blank control requests another's vote to bootstrap a cluster with these members. */
 export const BootstrapVote = z.object({ from: Member, members: z.array(Member) });
-/** A proposal to bootstrap a cluster. */
+/** Proposal to bootstrap a cluster with these members. */
 export type BootstrapVote = z.infer<typeof BootstrapVote>;
 
-/** The response to a bootstrap vote: yes only if it is on disk. */
+/** Schema of the response to `zen/bootstrap`; `yes` is true only once the vote is on disk. */
 export const BootstrapVoteResponse = z.object({ yes: z.boolean() });
-/** The answer to a proposal to bootstrap a cluster. */
+/** Answer to a proposal to bootstrap a cluster. */
 export type BootstrapVoteResponse = z.infer<typeof BootstrapVoteResponse>;
 
-/** `zen/stepped-down`: the sender is master no more. */
+/** Schema of `zen/stepped-down`: the sender is no longer master. */
 export const SteppedDown = z.object({ from: Member });
-/** Notice of a master that gave up. */
+/** Notice from a master that has stepped down. */
 export type SteppedDown = z.infer<typeof SteppedDown>;
 
-/** `zen/leave`: the sender stops in order; a front that has released its read lease serves nothing any more. */
+/** Schema of `zen/leave`: the sender shuts down; with `leaseReleased`, it is a front that has stopped serving. */
 export const Leave = z.object({ from: Member, leaseReleased: z.boolean().optional() });
-/** Notice of a node that stops in order. */
+/** Notice from a node that shuts down. */
 export type Leave = z.infer<typeof Leave>;
--- a/packages/zen/src/ping-peers.ts
+++ b/packages/zen/src/ping-peers.ts
@@ -1,18 +1,18 @@
-/** Pings nodes once, at the moment of asking, in the name of a master. Owns no state. */
+/** Pings peers once on behalf of a master, to find which of them are reachable now. Stateless. */
 import type { Member } from '@tillerstair/state';
 import type { Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import { NodePingResponse, type NodePing } from './messages.js';
 
-/** What a round of pings works with. */
+/** Transport and timeout of the pings. */
 export interface PingPeersOptions {
   readonly transport: Transport;
   readonly bounds: Pick<ZenBounds, 'heartbeatInterval'>;
 }
 
 /**
- * Resolves with the ids of the nodes that replied in the ping's term within one heartbeat, the sender's among them.
- * Never rejects.
+ * Resolves with the ids of the peers that replied with the ping's term within one heartbeat interval, and the sender's
+ * id. Never rejects.
  */
 export const pingPeers = async (
   { transport, bounds }: PingPeersOptions,
--- a/packages/zen/src/ping-round.ts
+++ b/packages/zen/src/ping-round.ts
@@ -1,4 +1,4 @@
-/** One round of pings to the seeds and every control they name (docs/zen.md, "A round may end early"). */
+/** One round of pings to seeds, known controls and the controls they name (docs/zen.md, "A round may end early"). */
 import {
   delay,
   RequestTimeoutError,
@@ -9,31 +9,31 @@
 import type { KnownMembers } from './known-members.js';
 import { PingResponse, type Ping } from './messages.js';
 
-/** What a round of pings heard. */
+/** Responses of one ping round. */
 export interface PingRoundResult {
-  /** Clock time in milliseconds at which the round began: no response is older. */
+  /** Clock time in milliseconds at which the round began; every response was made after it. */
   readonly startedAt: number;
   readonly pingResponses: readonly PingResponse[];
 }
 
-/** What a round needs of its node. */
+/** Dependencies of a `PingRound`. */
 export interface PingRoundOptions {
   readonly clock: Clock;
   readonly transport: Transport;
-  /** How long the round may last, in milliseconds. */
+  /** Longest duration of the round, in milliseconds. */
   readonly timeoutMs: number;
   readonly knownMembers: KnownMembers;
-  /** The node's address, which it does not ask. */
+  /** Address of the pinging node, which is not pinged. */
   readonly localAddress: string;
-  /** The seed addresses in force, read anew whenever a response arrives. */
+  /** Returns the current seed addresses; called again after each response. */
   readonly seeds: () => readonly string[];
-  /** The ping to send, made anew for each address. */
+  /** Builds the ping to send; called once per address. */
   readonly ping: () => Ping;
   /** Ends the round early when the node stops. */
   readonly stopping: AbortSignal;
 }
 
-/** Asks each address once; an instance serves one round. */
+/** Pings each address once; an instance is for one round. */
 export class PingRound {
   private readonly clock: Clock;
   private readonly transport: Transport;
@@ -46,7 +46,7 @@
   private readonly asked: Set<string>;
   private readonly allAnswered = new AbortController();
   private readonly pingResponses = new Map<string, PingResponse>();
-  private openRequests = 0;
+  private pendingRequests = 0;
 
   constructor(options: PingRoundOptions) {
     this.clock = options.clock;
@@ -60,37 +60,37 @@
     this.asked = new Set([options.localAddress]);
   }
 
-  /** Ends when each address has replied or refused, at the latest after the ping round's time-out. */
+  /** Resolves when each address has replied or failed, at the latest after `timeoutMs`, or when the node stops. */
   async run(): Promise<PingRoundResult> {
-    this.askNewAddresses();
-    if (this.openRequests > 0) {
+    this.pingNewAddresses();
+    if (this.pendingRequests > 0) {
       const ended = AbortSignal.any([this.stopping, this.allAnswered.signal]);
       await delay(this.clock, this.timeoutMs, ended);
     }
     return { startedAt: this.startedAt, pingResponses: [...this.pingResponses.values()] };
   }
 
-  private askNewAddresses(): void {
+  private pingNewAddresses(): void {
     const controls = this.knownMembers.controls();
     for (const addr of [...this.seeds(), ...controls.map((member) => member.addr)]) {
       if (this.asked.has(addr)) continue;
       this.asked.add(addr);
-      this.openRequests++;
-      void this.ask(addr).finally(() => {
-        this.openRequests--;
-        if (this.openRequests === 0) this.allAnswered.abort();
+      this.pendingRequests++;
+      void this.pingAddress(addr).finally(() => {
+        this.pendingRequests--;
+        if (this.pendingRequests === 0) this.allAnswered.abort();
       });
     }
   }
 
-  private async ask(addr: string): Promise<void> {
-    const remaining = this.startedAt + this.timeoutMs - this.clock.now();
-    if (remaining <= 0 || this.stopping.aborted) return;
+  private async pingAddress(addr: string): Promise<void> {
+    const remainingMs = this.startedAt + this.timeoutMs - this.clock.now();
+    if (remainingMs <= 0 || this.stopping.aborted) return;
     try {
-      const call = this.transport.call(addr, 'zen/ping', this.ping(), { timeoutMs: remaining });
+      const call = this.transport.call(addr, 'zen/ping', this.ping(), { timeoutMs: remainingMs });
       const body = await withTimeout(
         this.clock,
-        remaining,
+        remainingMs,
         call,
         () => new RequestTimeoutError(addr),
       );
@@ -105,6 +105,6 @@
     this.pingResponses.set(response.from.id, response);
     this.knownMembers.learn([response.from]);
     this.knownMembers.learn(response.known);
-    this.askNewAddresses();
+    this.pingNewAddresses();
   }
 }
--- a/packages/zen/src/zen-node-options.ts
+++ b/packages/zen/src/zen-node-options.ts
@@ -1,38 +1,39 @@
-/** What the program around a node gives it, and hears of it. */
+/** Options of a `ZenNode`. */
 import type { Member, Replication, State } from '@tillerstair/state';
 import type { Clock, Logger, Transport } from '@tillerstair/wire';
 import type { ZenBounds } from './bounds.js';
 import type { ElectionStore } from './election-store.js';
 import type { MasterView } from './master-types.js';
 
-/** What a node is made of, and what the program around it hears of. */
+/** Dependencies, settings and callbacks of a `ZenNode`. */
 export interface ZenNodeOptions {
+  /** The node itself. */
   readonly me: Member;
-  /** Addresses that are pinged whoever else is known. */
+  /** Addresses that every ping round includes, beside the known controls. */
   readonly seeds: readonly string[];
   readonly clock: Clock;
   readonly transport: Transport;
   readonly electionStore: ElectionStore;
   readonly bounds: ZenBounds;
   readonly log: Logger;
-  /** Number of slots, used when the cluster is bootstrapped. */
+  /** Number of slots; used only to bootstrap a cluster. */
   readonly slots: number;
-  /** Replicas and write quorum of every slot, used when the cluster is bootstrapped. */
+  /** Replicas and write quorum of each slot; used only to bootstrap a cluster. */
   readonly replication?: Replication;
-  /** Whether this node may help to bootstrap a cluster; not when the installation has run before. */
+  /** Whether this node may help to bootstrap a cluster, by default true; false if the installation has run before. */
   readonly mayBootstrap?: boolean;
-  /** Derives what follows from a batch of changes, before the master publishes it. */
+  /** Derives the dependent parts of the state, such as slot owners, from a batch of changes before it is published. */
   readonly settle?: (state: State) => State;
-  /** Called with each committed state, one after the other. */
+  /** Applies a committed state; called for one state at a time, in order. */
   readonly onApplied?: (state: State) => Promise<void>;
-  /** What this node tells its master with every ping. */
+  /** Returns the report that this node sends to its master with every ping and ping response. */
   readonly report?: () => unknown;
-  /** Hears, on the master, what each node reports. */
+  /** Called on the master with each report of a listed node. */
   readonly onReport?: (id: string, report: unknown) => void;
-  /** What a master tells its nodes with every ping response. */
+  /** Returns the report, such as of the server list, that a master adds to its response to a follower's ping. */
   readonly listReport?: () => unknown;
-  /** Hears what the master reports, and the clock time in milliseconds at which it was asked. */
+  /** Called with the master's report, and the clock time in milliseconds at which the ping that it answers was sent. */
   readonly onListReport?: (reported: unknown, requestedAt: number) => void;
-  /** Hears of each mastership that this node takes up. */
+  /** Called each time this node has become master and committed its first state. */
   readonly onLead?: (master: MasterView) => void;
 }
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -1,6 +1,6 @@
 /**
- * A node of the cluster (docs/zen.md): finds a master, then leads or follows until that ends, over and over. This module
- * puts the parts together; each owns its state, and the election store alone what must survive a restart.
+ * A node of the cluster (docs/zen.md): it repeatedly finds a master, then leads or follows until that ends. This module
+ * connects the components; each owns its state, and only the election store owns state that must survive a restart.
  */
 import type { Member, State } from '@tillerstair/state';
 import {
@@ -30,10 +30,10 @@
 import { RequestDispatcher } from './request-dispatcher.js';
 import type { ZenNodeOptions } from './zen-node-options.js';
 
-/** After an unexpected error the node goes on after this part of a heartbeat. */
+/** After an unexpected error the node retries after the heartbeat interval divided by this. */
 const errorPausesPerHeartbeat = 10;
 
-/** One node, from `start` to `stop`. */
+/** A node of the cluster, from `start` to `stop`; can be started once. */
 export class ZenNode {
   private readonly clock: Clock;
   private readonly bounds: ZenBounds;
@@ -50,6 +50,7 @@
   private readonly leadership: Leadership;
   private readonly follower: Follower;
   private readonly dispatcher: RequestDispatcher;
+  /** Resolves when the run loop has ended. */
   private ended: Promise<void> = Promise.resolve();
   private seeds: readonly string[];
 
@@ -146,7 +147,7 @@
     });
   }
 
-  /** What this node reports to others, and hears from its master. */
+  /** Callbacks for the reports that this node exchanges with its master or its followers. */
   private reports() {
     const { report, listReport, onListReport } = this.options;
     return {
@@ -158,62 +159,62 @@
     };
   }
 
-  /** The newest committed state that this node has applied. */
+  /** Newest committed state that this node has applied. */
   get applied(): State | undefined {
     return this.receiver.applied;
   }
 
-  /** The master that this node runs, if it is one. */
+  /** The master role of this node, if it is master and has not stepped down. */
   get leading(): MasterView | undefined {
     return this.leadership.active;
   }
 
-  /** The master as far as this node knows: itself, or the one that it follows. */
+  /** The current master as known to this node: itself, or the master that it follows. */
   get knownMaster(): Member | undefined {
     return this.leading ? this.localNode.member : this.follower.master;
   }
 
-  /** The term in which this node voted last. */
+  /** Term of this node's newest vote. */
   get term(): number {
     return this.localNode.term;
   }
 
-  /** The cluster that this node belongs to; empty before it accepted a first state. */
+  /** Id of the cluster that this node belongs to; empty before it has accepted a state. */
   get clusterId(): string {
     return this.localNode.clusterId;
   }
 
-  /** The newest state that this node has accepted, committed or not. */
+  /** Newest state that this node has accepted, committed or not. */
   get accepted(): State | undefined {
     return this.localNode.accepted;
   }
 
-  /** Clock time in milliseconds at which the applied state was surely the newest committed one. */
+  /** Latest clock time in milliseconds at which the applied state is known to have been the newest committed one. */
   get leaseRenewedAt(): number {
     return this.readLease.leaseRenewedAt;
   }
 
-  /** Uses other seed addresses from the next ping round on; nothing under way is disturbed. */
+  /** Replaces the seed addresses of ping rounds from now on; nothing in progress is interrupted. */
   replaceSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
-  /** Pings the master at once, so that it hears this node's report. */
+  /** Pings the master without waiting for the next heartbeat, so that it receives this node's report. */
   reportNow(): void {
     this.sleep.wake();
   }
 
-  /** Begins to look for a master; requests are answered even before. */
+  /** Starts the search for a master; `handle` may be called before. */
   start(): void {
     this.ended = this.run();
     if (this.localNode.member.kind === 'front') void this.renewReadLease();
   }
 
   /**
-   * Leaves the cluster in order; resolves once nothing of this node runs any more.
+   * Leaves the cluster and stops the node; resolves once its run loop has ended.
    *
-   * @param leaseReleased - Whether this is the node of a front that serves nothing any more: changes then wait no
-   * longer for its read lease.
+   * @param leaseReleased - Whether this is the node of a front that has stopped serving: changes then do not wait for
+   * its read lease.
    */
   async stop(leaseReleased = false): Promise<void> {
     const leave = { ...this.options, leaseReleased };
@@ -224,7 +225,7 @@
     await this.ended;
   }
 
-  /** Answers a request of another node; rejects with an `RpcError` that says why it is refused. */
+  /** Handles a request from another node; rejects with an `RpcError` if the request is refused. */
   handle(request: RpcRequest): Promise<unknown> {
     return this.dispatcher.handle(request);
   }
@@ -234,7 +235,9 @@
       try {
         await this.findAndServe();
       } catch (e) {
-        this.log.warn(`Round ended: ${toRpcError(e).message}.`);
+        this.log.warn(
+          `Search for a master or membership ended with an error: ${toRpcError(e).message}.`,
+        );
         const wait = this.bounds.heartbeatInterval / errorPausesPerHeartbeat;
         await delay(this.clock, wait, this.stopping.signal);
       }
