--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -93,10 +93,10 @@
     const joiners = joins.map(({ join }) => join.from);
     const votes = await gatherVotes(this.options, accepted, term, joiners);
     if (!this.hasWon(term, accepted, votes)) {
-      this.log.info(`Lost the election of term ${term}.`);
+      this.log.info(`Won no majority in term ${term}.`);
       return undefined;
     }
-    this.log.info(`Elected master in term ${term} with ${votes.granted.size + 1} votes.`);
+    this.log.info(`Master in term ${term} with ${votes.granted.size + 1} votes.`);
     const granted = joins.filter(({ join }) => votes.granted.has(join.from.id));
     return { term, newestState: votes.newestState, requestedAt, joins: granted };
   }
--- a/packages/zen/src/follower.ts
+++ b/packages/zen/src/follower.ts
@@ -65,7 +65,7 @@
     await this.join(master);
     log.info(`Joined master ${master.addr}.`);
     await this.faultDetection().run();
-    log.info(`Lost master ${this.followed?.addr ?? master.addr}.`);
+    log.info('Lost the master.');
     this.followed = undefined;
     if (localNode.accepted === undefined)
       await delay(clock, bounds.heartbeatInterval / blankPausesPerHeartbeat, stopping);
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -235,9 +235,7 @@
       try {
         await this.findAndServe();
       } catch (e) {
-        this.log.warn(
-          `Search for a master or membership ended with an error: ${toRpcError(e).message}.`,
-        );
+        this.log.warn(`Round ended: ${toRpcError(e).message}.`);
         const wait = this.bounds.heartbeatInterval / errorPausesPerHeartbeat;
         await delay(this.clock, wait, this.stopping.signal);
       }
