--- a/packages/zen/src/master-finder.ts
+++ b/packages/zen/src/master-finder.ts
@@ -105,7 +105,7 @@
       return undefined;
     }
     this.roundsWithoutMaster = 0;
-    this.log.info(`Chose ${result.member.addr} as master (${result.by}).`);
+    this.log.info(`Elected ${result.member.addr} (${result.by}).`);
     return result.member;
   }
 
