--- a/packages/zen/src/addressee.ts
+++ b/packages/zen/src/addressee.ts
@@ -28,6 +28,6 @@
   if (to !== localMember.id)
     throw new ElectionError(
       'other-node',
-      `${request.kind} is for node ${to}, this node is ${localMember.id}`,
+      `${request.kind} is for another node, ${to}; this node is ${localMember.id}`,
     );
 };
--- a/packages/zen/src/candidate.ts
+++ b/packages/zen/src/candidate.ts
@@ -11,7 +11,7 @@
 import type { LocalNode } from './local-node.js';
 import type { PendingJoin, PendingJoins } from './pending-joins.js';
 
-/** Checks for a majority of joins per join timeout, beside the check after each join. */
+/** Checks for a majority of joins per join timeout, in addition to the check after each join. */
 const checksPerJoinTimeout = 4;
 
 /** Outcome of a won election. */
--- a/packages/zen/src/known-members.ts
+++ b/packages/zen/src/known-members.ts
@@ -48,7 +48,7 @@
     return [...this.byAddress.values()];
   }
 
-  /** Known controls: beside the seeds, ping rounds go only to them. */
+  /** Known controls; ping rounds go only to these and the seeds. */
   controls(): Member[] {
     return this.all().filter((member) => member.kind === 'control');
   }
--- a/packages/zen/src/zen-node-options.ts
+++ b/packages/zen/src/zen-node-options.ts
@@ -9,7 +9,7 @@
 export interface ZenNodeOptions {
   /** The node itself. */
   readonly me: Member;
-  /** Addresses that every ping round includes, beside the known controls. */
+  /** Addresses that every ping round includes, in addition to the known controls. */
   readonly seeds: readonly string[];
   readonly clock: Clock;
   readonly transport: Transport;
--- a/tests/src/support/zen-fixtures.ts
+++ b/tests/src/support/zen-fixtures.ts
@@ -1,4 +1,4 @@
-/** Members, states, messages and a scripted transport for unit tests of discovery, election and publishing. */
+/** Fixtures for unit tests of discovery, election and publishing: members, states, messages and a scripted transport. */
 import { deflateSync } from 'node:zlib';
 import {
   bootstrapState,
@@ -10,7 +10,7 @@
 import { toRpcError, type Transport } from '@tillerstair/wire';
 import { MemoryElectionStore, zenBounds, type PingResponse, type Publish } from '@tillerstair/zen';
 
-/** Bounds as a small site states them, in milliseconds. */
+/** Bounds of a small deployment, in milliseconds. */
 export const bounds = zenBounds({
   serveWithin: 12000,
   drainingWithin: 3000,
@@ -18,6 +18,7 @@
   failureTimeout: 3000,
 });
 
+/** Member whose address is made of its id; a control by default. */
 export const member = (id: string, kind: Member['kind'] = 'control'): Member => ({
   id,
   kind,
@@ -30,19 +31,20 @@
 
 export const [a, b, c] = [member('a'), member('b'), member('c')];
 
-/** The state that `a`, `b` and `c` are bootstrapped with, at term 0 and version 1. */
+/** Bootstrap state of cluster `x` with the voters `a`, `b` and `c`, at term 0 and version 1. */
 export const bootstrapped = bootstrapState('x', [a, b, c], 1);
 
-export const stateAt = (term: number, version: number, more: Partial<State> = {}): State => ({
+/** The bootstrap state with another term and version, and these fields replaced. */
+export const stateAt = (term: number, version: number, overrides: Partial<State> = {}): State => ({
   ...bootstrapped,
   term,
   version,
-  ...more,
+  ...overrides,
 });
 
 const pack = (payload: object): string => deflateSync(JSON.stringify(payload)).toString('base64');
 
-/** The body of a publish of the whole state by `from`. */
+/** Body of a publish of the full state by `from`. */
 export const publishOf = (
   from: Member,
   state: State,
@@ -55,7 +57,7 @@
   packed: pack({ full: [...encodeState(state)] }),
 });
 
-/** The body of a publish of the difference between two states. */
+/** Body of a publish of the diff between two states by `from`. */
 export const publishDiffOf = (from: Member, base: State, state: State): Publish => ({
   from,
   term: state.term,
@@ -63,8 +65,11 @@
   packed: pack({ diff: diffStates(base, state) }),
 });
 
-/** The reply of a control of cluster `x` that is able to win. */
-export const pingResponse = (from: Member, more: Partial<PingResponse> = {}): PingResponse => ({
+/** Ping response of a control of cluster `x` that can win an election. */
+export const pingResponse = (
+  from: Member,
+  overrides: Partial<PingResponse> = {},
+): PingResponse => ({
   from,
   eligible: from.kind === 'control',
   canWin: from.kind === 'control',
@@ -74,27 +79,27 @@
   accepted: { term: 0, version: 1 },
   voters: bootstrapped.voters,
   known: [],
-  ...more,
+  ...overrides,
 });
 
-/** The reply of a control that belongs to no cluster yet. */
+/** Ping response of a control that belongs to no cluster yet. */
 export const blankPingResponse = (
   from: Member,
-  more: Partial<PingResponse> = {},
+  overrides: Partial<PingResponse> = {},
 ): PingResponse => ({
   ...pingResponse(from, { canWin: false, clusterId: '', accepted: { term: -1, version: 0 } }),
   voters: undefined,
-  ...more,
+  ...overrides,
 });
 
-/** `done`, or the code of the error that the work ends with. */
+/** Resolves with `done`, or with the code of the error that `work` rejects with. */
 export const outcomeOf = (work: Promise<unknown>): Promise<string> =>
   work.then(
     () => 'done',
     (e: unknown) => toRpcError(e).code,
   );
 
-/** A store of an election in memory that has accepted a state. */
+/** Creates an election store in memory that has accepted the state, if one is given. */
 export const electionStoreWith = async (
   state: State | undefined,
   id = 'me',
@@ -104,29 +109,32 @@
   return electionStore;
 };
 
-/** Counts the waits for earlier records, and lets a test refuse them. */
+/** Election store in memory that counts calls of `synced`, and whose syncs a test can make fail. */
 export class ObservedElectionStore extends MemoryElectionStore {
   syncsAwaited = 0;
   failsToSync = false;
 
   override synced(): Promise<void> {
     this.syncsAwaited++;
-    return this.failsToSync ? Promise.reject(new Error('the disk takes no bytes')) : super.synced();
+    return this.failsToSync
+      ? Promise.reject(new Error('the disk accepts no writes'))
+      : super.synced();
   }
 
   override async recordVote(term: number, to: string): Promise<void> {
     await super.recordVote(term, to);
-    if (this.failsToSync) throw new Error('the disk takes no bytes');
+    if (this.failsToSync) throw new Error('the disk accepts no writes');
   }
 }
 
+/** A request that was sent through a `ScriptedTransport`; `to` is an address. */
 export interface SentRequest {
   readonly to: string;
   readonly kind: string;
   readonly body: unknown;
 }
 
-/** A transport on which a test answers every request; what was sent is recorded. */
+/** Transport that answers each request by a test's function, and records the requests sent. */
 export class ScriptedTransport implements Transport {
   readonly self = 'me';
   readonly sent: SentRequest[] = [];
@@ -139,7 +147,7 @@
     return this.answer(request);
   }
 
-  /** How many requests of this kind were sent. */
+  /** Number of requests of this kind that were sent. */
   count(kind: string): number {
     return this.sent.filter((request) => request.kind === kind).length;
   }
--- a/tests/src/support/zen-node-harness.ts
+++ b/tests/src/support/zen-node-harness.ts
@@ -1,4 +1,4 @@
-/** One node of a cluster whose peers are scripted, for unit tests of what it sends, answers and refuses. */
+/** A cluster node with scripted peers, for unit tests of the requests that it sends, answers and rejects. */
 import { SimClock } from '@tillerstair/sim';
 import { type Member, type State } from '@tillerstair/state';
 import { ConnectionRefusedError, silentLogger, delay } from '@tillerstair/wire';
@@ -19,28 +19,29 @@
   type SentRequest,
 } from './zen-fixtures.js';
 
-/** How long each request takes, in milliseconds of simulated time. */
+/** Duration of each request, in milliseconds of simulated time. */
 const roundTripMs = 1;
-/** Long enough for a node to find and to join a master. */
+/** Milliseconds of simulated time within which a node finds and joins a master. */
 export const settleMs = 10 * roundTripMs;
 
-/** What the peers answer to one kind of request; a kind that is not named is refused. */
+/** Answers of the peers, by kind of request; the connection is refused for other kinds. */
 export type Answers = Readonly<Partial<Record<string, (request: SentRequest) => Promise<unknown>>>>;
 
 export interface HarnessOptions {
   readonly me?: Member;
-  /** The state that the node has accepted before it starts, if any. */
+  /** State that the node has accepted before it starts; `undefined` for none, by default the bootstrap state. */
   readonly state?: State | undefined;
   readonly electionStore?: MemoryElectionStore;
   readonly answers?: Answers;
   readonly overrides?: Partial<ZenNodeOptions>;
 }
 
-/** An election store in memory whose disk a test can take away. */
+/** Election store in memory that a test can make unwritable. */
 export class TogglableElectionStore extends MemoryElectionStore {
   override writable = true;
 }
 
+/** A node with simulated time and a scripted transport. */
 export class NodeHarness {
   readonly clock = new SimClock();
   readonly transport: ScriptedTransport;
@@ -71,24 +72,25 @@
     });
   }
 
-  /** Hands the node a request of a peer. */
+  /** Delivers a request of a peer to the node. */
   handle(kind: string, body: unknown, from: Member = a): Promise<unknown> {
     return this.node.handle({ from: from.addr, kind, body });
   }
 
-  /** Asks the node to be joined by a peer, as a member of cluster `x`. */
-  join(from: Member, more: object = {}): Promise<unknown> {
+  /** Delivers a join of a peer of cluster `x` to the node. */
+  join(from: Member, overrides: object = {}): Promise<unknown> {
     const accepted = { term: 0, version: 1 };
-    return this.handle('zen/join', { from, term: 0, accepted, clusterId: 'x', ...more }, from);
+    return this.handle('zen/join', { from, term: 0, accepted, clusterId: 'x', ...overrides }, from);
   }
 
-  /** Starts the node and lets so much simulated time pass. */
+  /** Starts the node and advances the simulated time by `ms` milliseconds. */
   async startFor(ms: number): Promise<void> {
     this.node.start();
     await this.clock.run(ms);
   }
 }
 
+/** Creates a node, by default control `a` with the bootstrap state accepted; does not start it. */
 export const createHarness = async (options: HarnessOptions = {}): Promise<NodeHarness> => {
   const { me = a, answers = {}, overrides = {} } = options;
   const state = 'state' in options ? options.state : bootstrapped;
@@ -97,7 +99,7 @@
   return new NodeHarness(me, electionStore, answers, overrides);
 };
 
-/** Answers each ping with the reply of the node at the address, if it has one here. */
+/** Answers a ping with the response whose sender has the pinged address; refuses the connection if there is none. */
 export const answersPings =
   (...replies: readonly PingResponse[]) =>
   (request: SentRequest): Promise<unknown> => {
@@ -105,9 +107,10 @@
     return reply ? Promise.resolve(reply) : Promise.reject(new ConnectionRefusedError(request.to));
   };
 
+/** Answers every request with the same body. */
 export const answersWith = (answer: unknown) => (): Promise<unknown> => Promise.resolve(answer);
 
-/** What peers answer to a control `a` that they vote for and follow. */
+/** Answers of peers that vote for a control `a` and follow it. */
 export const followerAnswers: Answers = {
   'zen/ping': answersPings(pingResponse(b), pingResponse(c)),
   'zen/validate': answersWith({ accepted: { term: 0, version: 1 } }),
@@ -116,19 +119,19 @@
   'zen/node-ping': answersWith({ term: 1, applied: { term: 1, version: 2 }, report: null }),
 };
 
-/** A control `a` that was joined by `b` and is master in term 1. */
+/** Starts a control `a` that `b` has joined and that is master in term 1. */
 export const leadingHarness = async (options: HarnessOptions = {}): Promise<NodeHarness> => {
-  const rig = await createHarness({
+  const harness = await createHarness({
     ...options,
     answers: { ...followerAnswers, ...options.answers },
   });
-  await rig.startFor(settleMs);
-  const joined = rig.join(b);
-  await rig.clock.finish('join', joined, bounds.joinTimeout);
-  return rig;
+  await harness.startFor(settleMs);
+  const joined = harness.join(b);
+  await harness.clock.finish('join', joined, bounds.joinTimeout);
+  return harness;
 };
 
-/** What a master `a` in term 1 answers to a node that follows it. */
+/** Response of a master `a` in term 1 to the ping of a follower. */
 export const masterPingResponse = {
   leading: true,
   listed: true,
@@ -137,19 +140,20 @@
   age: 0,
 };
 
+/** Answers of a master `a` in term 1, and of another control `c`, to a node that joins and follows `a`. */
 export const masterAnswers: Answers = {
   'zen/ping': answersPings(pingResponse(a, { master: a }), pingResponse(c)),
   'zen/join': answersWith({ term: 1 }),
   'zen/master-ping': answersWith(masterPingResponse),
 };
 
-/** A control `b` that follows `a`. */
+/** Starts a control `b` that follows `a`. */
 export const followingHarness = async (options: HarnessOptions = {}): Promise<NodeHarness> => {
-  const rig = await createHarness({
+  const harness = await createHarness({
     me: b,
     ...options,
     answers: { ...masterAnswers, ...options.answers },
   });
-  await rig.startFor(settleMs);
-  return rig;
+  await harness.startFor(settleMs);
+  return harness;
 };
--- a/tests/src/zen/bootstrap.test.ts
+++ b/tests/src/zen/bootstrap.test.ts
@@ -1,4 +1,4 @@
-/** Who may bootstrap a cluster, for whom a blank control votes, and what keeps a second cluster from coming up. */
+/** Which controls may bootstrap a cluster, which proposals a blank control votes for, and that no second cluster forms. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
@@ -24,7 +24,7 @@
   type SentRequest,
 } from '../support/zen-fixtures.js';
 
-const bootstraps = suite('bootstrapping');
+const bootstrapping = suite('bootstrapping');
 
 const seeds = [a.addr, b.addr, c.addr];
 const viewOf = (localMember: Member, pingResponses: readonly PingResponse[]): BootstrapView => ({
@@ -35,11 +35,11 @@
 });
 const blankReplies = [blankPingResponse(b), blankPingResponse(c)];
 const viewOfA = viewOf(a, blankReplies);
-const says = (yes: boolean) => (): Promise<unknown> => Promise.resolve({ yes });
+const votes = (yes: boolean) => (): Promise<unknown> => Promise.resolve({ yes });
 
 const bootstrapperOf = (
   electionStore: MemoryElectionStore,
-  answer: (request: SentRequest) => Promise<unknown> = says(true),
+  answer: (request: SentRequest) => Promise<unknown> = votes(true),
 ) => {
   const clock = new SimClock();
   const transport = new ScriptedTransport(answer);
@@ -51,26 +51,26 @@
     log: silentLogger,
     slots: 1,
   });
-  /** Two rounds that saw the same, as far apart as a bootstrap needs. */
-  const twoRounds = async (view: BootstrapView, apart = bounds.bootstrapStablePeriod) => {
+  /** Processes two ping rounds with the same result, by default as far apart as a bootstrap requires. */
+  const twoRounds = async (view: BootstrapView, intervalMs = bounds.bootstrapStablePeriod) => {
     await bootstrapper.onPingRound(view);
-    await clock.run(apart);
+    await clock.run(intervalMs);
     return bootstrapper.onPingRound(view);
   };
   return { bootstrapper, clock, transport, twoRounds };
 };
 
-bootstraps('every seed must have replied', () => {
+bootstrapping('every seed must have replied', () => {
   assert.is(closureOf(viewOfA).members.length, 3);
   assert.is(closureOf(viewOf(a, [blankPingResponse(b)])).members.length, 0);
 });
 
-bootstraps('a reply that knows a cluster forbids it', () => {
+bootstrapping('a reply of a node that belongs to a cluster prevents it', () => {
   const old = blankPingResponse(c, { clusterId: 'x' });
   assert.is(closureOf(viewOf(a, [blankPingResponse(b), old])).members.length, 0);
 });
 
-bootstraps('every control that anyone named must have replied', () => {
+bootstrapping('every control that anyone named must have replied', () => {
   const d = member('d');
   const named = blankPingResponse(c, { known: [d] });
   assert.is(closureOf(viewOf(a, [blankPingResponse(b), named])).members.length, 0);
@@ -78,7 +78,7 @@
   assert.is(closureOf({ ...viewOfA, knownMembers: [member('d', 'store')] }).members.length, 3);
 });
 
-bootstraps('only controls are members', () => {
+bootstrapping('only controls are members', () => {
   const withStore = [...blankReplies, blankPingResponse(member('d', 'store'))];
   assert.equal(
     closureOf(viewOf(a, withStore)).members.map((m) => m.id),
@@ -86,19 +86,22 @@
   );
 });
 
-bootstraps('the first member accepts the bootstrapping state with all votes', async () => {
-  const electionStore = new MemoryElectionStore('a');
-  const { twoRounds, transport } = bootstrapperOf(electionStore);
-  assert.is(await twoRounds(viewOfA), true);
-  assert.equal(electionStore.persisted.accepted?.voters.current, ['a', 'b', 'c']);
-  assert.equal(
-    electionStore.persisted.bootstrapVote.map((m) => m.id),
-    ['a', 'b', 'c'],
-  );
-  assert.is(transport.count('zen/bootstrap'), 2);
-});
+bootstrapping(
+  'the member with the lowest id accepts the bootstrap state once all others have voted',
+  async () => {
+    const electionStore = new MemoryElectionStore('a');
+    const { twoRounds, transport } = bootstrapperOf(electionStore);
+    assert.is(await twoRounds(viewOfA), true);
+    assert.equal(electionStore.persisted.accepted?.voters.current, ['a', 'b', 'c']);
+    assert.equal(
+      electionStore.persisted.bootstrapVote.map((m) => m.id),
+      ['a', 'b', 'c'],
+    );
+    assert.is(transport.count('zen/bootstrap'), 2);
+  },
+);
 
-bootstraps('the members must have been the same for long enough', async () => {
+bootstrapping('the members must have been the same for long enough', async () => {
   const electionStore = new MemoryElectionStore('a');
   const { bootstrapper, twoRounds, clock } = bootstrapperOf(electionStore);
   assert.is(await twoRounds(viewOfA, bounds.bootstrapStablePeriod - 1), false);
@@ -109,19 +112,19 @@
   assert.is(electionStore.persisted.accepted, undefined);
 });
 
-bootstraps('another member than the first proposes nothing', async () => {
+bootstrapping('a member other than the one with the lowest id proposes nothing', async () => {
   const electionStore = new MemoryElectionStore('b');
   const { twoRounds, transport } = bootstrapperOf(electionStore);
   assert.is(await twoRounds(viewOf(b, [blankPingResponse(a), blankPingResponse(c)])), false);
   assert.is(transport.sent.length, 0);
 });
 
-bootstraps('a missing vote, or one that was refused, forbids it', async () => {
+bootstrapping('a missing or refused vote prevents it', async () => {
   const refuses = (request: SentRequest): Promise<unknown> =>
     Promise.resolve({ yes: request.to === b.addr });
-  const isSilent = (request: SentRequest): Promise<unknown> =>
+  const timesOut = (request: SentRequest): Promise<unknown> =>
     request.to === b.addr ? Promise.resolve({ yes: true }) : Promise.reject(new Error('no reply'));
-  for (const answer of [refuses, isSilent]) {
+  for (const answer of [refuses, timesOut]) {
     const electionStore = new MemoryElectionStore('a');
     const { twoRounds } = bootstrapperOf(electionStore, answer);
     assert.is(await twoRounds(viewOfA), false);
@@ -129,17 +132,20 @@
   }
 });
 
-bootstraps('a vote that moved while the others were asked forbids it', async () => {
-  const electionStore = new MemoryElectionStore('a');
-  const { twoRounds } = bootstrapperOf(electionStore, async () => {
-    await electionStore.recordBootstrapVote([a, b, c, member('d')]);
-    return { yes: true };
-  });
-  assert.is(await twoRounds(viewOfA), false);
-  assert.is(electionStore.persisted.accepted, undefined);
-});
+bootstrapping(
+  'a local vote that changed during the requests to the others prevents it',
+  async () => {
+    const electionStore = new MemoryElectionStore('a');
+    const { twoRounds } = bootstrapperOf(electionStore, async () => {
+      await electionStore.recordBootstrapVote([a, b, c, member('d')]);
+      return { yes: true };
+    });
+    assert.is(await twoRounds(viewOfA), false);
+    assert.is(electionStore.persisted.accepted, undefined);
+  },
+);
 
-bootstraps('a state that was accepted while the others were asked stays', async () => {
+bootstrapping('a state that was accepted during the requests to the others is kept', async () => {
   const electionStore = new MemoryElectionStore('a');
   const { twoRounds } = bootstrapperOf(electionStore, async () => {
     await electionStore.accept(bootstrapped);
@@ -149,7 +155,7 @@
   assert.is(electionStore.persisted.accepted?.clusterId, 'x');
 });
 
-/** A voter `b` whose own last round saw all three, with what it has voted for before. */
+/** Bootstrapper of `b`, whose last ping round had replies of `a` and `c`; `voted` are the members of its earlier vote. */
 const voterAfterRound = async (
   electionStore: MemoryElectionStore,
   voted: readonly Member[] = [],
@@ -159,53 +165,53 @@
   await bootstrapper.onPingRound(viewOf(b, [blankPingResponse(a), blankPingResponse(c)]));
   return bootstrapper;
 };
-const all = { from: a, members: [a, b, c] };
+const proposal = { from: a, members: [a, b, c] };
 
-bootstraps(
-  'a control votes for the members that its own last round saw, and no others',
-  async () => {
-    const electionStore = new MemoryElectionStore('b');
-    const bootstrapper = await voterAfterRound(electionStore);
-    assert.equal(await bootstrapper.onVoteRequest(b, { from: a, members: [a, b] }), { yes: false });
-    assert.equal(electionStore.persisted.bootstrapVote, []);
-    assert.equal(await bootstrapper.onVoteRequest(b, all), { yes: true });
-    assert.equal(
-      electionStore.persisted.bootstrapVote.map((m) => m.id),
-      ['a', 'b', 'c'],
-    );
-  },
-);
-
-bootstraps('a control that has accepted a state votes for nobody', async () => {
+bootstrapping('a control votes only for exactly the members of its last ping round', async () => {
   const electionStore = new MemoryElectionStore('b');
   const bootstrapper = await voterAfterRound(electionStore);
-  await electionStore.accept(bootstrapped);
-  assert.equal(await bootstrapper.onVoteRequest(b, all), { yes: false });
+  assert.equal(await bootstrapper.onVoteRequest(b, { from: a, members: [a, b] }), { yes: false });
+  assert.equal(electionStore.persisted.bootstrapVote, []);
+  assert.equal(await bootstrapper.onVoteRequest(b, proposal), { yes: true });
+  assert.equal(
+    electionStore.persisted.bootstrapVote.map((m) => m.id),
+    ['a', 'b', 'c'],
+  );
 });
 
-bootstraps('a control that has no place among the members does not vote', async () => {
+bootstrapping('a control that has accepted a state votes for nobody', async () => {
   const electionStore = new MemoryElectionStore('b');
   const bootstrapper = await voterAfterRound(electionStore);
-  assert.equal(await bootstrapper.onVoteRequest(member('d'), all), { yes: false });
+  await electionStore.accept(bootstrapped);
+  assert.equal(await bootstrapper.onVoteRequest(b, proposal), { yes: false });
 });
 
-bootstraps('a vote moves only to members at all addresses of the earlier vote', async () => {
-  const covered = await voterAfterRound(new MemoryElectionStore('b'), [a, b]);
-  assert.equal(await covered.onVoteRequest(b, all), { yes: true });
+bootstrapping('a control that is not among the proposed members does not vote', async () => {
   const electionStore = new MemoryElectionStore('b');
-  const bootstrapper = await voterAfterRound(electionStore, [b, member('d')]);
-  assert.equal(await bootstrapper.onVoteRequest(b, all), { yes: false });
-  assert.equal(
-    electionStore.persisted.bootstrapVote.map((m) => m.id),
-    ['b', 'd'],
-  );
+  const bootstrapper = await voterAfterRound(electionStore);
+  assert.equal(await bootstrapper.onVoteRequest(member('d'), proposal), { yes: false });
 });
 
-bootstraps('a vote that is said again is on disk first', async () => {
+bootstrapping(
+  'a vote changes only to members that cover all addresses of the earlier vote',
+  async () => {
+    const covered = await voterAfterRound(new MemoryElectionStore('b'), [a, b]);
+    assert.equal(await covered.onVoteRequest(b, proposal), { yes: true });
+    const electionStore = new MemoryElectionStore('b');
+    const bootstrapper = await voterAfterRound(electionStore, [b, member('d')]);
+    assert.equal(await bootstrapper.onVoteRequest(b, proposal), { yes: false });
+    assert.equal(
+      electionStore.persisted.bootstrapVote.map((m) => m.id),
+      ['b', 'd'],
+    );
+  },
+);
+
+bootstrapping('a repeated vote is acknowledged only once it is on disk', async () => {
   const electionStore = new ObservedElectionStore('b');
   const bootstrapper = await voterAfterRound(electionStore, [a, b, c]);
-  assert.equal(await bootstrapper.onVoteRequest(b, all), { yes: true });
+  assert.equal(await bootstrapper.onVoteRequest(b, proposal), { yes: true });
   assert.is(electionStore.syncsAwaited, 1);
 });
 
-bootstraps.run();
+bootstrapping.run();
--- a/tests/src/zen/choice-of-master.test.ts
+++ b/tests/src/zen/choice-of-master.test.ts
@@ -1,4 +1,4 @@
-/** Which member a node takes for the master after a ping round, and which replies count for nothing. */
+/** Which member a node chooses as master after a ping round, and which replies it ignores. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { elect, type PingResponse } from '@tillerstair/zen';
@@ -24,34 +24,37 @@
   assert.is(chosenBy(self, [pingResponse(a, { master: c }), pingResponse(c)]), 'c reported');
 });
 
-choices('a node does not take itself for master because others still report it', () => {
-  const echo = pingResponse(b, { eligible: true });
-  assert.is(chosenBy(self, [pingResponse(a, { master: b }), echo]), 'a active');
+choices('a node does not choose itself because others still report it as master', () => {
+  const ownReply = pingResponse(b, { eligible: true });
+  assert.is(chosenBy(self, [pingResponse(a, { master: b }), ownReply]), 'a active');
 });
 
-choices('replies of nodes that are not eligible count for nothing', () => {
+choices('replies of nodes that are not eligible are ignored', () => {
   const store = member('a0', 'store');
-  const eager = pingResponse(store, { eligible: false, canWin: true, master: c });
-  assert.is(chosenBy(self, [eager, pingResponse(c)]), 'b active');
+  const ineligible = pingResponse(store, { eligible: false, canWin: true, master: c });
+  assert.is(chosenBy(self, [ineligible, pingResponse(c)]), 'b active');
   assert.is(chosenBy(self, [pingResponse(a, { eligible: false })]), 'none');
 });
 
-choices('too few voters elect nobody', () => {
+choices('no master is chosen without a majority of the voters', () => {
   assert.is(chosenBy(self, []), 'none');
   assert.is(chosenBy(self, [pingResponse(member('d')), pingResponse(member('e'))]), 'none');
 });
 
-choices('the voters that count are those of the newest state that anyone has accepted', () => {
-  const later = {
-    accepted: { term: 2, version: 9 },
-    voters: { current: ['a', 'd', 'e'], next: ['a', 'd', 'e'] },
-  };
-  assert.is(chosenBy(self, [pingResponse(a, later), pingResponse(c)]), 'none');
-  assert.is(
-    chosenBy(self, [pingResponse(a, { ...later, accepted: { term: 0, version: 0 } })]),
-    'a active',
-  );
-});
+choices(
+  'the voters are those of the newest state that this node or a respondent has accepted',
+  () => {
+    const later = {
+      accepted: { term: 2, version: 9 },
+      voters: { current: ['a', 'd', 'e'], next: ['a', 'd', 'e'] },
+    };
+    assert.is(chosenBy(self, [pingResponse(a, later), pingResponse(c)]), 'none');
+    assert.is(
+      chosenBy(self, [pingResponse(a, { ...later, accepted: { term: 0, version: 0 } })]),
+      'a active',
+    );
+  },
+);
 
 choices('only a member that can win is chosen', () => {
   assert.is(chosenBy(self, [pingResponse(a, { canWin: false })]), 'b active');
@@ -62,9 +65,9 @@
   assert.is(chosenBy({ ...self, canWin: false }, [pingResponse(a, { canWin: false })]), 'none');
 });
 
-choices('a control whose disk takes no writes, and a node of another kind, are no voters', () => {
-  const unable = { ...self, canWin: false, writable: false };
-  assert.is(chosenBy(unable, [pingResponse(a)]), 'none');
+choices('an unwritable control, and a node of another kind, do not count as voters', () => {
+  const unwritable = { ...self, canWin: false, writable: false };
+  assert.is(chosenBy(unwritable, [pingResponse(a)]), 'none');
   const front = { ...self, member: member('b', 'front'), canWin: false };
   assert.is(chosenBy(front, [pingResponse(a)]), 'none');
 });
--- a/tests/src/zen/control-model.test.ts
+++ b/tests/src/zen/control-model.test.ts
@@ -1,6 +1,6 @@
 /**
- * The model test of the controls. `npx fleet model --runs N --seed S` makes longer series. A run that was found
- * stays in `regressions` by the fault that it showed; every one must break no rule.
+ * Model test of the controls. `npx fleet model --runs N --seed S` runs longer series. `regressions` has runs that once
+ * violated a rule, by the fault behind it; none may violate a rule now.
  */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -20,27 +20,27 @@
     },
   ],
   [
-    'an order is refused for one of the same batch that is not committed yet',
+    'a change is refused because of another one of its batch that is not committed yet',
     { seed: 0, controls: 3, actions: [{ kind: 'race', at: 0, other: 0 }] },
   ],
 ]);
 
 const model = suite('the model test of the controls');
 
-model('seeded runs of requests and troubles break no rule', async () => {
+model('seeded runs of requests and disturbances violate no rule', async () => {
   const result = await checkControlModel({ seed: 1, runs: 150, longest: 40 });
   assert.equal(result.failed, undefined, JSON.stringify(result.failed));
   assert.is(result.runs, 150);
   assert.ok(result.checked > 2000, `only ${result.checked} statements were checked`);
 });
 
-model('the same seed makes the same runs', async () => {
+model('the same seed yields the same runs', async () => {
   const choice = { seed: 7, runs: 4, longest: 40 };
   assert.equal(await checkControlModel(choice), await checkControlModel(choice));
 });
 
 for (const [fault, run] of regressions)
-  model(`found before: ${fault}`, async () => {
+  model(`regression: ${fault}`, async () => {
     assert.equal(await replayModel(run), []);
   });
 
@@ -66,82 +66,86 @@
   master,
   config: ConfigRecord.parse({ version: configVersion, text: '', digest, compiled: '' }),
 });
-const rulesBroken = (listReport: (h: ModelHistory) => void): readonly string[] => {
+const violatedRules = (addEvents: (history: ModelHistory) => void): readonly string[] => {
   const history = new ModelHistory();
   history.committed('a', stateAt(1, 5, 'a', 3, 'three'));
-  listReport(history);
-  return history.findings.map((f) => f.rule);
+  addEvents(history);
+  return history.findings.map((finding) => finding.rule);
 };
 const change = { version: 4, base: 3, digest: 'four', text: '' };
 
-model('doctored histories are caught', () => {
+model('commits and acknowledgements that violate a rule are detected', () => {
   assert.equal(
-    rulesBroken(() => undefined),
+    violatedRules(() => undefined),
     [],
   );
   assert.equal(
-    rulesBroken((h) => h.committed('b', stateAt(1, 6, 'b', 3, 'three'))),
+    violatedRules((history) => history.committed('b', stateAt(1, 6, 'b', 3, 'three'))),
     ['one master a term'],
   );
   assert.equal(
-    rulesBroken((h) => h.committed('b', stateAt(1, 5, 'a', 3, 'other'))),
+    violatedRules((history) => history.committed('b', stateAt(1, 5, 'a', 3, 'other'))),
     ['committed state is kept'],
   );
   assert.equal(
-    rulesBroken((h) => h.committed('b', stateAt(1, 4, 'a', 3, 'three'))),
+    violatedRules((history) => history.committed('b', stateAt(1, 4, 'a', 3, 'three'))),
     ['committed state is kept'],
   );
   assert.equal(
-    rulesBroken((h) => h.committed('b', stateAt(2, 6, 'b', 2, 'two'))),
+    violatedRules((history) => history.committed('b', stateAt(2, 6, 'b', 2, 'two'))),
     ['committed state is kept'],
   );
   assert.equal(
-    rulesBroken((h) => h.committed('b', stateAt(2, 6, 'b', 3, 'other'))),
+    violatedRules((history) => history.committed('b', stateAt(2, 6, 'b', 3, 'other'))),
     ['one content a version'],
   );
   assert.equal(
-    rulesBroken((h) => h.acknowledged(change, 'a')),
+    violatedRules((history) => history.acknowledged(change, 'a')),
     ['acknowledged changes are committed'],
   );
   assert.equal(
-    rulesBroken((h) => h.acknowledged({ ...change, version: 3 }, 'a')),
+    violatedRules((history) => history.acknowledged({ ...change, version: 3 }, 'a')),
     ['one content a version'],
   );
 });
 
-model('doctored refusals and reads are caught', () => {
+model('refusals and reads that violate a rule are detected', () => {
   assert.equal(
-    rulesBroken((h) => h.refused(change, 'a', h.begin(), 3)),
+    violatedRules((history) => history.refused(change, 'a', history.begin(), 3)),
     ['refusals are true'],
   );
   assert.equal(
-    rulesBroken((h) =>
-      h.refused({ ...change, version: 3, base: 2, digest: 'three' }, 'a', h.begin(), 3),
+    violatedRules((history) =>
+      history.refused({ ...change, version: 3, base: 2, digest: 'three' }, 'a', history.begin(), 3),
     ),
     ['refusals are true'],
   );
   assert.equal(
-    rulesBroken((h) => h.refused({ ...change, base: 2, version: 3 }, 'a', h.begin(), 2)),
+    violatedRules((history) =>
+      history.refused({ ...change, base: 2, version: 3 }, 'a', history.begin(), 2),
+    ),
     ['refusals are true'],
   );
   assert.equal(
-    rulesBroken((h) => h.refused({ ...change, base: 2, version: 3 }, 'a', h.begin(), 3)),
+    violatedRules((history) =>
+      history.refused({ ...change, base: 2, version: 3 }, 'a', history.begin(), 3),
+    ),
     [],
   );
   assert.equal(
-    rulesBroken((h) => h.read({ version: 2, digest: 'two' }, 'a', h.begin())),
+    violatedRules((history) => history.read({ version: 2, digest: 'two' }, 'a', history.begin())),
     ['reads hold every acknowledged change'],
   );
   assert.equal(
-    rulesBroken((h) => h.read({ version: 4, digest: 'four' }, 'a', h.begin())),
+    violatedRules((history) => history.read({ version: 4, digest: 'four' }, 'a', history.begin())),
     ['reads hold every acknowledged change'],
   );
   assert.equal(
-    rulesBroken((h) => h.read(undefined, 'a', h.begin())),
+    violatedRules((history) => history.read(undefined, 'a', history.begin())),
     ['reads hold every acknowledged change'],
   );
   assert.equal(
-    rulesBroken((h) => h.read({ version: 3, digest: 'three' }, 'a', h.begin())),
+    violatedRules((history) => history.read({ version: 3, digest: 'three' }, 'a', history.begin())),
     [],
   );
 });
--- a/tests/src/zen/departure.test.ts
+++ b/tests/src/zen/departure.test.ts
@@ -1,4 +1,4 @@
-/** How a node that stops, and a master that gave up, notify the others. */
+/** How a node that stops, and a master that has stepped down, notify the other nodes. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { leaveCluster, notifySteppedDown } from '@tillerstair/zen';
@@ -6,52 +6,52 @@
 
 const departures = suite('departures');
 
-departures('a node that stops asks its master to take it off the list', async () => {
-  const rig = await MasterRig.elected();
-  const parts = { me: memberOf('a'), clock: rig.clock, transport: rig.transport, bounds };
-  await rig.clock.finish('leave', leaveCluster(parts, memberOf('b'), undefined), roundTrip);
+departures('a node that stops asks its master to remove it from the nodes', async () => {
+  const harness = await MasterRig.elected();
+  const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
+  await harness.clock.finish('leave', leaveCluster(options, memberOf('b'), undefined), roundTrip);
   assert.equal(
-    rig.sent.map(({ to, kind, body }) => ({ to, kind, body })),
+    harness.sent.map(({ to, kind, body }) => ({ to, kind, body })),
     [{ to: 'b', kind: 'zen/leave', body: { from: memberOf('a') } }],
   );
 });
 
 departures('a master that stops commits its own leave first', async () => {
-  const rig = await MasterRig.begun();
-  const parts = { me: memberOf('a'), clock: rig.clock, transport: rig.transport, bounds };
-  await rig.clock.finish('leave', leaveCluster(parts, undefined, rig.master), roundTrip);
-  assert.not(rig.master.committed?.nodes.has('a'));
+  const harness = await MasterRig.begun();
+  const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
+  await harness.clock.finish('leave', leaveCluster(options, undefined, harness.master), roundTrip);
+  assert.not(harness.master.committed?.nodes.has('a'));
 });
 
 departures('a master that stops waits one heartbeat at most for its own leave', async () => {
-  const rig = await MasterRig.begun();
-  for (const id of ['b', 'c']) rig.peer(id).silent = true;
-  const parts = { me: memberOf('a'), clock: rig.clock, transport: rig.transport, bounds };
-  const outcome = await rig.outcome(
-    leaveCluster(parts, undefined, rig.master),
+  const harness = await MasterRig.begun();
+  for (const id of ['b', 'c']) harness.peer(id).silent = true;
+  const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
+  const outcome = await harness.outcome(
+    leaveCluster(options, undefined, harness.master),
     bounds.heartbeatInterval,
   );
   assert.is(outcome, 'request-timeout unknown');
 });
 
-departures('a master that gave up notifies all members but itself', async () => {
-  const rig = await MasterRig.elected({
+departures('a master that stepped down notifies all members but itself', async () => {
+  const harness = await MasterRig.elected({
     newest: stateWith(threeVoters, [memberOf('s', 'store')]),
   });
-  rig.peer('b').refusing = true;
-  notifySteppedDown({ me: memberOf('a'), transport: rig.transport, bounds }, rig.newest);
-  await rig.clock.run(roundTrip);
+  harness.peer('b').refusing = true;
+  notifySteppedDown({ me: memberOf('a'), transport: harness.transport, bounds }, harness.newest);
+  await harness.clock.run(roundTrip);
   assert.equal(
-    rig.sent.map(({ to, kind }) => [to, kind]),
+    harness.sent.map(({ to, kind }) => [to, kind]),
     ['b', 'c', 's'].map((id) => [id, 'zen/stepped-down']),
   );
 });
 
 departures('a master that never committed a state notifies nobody', async () => {
-  const rig = await MasterRig.elected();
-  notifySteppedDown({ me: memberOf('a'), transport: rig.transport, bounds }, undefined);
-  await rig.clock.run(roundTrip);
-  assert.is(rig.sent.length, 0);
+  const harness = await MasterRig.elected();
+  notifySteppedDown({ me: memberOf('a'), transport: harness.transport, bounds }, undefined);
+  await harness.clock.run(roundTrip);
+  assert.is(harness.sent.length, 0);
 });
 
 departures.run();
--- a/tests/src/zen/election-store.test.ts
+++ b/tests/src/zen/election-store.test.ts
@@ -1,4 +1,4 @@
-/** Which logs of votes and states prove themselves whole, and what a store of an election does on a failed disk. */
+/** Which logs of votes and states count as complete, and how an election store behaves on a failed disk. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { encodeFrame } from '@tillerstair/journal';
@@ -12,17 +12,17 @@
 
 const waitMs = 60000;
 
-const rig = () => {
+const setUp = () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const storage = new SimPlatter(seededRng(1));
   const warnings: string[] = [];
   const log = { ...silentLogger, warn: (text: string) => warnings.push(text) };
-  const pace = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log };
-  const disk = () => platter.disk(clock, new Incarnation());
-  const open = (freshId = 'fresh', rewriteAt = 1 << 20): Promise<DiskElectionStore> =>
+  const timings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log };
+  const disk = () => storage.disk(clock, new Incarnation());
+  const open = (newId = 'new', rewriteAtBytes = 1 << 20): Promise<DiskElectionStore> =>
     clock.finish(
       'open',
-      DiskElectionStore.open(disk(), () => freshId, rewriteAt, pace),
+      DiskElectionStore.open(disk(), () => newId, rewriteAtBytes, timings),
       waitMs,
     );
   const write = async (records: readonly object[]): Promise<void> => {
@@ -30,7 +30,7 @@
     const batches = records.map((record) => encodeFrame([record]));
     await clock.finish('write', file.replace(batches), waitMs);
   };
-  return { clock, platter, warnings, open, write };
+  return { clock, storage, warnings, open, write };
 };
 
 const id = { t: 'id', id: 'me' };
@@ -38,24 +38,24 @@
 const full = (state: State): object => ({ t: 'full', state: [...encodeState(state)] });
 const diff = (from: State, to: State): object => ({ t: 'diff', diff: diffStates(from, to) });
 
-/** The id that a member goes on with after it has read these records, and the warnings it gave. */
-const reopened = async (...records: readonly object[]) => {
-  const { open, write, warnings, platter } = rig();
+/** Opens an election store on a log of these records; returns its state, the warnings and the files on disk. */
+const reopen = async (...records: readonly object[]) => {
+  const { open, write, warnings, storage } = setUp();
   await write(records);
   const { persisted } = await open();
-  return { persisted, warnings, files: platter.list() };
+  return { persisted, warnings, files: storage.list() };
 };
 const isRefused = async (...records: readonly object[]): Promise<boolean> => {
-  const { persisted, warnings, files } = await reopened(...records);
+  const { persisted, warnings, files } = await reopen(...records);
   if (persisted.id === 'me') return false;
-  assert.equal([persisted.id, persisted.term, persisted.accepted], ['fresh', 0, undefined]);
+  assert.equal([persisted.id, persisted.term, persisted.accepted], ['new', 0, undefined]);
   assert.is(warnings.length, 1);
   assert.ok(files.includes('zen.log.damaged'));
   return true;
 };
 
-logs('that proves itself whole gives back id, votes and the newest state', async () => {
-  const { persisted, warnings } = await reopened(
+logs('that is complete restores the id, the votes and the newest state', async () => {
+  const { persisted, warnings } = await reopen(
     id,
     { t: 'bootstrap-vote', members: [a, b] },
     full(stateAt(0, 1)),
@@ -74,43 +74,43 @@
   assert.ok(await isRefused(vote(3, 'a'), id));
 });
 
-logs('holds no term after a later one', async () => {
+logs('must not have a term after a later one', async () => {
   assert.ok(await isRefused(id, vote(3, 'a'), vote(2, 'a')));
   assert.not.ok(await isRefused(id, vote(3, 'a'), vote(4, 'a')));
 });
 
-logs('holds no two votes of a term', async () => {
+logs('must not have two votes in a term', async () => {
   assert.ok(await isRefused(id, vote(3, 'a'), vote(3, 'b')));
   assert.ok(await isRefused(id, vote(3, 'a'), vote(3, '')));
   assert.not.ok(await isRefused(id, vote(3, ''), vote(3, 'b')));
 });
 
-logs('holds no state of a term that was not voted for', async () => {
+logs('must not have a state of a term without a vote', async () => {
   assert.ok(await isRefused(id, vote(2, 'a'), full(stateAt(3, 2))));
   assert.not.ok(await isRefused(id, vote(3, 'a'), full(stateAt(3, 2))));
 });
 
-logs('holds no older state after a newer one', async () => {
+logs('must not have an older state after a newer one', async () => {
   assert.ok(await isRefused(id, vote(3, 'a'), full(stateAt(3, 2)), full(stateAt(3, 1))));
   assert.ok(await isRefused(id, vote(3, 'a'), full(stateAt(3, 2)), full(stateAt(2, 9))));
 });
 
-logs('holds no difference without the state that it starts from', async () => {
-  const skips = diff(stateAt(3, 2), stateAt(3, 3));
-  assert.ok(await isRefused(id, vote(3, 'a'), skips));
-  assert.ok(await isRefused(id, vote(3, 'a'), full(stateAt(3, 1)), skips));
+logs('must not have a diff without the state that it starts from', async () => {
+  const diffFromMissing = diff(stateAt(3, 2), stateAt(3, 3));
+  assert.ok(await isRefused(id, vote(3, 'a'), diffFromMissing));
+  assert.ok(await isRefused(id, vote(3, 'a'), full(stateAt(3, 1)), diffFromMissing));
 });
 
-logs('holds no record of an unknown kind', async () => {
+logs('must not have a record of an unknown kind', async () => {
   assert.ok(await isRefused(id, { t: 'promise', term: 3, to: 'a' }));
 });
 
-const disks = suite('a store of an election');
+const stores = suite('an election store');
 
-disks('takes no record while its disk takes no writes, and keeps what it holds', async () => {
-  const { clock, platter, open } = rig();
+stores('rejects records while its disk accepts no writes, and keeps its state', async () => {
+  const { clock, storage, open } = setUp();
   const electionStore = await open('me');
-  platter.failSyncs = true;
+  storage.failSyncs = true;
   assert.is(
     await clock.finish('vote', outcomeOf(electionStore.recordVote(3, 'a')), waitMs),
     'unavailable',
@@ -121,18 +121,18 @@
   assert.is(await outcomeOf(electionStore.synced()), 'unavailable');
   assert.equal([electionStore.persisted.term, electionStore.persisted.votedFor], [3, 'a']);
   assert.is(electionStore.persisted.accepted, undefined);
-  platter.failSyncs = false;
+  storage.failSyncs = false;
   await clock.until('recovery', () => electionStore.writable, waitMs);
-  platter.powerLoss();
+  storage.powerLoss();
   assert.equal((await open()).persisted.votedFor, 'a');
 });
 
-disks('does not open before its id is on disk', async () => {
-  const { clock, platter, open } = rig();
-  platter.failSyncs = true;
+stores('does not open before its id is on disk', async () => {
+  const { clock, storage, open } = setUp();
+  storage.failSyncs = true;
   let isOpen = false;
   const opened = DiskElectionStore.open(
-    platter.disk(clock, new Incarnation()),
+    storage.disk(clock, new Incarnation()),
     () => 'me',
     1 << 20,
     {
@@ -145,15 +145,15 @@
   });
   await clock.run(5000);
   assert.is(isOpen, false);
-  platter.failSyncs = false;
+  storage.failSyncs = false;
   await clock.finish(
     'open',
     opened.then(() => 'open'),
     waitMs,
   );
-  platter.powerLoss();
+  storage.powerLoss();
   assert.is((await open()).persisted.id, 'me');
 });
 
 logs.run();
-disks.run();
+stores.run();
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -1,3 +1,4 @@
+/** Election, fencing of earlier terms and bootstrapping, each component without a network. */
 import { deflateSync } from 'node:zlib';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -21,7 +22,7 @@
   type PingResponse,
 } from '@tillerstair/zen';
 
-const fence = suite('election, fence and bootstrapping, piece by piece');
+const fencing = suite('election, fencing and bootstrapping');
 
 const member = (id: string, kind: Member['kind'] = 'control'): Member => ({
   id,
@@ -34,64 +35,64 @@
 });
 const [a, b, c] = [member('a'), member('b'), member('c')];
 const base = bootstrapState('x', [a, b, c], 8);
-const at = (term: number, version: number, master = 'a'): State => ({
+const stateAt = (term: number, version: number, master = 'a'): State => ({
   ...base,
   term,
   version,
   master,
 });
 
-const publish = (from: Member, s: State) => ({
+const publish = (from: Member, state: State) => ({
   from,
-  term: s.term,
-  clusterId: s.clusterId,
-  packed: deflateSync(JSON.stringify({ full: [...encodeState(s)] })).toString('base64'),
+  term: state.term,
+  clusterId: state.clusterId,
+  packed: deflateSync(JSON.stringify({ full: [...encodeState(state)] })).toString('base64'),
 });
 
-const receiver = () => {
+const createReceiver = () => {
   const electionStore = new MemoryElectionStore('me');
   const applied: State[] = [];
-  const r = new PublishReceiver({
+  const receiver = new PublishReceiver({
     electionStore,
-    onApplied: (s) => {
-      applied.push(s);
+    onApplied: (state) => {
+      applied.push(state);
       return Promise.resolve();
     },
     isMaster: () => true,
     onTerm: () => undefined,
     onPublished: () => undefined,
   });
-  return { electionStore, applied, r };
+  return { electionStore, applied, receiver };
 };
 
-const code = (p: Promise<unknown>): Promise<string> =>
-  p.then(
+const outcomeOf = (work: Promise<unknown>): Promise<string> =>
+  work.then(
     () => 'taken',
     (e: unknown) => (e instanceof Error && 'code' in e ? String(e.code) : String(e)),
   );
 
-fence('a node that voted in a later term refuses the old master, state or no state', async () => {
-  const { electionStore, r } = receiver();
-  assert.is(await code(r.onPublish(publish(a, at(3, 5)))), 'taken');
+fencing('a node that voted in a later term rejects publishes of the old master', async () => {
+  const { electionStore, receiver } = createReceiver();
+  assert.is(await outcomeOf(receiver.onPublish(publish(a, stateAt(3, 5)))), 'taken');
   await electionStore.recordVote(4, 'b');
-  assert.is(await code(r.onPublish(publish(a, at(3, 6)))), 'stale-term');
-  assert.is(await code(r.onPublish(publish(c, at(4, 6, 'c')))), 'stale-term');
-  assert.is(await code(r.onPublish(publish(b, at(4, 6, 'b')))), 'taken');
+  assert.is(await outcomeOf(receiver.onPublish(publish(a, stateAt(3, 6)))), 'stale-term');
+  assert.is(await outcomeOf(receiver.onPublish(publish(c, stateAt(4, 6, 'c')))), 'stale-term');
+  assert.is(await outcomeOf(receiver.onPublish(publish(b, stateAt(4, 6, 'b')))), 'taken');
 });
 
-fence('a state is applied only when committed, and nothing older after it', async () => {
-  const { applied, r } = receiver();
-  await r.onPublish(publish(a, at(3, 5)));
+fencing('a state is applied only once committed, and no older state after it', async () => {
+  const { applied, receiver } = createReceiver();
+  await receiver.onPublish(publish(a, stateAt(3, 5)));
   assert.is(applied.length, 0);
-  await r.onCommit({ term: 3, version: 5 });
-  await r.onCommit({ term: 3, version: 5 });
+  await receiver.onCommit({ term: 3, version: 5 });
+  await receiver.onCommit({ term: 3, version: 5 });
   assert.is(applied.length, 1);
-  assert.is(await code(r.onPublish(publish(a, at(3, 4)))), 'stale-state');
-  assert.is(await code(r.onCommit({ term: 3, version: 9 })), 'not-held');
+  assert.is(await outcomeOf(receiver.onPublish(publish(a, stateAt(3, 4)))), 'stale-state');
+  assert.is(await outcomeOf(receiver.onCommit({ term: 3, version: 9 })), 'not-held');
 });
 
-fence(
-  'votes, bootstrap votes and states a node spoke of stand after power loss at once',
+fencing(
+  'acknowledged votes, bootstrap votes and states survive an immediate power loss',
   async () => {
     const clock = new SimClock();
     const platter = new SimPlatter(seededRng(5));
@@ -101,53 +102,56 @@
         DiskElectionStore.open(platter.disk(clock, new Incarnation()), () => 'me', 1 << 20),
         1000,
       );
-    const lose = async <T>(work: Promise<T>): Promise<void> => {
+    const finishThenLosePower = async <T>(work: Promise<T>): Promise<void> => {
       await clock.finish('work', work, 1000);
       platter.powerLoss();
     };
-    await lose((await open()).recordBootstrapVote([a, b]));
-    await lose((await open()).recordVote(4, 'b'));
+    await finishThenLosePower((await open()).recordBootstrapVote([a, b]));
+    await finishThenLosePower((await open()).recordVote(4, 'b'));
     const { persisted } = await open();
     assert.equal(
       [persisted.id, persisted.bootstrapVote.length, persisted.term, persisted.votedFor],
       ['me', 2, 4, 'b'],
     );
     const electionStore = await open();
-    const r = new PublishReceiver({
+    const receiver = new PublishReceiver({
       electionStore,
       onApplied: () => Promise.resolve(),
       isMaster: () => true,
       onTerm: () => undefined,
       onPublished: () => undefined,
     });
-    await lose(r.onPublish(publish(b, at(4, 6, 'b'))));
-    const after = (await open()).persisted.accepted;
-    assert.equal([after?.term, after?.version], [4, 6]);
+    await finishThenLosePower(receiver.onPublish(publish(b, stateAt(4, 6, 'b'))));
+    const accepted = (await open()).persisted.accepted;
+    assert.equal([accepted?.term, accepted?.version], [4, 6]);
   },
 );
 
-fence("another cluster's state is refused", async () => {
-  const { r } = receiver();
-  await r.onPublish(publish(a, at(1, 2)));
-  assert.is(await code(r.onPublish(publish(a, { ...at(2, 3), clusterId: 'y' }))), 'other-cluster');
+fencing('a state of another cluster is refused', async () => {
+  const { receiver } = createReceiver();
+  await receiver.onPublish(publish(a, stateAt(1, 2)));
+  assert.is(
+    await outcomeOf(receiver.onPublish(publish(a, { ...stateAt(2, 3), clusterId: 'y' }))),
+    'other-cluster',
+  );
 });
 
-fence('a diff gives the state it was made from, and fits no other', () => {
-  const one = at(1, 2);
-  const two = {
-    ...reduceState(reduceState(one, { kind: 'join', member: b }), {
+fencing('a diff yields its target state from its base state, and applies to no other base', () => {
+  const before = stateAt(1, 2);
+  const after = {
+    ...reduceState(reduceState(before, { kind: 'join', member: b }), {
       kind: 'server',
       server: { id: 's', pool: 'p', url: 'u', draining: false, down: false, zone: '', places: 0 },
     }),
     version: 3,
   };
-  const back = applyDiff(one, diffStates(one, two));
-  assert.equal(back && [...encodeState(back)].sort(), [...encodeState(two)].sort());
-  assert.is(applyDiff(at(1, 1), diffStates(one, two)), undefined);
-  assert.equal(encodeState(decodeState(encodeState(two))), encodeState(two));
+  const restored = applyDiff(before, diffStates(before, after));
+  assert.equal(restored && [...encodeState(restored)].sort(), [...encodeState(after)].sort());
+  assert.is(applyDiff(stateAt(1, 1), diffStates(before, after)), undefined);
+  assert.equal(encodeState(decodeState(encodeState(after))), encodeState(after));
 });
 
-const pingResponse = (from: Member, more: Partial<PingResponse> = {}): PingResponse => ({
+const pingResponse = (from: Member, overrides: Partial<PingResponse> = {}): PingResponse => ({
   from,
   eligible: from.kind === 'control',
   canWin: from.kind === 'control',
@@ -157,7 +161,7 @@
   accepted: { term: 0, version: 1 },
   voters: base.voters,
   known: [],
-  ...more,
+  ...overrides,
 });
 const self = {
   member: b,
@@ -167,8 +171,8 @@
   voters: base.voters,
 };
 
-fence(
-  'election: reported masters first, then former members, then all; the last two need enough',
+fencing(
+  'election: reported masters first, then former members, then all, the last two with a majority',
   () => {
     assert.equal(elect(self, [pingResponse(a, { master: c }), pingResponse(c)]), {
       kind: 'master',
@@ -202,19 +206,19 @@
   },
 );
 
-fence(
-  'a control that cannot sync makes no majority, neither itself nor by its reply, and is not chosen',
+fencing(
+  'a control that cannot sync counts for no majority, by itself or by its reply, and is not chosen',
   () => {
-    const unable = { ...self, canWin: false, writable: false };
-    assert.is(elect(unable, [pingResponse(a)]).kind, 'none');
-    assert.equal(elect(unable, [pingResponse(a), pingResponse(c)]), {
+    const unwritable = { ...self, canWin: false, writable: false };
+    assert.is(elect(unwritable, [pingResponse(a)]).kind, 'none');
+    assert.equal(elect(unwritable, [pingResponse(a), pingResponse(c)]), {
       kind: 'master',
       member: a,
       by: 'active',
     });
-    const mute = { eligible: false, canWin: false };
-    assert.is(elect(self, [pingResponse(a, mute)]).kind, 'none');
-    assert.equal(elect(self, [pingResponse(a, mute), pingResponse(c)]), {
+    const unwritableReply = { eligible: false, canWin: false };
+    assert.is(elect(self, [pingResponse(a, unwritableReply)]).kind, 'none');
+    assert.equal(elect(self, [pingResponse(a, unwritableReply), pingResponse(c)]), {
       kind: 'master',
       member: b,
       by: 'active',
@@ -222,11 +226,11 @@
   },
 );
 
-fence(
-  'bootstrapping waits for every seed and everyone heard of, and for none that knows a cluster',
+fencing(
+  'bootstrapping requires replies of all seeds and known controls, none of them in a cluster',
   () => {
-    const blank = (m: Member, more: Partial<PingResponse> = {}) =>
-      pingResponse(m, { clusterId: '', canWin: false, ...more });
+    const blank = (from: Member, overrides: Partial<PingResponse> = {}) =>
+      pingResponse(from, { clusterId: '', canWin: false, ...overrides });
     const view = { localMember: a, seeds: [a.addr, b.addr, c.addr], knownMembers: [] };
     assert.is(closureOf({ ...view, pingResponses: [blank(b), blank(c)] }).members.length, 3);
     assert.is(closureOf({ ...view, pingResponses: [blank(b)] }).members.length, 0);
@@ -248,4 +252,4 @@
   },
 );
 
-fence.run();
+fencing.run();
--- a/tests/src/zen/joining.test.ts
+++ b/tests/src/zen/joining.test.ts
@@ -1,4 +1,4 @@
-/** How a node joins the master that it elected, and how a candidate gathers votes. */
+/** How a node joins the master that it chose, and how a candidate gathers votes. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
@@ -31,27 +31,27 @@
 
 const joinWith = async (answer: (request: SentRequest) => Promise<unknown>) => {
   const transport = new ScriptedTransport(answer);
-  const parts = { localMember: b, clock: new SimClock(), transport, bounds };
-  return { outcome: await outcomeOf(joinMaster(parts, a, ping, join)), transport };
+  const options = { localMember: b, clock: new SimClock(), transport, bounds };
+  return { outcome: await outcomeOf(joinMaster(options, a, ping, join)), transport };
 };
 const joinRefusedWith = (error: Error) =>
   joinWith((request) =>
     request.kind === 'zen/ping' ? Promise.resolve(pingResponse(a)) : Promise.reject(error),
   );
 
-joins('is not asked of another node that took over the address', async () => {
+joins('is not sent to another node that has taken over the address', async () => {
   const { outcome, transport } = await joinWith(() => Promise.resolve(pingResponse(member('d'))));
   assert.is.not(outcome, 'done');
   assert.is(transport.count('zen/join'), 0);
 });
 
-joins('is tried again after a time-out, as often as the bounds say', async () => {
+joins('is retried after a timeout, up to the configured number of attempts', async () => {
   const { outcome, transport } = await joinRefusedWith(new RequestTimeoutError(a.addr));
   assert.is(outcome, 'request-timeout');
   assert.is(transport.count('zen/join'), bounds.joinAttempts);
 });
 
-joins('is not tried again with a node that is no master, or does not run', async () => {
+joins('is not retried if the node is not master or refuses the connection', async () => {
   for (const error of [new ElectionError('not-master', ''), new ConnectionRefusedError(a.addr)]) {
     const { outcome, transport } = await joinRefusedWith(error);
     assert.is(outcome, error.code);
@@ -71,9 +71,9 @@
     if (answer instanceof Error) throw answer;
     return answer;
   });
-  const parts = { localMember: a, clock, transport, bounds };
-  const work = gatherVotes(parts, bootstrapped, term, [b, c]);
-  return clock.finish('votes', work, bounds.joinTimeout * 2);
+  const options = { localMember: a, clock, transport, bounds };
+  const votes = gatherVotes(options, bootstrapped, term, [b, c]);
+  return clock.finish('votes', votes, bounds.joinTimeout * 2);
 };
 const granted = (state?: State): object => ({
   accepted: { term: state?.term ?? 0, version: state?.version ?? 1 },
@@ -93,7 +93,7 @@
   assert.equal([...one.granted], ['c']);
 });
 
-candidates('takes over the newest state that a voter has accepted, and no older one', async () => {
+candidates('adopts the newest state that a voter has accepted, and no older one', async () => {
   const votes = await gather(
     new Map([
       [b.addr, granted(stateAt(3, 9))],
--- a/tests/src/zen/ping-rounds.test.ts
+++ b/tests/src/zen/ping-rounds.test.ts
@@ -1,4 +1,4 @@
-/** Whom a node asks in a ping round, and when a round ends. */
+/** Which nodes a ping round asks, and when a round ends. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { SimClock } from '@tillerstair/sim';
@@ -43,7 +43,7 @@
 const idsOf = (responses: readonly PingResponse[]): readonly string[] =>
   responses.map((response) => response.from.id);
 
-rounds('asks the seeds and whoever they name, each once, and never itself', async () => {
+rounds('pings the seeds and the controls that they name, each once, and never itself', async () => {
   const { round, transport } = roundsOf(({ to }) =>
     to === b.addr
       ? Promise.resolve(pingResponse(b, { known: [a, c, member('s', 'store')] }))
@@ -56,31 +56,34 @@
   );
 });
 
-rounds('ends once each has replied or refused, else after the time-out of the round', async () => {
-  const refuses = roundsOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
-  const before = refuses.clock.now();
-  assert.equal((await refuses.round()).pingResponses, []);
-  assert.is(refuses.clock.now(), before);
-  const hangs = roundsOf(({ to }, clock) =>
-    delay(clock, bounds.pingRoundTimeout * 9).then(() => pingResponse(member(to))),
-  );
-  const start = hangs.clock.now();
-  assert.equal((await hangs.round()).pingResponses, []);
-  assert.is(hangs.clock.now() - start, bounds.pingRoundTimeout);
-});
+rounds(
+  'ends once each address has replied or refused, else after the timeout of the round',
+  async () => {
+    const refuses = roundsOf(({ to }) => Promise.reject(new ConnectionRefusedError(to)));
+    const before = refuses.clock.now();
+    assert.equal((await refuses.round()).pingResponses, []);
+    assert.is(refuses.clock.now(), before);
+    const hangs = roundsOf(({ to }, clock) =>
+      delay(clock, bounds.pingRoundTimeout * 9).then(() => pingResponse(member(to))),
+    );
+    const start = hangs.clock.now();
+    assert.equal((await hangs.round()).pingResponses, []);
+    assert.is(hangs.clock.now() - start, bounds.pingRoundTimeout);
+  },
+);
 
-rounds('asks nobody any more whose addresses have failed often enough', async () => {
+rounds('no longer pings an address after 21 failures in a row', async () => {
   const { knownMembers, round } = roundsOf(({ to }) =>
     Promise.reject(new ConnectionRefusedError(to)),
   );
   knownMembers.learn([c]);
-  for (let n = 0; n < 20; n++) await round();
+  for (let i = 0; i < 20; i++) await round();
   assert.equal(knownMembers.all(), [c]);
   await round();
   assert.equal(knownMembers.all(), []);
 });
 
-rounds('a reply clears the failures before it', async () => {
+rounds('a reply resets the count of failures', async () => {
   let isUp = false;
   const { knownMembers, round } = roundsOf(
     ({ to }) =>
@@ -88,19 +91,19 @@
     [],
   );
   knownMembers.learn([c]);
-  for (let n = 0; n < 20; n++) await round();
+  for (let i = 0; i < 20; i++) await round();
   isUp = true;
   await round();
   isUp = false;
-  for (let n = 0; n < 20; n++) await round();
+  for (let i = 0; i < 20; i++) await round();
   assert.equal(knownMembers.all(), [c]);
 });
 
-rounds('a node remembers the last 256 it heard of, and not itself', () => {
+rounds('a node knows at most the 256 most recently mentioned members, and not itself', () => {
   const knownMembers = new KnownMembers(a.addr);
   knownMembers.learn([a]);
   assert.equal(knownMembers.all(), []);
-  knownMembers.learn(Array.from({ length: 300 }, (_, n) => member(`m${n}`)));
+  knownMembers.learn(Array.from({ length: 300 }, (_, i) => member(`m${i}`)));
   assert.is(knownMembers.all().length, 256);
   assert.is(knownMembers.all()[0]?.id, 'm44');
 });
--- a/tests/src/zen/vote.test.ts
+++ b/tests/src/zen/vote.test.ts
@@ -22,7 +22,7 @@
   have: { term: have.term, version: have.version },
 });
 
-votes('is given to one candidate a term', async () => {
+votes('is given to one candidate per term', async () => {
   const electionStore = await electionStoreWith(bootstrapped);
   assert.is(await outcomeOf(grantVote(electionStore, 'a', validateOf(a, 4))), 'done');
   assert.is(await outcomeOf(grantVote(electionStore, 'b', validateOf(b, 4))), 'stale-term');
@@ -30,14 +30,14 @@
   assert.is(await outcomeOf(grantVote(electionStore, 'b', validateOf(b, 5))), 'done');
 });
 
-votes('is not given in a lower term, also not to the candidate of the later one', async () => {
+votes('is not given in a lower term, even to the candidate of the later term', async () => {
   const electionStore = await electionStoreWith(bootstrapped);
   await electionStore.recordVote(4, 'a');
   assert.is(await outcomeOf(grantVote(electionStore, 'a', validateOf(a, 3))), 'stale-term');
   assert.is(electionStore.persisted.term, 4);
 });
 
-votes('is given only to the candidate that this node joins', async () => {
+votes('is given only to the candidate that this node is joining', async () => {
   const electionStore = await electionStoreWith(bootstrapped);
   assert.is(await outcomeOf(grantVote(electionStore, 'a', validateOf(b, 4))), 'not-joining');
   assert.is(await outcomeOf(grantVote(electionStore, undefined, validateOf(b, 4))), 'not-joining');
@@ -52,7 +52,7 @@
   assert.is(await outcomeOf(grantVote(await electionStoreWith(undefined), 'a', validate)), 'done');
 });
 
-votes('is said only once it is on disk, also when it is said again', async () => {
+votes('is acknowledged only once it is on disk, also when it is repeated', async () => {
   const electionStore = new ObservedElectionStore('me');
   electionStore.failsToSync = true;
   assert.is(await outcomeOf(grantVote(electionStore, 'a', validateOf(a, 4))), 'internal');
@@ -62,13 +62,16 @@
   assert.is(electionStore.syncsAwaited, 2);
 });
 
-votes('carries the accepted state only if that is ahead of the candidate', async () => {
-  const electionStore = await electionStoreWith(stateAt(3, 5));
-  const behind = await grantVote(electionStore, 'a', validateOf(a, 4, stateAt(3, 4)));
-  assert.ok(behind.state);
-  const level = await grantVote(electionStore, 'a', validateOf(a, 4, stateAt(3, 5)));
-  assert.is(level.state, undefined);
-  assert.equal(level.accepted, { term: 3, version: 5 });
-});
+votes(
+  'includes the accepted state only if that is newer than the state of the candidate',
+  async () => {
+    const electionStore = await electionStoreWith(stateAt(3, 5));
+    const toOlder = await grantVote(electionStore, 'a', validateOf(a, 4, stateAt(3, 4)));
+    assert.ok(toOlder.state);
+    const toSame = await grantVote(electionStore, 'a', validateOf(a, 4, stateAt(3, 5)));
+    assert.is(toSame.state, undefined);
+    assert.equal(toSame.accepted, { term: 3, version: 5 });
+  },
+);
 
 votes.run();
--- a/tests/src/zen/voting-members.test.ts
+++ b/tests/src/zen/voting-members.test.ts
@@ -1,4 +1,4 @@
-/** Changes of the voting controls: a voter that stops in order, one that is lost, one that is replaced. */
+/** Changes of the voting controls: a voter that shuts down, fails, or is replaced. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { World, type Machine, type WorldSizes } from '@tillerstair/sim';
@@ -7,224 +7,253 @@
 const members = suite('voting controls');
 const seeds = [61, 62, 63];
 
-/** The bounds of the small sites: contactMs 3000, so heartbeats of 500 ms and a failure timeout of 1800 ms. */
-const siteBounds = {
+/** Bounds of a small deployment: contactMs 3000, so a heartbeat interval of 500 ms and a failure timeout of 1800 ms. */
+const smallSiteBounds = {
   serveWithin: 12000,
   drainingWithin: 3000,
   heartbeatInterval: 500,
   failureTimeout: 1800,
 };
-const halfCatchUp = 2400;
-const sizes: WorldSizes = { controls: 3, stores: 3, fronts: 2, outer: siteBounds };
+const halfCatchUpMs = 2400;
+const sizes: WorldSizes = { controls: 3, stores: 3, fronts: 2, outer: smallSiteBounds };
 
-const idOf = (m: Machine | undefined): string => m?.control?.id ?? 'none';
-const votersNow = (w: World): readonly string[] => w.committed?.voters.current ?? [];
+const idOf = (machine: Machine | undefined): string => machine?.control?.id ?? 'none';
+const currentVoters = (cluster: World): readonly string[] =>
+  cluster.committed?.voters.current ?? [];
 
-const settled = (w: World): boolean =>
-  w.committed !== undefined && w.committed.voters.current.join() === w.committed.voters.next.join();
+const isSettled = (cluster: World): boolean =>
+  cluster.committed !== undefined &&
+  cluster.committed.voters.current.join() === cluster.committed.voters.next.join();
 
-const listed = (w: World, m: Machine): boolean => w.committed?.nodes.has(idOf(m)) ?? false;
+const isListed = (cluster: World, machine: Machine): boolean =>
+  cluster.committed?.nodes.has(idOf(machine)) ?? false;
 
-const withSpare = async (seed: number): Promise<{ w: World; spare: Machine }> => {
-  const w = await worldUp(seed, sizes);
-  const spare = w.add('control');
+const withSpare = async (seed: number): Promise<{ cluster: World; spare: Machine }> => {
+  const cluster = await worldUp(seed, sizes);
+  const spare = cluster.add('control');
   spare.start();
-  await w.clock.until('the spare', () => listed(w, spare), 5000);
-  await w.clock.run(1000);
-  return { w, spare };
+  await cluster.clock.until('the spare', () => isListed(cluster, spare), 5000);
+  await cluster.clock.run(1000);
+  return { cluster, spare };
 };
 
-const others = (w: World, spare: Machine): readonly Machine[] =>
-  w.of('control').filter((m) => m !== spare);
+const controlsWithout = (cluster: World, spare: Machine): readonly Machine[] =>
+  cluster.of('control').filter((machine) => machine !== spare);
 
-const assertServes = async (w: World): Promise<void> => {
-  await w.clock.until('a master', () => w.master !== undefined, 8000);
-  const got = await w.operate('GET', '/v1/config');
-  assert.is(got.status, 200);
-  const put = await w.operate(
+const assertServes = async (cluster: World): Promise<void> => {
+  await cluster.clock.until('a master', () => cluster.master !== undefined, 8000);
+  const read = await cluster.operate('GET', '/v1/config');
+  assert.is(read.status, 200);
+  const put = await cluster.operate(
     'PUT',
     '/v1/config',
-    configText(w.committed?.config?.version ?? 0, 'models', 'shop', seeds.length + w.seed),
+    configText(
+      cluster.committed?.config?.version ?? 0,
+      'models',
+      'shop',
+      seeds.length + cluster.seed,
+    ),
   );
   assert.is(put.status, 200, JSON.stringify(put));
 };
 
 members(
-  'a voter that stops in order passes its vote to a live spare at once, also when it leads',
+  'a voter that shuts down, master or not, is replaced by a live spare within three heartbeats',
   async () => {
     for (const seed of seeds)
-      for (const leads of [false, true]) {
-        const { w, spare } = await withSpare(seed);
-        const old = others(w, spare).find((m) => (m === w.master) === leads);
-        const oldId = idOf(old);
-        await w.clock.finish('stop', old?.stopInOrder() ?? Promise.resolve(), 3000);
-        await w.clock.until(
-          'voted in',
-          () => votersNow(w).includes(idOf(spare)) && settled(w),
-          siteBounds.heartbeatInterval * 3,
+      for (const isMaster of [false, true]) {
+        const { cluster, spare } = await withSpare(seed);
+        const oldVoter = controlsWithout(cluster, spare).find(
+          (machine) => (machine === cluster.master) === isMaster,
         );
-        assert.not(votersNow(w).includes(oldId));
-        assert.is(votersNow(w).length, 3);
+        const oldId = idOf(oldVoter);
+        await cluster.clock.finish('stop', oldVoter?.stopInOrder() ?? Promise.resolve(), 3000);
+        await cluster.clock.until(
+          'the new voter',
+          () => currentVoters(cluster).includes(idOf(spare)) && isSettled(cluster),
+          smallSiteBounds.heartbeatInterval * 3,
+        );
+        assert.not(currentVoters(cluster).includes(oldId));
+        assert.is(currentVoters(cluster).length, 3);
       }
   },
 );
 
-members('a voter that restarts keeps its vote where there is no spare', async () => {
+members('a voter that restarts stays a voter if there is no spare', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, sizes);
-    for (const m of [...w.of('control')]) {
-      const before = votersNow(w);
-      await w.clock.finish('stop', m.stopInOrder(), 3000);
-      await w.clock.run(2000);
-      m.start();
-      await w.clock.until('back', () => listed(w, m), 6000);
-      await w.clock.run(1000);
-      assert.equal(votersNow(w), before);
+    const cluster = await worldUp(seed, sizes);
+    for (const machine of [...cluster.of('control')]) {
+      const before = currentVoters(cluster);
+      await cluster.clock.finish('stop', machine.stopInOrder(), 3000);
+      await cluster.clock.run(2000);
+      machine.start();
+      await cluster.clock.until('back', () => isListed(cluster, machine), 6000);
+      await cluster.clock.run(1000);
+      assert.equal(currentVoters(cluster), before);
     }
-    await assertServes(w);
+    await assertServes(cluster);
   }
 });
 
 members(
-  'a rolling restart with a spare never has fewer than three voters, and ends with three that live',
+  'a rolling restart with a spare keeps three voters throughout, and all three are live at its end',
   async () => {
     for (const seed of seeds) {
-      const { w } = await withSpare(seed);
-      for (const m of [...w.of('control')]) {
-        await w.clock.finish('stop', m.stopInOrder(), 3000);
-        await w.clock.run(1500);
-        m.start();
-        await w.clock.until('back', () => listed(w, m) && settled(w), 6000);
-        assert.is(votersNow(w).length, 3);
-        await w.clock.run(500);
+      const { cluster } = await withSpare(seed);
+      for (const machine of [...cluster.of('control')]) {
+        await cluster.clock.finish('stop', machine.stopInOrder(), 3000);
+        await cluster.clock.run(1500);
+        machine.start();
+        await cluster.clock.until(
+          'back',
+          () => isListed(cluster, machine) && isSettled(cluster),
+          6000,
+        );
+        assert.is(currentVoters(cluster).length, 3);
+        await cluster.clock.run(500);
       }
-      assert.ok(votersNow(w).every((id) => w.committed?.nodes.has(id)));
-      await assertServes(w);
+      assert.ok(currentVoters(cluster).every((id) => cluster.committed?.nodes.has(id)));
+      await assertServes(cluster);
     }
   },
 );
 
 members('after a planned replacement the loss of another voter leaves a majority', async () => {
   for (const seed of seeds)
-    for (const leads of [false, true]) {
-      const { w, spare } = await withSpare(seed);
-      const old = others(w, spare).find((m) => (m === w.master) === leads);
-      await w.clock.finish('stop', old?.stopInOrder() ?? Promise.resolve(), 3000);
-      old?.platter.wipe();
-      await w.clock.run(1000);
-      const next = others(w, spare).find((m) => m !== old);
-      next?.kill('power');
-      next?.platter.wipe();
-      await assertServes(w);
+    for (const isMaster of [false, true]) {
+      const { cluster, spare } = await withSpare(seed);
+      const oldVoter = controlsWithout(cluster, spare).find(
+        (machine) => (machine === cluster.master) === isMaster,
+      );
+      await cluster.clock.finish('stop', oldVoter?.stopInOrder() ?? Promise.resolve(), 3000);
+      oldVoter?.platter.wipe();
+      await cluster.clock.run(1000);
+      const otherVoter = controlsWithout(cluster, spare).find((machine) => machine !== oldVoter);
+      otherVoter?.kill('power');
+      otherVoter?.platter.wipe();
+      await assertServes(cluster);
     }
 });
 
 members(
-  'an unplanned replacement at another address votes within half of catchUpS, and a second loss leaves a majority',
+  'an unplanned replacement at another address is a voter within half of catchUpS, and a second loss leaves a majority',
   async () => {
     for (const seed of seeds)
-      for (const [after, delay] of [
+      for (const [startAfterMs, diskDelayMs] of [
         [0, 2],
         [300, 12],
         [1000, 2],
         [3000, 12],
       ] as const) {
-        const w = await worldUp(seed, sizes);
-        const old = w.of('control').find((m) => m !== w.master);
-        old?.kill('power');
-        old?.platter.wipe();
-        w.net.cutBoth(
-          [old?.addr ?? ''],
-          w.machines.map((m) => m.addr),
+        const cluster = await worldUp(seed, sizes);
+        const oldVoter = cluster.of('control').find((machine) => machine !== cluster.master);
+        oldVoter?.kill('power');
+        oldVoter?.platter.wipe();
+        cluster.net.cutBoth(
+          [oldVoter?.addr ?? ''],
+          cluster.machines.map((machine) => machine.addr),
         );
-        await w.clock.run(after);
-        const fresh = w.add('control');
-        fresh.platter.delay = delay;
-        fresh.start();
-        const from = w.clock.now();
-        await w.clock.until(
-          'voted in',
-          () => votersNow(w).includes(idOf(fresh)) && settled(w),
+        await cluster.clock.run(startAfterMs);
+        const replacement = cluster.add('control');
+        replacement.platter.delay = diskDelayMs;
+        replacement.start();
+        const startedAt = cluster.clock.now();
+        await cluster.clock.until(
+          'the new voter',
+          () => currentVoters(cluster).includes(idOf(replacement)) && isSettled(cluster),
           20000,
         );
         assert.ok(
-          w.clock.now() - from <= halfCatchUp,
-          `${after} ms after the loss, disk ${delay} ms: ${Math.round(w.clock.now() - from)} ms`,
+          cluster.clock.now() - startedAt <= halfCatchUpMs,
+          `${startAfterMs} ms after the loss, disk ${diskDelayMs} ms: ${Math.round(cluster.clock.now() - startedAt)} ms`,
         );
-        const next = w.of('control').find((m) => m !== old && m !== fresh);
-        next?.kill('power');
-        await assertServes(w);
+        const otherVoter = cluster
+          .of('control')
+          .find((machine) => machine !== oldVoter && machine !== replacement);
+        otherVoter?.kill('power');
+        await assertServes(cluster);
       }
   },
 );
 
-members('a spare that has not synced the newest state is not voted in', async () => {
+members('a spare that has not synced the newest state does not become a voter', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, sizes);
-    const spare = w.add('control');
-    w.net.onMessage = (m) => {
-      if (m.kind === 'zen/publish' && m.to === spare.addr) spare.platter.delay = 1e9;
+    const cluster = await worldUp(seed, sizes);
+    const spare = cluster.add('control');
+    cluster.net.onMessage = (message) => {
+      if (message.kind === 'zen/publish' && message.to === spare.addr) spare.platter.delay = 1e9;
     };
     spare.start();
-    await w.clock.until('the spare', () => listed(w, spare), 5000);
-    const lost = w.of('control').find((m) => m !== w.master && m !== spare);
+    await cluster.clock.until('the spare', () => isListed(cluster, spare), 5000);
+    const lost = cluster
+      .of('control')
+      .find((machine) => machine !== cluster.master && machine !== spare);
     const lostId = idOf(lost);
     lost?.kill('power');
-    await w.clock.run(12000);
-    assert.ok(votersNow(w).includes(lostId), 'the spare that lacks the state was voted in');
-    assert.not(w.committed?.voters.next.includes(idOf(spare)));
+    await cluster.clock.run(12000);
+    assert.ok(
+      currentVoters(cluster).includes(lostId),
+      'the spare became a voter without the newest state',
+    );
+    assert.not(cluster.committed?.voters.next.includes(idOf(spare)));
   }
 });
 
-members('the operator cannot vote in a control that has not synced the newest state', async () => {
-  const w = await worldUp(64, sizes);
-  const spare = w.add('control');
-  w.net.onMessage = (m) => {
-    if (m.kind === 'zen/publish' && m.to === spare.addr) spare.platter.delay = 1e9;
-  };
-  spare.start();
-  await w.clock.until('the spare', () => listed(w, spare), 5000);
-  const put = await w.operate('POST', `/v1/controls/${idOf(spare)}`);
-  assert.is(put.status, 409, JSON.stringify(put));
-});
-
 members(
-  'a change of voters is settled by both majorities, also when the master dies in between',
+  'the operator cannot make a control a voter before it has synced the newest state',
   async () => {
-    for (const seed of seeds)
-      for (const at of [0, 1, 2, 4, 8, 16, 32]) {
-        const { w, spare } = await withSpare(seed);
-        const master = w.master;
-        const old = others(w, spare).find((m) => m !== master);
-        void old?.stopInOrder();
-        await w.clock.run(at);
-        master?.kill('power');
-        await w.clock.run(1000);
-        master?.start();
-        await w.clock.until(
-          'settled',
-          () =>
-            settled(w) && votersNow(w).includes(idOf(spare)) && !votersNow(w).includes(idOf(old)),
-          20000,
-        );
-        assert.is(votersNow(w).length, 3);
-        await assertServes(w);
-      }
+    const cluster = await worldUp(64, sizes);
+    const spare = cluster.add('control');
+    cluster.net.onMessage = (message) => {
+      if (message.kind === 'zen/publish' && message.to === spare.addr) spare.platter.delay = 1e9;
+    };
+    spare.start();
+    await cluster.clock.until('the spare', () => isListed(cluster, spare), 5000);
+    const put = await cluster.operate('POST', `/v1/controls/${idOf(spare)}`);
+    assert.is(put.status, 409, JSON.stringify(put));
   },
 );
 
-members('after a replacement all that was taken outlives a full stop', async () => {
+members('a change of voters completes even if the master fails during it', async () => {
+  for (const seed of seeds)
+    for (const killAfterMs of [0, 1, 2, 4, 8, 16, 32]) {
+      const { cluster, spare } = await withSpare(seed);
+      const master = cluster.master;
+      const oldVoter = controlsWithout(cluster, spare).find((machine) => machine !== master);
+      void oldVoter?.stopInOrder();
+      await cluster.clock.run(killAfterMs);
+      master?.kill('power');
+      await cluster.clock.run(1000);
+      master?.start();
+      await cluster.clock.until(
+        'a settled voting configuration',
+        () =>
+          isSettled(cluster) &&
+          currentVoters(cluster).includes(idOf(spare)) &&
+          !currentVoters(cluster).includes(idOf(oldVoter)),
+        20000,
+      );
+      assert.is(currentVoters(cluster).length, 3);
+      await assertServes(cluster);
+    }
+});
+
+members('after a replacement, acknowledged changes survive a restart of the cluster', async () => {
   for (const seed of seeds) {
-    const { w, spare } = await withSpare(seed);
-    const old = others(w, spare).find((m) => m !== w.master);
-    old?.kill('power');
-    await w.clock.until('voted in', () => votersNow(w).includes(idOf(spare)) && settled(w), 20000);
-    w.remove(old ?? spare);
-    const put = await w.operate('PUT', '/v1/config', configText(1, 'models', 'shop', 3));
+    const { cluster, spare } = await withSpare(seed);
+    const oldVoter = controlsWithout(cluster, spare).find((machine) => machine !== cluster.master);
+    oldVoter?.kill('power');
+    await cluster.clock.until(
+      'the new voter',
+      () => currentVoters(cluster).includes(idOf(spare)) && isSettled(cluster),
+      20000,
+    );
+    cluster.remove(oldVoter ?? spare);
+    const put = await cluster.operate('PUT', '/v1/config', configText(1, 'models', 'shop', 3));
     assert.is(put.status, 200);
-    await restart(w);
-    assert.is(w.committed?.config?.version, 2);
-    assert.is(w.committed?.servers.size, servers.length);
+    await restart(cluster);
+    assert.is(cluster.committed?.config?.version, 2);
+    assert.is(cluster.committed?.servers.size, servers.length);
   }
 });
 
