--- a/tests/src/session-owner/owner-readiness.test.ts
+++ b/tests/src/session-owner/owner-readiness.test.ts
@@ -56,7 +56,7 @@
   await rig.clock.run(100);
   assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
   rig.down.clear();
-  await rig.slotOpen();
+  await rig.waitForSlotOpen();
   rig.owner.stopAccepting();
   assert.is(await codeOf(() => rig.owner.replicator('p/x')), 'taking-over');
   const other = await SessionOwnerRig.opened();
@@ -68,10 +68,10 @@
   const rig = await SessionOwnerRig.opened();
   const before = rig.owner.replicator('p/x');
   rig.changeSlot({ ownershipEpoch: 2 });
-  await rig.slotOpen();
+  await rig.waitForSlotOpen();
   assert.is(rig.owner.replicator('p/x'), before);
   rig.changeSlot({ ownershipEpoch: 4, ownedSinceEpoch: 4 });
-  await rig.slotOpen();
+  await rig.waitForSlotOpen();
   assert.is.not(rig.owner.replicator('p/x'), before);
   assert.is(before.isOpen, false);
 });
@@ -148,7 +148,7 @@
   rig.store('p/x-q/t/r0', turn({ status: 'reserved' }));
   assert.is(await codeOf(() => rig.finish(rig.owner.findTurn('r0'))), 'not-finished');
   rig.store('p/x-q/t/r0', turn({ status: 'failed' }), ['a']);
-  rig.raise('p/x-q/t/r0', 'a');
+  rig.bumpSequence('p/x-q/t/r0', 'a');
   assert.equal(await rig.finish(rig.owner.findTurn('r0')), []);
 });
 
--- a/tests/src/zen/departure.test.ts
+++ b/tests/src/zen/departure.test.ts
@@ -2,12 +2,19 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { leaveCluster, notifySteppedDown } from '@tillerstair/zen';
-import { bounds, MasterRig, memberOf, roundTrip, stateWith, threeVoters } from './master-rig.js';
+import {
+  bounds,
+  MasterHarness,
+  memberOf,
+  roundTrip,
+  stateWith,
+  threeVoters,
+} from './master-harness.js';
 
 const departures = suite('departures');
 
 departures('a node that stops asks its master to remove it from the nodes', async () => {
-  const harness = await MasterRig.elected();
+  const harness = await MasterHarness.elected();
   const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
   await harness.clock.finish('leave', leaveCluster(options, memberOf('b'), undefined), roundTrip);
   assert.equal(
@@ -17,14 +24,14 @@
 });
 
 departures('a master that stops commits its own leave first', async () => {
-  const harness = await MasterRig.begun();
+  const harness = await MasterHarness.started();
   const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
   await harness.clock.finish('leave', leaveCluster(options, undefined, harness.master), roundTrip);
   assert.not(harness.master.committed?.nodes.has('a'));
 });
 
 departures('a master that stops waits one heartbeat at most for its own leave', async () => {
-  const harness = await MasterRig.begun();
+  const harness = await MasterHarness.started();
   for (const id of ['b', 'c']) harness.peer(id).silent = true;
   const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
   const outcome = await harness.outcome(
@@ -35,11 +42,14 @@
 });
 
 departures('a master that stepped down notifies all members but itself', async () => {
-  const harness = await MasterRig.elected({
+  const harness = await MasterHarness.elected({
     newest: stateWith(threeVoters, [memberOf('s', 'store')]),
   });
   harness.peer('b').refusing = true;
-  notifySteppedDown({ me: memberOf('a'), transport: harness.transport, bounds }, harness.newest);
+  notifySteppedDown(
+    { localMember: memberOf('a'), transport: harness.transport, bounds },
+    harness.newest,
+  );
   await harness.clock.run(roundTrip);
   assert.equal(
     harness.sent.map(({ to, kind }) => [to, kind]),
@@ -48,8 +58,11 @@
 });
 
 departures('a master that never committed a state notifies nobody', async () => {
-  const harness = await MasterRig.elected();
-  notifySteppedDown({ me: memberOf('a'), transport: harness.transport, bounds }, undefined);
+  const harness = await MasterHarness.elected();
+  notifySteppedDown(
+    { localMember: memberOf('a'), transport: harness.transport, bounds },
+    undefined,
+  );
   await harness.clock.run(roundTrip);
   assert.is(harness.sent.length, 0);
 });
