--- a/packages/journal/src/journal.ts
+++ b/packages/journal/src/journal.ts
@@ -221,7 +221,7 @@
     operation: () => Promise<unknown>,
   ): Promise<void> {
     const timeout = this.startTimeout(timeoutMs, () =>
-      this.rejectAppends(batch, `a write took longer than ${Math.round(timeoutMs)} ms`),
+      this.refuse(batch, `a write took longer than ${Math.round(timeoutMs)} ms`),
     );
     try {
       await operation();
@@ -231,7 +231,7 @@
       else this.resume();
     } catch (error) {
       timeout.stop();
-      this.rejectAppends(batch, errorText(error));
+      this.refuse(batch, errorText(error));
       await this.recover();
     }
   }
@@ -245,7 +245,7 @@
   }
 
   /** Marks the journal as not writable, and rejects the appends of a batch and all pending ones. */
-  private rejectAppends(batch: readonly PendingAppend[], reason: string): void {
+  private refuse(batch: readonly PendingAppend[], reason: string): void {
     if (this.writable) this.timings.log?.warn(`${this.name} cannot be written: ${reason}.`);
     this.failure ??= reason;
     if (this.pending.length > 0) this.fileLacksRecords = true;
--- a/packages/journal/src/timings.ts
+++ b/packages/journal/src/timings.ts
@@ -30,8 +30,7 @@
       return await operation();
     } catch (error) {
       if (!isTransientDiskError(error)) throw error;
-      if (attempt === 0)
-        timings.log?.warn(`${fileName}: waiting for the disk: ${errorText(error)}.`);
+      if (attempt === 0) timings.log?.warn(`${fileName} waits for the disk: ${errorText(error)}.`);
       await delay(timings.clock, timings.retryIntervalMs);
     }
   }
--- a/packages/store/src/maintenance.ts
+++ b/packages/store/src/maintenance.ts
@@ -50,7 +50,7 @@
         await replicaStore.dropExpired(turnRetentionLimitMs(compiledConfig(state.config)));
         await replicaStore.dropReassignedSlots((slot) => this.reassignedAt(slot));
       } catch (error) {
-        log.warn(`Maintenance round failed: ${toRpcError(error).message}.`);
+        log.warn(`Maintenance stopped: ${toRpcError(error).message}.`);
       }
     }
   }
@@ -81,8 +81,7 @@
         await replicaStore.removeHint(hint.n);
         count++;
       }
-      if (count > 0)
-        log.info(`Handed off or dropped ${count} hints for ${member?.addr ?? storeId}.`);
+      if (count > 0) log.info(`Handed off ${count} hints to ${member?.addr ?? storeId}.`);
     }
   }
 
--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -216,10 +216,10 @@
     writtenRecords.flatMap((record) => (record.t === 'hint' ? [record.to] : [])),
     ['b'],
   );
-  await clock.finish('later writes', Promise.all(laterWrites), 1000);
+  await clock.finish('later', Promise.all(laterWrites), 1000);
   platter.powerLoss();
   const reopened = await clock.finish(
-    'reopen',
+    'again',
     ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
     1000,
   );
@@ -268,7 +268,7 @@
       platter.powerLoss();
       platter.crashAtStep = -1;
       const reopened = await clock.finish(
-        'reopen',
+        'again',
         ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
         1000,
       );
@@ -349,7 +349,7 @@
     },
   };
   const reopened = await clock.finish(
-    'reopen',
+    'again',
     openJournal(failing, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
     5000,
   );
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -62,7 +62,7 @@
     const lines = await linesOf(fixture);
     assert.is(lines.length, 8);
     for (let missingIndex = 0; missingIndex < lines.length - 1; missingIndex++) {
-      fixture.warnings.length = 0;
+      fixture.said.length = 0;
       fixture.platter.wipe();
       await replaceLog(
         fixture,
@@ -79,7 +79,7 @@
         `without record ${missingIndex}`,
       );
       assert.is(
-        fixture.warnings.filter((warning) => warning.includes('starting as a new member')).length,
+        fixture.said.filter((warning) => warning.includes('starting as a new member')).length,
         1,
       );
       assert.ok(fixture.platter.list().includes('zen.log.damaged'));
@@ -151,7 +151,7 @@
         openStoreDisk({
           disk: fixture.platter.disk(fixture.clock, incarnation),
           clock: fixture.clock,
-          timings: fixture.timings,
+          timings: fixture.pace,
           freshId: () => `s-${++idCount}`,
           rewriteMinBytes: rewriteMinBytes,
           limits: { rewriteMinBytes: rewriteMinBytes, retentionMs: 1e9, maxHints: 10 },
@@ -171,7 +171,7 @@
         fixture.platter.powerLoss();
         fixture.platter.crashAtStep = -1;
       } else await fixture.clock.finish('opened', opened, 1000);
-      const reopened = await fixture.clock.finish('reopen', open(new Incarnation()), 1000);
+      const reopened = await fixture.clock.finish('again', open(new Incarnation()), 1000);
       assert.is.not(reopened.electionStore.persisted.id, 's-1', `step ${step}`);
       assert.equal(keysOf(reopened.replicaStore), []);
     }
@@ -215,7 +215,7 @@
         assert.is(
           reopened.persisted.id,
           'me',
-          `seed ${seed}, step ${step}: ${fixture.warnings.join()}`,
+          `seed ${seed}, step ${step}: ${fixture.said.join()}`,
         );
         assert.equal([reopened.persisted.term, reopened.persisted.votedFor], [3, 'a']);
         assert.ok(
--- a/tests/src/journal/full-and-stalled-disks.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -356,11 +356,7 @@
       store.start();
       await cluster.clock.run(1500);
       store.platter.full = false;
-      await cluster.clock.until(
-        'the store to follow a master',
-        () => store.store?.zen.knownMaster !== undefined,
-        8000,
-      );
+      await cluster.clock.until('back', () => store.store?.zen.knownMaster !== undefined, 8000);
       assert.is(store.store?.id, storeId);
       await cluster.clock.until(
         'all slots open and the store writable',
--- a/tests/src/journal/journal-fixture.ts
+++ b/tests/src/journal/journal-fixture.ts
@@ -28,12 +28,12 @@
 /** Log size below which the stores of a fixture do not rewrite their logs, in bytes. */
 export const rewriteMinBytes = 1 << 20;
 
-/** A simulated disk with its clock; `warnings` collects the logged warnings. The stores are opened on that disk. */
+/** A simulated disk with its clock; `said` collects the logged warnings. The stores are opened on that disk. */
 export interface JournalFixture {
   readonly clock: SimClock;
   readonly platter: SimPlatter;
-  readonly warnings: string[];
-  readonly timings: JournalTimings;
+  readonly said: string[];
+  readonly pace: JournalTimings;
   electionStore(
     incarnation?: Incarnation,
     id?: string,
@@ -56,11 +56,11 @@
   return {
     clock,
     platter,
-    warnings,
-    timings,
+    said: warnings,
+    pace: timings,
     electionStore: (incarnation = new Incarnation(), id = 'me', minBytes = rewriteMinBytes) =>
       clock.finish(
-        'opening the election store',
+        'keep',
         DiskElectionStore.open(platter.disk(clock, incarnation), () => id, minBytes, timings),
         60000,
       ),
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -166,7 +166,7 @@
   const writing = reopened
     .write(4, 6, [{ key: 'o/t/x', ownershipEpoch: 6, seq: 1, value: 1 }])
     .then(
-      () => 'accepted',
+      () => 'taken',
       (error: unknown) => String(error),
     );
   const outcome = await clock.finish('write', writing, 1000);
@@ -180,7 +180,7 @@
       await writeFile(join(dir, 'lock'), `${process.pid} `);
       const disk = await FolderDisk.acquire(dir);
       const reopened = await FolderDisk.acquire(dir).then(
-        () => 'locked',
+        () => 'taken',
         (error: unknown) => (error instanceof FolderInUseError ? 'in use' : String(error)),
       );
       assert.is(reopened, 'in use');
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -24,7 +24,7 @@
 ): Promise<OpenedLog> => {
   const opened = await fixture.clock.finish(
     'open',
-    Journal.open(disk, 'a.log', fixture.timings, (journal) => {
+    Journal.open(disk, 'a.log', fixture.pace, (journal) => {
       const records: unknown[] = [];
       return { journal, records, restore: (record: unknown) => void records.push(record) };
     }),
@@ -149,7 +149,7 @@
     Journal.open(
       fixture.platter.disk(fixture.clock, new Incarnation()),
       'a.log',
-      fixture.timings,
+      fixture.pace,
       (opened) => ({
         opened,
         restore: () => undefined,
@@ -185,13 +185,13 @@
   assert.is(
     await fixture.clock.finish(
       'full',
-      retryTransientDiskErrors(fixture.timings, 'a.log', failing('ENOSPC')),
+      retryTransientDiskErrors(fixture.pace, 'a.log', failing('ENOSPC')),
       5000,
     ),
     3,
   );
   attempts = 0;
-  const denied = retryTransientDiskErrors(fixture.timings, 'a.log', failing('EACCES'));
+  const denied = retryTransientDiskErrors(fixture.pace, 'a.log', failing('EACCES'));
   assert.is(await outcomeOf(fixture, denied), 'EACCES');
   assert.is(attempts, 1);
 });
--- a/tests/src/journal/write-faults.test.ts
+++ b/tests/src/journal/write-faults.test.ts
@@ -23,7 +23,7 @@
       await fixture.clock.run(3000);
       assert.is(replicaStore.writable, false);
       fixture.platter.full = false;
-      await fixture.clock.run(2 * fixture.timings.retryIntervalMs);
+      await fixture.clock.run(2 * fixture.pace.retryIntervalMs);
       assert.is(replicaStore.writable, true);
       assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(4)])), 'done');
       const keysInMemory = keysOf(replicaStore);
@@ -80,7 +80,7 @@
     const first = outcomeOf(fixture, replicaStore.write(1, 1, [item(1)]));
     assert.is(await first, 'unavailable');
     assert.ok(
-      fixture.clock.now() - startedAt <= fixture.timings.syncTimeoutMs + 1,
+      fixture.clock.now() - startedAt <= fixture.pace.syncTimeoutMs + 1,
       `${fixture.clock.now() - startedAt}`,
     );
     const rejectedAt = fixture.clock.now();
@@ -125,7 +125,7 @@
   const eventsBefore = fixture.clock.events;
   await fixture.clock.run(25000);
   assert.ok(
-    fixture.clock.events - eventsBefore < 5 * (25000 / fixture.timings.retryIntervalMs),
+    fixture.clock.events - eventsBefore < 5 * (25000 / fixture.pace.retryIntervalMs),
     `${fixture.clock.events - eventsBefore} events`,
   );
 });
@@ -169,7 +169,7 @@
     const reopened = await fixture.electionStore();
     assert.equal([reopened.persisted.id, reopened.persisted.accepted?.version], ['me', 3]);
     assert.equal(
-      fixture.warnings.filter((warning) => warning.includes('damaged')),
+      fixture.said.filter((warning) => warning.includes('damaged')),
       [],
     );
   }
