--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,7 +1,8 @@
 /**
- * The agent beside a proxy: keeps the control link of the front, so that a proxy which is busy or stopped for a moment
- * does not lose it. Owns the node of the cluster that stands for the adopted proxy, and the feed of that proxy. A proxy
- * that started anew has a new id and is a new node; one that is silent for the failure timeout leaves the cluster.
+ * The agent of a proxy on the same machine: maintains the front's control link, so that a proxy that is busy or paused
+ * for a moment does not lose it. Owns the cluster node that represents the adopted proxy, and the feed of that proxy. A
+ * restarted proxy has a new id and becomes a new node; if the proxy does not reply for the failure timeout, its node
+ * leaves the cluster.
  */
 import type { Readiness } from '@tillerstair/settings';
 import type { Member, State } from '@tillerstair/state';
@@ -19,30 +20,30 @@
 import { emptyReport, ProxyFeed, type ProxyReport } from './proxy-feed.js';
 import { ServerListMonitor } from './server-list-monitor.js';
 
-/** What an agent is made from. */
+/** Dependencies and settings of an agent. */
 export interface AgentOptions {
-  /** The agent's address for other nodes. */
+  /** Address of the agent for other nodes. */
   readonly addr: string;
-  /** The address of the agent's own pages. */
+  /** Address of the agent's HTTP endpoints. */
   readonly http: string;
   readonly zone: string;
-  /** The name that operators may use for this node. */
+  /** Name that operators may use for this node. */
   readonly name: string;
-  /** The loopback address of the proxy. */
+  /** Loopback address of the proxy. */
   readonly proxy: string;
   readonly seeds: readonly string[];
   readonly clock: Clock;
-  /** The transport to other nodes. */
+  /** Transport to other nodes. */
   readonly transport: Transport;
-  /** The transport to the proxy. */
+  /** Transport to the proxy. */
   readonly loopback: Transport;
   readonly bounds: ZenBounds;
-  /** How long an agent that is told to stop may wait for a proxy that stops too, in ms. */
+  /** How long a stopping agent may wait for a proxy that is stopping too, in ms. */
   readonly stopWithin: number;
   readonly log: Logger;
 }
 
-/** The proxy that this agent stands for in the cluster. */
+/** The proxy that this agent represents in the cluster. */
 interface AdoptedProxy {
   readonly id: string;
   readonly zen: ZenNode;
@@ -50,19 +51,20 @@
   readonly feed: ProxyFeed;
 }
 
-const proxyMissingText = 'the proxy beside this agent is not there';
+const proxyMissingText = 'this agent has no proxy that replies';
 
-/** Feeds a proxy so many times a heartbeat. */
+/** Number of feeds per heartbeat. */
 const feedsPerHeartbeat = 4;
-/** A proxy that took no feed for so many heartbeats is not ready; one that stops has ended. */
+/** Heartbeats without an accepted feed after which a proxy is not ready, and a stopping one is taken as exited. */
 const readyHeartbeats = 2;
-/** The proxy may be signalled later than its agent by this share of a heartbeat; and how often the agent looks. */
+/** How much later than its agent a proxy may get the stop signal, as a share of a heartbeat. */
 const stopSignalSkewShare = 1 / 2;
+/** Interval at which a stopping agent checks whether its proxy is stopping, as a share of a heartbeat. */
 const stopCheckShare = 1 / 20;
-/** How often a stopping agent asks the master to drain its proxy, as a share of a heartbeat. */
+/** Interval at which a stopping agent asks the master to drain its proxy, as a share of a heartbeat. */
 const drainRequestShare = 1 / 8;
 
-/** An agent and the proxy that it adopted. */
+/** Adopts the local proxy, feeds it, and represents it in the cluster. */
 export class Agent {
   private readonly clock: Clock;
   private readonly transport: Transport;
@@ -71,9 +73,9 @@
   private readonly log: Logger;
   private readonly stopping = createAbortController();
   private adopted: AdoptedProxy | undefined;
-  /** The last report of any proxy; a newly adopted one has it until it reports itself. */
+  /** Last report of any proxy; it is used for a newly adopted proxy until that one reports. */
   private lastReport: ProxyReport = emptyReport;
-  /** Whether the last feed failed, so that the proxy is asked who it is before the next one. */
+  /** Whether the proxy's id must be read before the next feed, because the last one failed. */
   private mustIdentify = true;
   private seeds: readonly string[];
 
@@ -86,26 +88,26 @@
     this.seeds = parts.seeds;
   }
 
-  /** Uses other seed addresses from the next ping round on. */
+  /** Replaces the seed addresses; the next ping round uses the new ones. */
   replaceSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
     this.adopted?.zen.replaceSeeds(seeds);
   }
 
-  /** Begins to serve other nodes and to look for the proxy. */
+  /** Starts serving other nodes and looking for the proxy. */
   async start(): Promise<void> {
     await this.transport.serve(async (request) => this.currentProxy().zen.handle(request));
     void this.run();
   }
 
   /**
-   * If the proxy is stopping too, its slots are handed over and it is fed until it has released its read lease; else
-   * leaves at once.
+   * Stops the agent. If the proxy is stopping too, its slots are handed over first and it is fed until it has released
+   * its read lease, at most until `stopWithin` ms after the call; otherwise its node leaves the cluster immediately.
    */
   async stop(): Promise<void> {
-    const end = this.clock.now() + this.parts.stopWithin;
+    const deadline = this.clock.now() + this.parts.stopWithin;
     await this.awaitProxyStopStatus();
-    await this.drainStoppingProxy(end);
+    await this.drainStoppingProxy(deadline);
     this.stopping.abort();
     this.adopted?.serverList.stop();
     await this.adopted?.zen.stop(this.adopted.feed.leaseReleased);
@@ -114,35 +116,37 @@
   }
 
   /**
-   * Waits for the proxy's word in a reply to a feed that was sent after the signal. A busy proxy replies late, and would
-   * lose its slots with requests under way if its agent left before; one that is silent for the failure timeout is gone.
+   * Waits until the proxy reports whether it is stopping, in a reply to a feed that was sent after the stop signal. A
+   * busy proxy replies late, and would lose its slots with requests in flight if the agent left before. A proxy that
+   * does not reply for the failure timeout counts as exited.
    */
   private async awaitProxyStopStatus(): Promise<void> {
     const { clock, bounds } = this;
-    const since = clock.now();
-    const mayKnow = (): boolean => {
-      const elapsedMs = clock.now() - since;
-      const isAsked = this.adopted !== undefined && this.adopted.feed.repliedFeedSentAt > since;
-      const isTold = isAsked && elapsedMs >= bounds.heartbeatInterval * stopSignalSkewShare;
-      return isTold || elapsedMs >= bounds.failureTimeout;
+    const startedAt = clock.now();
+    const isDecided = (): boolean => {
+      const elapsedMs = clock.now() - startedAt;
+      const hasReplied =
+        this.adopted !== undefined && this.adopted.feed.repliedFeedSentAt > startedAt;
+      const goesOn = hasReplied && elapsedMs >= bounds.heartbeatInterval * stopSignalSkewShare;
+      return goesOn || elapsedMs >= bounds.failureTimeout;
     };
-    while (this.adopted && !this.adopted.feed.proxyIsStopping && !mayKnow())
+    while (this.adopted && !this.adopted.feed.proxyIsStopping && !isDecided())
       await delay(clock, bounds.heartbeatInterval * stopCheckShare);
   }
 
-  private async drainStoppingProxy(end: number): Promise<void> {
+  private async drainStoppingProxy(deadline: number): Promise<void> {
     const { heartbeatInterval } = this.bounds;
-    const isFed = ({ feed }: AdoptedProxy): boolean =>
+    const acceptsFeed = ({ feed }: AdoptedProxy): boolean =>
       feed.proxyIsStopping &&
       !feed.leaseReleased &&
       feed.idleMs < heartbeatInterval * readyHeartbeats;
-    while (this.adopted && this.clock.now() < end && isFed(this.adopted)) {
+    while (this.adopted && this.clock.now() < deadline && acceptsFeed(this.adopted)) {
       await this.requestDrain(this.adopted);
       await delay(this.clock, heartbeatInterval * drainRequestShare);
     }
   }
 
-  /** Asks the master to hand the slots of the proxy over, unless it does so already. */
+  /** Asks the master to hand over the proxy's slots, unless the proxy's node is already retiring. */
   private async requestDrain({ id, zen }: AdoptedProxy): Promise<void> {
     const master = zen.knownMaster;
     if (!master || zen.applied?.retiring.has(id)) return;
@@ -152,18 +156,18 @@
       .catch(() => undefined);
   }
 
-  /** The node of the cluster that stands for the proxy; undefined while there is none. */
+  /** The cluster node that represents the proxy; undefined while no proxy is adopted. */
   get zenNode(): ZenNode | undefined {
     return this.adopted?.zen;
   }
 
-  /** Whether the proxy is fed by an agent that knows a master, and why not. */
+  /** Whether the agent knows a master and the proxy accepts its feeds; if not, the reason. */
   readiness(): Readiness {
     if (!this.adopted) return { ready: false, why: proxyMissingText };
     const { zen, feed } = this.adopted;
     if (!zen.knownMaster) return { ready: false, why: 'no master is known' };
     if (feed.idleMs > this.bounds.heartbeatInterval * readyHeartbeats)
-      return { ready: false, why: 'the proxy takes no feed' };
+      return { ready: false, why: `the proxy accepted no feed for ${readyHeartbeats} heartbeats` };
     return { ready: true, why: `master ${zen.knownMaster.addr}` };
   }
 
@@ -180,7 +184,7 @@
         if (this.adopted) await this.feed(this.adopted.zen.applied);
       } catch (error) {
         this.mustIdentify = true;
-        log.debug(`The proxy does not reply: ${toRpcError(error).message}.`);
+        log.debug(`The proxy at ${this.parts.proxy} does not reply: ${toRpcError(error).message}.`);
         if (this.adopted && this.adopted.feed.idleMs > bounds.failureTimeout)
           await this.leaveAfterTimeout();
       }
@@ -198,10 +202,10 @@
   }
 
   private async leaveCluster(): Promise<void> {
-    const old = this.adopted;
+    const previous = this.adopted;
     this.adopted = undefined;
-    old?.serverList.stop();
-    await old?.zen.stop(old.feed.leaseReleased);
+    previous?.serverList.stop();
+    await previous?.zen.stop(previous.feed.leaseReleased);
   }
 
   private async leaveAfterTimeout(): Promise<void> {
@@ -213,8 +217,8 @@
     await this.leaveCluster();
     const { bounds, clock, log, loopback, transport } = this;
     const serverList = new ServerListMonitor(clock, transport, bounds, log, hello.id);
-    const feedParts = { clock, loopback, addr: this.parts.proxy, bounds };
-    const feed = new ProxyFeed(feedParts, hello.id, this.lastReport);
+    const feedOptions = { clock, loopback, addr: this.parts.proxy, bounds };
+    const feed = new ProxyFeed(feedOptions, hello.id, this.lastReport);
     const zen = this.createNode(hello, serverList);
     this.adopted = { id: hello.id, zen, serverList, feed };
     zen.start();
@@ -224,7 +228,7 @@
 
   private createNode(hello: ProxyHello, serverList: ServerListMonitor): ZenNode {
     const { addr, zone, name } = this.parts;
-    const me: Member = {
+    const member: Member = {
       id: hello.id,
       kind: 'front',
       addr,
@@ -234,7 +238,7 @@
       name,
     };
     return new ZenNode({
-      me,
+      me: member,
       seeds: this.seeds,
       clock: this.clock,
       transport: this.transport,
@@ -250,16 +254,16 @@
     });
   }
 
-  /** Feeds the proxy; a front is no fresher than the newest reading of the list of servers. */
+  /** Feeds the proxy. Its lease is no newer than the last reading of the server list. */
   private async feed(state: State | undefined): Promise<void> {
     const { zen, serverList, feed } = this.currentProxy();
-    const releasesMore = await feed.feed(state, {
+    const hasNewReleases = await feed.feed(state, {
       leaseRenewedAt: Math.min(zen.leaseRenewedAt, serverList.leaseRenewedAt),
       barred: serverList.barredServers(state),
       master: zen.knownMaster?.id ?? '',
       term: zen.term,
     });
     this.lastReport = feed.report;
-    if (releasesMore) zen.reportNow();
+    if (hasNewReleases) zen.reportNow();
   }
 }
--- a/packages/agent/src/daemon.ts
+++ b/packages/agent/src/daemon.ts
@@ -1,20 +1,20 @@
-/** The command line of the program `front-agent`. */
+/** Command line of the `front-agent` program. */
 import { AgentSettings, runDaemon } from '@tillerstair/settings';
 import { startAgent } from './start.js';
 
 void runDaemon({
   name: 'front-agent',
-  about: 'Keeps the control link of the front-proxy beside it and feeds it over loopback.',
+  about: 'Maintains the control link of the local front-proxy and feeds it over loopback.',
   schema: AgentSettings,
   flags: [
-    ['addr', 'Own address, IP:PORT'],
-    ['listen', 'Address to bind, if not the same'],
-    ['proxy', 'Loopback address where the proxy takes its feed'],
-    ['http', 'Address of /live and /ready'],
+    ['addr', 'Address of this agent for other nodes, IP:PORT'],
+    ['listen', 'Address to bind, if different from --addr'],
+    ['proxy', 'Loopback address at which the proxy receives its feed'],
+    ['http', 'HTTP address of /live and /ready'],
     ['zone', 'Zone of this machine'],
-    ['name', 'Name operators may use for this node'],
-    ['seeds', 'Three addresses, comma-separated'],
-    ['log', 'debug, info, warn or error'],
+    ['name', 'Name that operators may use for this node'],
+    ['seeds', 'Three seed addresses, comma-separated'],
+    ['log', 'Log level: debug, info, warn or error'],
   ],
   start: (settings) => startAgent(settings),
 });
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,4 +1,4 @@
-/** The front-agent: keeps the control link of the proxy beside it and feeds it over loopback. */
+/** The front-agent: maintains the control link of the local proxy and feeds it over loopback. */
 export * from './agent.js';
 export * from './proxy-feed.js';
 export * from './server-list-monitor.js';
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -1,4 +1,6 @@
 #!/usr/bin/env node
-/** The program `front-agent`. SIGHUP ends a process that has no handler, so it gets one before anything else is loaded. */
+/**
+ * The `front-agent` program. A SIGHUP without a handler would end the process, so one is set before any module loads.
+ */
 process.on('SIGHUP', () => undefined);
 void import('./daemon.js');
--- a/packages/agent/src/proxy-feed.ts
+++ b/packages/agent/src/proxy-feed.ts
@@ -1,7 +1,7 @@
 /**
- * Feeds one proxy over loopback with the cluster state, the read lease and the servers that are barred, and remembers
- * what the proxy reports. Owns which version and configuration the proxy has. A configuration is left out of a feed only
- * if the last feed that carried a state succeeded with that configuration.
+ * Feeds one proxy over loopback with the cluster state, the read lease and the list of barred servers, and keeps the
+ * proxy's last report. Owns the record of the state version and configuration that the proxy has. A configuration is
+ * left out of a feed only if the last feed with a state succeeded and carried that configuration.
  */
 import {
   encodeState,
@@ -13,31 +13,31 @@
 import { FeedError, type Clock, type Transport } from '@tillerstair/wire';
 import { FeedResponse } from './messages.js';
 
-/** What a proxy reports to the master: what it saw of servers, and the slots that it releases. */
+/** A proxy's report for the master: its observations of servers, and the slots that it releases. */
 export interface ProxyReport {
   readonly seen: unknown;
   readonly released: readonly unknown[];
 }
 
-/** The report of an agent that has heard of no proxy yet. */
+/** The report used before any proxy has reported. */
 export const emptyReport: ProxyReport = { seen: [], released: [] };
 
-/** What the agent knows of the control link at the moment of a feed. */
+/** State of the control link at the time of a feed. */
 export interface ControlLink {
-  /** When the read lease was renewed, in ms; -Infinity for never. */
+  /** Time of the last renewal of the read lease, in ms; -Infinity if it was never renewed. */
   readonly leaseRenewedAt: number;
-  /** Servers that may get nothing new; undefined while that is not known. */
+  /** Ids of servers that must get no new requests; undefined while that is not known. */
   readonly barred: readonly string[] | undefined;
-  /** The id of the master, '' if none is known. */
+  /** Id of the master; '' if none is known. */
   readonly master: string;
   readonly term: number;
 }
 
-/** What a feed works with. */
+/** Dependencies of a feed. */
 export interface ProxyFeedOptions {
   readonly clock: Clock;
   readonly loopback: Transport;
-  /** The loopback address of the proxy. */
+  /** Loopback address of the proxy. */
   readonly addr: string;
   readonly bounds: { readonly heartbeatInterval: number };
 }
@@ -48,11 +48,11 @@
   private isStopping = false;
   private hasReleasedLease = false;
   private lastFeedAt: number;
-  private lastAnsweredSentAt = -Infinity;
+  private sentAt = -Infinity;
   private fedVersion: StateVersion = versionOf(undefined);
   private fedConfigDigest = '';
 
-  /** `report` is what counts until the proxy has reported itself. */
+  /** `report` is used until the proxy has sent its own report. */
   constructor(
     private readonly parts: ProxyFeedOptions,
     private readonly proxyId: string,
@@ -62,34 +62,35 @@
     this.lastFeedAt = parts.clock.now();
   }
 
-  /** The proxy's newest report. */
+  /** The proxy's latest report. */
   get report(): ProxyReport {
     return this.proxyReport;
   }
 
-  /** Whether the proxy said that it is shutting down. */
+  /** Whether the proxy has reported that it is stopping. */
   get proxyIsStopping(): boolean {
     return this.isStopping;
   }
 
-  /** Whether the proxy said that it has given its read lease up. */
+  /** Whether the proxy has reported that it released its read lease. */
   get leaseReleased(): boolean {
     return this.hasReleasedLease;
   }
 
-  /** When the newest feed that the proxy replied to was sent, in ms; -Infinity before. */
+  /** Time at which the last feed with a reply was sent, in ms; -Infinity before the first reply. */
   get repliedFeedSentAt(): number {
-    return this.lastAnsweredSentAt;
+    return this.sentAt;
   }
 
-  /** How long ago the last feed succeeded, or the proxy was adopted, in ms. */
+  /** Time since the last feed succeeded or, before the first one, since the proxy was adopted, in ms. */
   get idleMs(): number {
     return this.parts.clock.now() - this.lastFeedAt;
   }
 
   /**
-   * Feeds the proxy; the state goes along if the proxy has an older one. Resolves with whether the proxy releases slots
-   * that it did not release before. Throws `other-proxy` if another proxy responds, and what the call throws.
+   * Feeds the proxy; the feed includes the state if the proxy has an older one. Resolves with true if the proxy
+   * releases other slots than in its previous report. Throws `other-proxy` if another proxy responds, and any error of
+   * the call.
    */
   async feed(state: State | undefined, link: ControlLink): Promise<boolean> {
     const digest = state?.config?.digest ?? '';
@@ -102,28 +103,30 @@
       await loopback.call(addr, 'front/feed', body, { timeoutMs: bounds.heartbeatInterval }),
     );
     if (sendsState) this.fedConfigDigest = digest;
-    if (response.id !== this.proxyId) throw new FeedError('other-proxy', 'another proxy replied');
+    if (response.id !== this.proxyId)
+      throw new FeedError('other-proxy', `proxy ${response.id} replied, not ${this.proxyId}`);
     this.fedVersion = response.applied;
     this.isStopping = response.stopping;
     this.hasReleasedLease = response.leaseReleased ?? false;
-    const { released } = this.proxyReport;
+    const { released: previouslyReleased } = this.proxyReport;
     this.proxyReport = { seen: response.seen, released: response.released };
     this.lastFeedAt = clock.now();
-    this.lastAnsweredSentAt = sentAt;
+    this.sentAt = sentAt;
     return (
-      response.released.length > 0 && JSON.stringify(response.released) !== JSON.stringify(released)
+      response.released.length > 0 &&
+      JSON.stringify(response.released) !== JSON.stringify(previouslyReleased)
     );
   }
 
   private stateEntries(state: State | undefined, digest: string): object {
     if (!state || !isNewerVersion(versionOf(state), this.fedVersion)) return {};
-    const isKnown = digest !== '' && digest === this.fedConfigDigest;
-    const entries = [...encodeState(state)].filter(([key]) => !isKnown || key !== 'config');
-    return { state: entries, ...(isKnown ? { config: digest } : {}) };
+    const proxyHasConfig = digest !== '' && digest === this.fedConfigDigest;
+    const entries = [...encodeState(state)].filter(([key]) => !proxyHasConfig || key !== 'config');
+    return { state: entries, ...(proxyHasConfig ? { config: digest } : {}) };
   }
 }
 
-/** A lease that was never renewed is told as -1, since JSON knows no infinity. */
+/** Encodes a lease that was never renewed as -1, since JSON has no infinity. */
 const linkEntries = ({ leaseRenewedAt, barred, master, term }: ControlLink): object => ({
   leaseRenewedAt: Number.isFinite(leaseRenewedAt) ? leaseRenewedAt : -1,
   ...(barred ? { barred } : {}),
--- a/packages/agent/src/server-list-monitor.ts
+++ b/packages/agent/src/server-list-monitor.ts
@@ -1,10 +1,10 @@
 /**
- * Follows how fresh the readings of the platform's list of servers are, for the front beside this agent. Readings come
- * with the master's replies to pings; when they are late, or there is no master, the agent asks another control, which
- * reads the list itself (`docs/platform.md`, "Servers").
+ * Tracks the age of the readings of the platform's server list for the local front. Readings come with the master's
+ * replies to pings; when they are late, or there is no master, the agent asks another control, which reads the list
+ * itself (`docs/platform.md`, "Servers").
  *
- * Owns the ages of the newest readings and the servers that they show as draining or no longer listed. Whatever is
- * learned counts from the moment of asking, so it is never taken for fresher than it is.
+ * Owns the times of the newest readings and the servers that they show as draining or no longer listed. The age of a
+ * reading counts from the time of the request, so that a reading never appears newer than it is.
  */
 import {
   ServerListReply,
@@ -23,35 +23,37 @@
 } from '@tillerstair/wire';
 import type { ZenBounds, ZenNode } from '@tillerstair/zen';
 
-/** How late a reading may be before another control is asked, in intervals of the list. */
+/** Age of the last reading at which another control is asked, in list intervals; with a master plus a heartbeat. */
 const maxAgeWithMaster = 1.5;
 const maxAgeWithoutMaster = 2;
-/** A control has this share of the interval of the list to respond. */
+/** Timeout of a request to one control, as a share of the list interval. */
 const replyShare = 1 / 2;
-/** How often the ages are looked at, as a share of the interval of the list. */
+/** Interval at which the age of the readings is checked, as a share of the list interval. */
 const checkShare = 1 / 10;
-/** Agents begin with different controls, by a hash of their id. */
+/** Range of the hash by which each agent chooses its first control, so that agents are spread over the controls. */
 const startIndexRange = 1 << 16;
 
-/** `new`: the control read the list for this request; `old`: it could not and told what it had; `none`: no reply. */
+/**
+ * `new`: the control read the list for this request; `old`: it could not and sent its last reading; `none`: no reply.
+ */
 type ReadResult = 'new' | 'old' | 'none';
 
-/** Follows the readings of the list of servers. */
+/** Tracks the readings of the server list. */
 export class ServerListMonitor {
-  /** Whether the cluster goes by a list at all. */
+  /** Whether the cluster uses a server list. */
   private hasList: 'unknown' | 'yes' | 'no' = 'unknown';
-  /** When a control last tried to read the list, successfully or not. */
+  /** Time of the last attempt of a control to read the list, successful or not, in ms. */
   private attemptedAt = -Infinity;
-  /** When the list was read that the state of the master rests on. */
+  /** Time of the reading on which the master's state is based, in ms. */
   private masterReadAt = -Infinity;
-  /** When the list was read that another control told this agent. */
+  /** Time of the newest reading that another control sent to this agent, in ms. */
   private directReadAt = -Infinity;
   private listed: ReadonlySet<string> = new Set();
   private draining: ReadonlySet<string> = new Set();
   private nextControl: number;
   private readonly stopping = createAbortController();
 
-  /** `key` spreads agents over the controls: each begins with another one. */
+  /** The hash of `key` selects the control that is asked first, which spreads agents over the controls. */
   constructor(
     private readonly clock: Clock,
     private readonly transport: Transport,
@@ -62,7 +64,7 @@
     this.nextControl = slotForKey(key, startIndexRange);
   }
 
-  /** Takes what the master told with its reply to a ping that was sent at `askedAt`; null if it goes by no list. */
+  /** Applies the report in the master's reply to a ping sent at `askedAt`; null means that the cluster uses no list. */
   applyReport(body: unknown, askedAt: number): void {
     if (body === undefined || body === null) {
       this.hasList = 'no';
@@ -75,14 +77,17 @@
       this.masterReadAt = Math.max(this.masterReadAt, askedAt - report.readAge);
   }
 
-  /** The newest attempt to read the list, in ms: Infinity if there is no list, -Infinity while that is not known. */
+  /**
+   * Time of the last attempt to read the list, in ms: Infinity if there is no list, -Infinity while that is unknown.
+   */
   get leaseRenewedAt(): number {
     return this.hasList === 'no' ? Infinity : this.attemptedAt;
   }
 
   /**
-   * The servers that may get nothing new beyond what the state says: draining by the agent's own readings, and, while
-   * these are newer than the master's, those that they do not list. Undefined while nothing was read.
+   * Ids of servers that must get no new requests although the state allows it: those that are draining by the agent's
+   * own readings and, while these are newer than the master's, those that they do not list. Undefined before the first
+   * reading.
    */
   barredServers(state: State | undefined): readonly string[] | undefined {
     const readAt = Math.max(this.masterReadAt, this.directReadAt);
@@ -96,12 +101,12 @@
     return [...new Set([...this.draining, ...unlisted])];
   }
 
-  /** Ends `run`. */
+  /** Stops the loop of `run`. */
   stop(): void {
     this.stopping.abort();
   }
 
-  /** Asks controls whenever the newest reading is late, at most once in an interval of the list, until `stop`. */
+  /** Reads the list from controls whenever the last reading is late, at most once per list interval, until `stop`. */
   async run(zen: ZenNode): Promise<void> {
     const { listReadInterval } = this.bounds;
     while (!this.stopping.signal.aborted) {
@@ -126,15 +131,17 @@
     return this.hasList === 'yes' && now - readAt > maxAge;
   }
 
-  /** Asks one control after the other until one replies or `end` has come; not the master, whose readings are late. */
-  private async readList(zen: ZenNode, end: number): Promise<void> {
+  /**
+   * Asks one control after the other until one replies or `deadline` passes; not the master, whose readings are late.
+   */
+  private async readList(zen: ZenNode, deadline: number): Promise<void> {
     const voters = [...(zen.applied?.votingMembers.values() ?? [])].sort((a, b) =>
       a.id < b.id ? -1 : 1,
     );
     const others = voters.filter(({ id }) => id !== zen.knownMaster?.id);
     const controls = others.length > 0 ? others : voters;
-    for (let n = 0; n < controls.length && !this.stopping.signal.aborted; n++) {
-      const remainingMs = end - this.clock.now();
+    for (let i = 0; i < controls.length && !this.stopping.signal.aborted; i++) {
+      const remainingMs = deadline - this.clock.now();
       const control = controls[this.nextControl % controls.length];
       if (remainingMs <= 0) return;
       const timeoutMs = Math.min(remainingMs, this.bounds.listReadInterval * replyShare);
@@ -157,7 +164,7 @@
       this.applyReply(reply, reply.reported, askedAt);
       return reply.reported.age === reply.reported.readAge ? 'new' : 'old';
     } catch (error) {
-      this.log.debug(`${control.addr} sends no server list: ${toRpcError(error).message}.`);
+      this.log.debug(`Control ${control.addr} sent no server list: ${toRpcError(error).message}.`);
       return 'none';
     }
   }
--- a/packages/agent/src/start.ts
+++ b/packages/agent/src/start.ts
@@ -1,4 +1,4 @@
-/** Starts a front-agent: the agent, and its pages. */
+/** Starts a front-agent: the agent and its HTTP endpoints. */
 import type { ServerResponse } from 'node:http';
 import { servePages, stderrLog, type AgentSettings, type Running } from '@tillerstair/settings';
 import { nodeViewOf, type NodeView } from '@tillerstair/state';
@@ -20,7 +20,7 @@
   else sendJson(res, notFound, { executed: 'no', errorCode: 'no-such-page' });
 };
 
-/** Starts a front-agent; `reload` takes other seeds and bounds over. */
+/** Starts a front-agent. `reload` applies new seeds and bounds. */
 export const startAgent = async (settings: AgentSettings): Promise<Running<AgentSettings>> => {
   const log = stderrLog('agent', settings.log);
   const reloadable = reloadableBounds(settings.bounds);
--- a/packages/proxy/src/caller-api.ts
+++ b/packages/proxy/src/caller-api.ts
@@ -1,6 +1,6 @@
 /**
- * The product's own interface for callers under `/v1` (`docs/callers.md`): programs, turns, calls, and this front's view.
- * It keeps no state; requests go to the owner of their program or key.
+ * The product's HTTP API for callers under `/v1` (`docs/callers.md`): programs, turns, calls, and this front's view of
+ * the cluster. It keeps no state; each request is forwarded to the owner of its program or operation key.
  */
 import { randomBytes } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -33,12 +33,12 @@
   maxTokens: z.number().int().min(1).optional(),
 });
 
-/** How long a turn or call may take, in ms. */
+/** Timeout of a turn or call, in ms. */
 const runTimeoutMs = 120000;
-/** How long a program may take to be made or read, in heartbeats. */
+/** Timeout for creating or reading a program, in heartbeats. */
 const lookupHeartbeats = 5;
 const maxKeyLength = 200;
-/** So many ids are tried for a program whose slot this front owns; any front may own it after that. */
+/** Random program ids tried until one hashes to a slot of this front; the last one is used whoever owns its slot. */
 const maxProgramIdAttempts = 200;
 const programIdBytes = 8;
 const childIdBytes = 6;
@@ -56,21 +56,21 @@
 const slotKeyOfProgram = (programId: string): string => `p/${rootProgramId(programId)}`;
 const ignoreChunk = (): void => undefined;
 
-/** One request and where its answer goes. */
+/** An HTTP request, its response, and the caller's tenant. */
 interface Exchange {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly tenant: string;
 }
 
-/** The pages of one front. `maxBodyBytes` bounds the bodies of requests. */
+/** The `/v1` endpoints of one front. `maxBodyBytes` limits request bodies, in bytes. */
 class CallerApi {
   constructor(
     private readonly front: Front,
     private readonly maxBodyBytes: number,
   ) {}
 
-  /** Answers a request whose path is split at its slashes; false if there is no such page. */
+  /** Answers a request whose path is split at its slashes; resolves with false if no endpoint matches. */
   async handle(exchange: Exchange, path: readonly string[]): Promise<boolean> {
     const [version, section = '', ...rest] = path;
     if (version !== 'v1') return false;
@@ -117,13 +117,13 @@
     return this.front.bounds.heartbeatInterval * lookupHeartbeats;
   }
 
-  /** An id whose slot this front owns, so that the first turn needs no second front. */
+  /** A new program id whose slot this front owns if possible, so that the program's turns need no forwarding. */
   private newProgramId(): string {
     const { front } = this;
-    for (let n = 0; ; n++) {
+    for (let attempt = 0; ; attempt++) {
       const id = `p-${randomBytes(programIdBytes).toString('hex')}`;
       const slot = front.owner.slotFor(slotKeyOfProgram(id));
-      if (n >= maxProgramIdAttempts || front.owner.ownerOf(slot) === front.id) return id;
+      if (attempt >= maxProgramIdAttempts || front.owner.ownerOf(slot) === front.id) return id;
     }
   }
 
@@ -131,15 +131,15 @@
     const body = parseJsonBody(NewProgram, await readBody(req, this.maxBodyBytes), res);
     if (!body) return;
     this.front.owner.requireLease();
-    const pid =
+    const programId =
       body.parent === undefined
         ? this.newProgramId()
         : `${rootProgramId(body.parent)}~${randomBytes(childIdBytes).toString('hex')}`;
     const outcome = await this.front.forward(
       {
         kind: 'front/program',
-        slotKey: slotKeyOfProgram(pid),
-        body: { tenant, pid, ...body },
+        slotKey: slotKeyOfProgram(programId),
+        body: { tenant, pid: programId, ...body },
         timeoutMs: this.lookupTimeoutMs,
       },
       ignoreChunk,
@@ -148,28 +148,28 @@
     sendOutcome(res, outcome);
   }
 
-  private async runTurn({ req, res, tenant }: Exchange, pid: string): Promise<void> {
+  private async runTurn({ req, res, tenant }: Exchange, programId: string): Promise<void> {
     const body = parseJsonBody(NewTurn, await readBody(req, this.maxBodyBytes), res);
     if (!body) return;
     const turn = {
       tenant,
-      pid,
+      pid: programId,
       ...body,
       after: body.after ?? null,
       key: operationKey(req) || randomId('k'),
       requestId: requestIdOf(req),
     };
-    const begin = (): void => {
+    const startResponse = (): void => {
       if (!res.headersSent) res.writeHead(ok, { 'content-type': 'application/x-ndjson' });
     };
-    const emit = (n: number, text: string): void => {
-      begin();
-      res.write(`${JSON.stringify({ n, text })}\n`);
+    const emit = (index: number, text: string): void => {
+      startResponse();
+      res.write(`${JSON.stringify({ n: index, text })}\n`);
     };
     const outcome = await this.front.forward(
       {
         kind: 'front/turn',
-        slotKey: slotKeyOfProgram(pid),
+        slotKey: slotKeyOfProgram(programId),
         body: turn,
         timeoutMs: runTimeoutMs,
       },
@@ -177,7 +177,7 @@
       callerSignal(res),
     );
     if (outcome.outcome === 'done') {
-      begin();
+      startResponse();
       res.end(`${JSON.stringify(outcome.body)}\n`);
       return;
     }
@@ -191,14 +191,14 @@
 
   private async readHistory(
     { res, tenant }: Exchange,
-    pid: string,
-    turn: string | undefined,
+    programId: string,
+    turnId: string | undefined,
   ): Promise<void> {
     const outcome = await this.front.forward(
       {
         kind: 'front/history',
-        slotKey: slotKeyOfProgram(pid),
-        body: { tenant, pid, ...(turn === undefined ? {} : { turn }) },
+        slotKey: slotKeyOfProgram(programId),
+        body: { tenant, pid: programId, ...(turnId === undefined ? {} : { turn: turnId }) },
         timeoutMs: this.lookupTimeoutMs,
       },
       ignoreChunk,
@@ -212,7 +212,7 @@
     if (parseJsonBody(z.unknown(), body, res) === undefined && res.headersSent) return;
     const key = operationKey(req);
     if (key.length > maxKeyLength) {
-      const text = `an Operation-Key has at most ${maxKeyLength} characters`;
+      const text = `Operation-Key is longer than ${maxKeyLength} characters`;
       sendRefused(res, badRequest, 'bad-key', text);
       return;
     }
@@ -237,9 +237,9 @@
 }
 
 /**
- * Makes the handler of a front's HTTP pages. Paths outside of `/v1/` go to `passHandler`, if there is one.
+ * Creates the HTTP handler of a front. Requests outside `/v1/` go to `passHandler` if one is given.
  *
- * @param maxBodyBytes - the limit of bodies under `/v1/`, in bytes
+ * @param maxBodyBytes - size limit of request bodies under `/v1/`, in bytes
  */
 export const createCallerApi = (
   front: Front,
@@ -250,7 +250,7 @@
   return async (req, res, url) => {
     if (passHandler && !url.pathname.startsWith('/v1/')) return passHandler(req, res);
     if (front.stopping) {
-      sendOutcome(res, notReady('stopping', 'this front is stopping'));
+      sendOutcome(res, notReady('stopping', `front ${front.id} is stopping`));
       return;
     }
     const tenant = requestHeader(req, 'x-tenant') || defaultTenant;
--- a/packages/proxy/src/chunk-counter.ts
+++ b/packages/proxy/src/chunk-counter.ts
@@ -1,20 +1,20 @@
-/** Checks that a stream arrives complete over the inner wire: every chunk once, in order, as many as its end counts. */
+/** Checks that a stream from another front is complete: each chunk once, in order, and as many as its end states. */
 import { unknown, type CallOutcome, type EmitChunk } from '@tillerstair/session-owner';
 import { StreamEnd } from './messages.js';
 
-/** Passes the chunks of one stream on as long as none is skipped or repeated, and counts them. */
+/** Counts the chunks of one stream and passes them on until one is skipped or repeated. */
 export class ChunkCounter {
   private count = 0;
   private inOrder = true;
 
   constructor(private readonly emit: EmitChunk) {}
 
-  /** How many chunks were passed on. */
+  /** Number of chunks passed on so far. */
   get emitted(): number {
     return this.count;
   }
 
-  /** Takes chunk `index`; nothing is passed on from the first gap or repeat on. */
+  /** Passes chunk `index` on, unless it or an earlier chunk was skipped or repeated. */
   readonly accept: EmitChunk = (index, text) => {
     this.inOrder &&= index === this.count;
     if (!this.inOrder) return;
@@ -22,12 +22,12 @@
     this.emit(index, text);
   };
 
-  /** The outcome of the stream: unknown if it is done by its own word but did not arrive complete. */
+  /** Returns `outcome`, or an unknown outcome if the owner reports success but the stream did not arrive complete. */
   check(outcome: CallOutcome): CallOutcome {
     if (outcome.outcome !== 'done') return outcome;
     const end = StreamEnd.safeParse(outcome.body);
     return this.inOrder && end.success && end.data.end.chunks === this.count
       ? outcome
-      : unknown('the stream did not arrive complete', 'broken-off');
+      : unknown(`incomplete stream: ${this.count} chunks arrived in order`, 'broken-off');
   }
 }
--- a/packages/proxy/src/connection-limit.ts
+++ b/packages/proxy/src/connection-limit.ts
@@ -1,16 +1,16 @@
-/** How many connections a front may open to one server, so that all fronts together stay within the server's limit. */
+/** Computes a front's connection limit per server, so that all fronts together stay within the limit of the pool. */
 import type { CompiledState } from '@tillerstair/session-owner';
 
-/** For servers whose pool names no limit. */
+/** Connection limit for servers whose pool configures none. */
 const defaultConnections = 64;
 const minConnections = 2;
-/** The share of a front counts this many times as many fronts, since their load is uneven and fronts may join. */
+/** Factor on the number of fronts that share a server's limit: load is uneven, and fronts may join. */
 const frontCountAllowance = 1.5;
 
-/** The limit for the server at `url` by the state in force; the default before there is one. */
-export const connectionLimit = (table: CompiledState | undefined, url: string): number => {
-  if (!table) return defaultConnections;
-  const { state, config } = table;
+/** Maximum number of connections to the server at `url`; the default until the front has a cluster state. */
+export const connectionLimit = (compiled: CompiledState | undefined, url: string): number => {
+  if (!compiled) return defaultConnections;
+  const { state, config } = compiled;
   const pool = [...state.servers.values()].find((server) => server.url === url)?.pool;
   const poolLimit = config?.pools.find(({ name }) => name === pool)?.connections ?? 0;
   if (poolLimit === 0) return defaultConnections;
--- a/packages/proxy/src/daemon.ts
+++ b/packages/proxy/src/daemon.ts
@@ -1,19 +1,20 @@
-/** The command line of the program `front-proxy`. */
+/** Command line of the `front-proxy` program. */
 import { ProxySettings, runDaemon } from '@tillerstair/settings';
 import { startProxy } from './start.js';
 
 void runDaemon({
   name: 'front-proxy',
-  about: 'Serves callers, places turns, holds budgets. Fed by the front-agent beside it.',
+  about:
+    'Serves callers, places turns and enforces budgets. Receives the cluster state from its local front-agent.',
   schema: ProxySettings,
   flags: [
-    ['addr', 'Own address for other fronts, IP:PORT'],
-    ['listen', 'Address to bind, if not the same'],
-    ['feed', 'Loopback address where the agent feeds this front'],
-    ['http', "Address of the callers' HTTP"],
+    ['addr', 'Address of this front for other fronts, IP:PORT'],
+    ['listen', 'Address to bind, if different from --addr'],
+    ['feed', 'Loopback address that receives the feed of the agent'],
+    ['http', 'HTTP address for callers'],
     ['zone', 'Zone of this machine'],
-    ['affinity', 'Place turns where their prefix is warm: true or false'],
-    ['log', 'debug, info, warn or error'],
+    ['affinity', 'Prefer servers that have the prefix of a turn cached: true or false'],
+    ['log', 'Log level: debug, info, warn or error'],
   ],
   start: (settings) => startProxy(settings),
 });
--- a/packages/proxy/src/dialect.ts
+++ b/packages/proxy/src/dialect.ts
@@ -1,38 +1,38 @@
-/** The names of the headers of pass routes: the product's own, and a place for those of a platform. */
+/** Header names on pass routes: the type, which platform adapters implement, and the product's own names. */
 
-/** Names of headers of pass routes, in lower case; '' where there is none. */
+/** Header names on pass routes, in lower case; '' for a header that the dialect lacks. */
 export interface Dialect {
-  /** The id of a caller's attempt; servers echo it. */
+  /** Id of the caller's attempt; servers echo it. */
   readonly attempt: string;
-  /** How long the caller will wait, in ms. */
+  /** Time that the caller will still wait, in ms. */
   readonly remainingTime: string;
-  /** The key of an operation: all attempts with it are one. */
+  /** Idempotency key: all attempts with the same key are one operation. */
   readonly key: string;
-  /** The tenant whose programs and keys are meant. */
+  /** Tenant that scopes program ids and operation keys. */
   readonly tenant: string;
-  /** The program that a turn belongs to. */
+  /** Id of the program that a turn belongs to. */
   readonly program: string;
-  /** Tokens that a program may be given in all. */
+  /** Token budget of the program, in total. */
   readonly budget: string;
-  /** Tokens of the prompt and the most put out, separated by a comma. */
+  /** Prompt tokens and maximum output tokens, separated by a comma. */
   readonly tokens: string;
-  /** Parts of the prompt in order, NAME:TOKENS, separated by commas. */
+  /** Parts of the prompt in order, each NAME:TOKENS, separated by commas. */
   readonly parts: string;
-  /** The attempt of the turn that a turn follows. */
+  /** Attempt id of the previous turn. */
   readonly after: string;
-  /** The last event that the caller has of a stream. */
+  /** Id of the last event of a stream that the caller received. */
   readonly resume: string;
-  /** The server that is meant; another answers 421. */
+  /** Id of the intended server; any other server answers 421. */
   readonly expect: string;
-  /** A server's promise that it did not run a request. */
+  /** Set by a server that guarantees that it did not run the request. */
   readonly declined: string;
-  /** A server's running, waiting and places, separated by commas. */
+  /** A server's running requests, waiting requests and capacity, separated by commas. */
   readonly load: string;
-  /** Stands on every answer that a server made; '' if servers do not mark theirs. */
+  /** Set on every response that a server generated itself; '' if servers do not set such a header. */
   readonly madeByServer: string;
 }
 
-/** The names of the product's own interface (`docs/callers.md`). */
+/** Header names of the product's own interface (`docs/callers.md`). */
 export const productDialect: Dialect = {
   attempt: 'x-request-id',
   remainingTime: 'x-time-left-ms',
--- a/packages/proxy/src/forwarder.ts
+++ b/packages/proxy/src/forwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Forwards requests to the owner of their slot, and follows the slot to its next owner (`docs/design.md`, "A turn").
- * It keeps no state beyond one request. What an owner that left the cluster may have run never counts for refused, and
- * a stream that has begun is never asked for again.
+ * Forwards requests to the owner of their slot and retries at the slot's next owner (`docs/design.md`, "A turn"). It
+ * keeps no state beyond one request. A request that an owner may have run before it left the cluster is never reported
+ * as refused, and a stream that has started is never requested again.
  */
 import {
   CallOutcome,
@@ -22,32 +22,32 @@
 import { ChunkCounter } from './chunk-counter.js';
 import { StreamChunk, type ForwardedKind } from './messages.js';
 
-/** How long an owner is looked for, in heartbeats and as a share of the time that the request has. */
+/** Time limits for retries: in heartbeats, and as a share of the request's timeout. The shorter one applies. */
 const retryHeartbeats = 1.5;
 const retryShare = 1 / 4;
-/** Pauses between attempts, as a share of a heartbeat. */
+/** Delay between attempts, as a share of a heartbeat. */
 const retryPauseShare = 1 / 20;
 
-/** A request for the owner of a slot. */
+/** A request to be run by the owner of a slot. */
 export interface SlotRequest {
   readonly kind: ForwardedKind;
-  /** The key whose slot's owner runs the request. */
+  /** Key that is hashed to the slot. */
   readonly slotKey: string;
-  /** The message of this kind, as on the wire. */
+  /** Message body for this kind, as sent on the wire. */
   readonly body: unknown;
   readonly timeoutMs: number;
 }
 
-/** What a forwarder works with. */
+/** Dependencies of a forwarder. */
 export interface ForwarderOptions {
-  /** The id of the front that forwards. */
+  /** Id of the forwarding front. */
   readonly frontId: string;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly owner: SessionOwner;
-  /** In ms; read anew for each request. */
+  /** Current heartbeat interval, in ms; read for each request. */
   readonly heartbeatInterval: () => number;
-  /** Runs a request whose slot this front owns itself. */
+  /** Runs a request whose slot this front owns. */
   readonly runLocally: (
     kind: ForwardedKind,
     body: unknown,
@@ -58,11 +58,11 @@
 
 const streamKinds: ReadonlySet<ForwardedKind> = new Set(['front/turn', 'front/stream']);
 
-/** Errors that may be over as soon as the next state has reached everybody; nothing was run. */
+/** Whether an error may go away once all fronts have the next cluster state; such a request was not run. */
 const isTransient = (error: RpcError): boolean =>
   error instanceof OwnershipError || error instanceof ConnectionRefusedError;
 
-/** One request on its way to its owner. */
+/** A forwarded request and its retries. */
 class ForwardedCall {
   private readonly chunks: ChunkCounter;
   private readonly retryForMs: number;
@@ -89,8 +89,8 @@
       let error: RpcError;
       try {
         return await this.attempt();
-      } catch (e) {
-        error = toRpcError(e);
+      } catch (thrown) {
+        error = toRpcError(thrown);
       }
       const mayRetry =
         this.chunks.emitted === 0 &&
@@ -108,10 +108,10 @@
     owner.requireLease();
     const ownerId = owner.ownerOf(owner.slotFor(slotKey));
     if (ownerId === frontId)
-      return this.checkStream(await runLocally(kind, body, this.chunks.accept, this.signal));
+      return this.check(await runLocally(kind, body, this.chunks.accept, this.signal));
     const member = owner.current?.state.nodes.get(ownerId);
-    if (!member) throw new OwnershipError('no-owner', 'no owner is known for this');
-    return this.checkStream(await this.callOwner(ownerId, member.data));
+    if (!member) throw new OwnershipError('no-owner', `no owner is known for key ${slotKey}`);
+    return this.check(await this.callOwner(ownerId, member.data));
   }
 
   private async callOwner(ownerId: string, addr: string): Promise<CallOutcome> {
@@ -132,19 +132,19 @@
       if (!watch.lost.aborted || this.signal.aborted || this.chunks.emitted > 0) throw error;
       this.retryUntil = clock.now() + this.retryForMs;
       this.mayHaveRun = true;
-      throw new OwnershipError('not-owner', 'the owner left the cluster');
+      throw new OwnershipError('not-owner', `owner ${ownerId} left the cluster`);
     } finally {
       watch.end();
     }
   }
 
-  private checkStream(outcome: CallOutcome): CallOutcome {
+  private check(outcome: CallOutcome): CallOutcome {
     return streamKinds.has(this.request.kind) ? this.chunks.check(outcome) : outcome;
   }
 
   private failureOutcome(error: RpcError): CallOutcome {
     return this.mayHaveRun
-      ? unknown(`the owner that ran it left the cluster: ${error.message}`)
+      ? unknown(`the owner that may have run the request left the cluster: ${error.message}`)
       : outcomeOfError(error);
   }
 }
@@ -153,7 +153,7 @@
 export class Forwarder {
   constructor(private readonly parts: ForwarderOptions) {}
 
-  /** Resolves with what became of the request; chunks of a stream are passed on as they arrive. Never rejects. */
+  /** Resolves with the outcome of the request; chunks of a stream are emitted as they arrive. Never rejects. */
   forward(request: SlotRequest, emit: EmitChunk, signal: AbortSignal): Promise<CallOutcome> {
     return new ForwardedCall(this.parts, request, signal, emit).run();
   }
--- a/packages/proxy/src/front-bounds.ts
+++ b/packages/proxy/src/front-bounds.ts
@@ -1,39 +1,39 @@
 /**
- * The time limits of a front, derived from its settings. On SIGHUP the heartbeat, the time of a write and the read lease
- * follow the bounds that were read again; `pollIntervalMs`, the time to connect, `stopWithin` and `retentionMs` stay as they were
- * at the start.
+ * Time limits of a front, derived from its settings. On SIGHUP the heartbeat, the write timeout and the read lease
+ * follow the reloaded bounds; `pollIntervalMs`, the connect timeout, `stopWithin` and `retentionMs` keep their values
+ * from the start.
  */
 import type { SessionOwnerBounds } from '@tillerstair/session-owner';
 import type { ProxySettings } from '@tillerstair/settings';
 import { toTimerMs } from '@tillerstair/wire';
 
-/** A replica has this share of the failure timeout for a write. */
+/** Timeout of a write at a replica, as a share of the failure timeout. */
 const putShare = 1 / 2;
-/** A connection to a server has this share of a heartbeat to open. */
+/** Connect timeout for servers, as a share of a heartbeat. */
 const connectShare = 1 / 2;
-/** Servers are asked for their load so many times a heartbeat, where they are asked at all. */
+/** Polls of a server's load per heartbeat, if `asksServers` enables polling. */
 const pollsPerHeartbeat = 4;
 
-/** `docs/zen.md`, "Free values": the read lease is 5/6 of the bound of draining servers. */
+/** Read lease in ms: 5/6 of the bound `drainingWithin` on draining servers (`docs/zen.md`, "Free values"). */
 const readLeaseMs = (drainingWithin: number): number => toTimerMs((drainingWithin * 5) / 6);
 
-/** How long a connection to a server may take to open, in ms. */
+/** Timeout for opening a connection to a server, in ms. */
 export const connectTimeoutOf = (bounds: ProxySettings['bounds']): number =>
   toTimerMs(bounds.heartbeatInterval * connectShare);
 
-/** Time limits of a front, in ms. `inForce` gives the bounds of the settings as they were read last. */
+/** Time limits of a front, in ms. `currentBounds` returns the bounds of the most recently loaded settings. */
 export const createFrontBounds = (
   settings: ProxySettings,
-  inForce: () => ProxySettings['bounds'],
+  currentBounds: () => ProxySettings['bounds'],
 ): SessionOwnerBounds => ({
   get heartbeatInterval() {
-    return inForce().heartbeatInterval;
+    return currentBounds().heartbeatInterval;
   },
   get putTimeoutMs() {
-    return toTimerMs(inForce().failureTimeout * putShare);
+    return toTimerMs(currentBounds().failureTimeout * putShare);
   },
   get readLease() {
-    return readLeaseMs(inForce().drainingWithin);
+    return readLeaseMs(currentBounds().drainingWithin);
   },
   pollIntervalMs: settings.asksServers
     ? toTimerMs(settings.bounds.heartbeatInterval / pollsPerHeartbeat)
--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -1,7 +1,7 @@
 /**
- * A front: serves requests for the slots that it owns, forwards the others, and takes the cluster state from the agent
- * beside it. Owns the session owner, the term of its newest feed and the count of requests under way. A state, lease or
- * bar of an earlier term never replaces one of a later term.
+ * A front: serves requests for the slots that it owns, forwards the others, and receives the cluster state from its
+ * local agent. Owns the session owner, the term of the newest feed and the count of requests in flight. A state, a
+ * lease or a list of barred servers of an earlier term never replaces one of a later term.
  */
 import {
   decodeState,
@@ -39,38 +39,40 @@
 import { Feed, type FeedResponse } from './messages.js';
 import { notFound } from './status-codes.js';
 
-/** What a front is made from. */
+/** Dependencies and settings of a front. */
 export type FrontOptions = SessionOwnerOptions;
 
 /**
- * The share of the stop time for which a stopping front takes requests, so that callers see that it is not ready; the
- * rest is for what it took.
+ * Share of `stopWithin` during which a stopping front still accepts requests, so that callers can see that it is not
+ * ready; the rest is left for finishing the accepted requests.
  */
 const acceptingShare = 3 / 8;
-/** How long a stopped front waits for its agent's next feed, as a share of a heartbeat; it feeds four times in one. */
+/**
+ * How long a stopping front waits for its agent's next feed, as a share of a heartbeat; agents feed four times in one.
+ */
 const releaseReportShare = 1 / 2;
-/** How often a stopping front looks whether it may end, as a share of a heartbeat. */
+/** Interval at which a stopping front checks whether it can exit, as a share of a heartbeat. */
 const stopCheckShare = 1 / 20;
 
-/** The connections of callers, as a front that stops sees them (`DrainableServer`). */
+/** Connections of callers that a stopping front drains; `DrainableServer` implements it. */
 export interface CallerConnections {
-  /** How many requests have no complete answer yet. */
+  /** Number of requests without a complete response. */
   readonly unansweredRequests: number;
-  /** Has each connection end with its next answer; requests are still taken. */
+  /** Makes each connection close after its next response; requests are still accepted. */
   announceClose(): void;
-  /** Takes no further connection or request. */
+  /** Stops accepting connections and requests. */
   stopAccepting(): void;
 }
 
 const countUnanswered = (callers: readonly CallerConnections[]): number =>
-  callers.reduce((sum, { unansweredRequests }) => sum + unansweredRequests, 0);
+  callers.reduce((total, { unansweredRequests }) => total + unansweredRequests, 0);
 
-/** A front of the cluster. */
+/** A front of the cluster: one node that owns slots and serves callers. */
 export class Front {
-  /** The front's id in the cluster state. */
+  /** Node id in the cluster state. */
   readonly id: string;
   readonly clock: Clock;
-  /** Time limits, in ms; they follow the settings file. */
+  /** Time limits, in ms; some of them change when the settings are reloaded. */
   readonly bounds: SessionOwnerBounds;
   readonly owner: SessionOwner;
   private readonly transport: Transport;
@@ -80,17 +82,17 @@
   private agentTerm = 0;
   private master = '';
   private active = 0;
-  /** Whether the agent has been told that the read lease is given up. */
+  /** Whether a feed response has reported the release of the read lease to the agent. */
   private releaseReported = false;
 
-  constructor(parts: FrontOptions) {
-    const { id, clock, transport, bounds } = parts;
+  constructor(options: FrontOptions) {
+    const { id, clock, transport, bounds } = options;
     this.id = id;
     this.clock = clock;
     this.transport = transport;
     this.bounds = bounds;
-    this.log = parts.log;
-    this.owner = new SessionOwner(parts);
+    this.log = options.log;
+    this.owner = new SessionOwner(options);
     this.forwarder = new Forwarder({
       frontId: id,
       clock,
@@ -101,48 +103,51 @@
     });
   }
 
-  /** Begins to serve other fronts. */
+  /** Starts serving other fronts. */
   async start(): Promise<void> {
     await this.transport.serve((rpc, emit, signal) =>
-      this.runLocally(rpc.kind, rpc.body, (n, text) => emit({ n, text }), signal),
+      this.runLocally(rpc.kind, rpc.body, (index, text) => emit({ n: index, text }), signal),
     );
     this.owner.start();
   }
 
   /**
-   * Stops in order, in `stopWithin` ms at most. Callers first have time to see that it is not ready, while requests are
-   * still taken; then none is taken any more, from callers or other fronts; then it waits until what it took is answered
-   * and its slots are handed over. Requests that are taken to the end would be cut by it, whoever owns their slot.
+   * Shuts down gracefully within `stopWithin` ms. Requests are accepted at first, while callers can see that the front
+   * is not ready; then none is accepted from callers or other fronts; then the front waits until the accepted requests
+   * are answered and its slots are handed over. A request accepted until the end would be cut off by the exit,
+   * whichever front owns its slot.
    */
   async stop(callers: readonly CallerConnections[] = []): Promise<void> {
     this.stopSignal.abort();
     const { clock, owner } = this;
-    const since = clock.now();
+    const startedAt = clock.now();
     this.log.info(`Stopping: ${this.describePendingWork(callers)}.`);
     for (const connections of callers) connections.announceClose();
-    if (owner.leaseValid) await this.waitUntil(since + this.bounds.stopWithin * acceptingShare);
+    if (owner.leaseValid) await this.waitUntil(startedAt + this.bounds.stopWithin * acceptingShare);
     for (const connections of callers) connections.stopAccepting();
     owner.stopAccepting();
-    await this.waitUntil(since + this.bounds.stopWithin, () => !this.hasPendingWork(callers));
+    await this.waitUntil(startedAt + this.bounds.stopWithin, () => !this.hasPendingWork(callers));
     await this.reportLeaseReleased();
     this.log.info(
-      `Stopped after ${Math.round(clock.now() - since)} ms: ${this.describePendingWork(callers)}.`,
+      `Stopped after ${Math.round(clock.now() - startedAt)} ms: ${this.describePendingWork(callers)}.`,
     );
     owner.stop();
     await this.transport.close();
   }
 
-  /** Gives the read lease up, and waits until the agent has heard so, or can't be there any more. */
+  /**
+   * Releases the read lease and waits until the agent is informed, or until a running agent would have fed the front.
+   */
   private async reportLeaseReleased(): Promise<void> {
     this.owner.releaseLease();
-    const until = this.clock.now() + this.bounds.heartbeatInterval * releaseReportShare;
-    await this.waitUntil(until, () => this.releaseReported);
+    const deadline = this.clock.now() + this.bounds.heartbeatInterval * releaseReportShare;
+    await this.waitUntil(deadline, () => this.releaseReported);
   }
 
-  /** Waits until a time of the clock, or until `isOver`. */
-  private async waitUntil(time: number, isOver = (): boolean => false): Promise<void> {
+  /** Waits until the clock reaches `deadline` or `isDone` returns true. */
+  private async waitUntil(deadline: number, isDone = (): boolean => false): Promise<void> {
     const { bounds, clock } = this;
-    while (clock.now() < time && !isOver())
+    while (clock.now() < deadline && !isDone())
       await delay(clock, bounds.heartbeatInterval * stopCheckShare);
   }
 
@@ -151,35 +156,35 @@
     return this.active > 0 || countUnanswered(callers) > 0 || (leaseValid && ownsSlots);
   }
 
-  /** Logs that a caller's answer was broken off, and why. */
+  /** Logs that a response was broken off before it was complete. */
   logTruncatedAnswer(attempt: string, reason: string): void {
-    this.log.warn(`The answer to ${attempt} was cut: ${reason}.`);
+    this.log.warn(`The response to attempt ${attempt} was truncated: ${reason}.`);
   }
 
-  /** What would be cut if the front ended now, for the log. */
+  /** Log text that lists the work that would be lost if the front exited now. */
   private describePendingWork(callers: readonly CallerConnections[]): string {
     const { leaseValid } = this.owner;
     const { slots } = this.owner.sizes();
     const lease = leaseValid ? 'valid' : 'over';
     return (
-      `${countUnanswered(callers)} callers unanswered, ${this.active} requests under way, ` +
+      `${countUnanswered(callers)} callers unanswered, ${this.active} requests in flight, ` +
       `${slots} slots owned, read lease ${lease}`
     );
   }
 
-  /** True from the call of `stop` on. */
+  /** Whether `stop` has been called. */
   get stopping(): boolean {
     return this.stopSignal.signal.aborted;
   }
 
-  /** This front's own view of the cluster, for `compare`. */
+  /** This front's view of the cluster, which `compare` checks against those of other nodes. */
   nodeView(): NodeView {
     return nodeViewOf(this.id, 'front', this.agentTerm, this.master, this.owner.current?.state);
   }
 
   /**
-   * Applies what the agent feeds. Throws `need-config` if the state comes without a configuration that this front has,
-   * and `other-cluster` if it is of another cluster.
+   * Applies a feed from the agent. Throws `need-config` if the feed leaves out a configuration that this front does not
+   * have, and `other-cluster` if the state belongs to another cluster.
    */
   feed(body: unknown): FeedResponse {
     const feed = Feed.parse(body);
@@ -207,12 +212,19 @@
 
   private decodeFedState(feed: Feed): State | undefined {
     const current = this.owner.current?.state;
-    const fed = feed.state ? decodeState(new Map(feed.state)) : undefined;
+    const decoded = feed.state ? decodeState(new Map(feed.state)) : undefined;
     if (feed.config !== undefined && feed.config !== current?.config?.digest)
-      throw new FeedError('need-config', 'this front does not have that configuration');
-    const next = fed && feed.config !== undefined ? { ...fed, config: current?.config } : fed;
+      throw new FeedError(
+        'need-config',
+        `front ${this.id} does not have configuration ${feed.config}`,
+      );
+    const next =
+      decoded && feed.config !== undefined ? { ...decoded, config: current?.config } : decoded;
     if (next && current && current.clusterId !== next.clusterId)
-      throw new ElectionError('other-cluster', `this front is of cluster ${current.clusterId}`);
+      throw new ElectionError(
+        'other-cluster',
+        `front ${this.id} belongs to cluster ${current.clusterId}, not to ${next.clusterId}`,
+      );
     return next;
   }
 
@@ -245,7 +257,7 @@
     }
   }
 
-  /** Runs a request on a pass route that belongs to no slot; never rejects. */
+  /** Runs a request on a pass route that is not bound to a slot; never rejects. */
   serveLocally(
     request: PassRequest,
     isStream: boolean,
@@ -257,7 +269,7 @@
     );
   }
 
-  /** Forwards a request to the owner of its slot, which may be this front; never rejects. */
+  /** Runs a request at the owner of its slot, which may be this front; never rejects. */
   async forward(request: SlotRequest, emit: EmitChunk, signal: AbortSignal): Promise<CallOutcome> {
     this.active++;
     try {
--- a/packages/proxy/src/headers.ts
+++ b/packages/proxy/src/headers.ts
@@ -1,9 +1,9 @@
-/** Headers of HTTP messages that are forwarded: as name and value in the order received, none of one connection. */
+/** Headers of forwarded HTTP messages: name-value pairs in the order received, without hop-by-hop headers. */
 import { z } from 'zod';
 import type { Header } from '@tillerstair/session-owner';
 import { noContent, notModified } from './status-codes.js';
 
-/** Headers that concern one connection only, in lower case (RFC 9110, section 7.6.1). */
+/** Names of the hop-by-hop headers, which are not forwarded, in lower case (RFC 9110, section 7.6.1). */
 export const hopByHopHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -18,7 +18,9 @@
 
 const RawHeaders = z.array(z.string());
 
-/** Pairs of name and value from a raw list, in which they take turns. */
+/**
+ * Name-value pairs from a raw header list, in which names and values alternate. Throws if it is not a list of strings.
+ */
 export const headerPairs = (headers: unknown): readonly Header[] => {
   const raw = RawHeaders.parse(headers);
   const pairs: Header[] = [];
@@ -32,7 +34,7 @@
     .split(',')
     .map((name) => name.trim());
 
-/** The headers that go on to the next connection (RFC 9110, section 7.6.1). */
+/** Headers to forward: neither hop-by-hop nor named by `Connection` (RFC 9110, section 7.6.1). */
 export const endToEndHeaders = (headers: readonly Header[]): readonly Header[] => {
   const connectionOptions = headers
     .filter(([name]) => name.toLowerCase() === 'connection')
@@ -45,12 +47,12 @@
 
 const framingHeaders: ReadonlySet<string> = new Set(['content-length', 'transfer-encoding']);
 
-/** Whether an answer says itself where it ends (RFC 9112, section 6.3), other than by the end of its connection. */
+/** Whether a response delimits its own body (RFC 9112, section 6.3) rather than by the close of its connection. */
 export const isFramed = (status: number, headers: readonly Header[]): boolean =>
   status === noContent ||
   status === notModified ||
   headers.some(([name]) => framingHeaders.has(name.toLowerCase()));
 
-/** The value of the first header of that name (in lower case), or ''. */
+/** Value of the first header with this lower-case name; '' if there is none. */
 export const headerValue = (headers: readonly Header[], name: string): string =>
   headers.find(([key]) => key.toLowerCase() === name)?.[1] ?? '';
--- a/packages/proxy/src/http-answers.ts
+++ b/packages/proxy/src/http-answers.ts
@@ -1,4 +1,4 @@
-/** Helpers of the `/v1` pages: headers of requests, bodies checked against a schema, and outcomes in JSON. */
+/** Helpers of the `/v1` endpoints: request headers, bodies validated against a schema, and outcomes as JSON. */
 import { randomBytes } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { z } from 'zod';
@@ -9,25 +9,25 @@
 const maxRequestIdLength = 100;
 const randomIdBytes = 9;
 
-/** A fresh id with a prefix that names its kind. */
+/** A new random id, `PREFIX-HEX`. */
 export const randomId = (prefix: string): string =>
   `${prefix}-${randomBytes(randomIdBytes).toString('hex')}`;
 
-/** The value of a request's header; '' if there is none. */
+/** Value of a request header with this lower-case name; '' if there is none. */
 export const requestHeader = (req: IncomingMessage, name: string): string => {
   const value = req.headers[name];
   return typeof value === 'string' ? value : '';
 };
 
-/** The key by which a caller asks again: `Operation-Key` or `Idempotency-Key`. */
+/** The idempotency key of a request, from `Operation-Key` or else `Idempotency-Key`; '' if there is none. */
 export const operationKey = (req: IncomingMessage): string =>
   requestHeader(req, 'operation-key') || requestHeader(req, 'idempotency-key');
 
-/** The caller's name for its request, cut to a sensible length; a fresh one if it gives none. */
+/** The caller's `X-Request-Id`, truncated to 100 characters; a new random id if there is none. */
 export const requestIdOf = (req: IncomingMessage): string =>
   requestHeader(req, 'x-request-id').slice(0, maxRequestIdLength) || randomId('i');
 
-/** Refuses a request that was not run. */
+/** Sends an error response for a request that was not run. */
 export const sendRefused = (
   res: ServerResponse,
   status: number,
@@ -36,7 +36,7 @@
   details: object = {},
 ): void => sendJson(res, status, { executed: 'no', errorCode, text, ...details });
 
-/** Sends what became of a request. */
+/** Sends the outcome of a request as JSON. */
 export const sendOutcome = (res: ServerResponse, outcome: CallOutcome): void => {
   if (outcome.outcome === 'done') {
     sendJson(res, outcome.status, outcome.body ?? null);
@@ -49,7 +49,7 @@
   sendJson(res, status, { executed, errorCode, text }, headers);
 };
 
-/** The JSON value of a body that fits a schema; else answers 400 and gives undefined. */
+/** Parses a JSON body by a schema ('' is read as `{}`); if it does not match, sends 400 and returns undefined. */
 export const parseJsonBody = <T>(
   schema: z.ZodType<T>,
   text: string,
@@ -59,7 +59,7 @@
   try {
     value = JSON.parse(text === '' ? '{}' : text);
   } catch {
-    sendRefused(res, badRequest, 'bad-json', 'the body is not JSON');
+    sendRefused(res, badRequest, 'bad-json', 'the request body is not JSON');
     return undefined;
   }
   const parsed = schema.safeParse(value);
@@ -72,7 +72,7 @@
   return undefined;
 };
 
-/** Aborts when the connection ends before the answer is complete. */
+/** A signal that aborts when the connection closes before the response is complete. */
 export const callerSignal = (res: ServerResponse): AbortSignal => {
   const caller = new AbortController();
   res.on('close', () => {
--- a/packages/proxy/src/http-backend.ts
+++ b/packages/proxy/src/http-backend.ts
@@ -1,6 +1,7 @@
 /**
- * Sends requests to servers over HTTP/1.1 and says how each one ended. Owns the connections to all servers. A request
- * is written at most once: whether it may have run follows from the mark of its `SendGuard`, not from an error's code.
+ * Sends requests to servers over HTTP/1.1 and reports the outcome of each. Owns the connections to all servers. A
+ * request is written at most once: whether it may have run follows from the mark of its `SendGuard`, not from an
+ * error's code.
  */
 import { errors, request, type Agent, type Dispatcher } from 'undici';
 import type { Server } from '@tillerstair/state';
@@ -26,7 +27,10 @@
 const messageOf = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
 
-/** What became of a request that failed. One that the HTTP client cannot put into words says nothing of its server. */
+/**
+ * The outcome of a request that failed. One that the HTTP client rejects as invalid counts as declined, since that
+ * failure says nothing about the server.
+ */
 const outcomeOfFailure = (error: unknown, guard: SendGuard): BackendOutcome => {
   if (guard.mayHaveBeenSent) return { kind: 'lost', text: messageOf(error) };
   const withdrawn =
@@ -34,21 +38,21 @@
   return { kind: withdrawn ? 'declined' : 'never-left', text: messageOf(error) };
 };
 
-/** The outcome of a status that is no result: declined only if the server's own body promises it. */
+/** The outcome for an error status: declined only if the response body guarantees that the request was not run. */
 const outcomeOfStatus = (status: number, body: unknown): BackendOutcome =>
   NotExecuted.safeParse(body).success
     ? { kind: 'declined', text: `server declined with ${status}` }
     : { kind: 'lost', text: `server failed with ${status}` };
 
-/** Aborts when the caller leaves or after `timeoutMs`. */
+/** A signal that aborts when the caller disconnects or after `timeoutMs`. */
 const stopSignal = (caller: AbortSignal, timeoutMs: number): AbortSignal =>
   AbortSignal.any([caller, AbortSignal.timeout(Math.ceil(timeoutMs))]);
 
-/** Servers as the session owner sees them, over HTTP/1.1. */
+/** The session owner's client of servers, over HTTP/1.1. */
 export class HttpBackend implements Backend {
   private readonly agent: Agent;
 
-  /** `dialect` names the headers of pass routes. */
+  /** `dialect` holds the header names on pass routes. */
   constructor(
     limits: ConnectionLimits,
     private readonly dialect: Dialect = productDialect,
@@ -81,7 +85,7 @@
     ];
   }
 
-  /** Forwards a request unchanged, with the time that is left and the server that is meant. */
+  /** Forwards a request unchanged, adding headers for the remaining time and the intended server. */
   // eslint-disable-next-line @typescript-eslint/max-params -- the signature is that of `Backend`
   async pass(
     server: Server,
@@ -91,7 +95,8 @@
     timeoutMs: number,
     mayStillRun: () => boolean,
   ): Promise<BackendOutcome> {
-    if (timeoutMs <= 0) return { kind: 'declined', text: 'the time is over' };
+    if (timeoutMs <= 0)
+      return { kind: 'declined', text: 'the time limit of the request has expired' };
     const stop = stopSignal(signal, timeoutMs);
     const guard = new SendGuard(mayStillRun, stop);
     const { method, path, body } = forwarded;
@@ -131,7 +136,7 @@
       return rejected;
     }
     if (rejected) {
-      // Nothing more of this connection can be trusted.
+      // The connection may be out of step with its requests, so it is closed instead of being reused.
       body.on('error', () => undefined).destroy();
       return rejected;
     }
@@ -145,12 +150,12 @@
     return { kind: 'done', code: statusCode, body: null };
   }
 
-  /** Ends all connections; requests that run are lost. */
+  /** Closes all connections; requests in flight end as lost. */
   close(): Promise<void> {
     return this.agent.destroy();
   }
 
-  /** Runs a turn at a model server. */
+  /** Runs a turn on a model server. */
   // eslint-disable-next-line @typescript-eslint/max-params -- the signature is that of `Backend`
   async generate(
     server: Server,
@@ -187,7 +192,7 @@
     }
   }
 
-  /** Runs a tool call at a service. */
+  /** Runs a tool call on a service. */
   async act(
     server: Server,
     call: ToolCallRequest,
@@ -222,14 +227,14 @@
         return outcomeOfStatus(statusCode, answer);
       const result = ActResponse.safeParse(answer);
       if (!result.success || result.data.id !== id)
-        return { kind: 'lost', text: 'the server answered another request' };
+        return { kind: 'lost', text: `the server answered another request than ${id}` };
       return { kind: 'done', code: statusCode, body: result.data.result };
     } catch (error) {
       return outcomeOfFailure(error, guard);
     }
   }
 
-  /** Asks a server for its load. */
+  /** Reads the load of a server from `GET /load`. Rejects on a timeout, a failed connection or an invalid response. */
   async load(server: Server, timeoutMs: number): Promise<ServerStatus> {
     const response = await request(`${server.url}/load`, {
       dispatcher: this.agent,
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,4 +1,4 @@
-/** The front-proxy: serves callers, forwards requests to the owners of their slots, and sends them to servers. */
+/** The front-proxy: serves callers, forwards requests to the owners of their slots, and dispatches them to servers. */
 export * from './caller-api.js';
 export * from './dialect.js';
 export * from './front.js';
--- a/packages/proxy/src/pass-answer.ts
+++ b/packages/proxy/src/pass-answer.ts
@@ -1,4 +1,4 @@
-/** Writes answers to clients of pass routes: a server's complete answer, a stream as it comes, or a refusal. */
+/** Writes responses to clients of pass routes: a server's complete response, a stream as it arrives, or a refusal. */
 import type { ServerResponse } from 'node:http';
 import { z } from 'zod';
 import {
@@ -10,7 +10,7 @@
 } from '@tillerstair/session-owner';
 import { badGateway, gatewayTimeout, noContent, notModified } from './status-codes.js';
 
-/** The first chunk of a stream: status and headers of the server's answer. */
+/** Schema of a stream's first chunk: status and headers of the server's response. */
 const HeadChunk = z.object({
   status: z.number(),
   headers: z.array(z.tuple([z.string(), z.string()])),
@@ -19,11 +19,11 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Rounds seconds as `Retry-After` carries them, fractions included. */
+/** The value of `Retry-After` for a time in seconds, rounded to milliseconds. */
 const retryAfterText = (seconds: number): string =>
   String(Math.round(seconds * millisecondsPerSecond) / millisecondsPerSecond);
 
-/** What a client is told of a request that has no answer of a server; `retryAfter` is in seconds. */
+/** An error response of the front itself, for a request without a server's response; `retryAfter` is in seconds. */
 export interface Refusal {
   readonly status: number;
   readonly errorCode: string;
@@ -31,7 +31,10 @@
   readonly retryAfter?: number | undefined;
 }
 
-/** Sends a refusal, unless an answer has begun. 502 and 504 promise nothing; all else promises that nothing ran. */
+/**
+ * Sends an error response, unless a response has started. With 502 and 504 the request may have run; every other status
+ * guarantees that it did not.
+ */
 export const sendRefusal = (res: ServerResponse, refusal: Refusal): void => {
   if (res.destroyed || res.headersSent) return;
   const { status, errorCode, text, retryAfter } = refusal;
@@ -49,24 +52,27 @@
   res.end(body);
 };
 
-/** Has the end of the connection end the answer: neither a length nor a last chunk says that it is complete. */
+/** Delimits the response body by the close of the connection: it has neither a length nor a last chunk. */
 const endBodyAtConnectionClose = (res: ServerResponse): void => {
   res.useChunkedEncodingByDefault = false;
   res.shouldKeepAlive = false;
 };
 
-const sendForwarded = (res: ServerResponse, answer: ForwardedResponse): void => {
+const sendForwarded = (res: ServerResponse, response: ForwardedResponse): void => {
   if (res.destroyed || res.headersSent) return;
-  const body = decodeBody(answer.body);
-  const hasNoBody = answer.status === noContent || answer.status === notModified;
-  if (answer.untilClose) endBodyAtConnectionClose(res);
-  const hasLength = !hasNoBody && !answer.untilClose;
+  const body = decodeBody(response.body);
+  const hasNoBody = response.status === noContent || response.status === notModified;
+  if (response.untilClose) endBodyAtConnectionClose(res);
+  const hasLength = !hasNoBody && !response.untilClose;
   const length = hasLength ? [['Content-Length', String(body.length)]] : [];
-  res.writeHead(answer.status, [...answer.headers, ...length].flat());
+  res.writeHead(response.status, [...response.headers, ...length].flat());
   res.end(body);
 };
 
-/** 504 is a server's own word on these routes; what the front does not know is 502. */
+/**
+ * Refusal for an outcome without a response. Only servers send 504 on pass routes, so an unknown outcome is sent as
+ * 502.
+ */
 const toRefusal = (outcome: CallOutcome): Refusal => ({
   status:
     outcome.outcome === 'done' || outcome.status === gatewayTimeout ? badGateway : outcome.status,
@@ -75,11 +81,14 @@
   retryAfter: outcome.retryAfter,
 });
 
-/** Sends what is still due once a request has ended; a stream that broke off does not end in order. */
+/**
+ * Completes the response once a request has ended. A stream that broke off is destroyed, so that it is not seen as
+ * complete.
+ */
 export const sendPassOutcome = (res: ServerResponse, outcome: CallOutcome): void => {
-  const answer = ForwardedResponse.safeParse(outcome.body);
-  if (outcome.outcome === 'done' && answer.success) {
-    sendForwarded(res, answer.data);
+  const response = ForwardedResponse.safeParse(outcome.body);
+  if (outcome.outcome === 'done' && response.success) {
+    sendForwarded(res, response.data);
     return;
   }
   if (!res.headersSent) {
@@ -90,13 +99,16 @@
   else res.destroy();
 };
 
-/** Writes a stream to its client: chunk 0 is the head, which is sent with the first bytes or at a good end. */
+/**
+ * Writes a stream to its client. Chunk 0 is the head, which is sent with the first body bytes or when the stream is
+ * done.
+ */
 export class StreamWriter {
   private head: ResponseHead | undefined;
 
   constructor(private readonly res: ServerResponse) {}
 
-  /** Takes a chunk of the stream. */
+  /** Stores the head from chunk 0, and writes each further chunk to the client. */
   readonly emit: EmitChunk = (index, text) => {
     if (index === 0) {
       this.head = HeadChunk.parse(JSON.parse(text));
@@ -106,7 +118,7 @@
     this.res.write(Buffer.from(text, 'latin1'));
   };
 
-  /** Sends the head of a stream without bytes, if it is done. */
+  /** Sends the head of a stream that is done and had no body bytes. */
   finish(outcome: CallOutcome): void {
     if (outcome.outcome === 'done') this.sendHead();
   }
--- a/packages/proxy/src/pass-handler.ts
+++ b/packages/proxy/src/pass-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Serves pass routes: a client's request goes to the owner of its key or program if it has one, else straight to a
- * server, and its answer comes back as it was. It keeps no state beyond one request.
+ * Serves pass routes: a request with an operation key or a program goes to the owner of its slot, any other one
+ * directly to a server, and the server's response is returned unchanged. It keeps no state beyond one request.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
@@ -26,13 +26,13 @@
   serviceUnavailable,
 } from './status-codes.js';
 
-/** When a client may come back after a failure of the front that says nothing of its own, in seconds. */
+/** `Retry-After` of a failure that has no delay of its own, in seconds. */
 const defaultRetryAfterS = 0.5;
-/** A front without a lease is back, or out of its platform's list, after so many heartbeats. */
+/** Heartbeats after which a front without a lease has a new one or is out of its platform's list. */
 const leaseRetryHeartbeats = 2;
 const millisecondsPerSecond = 1000;
 
-/** Routes a request to the owner of its slot, or serves it here. Throws `not-ready` without a read lease. */
+/** Forwards a request to the owner of its slot, or runs it on this front. Throws `not-ready` without a read lease. */
 export const routePassRequest = async (
   front: Front,
   request: PassRequest,
@@ -41,7 +41,12 @@
 ): Promise<CallOutcome> => {
   front.owner.requireLease();
   const route = front.owner.findRoute('pass', passRoutePath(request));
-  if (!route?.pass) return refused(notFound, 'no-route', 'no route takes this host and path');
+  if (!route?.pass)
+    return refused(
+      notFound,
+      'no-route',
+      `no route matches host ${request.host}, path ${request.path}`,
+    );
   const { manner, deadlineMs } = route.pass;
   const body = { ...request, left: Math.min(request.left, deadlineMs) };
   if (manner === 'stream') {
@@ -54,7 +59,7 @@
     );
   }
   if (manner !== 'keyed') return front.serveLocally(body, false, emit, signal);
-  // A keyed operation goes on though its client leaves: another attempt with the key gets its answer.
+  // A keyed operation continues if its client disconnects: another attempt with the same key gets the response.
   return front.forward(
     {
       kind: 'front/keyed',
@@ -67,14 +72,14 @@
   );
 };
 
-/** Answers one request of a client; never rejects. */
+/** Handles one HTTP request of a client; never rejects. */
 export type PassHandler = (req: IncomingMessage, res: ServerResponse) => Promise<void>;
 
 const isNotReady = (error: unknown): error is UnavailableError =>
   error instanceof UnavailableError && error.code === 'not-ready';
 
-/** What a client is told of a failure of this front; `passedOn` says whether its request may have left it. */
-const refusalOfFailure = (front: Front, error: unknown, passedOn: boolean): Refusal => {
+/** The error response for a failure in this front; `mayBeForwarded` is true if the request may have been forwarded. */
+const refusalOfFailure = (front: Front, error: unknown, mayBeForwarded: boolean): Refusal => {
   if (error instanceof BodyTooLargeError)
     return { status: contentTooLarge, errorCode: 'body-too-large', text: error.message };
   if (isNotReady(error))
@@ -85,7 +90,7 @@
       retryAfter: (front.bounds.heartbeatInterval * leaseRetryHeartbeats) / millisecondsPerSecond,
     };
   const { code, message, executed } = toRpcError(error);
-  return passedOn && executed !== 'no'
+  return mayBeForwarded && executed !== 'no'
     ? { status: badGateway, errorCode: code, text: message }
     : {
         status: serviceUnavailable,
@@ -95,23 +100,23 @@
       };
 };
 
-/** Makes the handler of pass routes, in the words of `dialect`; `maxBodyBytes` gives the limit in force. */
+/** Creates the handler of pass routes with the header names of `dialect`; `maxBodyBytes` returns the current limit. */
 export const createPassHandler =
   (front: Front, dialect: Dialect, maxBodyBytes: () => number): PassHandler =>
   async (req, res) => {
     const arrivedAt = front.clock.now();
     const signal = callerSignal(res);
-    let passedOn = false;
+    let mayBeForwarded = false;
     try {
       const elapsedMs = (): number => front.clock.now() - arrivedAt;
       const request = await readPassRequest(req, dialect, maxBodyBytes(), elapsedMs);
       if (request.attempt === '') {
-        const text = `a request names its attempt in ${dialect.attempt}`;
+        const text = `header ${dialect.attempt}, the id of the attempt, is missing`;
         sendRefusal(res, { status: badRequest, errorCode: 'no-try', text });
         return;
       }
       const stream = new StreamWriter(res);
-      passedOn = true;
+      mayBeForwarded = true;
       const outcome = await routePassRequest(front, request, stream.emit, signal);
       stream.finish(outcome);
       if (outcome.outcome !== 'done' && res.headersSent && !signal.aborted)
@@ -121,7 +126,7 @@
         );
       sendPassOutcome(res, outcome);
     } catch (error) {
-      const refusal = refusalOfFailure(front, error, passedOn);
+      const refusal = refusalOfFailure(front, error, mayBeForwarded);
       if (res.headersSent && !(error instanceof BodyTooLargeError) && !isNotReady(error))
         res.destroy();
       else sendRefusal(res, refusal);
--- a/packages/proxy/src/pass-request.ts
+++ b/packages/proxy/src/pass-request.ts
@@ -1,15 +1,15 @@
-/** Reads a client's request on a pass route into the message that goes to its owner. */
+/** Reads a client's request on a pass route into the message that is forwarded to the owner of its slot. */
 import type { IncomingMessage } from 'node:http';
 import { encodeBody, type Header, type PassRequest } from '@tillerstair/session-owner';
 import { readBytes } from '@tillerstair/wire';
 import type { Dialect } from './dialect.js';
 import { endToEndHeaders, headerPairs } from './headers.js';
 
-/** No request is held for longer, whatever its client says. */
+/** Upper limit of a request's timeout in ms, whatever its client asks for. */
 const maxTimeoutMs = 3600000;
 const defaultTenant = 'default';
 
-/** Parts of a prompt: NAME:TOKENS with commas between; what cannot be read is left out. */
+/** Parses the parts of a prompt, NAME:TOKENS separated by commas; malformed parts are skipped. */
 const parseParts = (text: string): [name: string, tokens: number][] =>
   text.split(',').flatMap((part): [string, number][] => {
     const colon = part.lastIndexOf(':');
@@ -22,7 +22,7 @@
   return text !== '' && Number.isFinite(value) && value >= 0 ? value : null;
 };
 
-/** The headers to go on: those that the front sets itself are never taken from a client. */
+/** The headers to forward, without those that the front sets itself. */
 const forwardedHeaders = (req: IncomingMessage, dialect: Dialect): [string, string][] => {
   const setByFront: readonly string[] = [dialect.remainingTime, dialect.expect, dialect.resume];
   return endToEndHeaders(headerPairs(req.rawHeaders))
@@ -31,9 +31,9 @@
 };
 
 /**
- * Reads head and body of a request; throws `BodyTooLargeError` for more than `maxBodyBytes`.
+ * Reads the headers and the body of a request. Throws `BodyTooLargeError` if the body exceeds `maxBodyBytes`.
  *
- * @param elapsedMs - how long ago the request arrived, in ms, asked once its body is read
+ * @param elapsedMs - returns the time since the request arrived, in ms; called after the body is read
  */
 export const readPassRequest = async (
   req: IncomingMessage,
--- a/packages/proxy/src/server-agent.ts
+++ b/packages/proxy/src/server-agent.ts
@@ -1,34 +1,36 @@
-/** Connections to servers: how many, how long they rest, and which of their endings make an answer incomplete. */
+/** Connection pools for servers: pool size, idle timeouts, and which connection errors make a response incomplete. */
 import type { Socket } from 'node:net';
 import { Agent, buildConnector, Pool } from 'undici';
 
-/** Limits of the connections to servers. */
+/** Limits of connections to servers. */
 export interface ConnectionLimits {
-  /** How long a connection may take to open, in ms. */
+  /** Timeout for opening a connection, in ms. */
   readonly connectTimeoutMs: number;
-  /** How many connections this front may open to one server. */
+  /** Maximum number of connections that this front may open to the server at `url`. */
   readonly maxConnections: (url: string) => number;
 }
 
 /**
- * Idle connections end this much before the time that a server's `Keep-Alive` gives, in whole seconds: the time is
- * rounded down by less than a second and runs from the server's last byte, which was here half a round trip later.
+ * Idle connections are closed this much earlier than a server's `Keep-Alive` states, which counts whole seconds: that
+ * time is rounded down by less than a second and starts at the server's last byte, which arrives half a round trip
+ * later.
  */
 const keepAliveThresholdMs = 500;
-/** A server may forget an idle connection sooner than it says; none rests for longer than this. */
+/** Upper limit of the idle time, since a server may drop an idle connection earlier than it states. */
 const maxIdleMs = 4000;
-/** Without `Keep-Alive` a server gives less than a second. */
+/** Idle time for servers that send no `Keep-Alive`; they keep connections for less than a second. */
 const defaultIdleMs = 500;
 
 /**
- * A reset after the head of an answer without length must not pass for its end, as the HTTP client would have it; told
- * as a failed connection it fails the answer. Requests that are queued and not yet written go on over a new connection.
+ * Makes a connection reset fail the response. The HTTP client would treat a reset after the headers of a response
+ * without length as the end of its body; with a socket error code it counts as a failed connection. Requests that are
+ * queued but not written continue on a new connection.
  */
 const failOnReset = (socket: Socket): void => {
   socket.on('error', (error) => Object.assign(error, { code: 'UND_ERR_SOCKET' }));
 };
 
-/** Makes the HTTP client for servers: one request at a time on each connection, none kept for longer than its server says. */
+/** Creates the HTTP client for servers: no pipelining, and no idle connection is kept longer than its server states. */
 export const createServerAgent = (limits: ConnectionLimits): Agent => {
   const open = buildConnector({ timeout: limits.connectTimeoutMs });
   const connect: buildConnector.connector = (options, callback) => {
--- a/packages/proxy/src/start.ts
+++ b/packages/proxy/src/start.ts
@@ -1,4 +1,4 @@
-/** Starts a front-proxy: a front, its pages and listeners, and the loopback address where its agent feeds it. */
+/** Starts a front-proxy: the front, its HTTP listeners, and the loopback address that receives the agent's feed. */
 import { randomBytes } from 'node:crypto';
 import {
   servePages,
@@ -22,26 +22,27 @@
 import { HttpBackend } from './http-backend.js';
 import { createPassHandler, type PassHandler } from './pass-handler.js';
 
-/** Further listeners beside the product's own pages. */
+/** Listeners in addition to the product's own HTTP listener. */
 interface AdditionalListeners {
-  /** Those for callers; they are drained with the front. */
+  /** Listeners for callers; they are drained when the front stops. */
   readonly callers: readonly DrainableServer[];
-  /** Those for whoever watches the front; they answer until it has ended. */
+  /** Listeners for health checks; they respond until the front has stopped. */
   readonly healthChecks: readonly DrainableServer[];
 }
 
-/** Opens further listeners for callers, beside the product's own pages. */
+/** Opens additional listeners for callers and health checks. */
 export type OpenListeners = (
   front: Front,
   passHandler: PassHandler,
 ) => Promise<AdditionalListeners>;
 
-const noAdditionalListeners: OpenListeners = () => Promise.resolve({ callers: [], healthChecks: [] });
+const noAdditionalListeners: OpenListeners = () =>
+  Promise.resolve({ callers: [], healthChecks: [] });
 const frontIdBytes = 6;
-/** What a request whose time is over may still take to be told so, in ms. */
+/** Time for sending the last responses before the listeners are closed, in ms. */
 const finalResponseGraceMs = 100;
 
-/** Serves the agent beside the front at a loopback address: who the front is, and its feed. */
+/** Serves the local agent at the loopback address: the front's identity and its feed. */
 const serveFeed = async (front: Front, settings: ProxySettings): Promise<TcpTransport> => {
   const transport = new TcpTransport(settings.feed);
   const hello = { id: front.id, addr: settings.addr, http: settings.http };
@@ -76,8 +77,8 @@
   });
 
 /**
- * Starts a front-proxy. `dialect` names the headers of pass routes; `openListeners` opens further listeners for callers.
- * What it returns stops in order: the front first, then listeners, pages, feed and connections to servers.
+ * Starts a front-proxy. `dialect` holds the header names on pass routes; `openListeners` opens additional listeners.
+ * `stop` of the result stops the front first, then all listeners, the feed and the connections to servers.
  */
 export const startProxy = async (
   settings: ProxySettings,
@@ -99,8 +100,8 @@
   const maxBodyBytes = (): number =>
     front.owner.current?.config?.limits.bodyBytes ?? settings.bodyMost;
   const passHandler = createPassHandler(front, dialect, maxBodyBytes);
-  const pages = createCallerApi(front, settings.bodyMost, passHandler);
-  const http = await servePages(settings.http, () => readinessOf(front), pages);
+  const callerApi = createCallerApi(front, settings.bodyMost, passHandler);
+  const http = await servePages(settings.http, () => readinessOf(front), callerApi);
   const listeners = await openListeners(front, passHandler);
   log.info(`Serving callers at ${settings.http}.`);
   return {
--- a/packages/proxy/src/status-codes.ts
+++ b/packages/proxy/src/status-codes.ts
@@ -1,4 +1,4 @@
-/** HTTP statuses that the proxy answers or tells apart (RFC 9110, section 15; 425 from RFC 8470). */
+/** HTTP status codes that the proxy sends or handles specially (RFC 9110, section 15; 425 from RFC 8470). */
 
 export const ok = 200;
 export const noContent = 204;
--- a/packages/proxy/src/turn-stream.ts
+++ b/packages/proxy/src/turn-stream.ts
@@ -1,4 +1,6 @@
-/** Reads the answer of a model server: numbered chunks of one turn, and an end that counts them (`docs/backends.md`). */
+/**
+ * Reads the response of a model server: numbered chunks of one turn, and an end with their number (`docs/backends.md`).
+ */
 import { pipeline, type Readable } from 'node:stream';
 import split2 from 'split2';
 import type { BackendOutcome } from '@tillerstair/session-owner';
@@ -10,8 +12,9 @@
 const lost = (text: string): BackendOutcome => ({ kind: 'lost', text });
 
 /**
- * Resolves with the count of chunks once the end has come that counts them. A line of another request, a gap, a repeat,
- * another count or a missing end makes the outcome `lost`; a body that fails or is no JSON rejects.
+ * Reads a turn's stream and resolves with the number of chunks as the body of the outcome. The outcome is `lost` if a
+ * line belongs to another request, a chunk is skipped or repeated, or the end is missing or states another number.
+ * Rejects if the body fails or a line is not valid.
  */
 export const readTurnStream = async (
   body: Readable,
@@ -24,14 +27,14 @@
   pipeline(body, lines, () => undefined);
   for await (const text of lines) {
     const line = TurnLine.parse(JSON.parse(String(text)));
-    if (line.id !== id) return lost('the server answered another request');
+    if (line.id !== id) return lost(`the server answered another request than ${id}`);
     if ('end' in line)
       return line.chunks === received
         ? { kind: 'done', code: ok, body: received }
-        : lost('the server counted other chunks');
-    if (line.n !== received) return lost('the server skipped or repeated a chunk');
+        : lost(`the stream states ${line.chunks} chunks, but ${received} arrived`);
+    if (line.n !== received) return lost(`the server sent chunk ${line.n} instead of ${received}`);
     onChunk(received++, line.text);
     if (signal.aborted) break;
   }
-  return lost('the stream stopped without an end');
+  return lost(`the stream stopped without an end after ${received} chunks`);
 };
--- a/tests/src/agent/agent.test.ts
+++ b/tests/src/agent/agent.test.ts
@@ -112,7 +112,7 @@
   assert.is(agent.readiness().ready, true);
   proxy.id = '';
   await clock.run(bounds.heartbeatInterval * 3);
-  assert.equal(agent.readiness(), { ready: false, why: 'the proxy takes no feed' });
+  assert.equal(agent.readiness(), { ready: false, why: 'the proxy accepted no feed for 2 heartbeats' });
 });
 
 agents('a front is no fresher than the newest reading of the list', async () => {
