--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -55,7 +55,7 @@
 
 /** Number of feeds per heartbeat. */
 const feedsPerHeartbeat = 4;
-/** Heartbeats without an accepted feed after which a proxy is not ready, and a stopping one is taken as exited. */
+/** Heartbeats without an accepted feed after which a proxy is not ready, and a stopping one counts as exited. */
 const readyHeartbeats = 2;
 /** How much later than its agent a proxy may get the stop signal, as a share of a heartbeat. */
 const stopSignalSkewShare = 1 / 2;
--- a/packages/proxy/src/http-backend.ts
+++ b/packages/proxy/src/http-backend.ts
@@ -221,11 +221,11 @@
         },
         guard,
       );
-      const answer: unknown = await response.body.json();
+      const responseBody: unknown = await response.body.json();
       const { statusCode } = response;
       if (statusCode >= internalServerError || statusCode === tooManyRequests)
-        return outcomeOfStatus(statusCode, answer);
-      const result = ActResponse.safeParse(answer);
+        return outcomeOfStatus(statusCode, responseBody);
+      const result = ActResponse.safeParse(responseBody);
       if (!result.success || result.data.id !== id)
         return { kind: 'lost', text: `the server answered another request than ${id}` };
       return { kind: 'done', code: statusCode, body: result.data.result };
--- a/packages/proxy/src/pass-answer.ts
+++ b/packages/proxy/src/pass-answer.ts
@@ -69,10 +69,7 @@
   res.end(body);
 };
 
-/**
- * Refusal for an outcome without a response. Only servers send 504 on pass routes, so an unknown outcome is sent as
- * 502.
- */
+/** Refusal for an outcome without a response. Only servers send 504 on these routes; an unknown outcome becomes 502. */
 const toRefusal = (outcome: CallOutcome): Refusal => ({
   status:
     outcome.outcome === 'done' || outcome.status === gatewayTimeout ? badGateway : outcome.status,
@@ -81,10 +78,7 @@
   retryAfter: outcome.retryAfter,
 });
 
-/**
- * Completes the response once a request has ended. A stream that broke off is destroyed, so that it is not seen as
- * complete.
- */
+/** Completes the response once a request has ended. A stream that broke off is destroyed: it must not look complete. */
 export const sendPassOutcome = (res: ServerResponse, outcome: CallOutcome): void => {
   const response = ForwardedResponse.safeParse(outcome.body);
   if (outcome.outcome === 'done' && response.success) {
@@ -99,10 +93,7 @@
   else res.destroy();
 };
 
-/**
- * Writes a stream to its client. Chunk 0 is the head, which is sent with the first body bytes or when the stream is
- * done.
- */
+/** Writes a stream to its client. Chunk 0 is the head, sent with the first body bytes or when the stream is done. */
 export class StreamWriter {
   private head: ResponseHead | undefined;
 
--- a/packages/proxy/src/send-guard.ts
+++ b/packages/proxy/src/send-guard.ts
@@ -28,7 +28,7 @@
   private written = false;
 
   /**
-   * `mayStillRun` is called right before the first byte; `stop` aborts when the caller disconnects or on the timeout.
+   * `mayStillRun` is called right before the first byte; `stop` aborts on a disconnect of the caller or the timeout.
    */
   constructor(
     private readonly mayStillRun: () => boolean,
@@ -40,10 +40,7 @@
     return this.written;
   }
 
-  /**
-   * Checks the request again right before it is sent. It throws instead of aborting, which would destroy the
-   * connection.
-   */
+  /** Checks the request again right before it is sent. It throws, since an abort would destroy the connection. */
   readonly interceptor: Dispatcher.DispatcherComposeInterceptor = (dispatch) => (options, next) =>
     dispatch(options, {
       onConnect: (abort) => {
--- a/tests/src/proxy/pass-route-attempts.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -61,7 +61,7 @@
       await world.clock.run(600);
       const serverIds = ['s1', 's2', 's3', 's4', 'm1', 'm2', 'm3', 'm4'];
       for (const id of serverIds) world.servers.set(id, { declines: true });
-      const asked = world.servers.asked;
+      const requestsBefore = world.servers.asked;
       const reported = await passed(world, {
         path,
         key: path === '/keyed/x' ? 'k' : '',
@@ -70,7 +70,7 @@
       assert.is(reported.reported, 'refused');
       assert.is(reported.status, 503);
       assert.ok(reported.retryAfter > 0);
-      assert.is(world.servers.asked - asked, 2, path);
+      assert.is(world.servers.asked - requestsBefore, 2, path);
       for (const id of serverIds) world.servers.set(id, { declines: false });
       await world.clock.run(15000);
       assert.is(runsOf(world, reported.attempt).length, 0);
@@ -256,11 +256,11 @@
       void stopped.then(() => {
         end.reached = true;
       });
-      const more: ReturnType<typeof passAt>[] = [];
+      const laterRequests: ReturnType<typeof passAt>[] = [];
       for (let i = 0; i < 12; i++) {
         await world.clock.run(100);
         if (!end.reached)
-          more.push(
+          laterRequests.push(
             passAt(
               world,
               { path: i % 2 ? '/once/x' : '/keyed/x', key: i % 2 ? '' : `n${i}`, body: 'b' },
@@ -271,7 +271,7 @@
       await world.clock.finish('stopped', stopped, 20000);
       const reported = await world.clock.finish(
         'all',
-        Promise.all([...inFlight, stream, ...more]),
+        Promise.all([...inFlight, stream, ...laterRequests]),
         30000,
       );
       assert.equal(
--- a/tests/src/proxy/pass-route-streams.test.ts
+++ b/tests/src/proxy/pass-route-streams.test.ts
@@ -218,14 +218,14 @@
     const world = await passUp(35, small);
     const spec = { path: '/turn/x', program: 'pro', budget: 20, most: 10 };
     for (let i = 0; i < 8; i++) await passed(world, { ...spec, body: `a${i}` });
-    const asked = world.servers.asked;
+    const requestsBefore = world.servers.asked;
     const reported = await world.clock.finish(
       'run away',
       Promise.all(Array.from({ length: 60 }, (_, i) => passAt(world, { ...spec, body: `r${i}` }))),
       30000,
     );
     assert.equal(new Set(reported.map((record) => record.status)), new Set([402]));
-    assert.is(world.servers.asked, asked);
+    assert.is(world.servers.asked, requestsBefore);
     await world.clock.run(10000);
     assertNoBreach(recordsOf(world));
   },
--- a/tests/src/proxy/refusals.test.ts
+++ b/tests/src/proxy/refusals.test.ts
@@ -262,9 +262,9 @@
 refusals(
   'after a truncated failure a resumable stream runs at another server and has the head of that response',
   async () => {
-    let asked = 0;
+    let requestCount = 0;
     const respond: ServerBehavior = (attempt, res) => {
-      if (++asked === 1) {
+      if (++requestCount === 1) {
         res.writeHead(500, { 'X-Request-Id': attempt, 'X-Seal': 'one', 'Content-Length': '90' });
         return void res.write('half', () => res.destroy());
       }
@@ -287,14 +287,14 @@
 );
 
 refusals('a stream that is not of events is never continued by another server', async () => {
-  let asked = 0;
+  let requestCount = 0;
   const respond: ServerBehavior = (attempt, res) => {
     res.writeHead(200, {
       'X-Request-Id': attempt,
       'X-Seal': 's',
-      'Content-Type': ++asked === 1 ? 'text/plain' : 'text/event-stream',
+      'Content-Type': ++requestCount === 1 ? 'text/plain' : 'text/event-stream',
     });
-    res.write('id: 0\ndata: x\n\n', () => (asked === 1 ? res.destroy() : res.end()));
+    res.write('id: 0\ndata: x\n\n', () => (requestCount === 1 ? res.destroy() : res.end()));
   };
   await withFront([respond, respond], async (port, testServers) => {
     const response = await ask(port, '/live/x', 'a');
--- a/tests/src/proxy/server-answers.test.ts
+++ b/tests/src/proxy/server-answers.test.ts
@@ -14,7 +14,7 @@
 type UseServer = (backend: HttpBackend, port: number, requestCount: () => number) => Promise<void>;
 
 const withServer = async (
-  respond: (asked: ReceivedRequest, res: ServerResponse) => void,
+  respond: (received: ReceivedRequest, res: ServerResponse) => void,
   use: UseServer,
 ): Promise<void> => {
   const server = await startServer(respond);
--- a/tests/src/support/raw-server.ts
+++ b/tests/src/support/raw-server.ts
@@ -87,9 +87,9 @@
   attempt: string,
   body: string,
   status = '200 OK',
-  more = 'X-Seal: s\r\n',
+  extraHeaders = 'X-Seal: s\r\n',
 ): string =>
-  `HTTP/1.1 ${status}\r\nX-Request-Id: ${attempt}\r\n${more}Content-Length: ${body.length}\r\n\r\n${body}`;
+  `HTTP/1.1 ${status}\r\nX-Request-Id: ${attempt}\r\n${extraHeaders}Content-Length: ${body.length}\r\n\r\n${body}`;
 
 /** Creates the client under test, with this many connections per server. */
 export const createClient = (connections = 1): HttpBackend =>
