--- a/packages/checker/src/check.ts
+++ b/packages/checker/src/check.ts
@@ -2,20 +2,24 @@
  * The checker's entry: all rules of the never-list (`docs/never-list.md`) against the records of one run. Records come
  * from the callers and from the servers; the checker never asks the product itself.
  */
-import { configHistory } from './config-history.js';
+import { checkConfigHistory } from './config-history.js';
 import {
-  acknowledgedIsInForce,
-  drainingServersGetNothingNew,
+  acknowledgedConfigStaysInForce,
+  drainingServersGetNoNewWork,
   poolsWereAllowed,
   readBackIsNewest,
-  restartsServeAgain,
-  sharesAreMet,
+  serviceResumesAfterRestart,
+  workFollowsShares,
 } from './configuration-rules.js';
 import { attemptsOfKeyRunOnce, operationsRunOnce } from './operation-rules.js';
-import { passRules } from './pass-rules.js';
-import { budgetsHold, historyIsFound } from './program-rules.js';
+import { checkPassRules } from './pass-rules.js';
+import { budgetsHold, historyIsRetained } from './program-rules.js';
 import type { Records, ReplyRecord } from './records.js';
-import { refusedDidNotRun, repliesAreTrue, streamsAreUnbroken } from './reply-rules.js';
+import {
+  refusedRequestsDidNotRun,
+  repliesMatchExecutions,
+  streamsAreContiguous,
+} from './reply-rules.js';
 import { defaultTolerances, type RuleResult, type Tolerances } from './rule-result.js';
 
 /** Checks every rule; the results come in the order of the never-list. */
@@ -25,19 +29,19 @@
 ): readonly RuleResult[] => [
   operationsRunOnce(records),
   attemptsOfKeyRunOnce(records, tolerances),
-  refusedDidNotRun(records),
-  repliesAreTrue(records),
+  refusedRequestsDidNotRun(records),
+  repliesMatchExecutions(records),
   budgetsHold(records),
-  historyIsFound(records, tolerances),
-  streamsAreUnbroken(records),
-  drainingServersGetNothingNew(records, tolerances),
-  sharesAreMet(records),
-  acknowledgedIsInForce(records, tolerances),
+  historyIsRetained(records, tolerances),
+  streamsAreContiguous(records),
+  drainingServersGetNoNewWork(records, tolerances),
+  workFollowsShares(records),
+  acknowledgedConfigStaysInForce(records, tolerances),
   poolsWereAllowed(records),
   readBackIsNewest(records),
-  configHistory(records.configCalls),
-  restartsServeAgain(records, tolerances),
-  ...passRules(records, tolerances),
+  checkConfigHistory(records.configCalls),
+  serviceResumesAfterRestart(records, tolerances),
+  ...checkPassRules(records, tolerances),
 ];
 
 const countBy = (
@@ -50,11 +54,11 @@
 };
 
 /** How many replies there are of each kind and outcome, such as `turn done`. */
-export const countReported = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
+export const countByOutcome = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
   countBy(replies, ({ kind, reported }) => `${kind} ${reported}`);
 
 /** How many replies were not done, by outcome and error code. */
-export const countRefusals = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
+export const countFailures = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
   countBy(
     replies.filter((reply) => reply.reported !== 'done'),
     ({ reported, errorCode }) => `${reported} ${errorCode || 'without a code'}`,
--- a/packages/checker/src/config-history.ts
+++ b/packages/checker/src/config-history.ts
@@ -173,7 +173,7 @@
 const namedCalls = 4;
 
 /** The rule that the calls of all operators together are as if each had taken effect at one moment. */
-export const configHistory = (calls: readonly ConfigCall[]): RuleResult => {
+export const checkConfigHistory = (calls: readonly ConfigCall[]): RuleResult => {
   const counted = calls.filter(
     ({ what, answer }) =>
       answer.kind !== 'no-effect' && (what.kind === 'change' || answer.kind === 'value'),
--- a/packages/checker/src/configuration-rules.ts
+++ b/packages/checker/src/configuration-rules.ts
@@ -3,7 +3,7 @@
 import type { RuleResult, Tolerances } from './rule-result.js';
 
 /** A draining server gets nothing new. */
-export const drainingServersGetNothingNew = (
+export const drainingServersGetNoNewWork = (
   records: Records,
   tolerances: Tolerances,
 ): RuleResult => {
@@ -24,7 +24,7 @@
 const provingRoundings = 4;
 
 /** Work is split over pools by the shares of the configuration. */
-export const sharesAreMet = (records: Records): RuleResult => {
+export const workFollowsShares = (records: Records): RuleResult => {
   const breaches: string[] = [];
   let checked = 0;
   for (const split of records.shares) {
@@ -62,7 +62,10 @@
     .sort((a, b) => a.version - b.version);
 
 /** An acknowledged configuration decides where work goes, and no older one does. */
-export const acknowledgedIsInForce = (records: Records, tolerances: Tolerances): RuleResult => {
+export const acknowledgedConfigStaysInForce = (
+  records: Records,
+  tolerances: Tolerances,
+): RuleResult => {
   const acknowledged = acknowledgedOf(records);
   const possible = records.configs.filter((config) => config.reported !== 'refused');
   const breaches: string[] = [];
@@ -121,7 +124,10 @@
 };
 
 /** After a full stop, serving is back in time and no configuration is lost. */
-export const restartsServeAgain = (records: Records, tolerances: Tolerances): RuleResult => {
+export const serviceResumesAfterRestart = (
+  records: Records,
+  tolerances: Tolerances,
+): RuleResult => {
   const breaches: string[] = [];
   for (const { servedAt, startedAt, configBefore, configAfter } of records.restarts) {
     if (servedAt - startedAt > tolerances.serveMs)
--- a/packages/checker/src/index.ts
+++ b/packages/checker/src/index.ts
@@ -2,5 +2,5 @@
 export * from './records.js';
 export * from './check.js';
 export { defaultTolerances, type RuleResult } from './rule-result.js';
-export { outputOf, passRules } from './pass-rules.js';
+export { outputOf, checkPassRules } from './pass-rules.js';
 export * from './config-history.js';
--- a/packages/checker/src/pass-rules.ts
+++ b/packages/checker/src/pass-rules.ts
@@ -245,7 +245,7 @@
 };
 
 /** The results of all rules on pass routes. */
-export const passRules = (records: Records, tolerances: Tolerances): readonly RuleResult[] => [
+export const checkPassRules = (records: Records, tolerances: Tolerances): readonly RuleResult[] => [
   passesRunOnce(records),
   refusedPassesDidNotRun(records),
   executedPassesWereSent(records),
--- a/packages/checker/src/program-rules.ts
+++ b/packages/checker/src/program-rules.ts
@@ -111,7 +111,7 @@
 }
 
 /** What ended is found, for as long as history has to last. */
-export const historyIsFound = (records: Records, tolerances: Tolerances): RuleResult => {
+export const historyIsRetained = (records: Records, tolerances: Tolerances): RuleResult => {
   const times = new HistoryTimes();
   const breaches: string[] = [];
   let checked = 0;
--- a/packages/checker/src/records.ts
+++ b/packages/checker/src/records.ts
@@ -117,7 +117,7 @@
 }
 
 /** The records of a run in which nothing happened; a base to add to. */
-export const noRecords: Records = {
+export const emptyRecords: Records = {
   reported: [],
   executed: [],
   passes: [],
--- a/packages/checker/src/reply-rules.ts
+++ b/packages/checker/src/reply-rules.ts
@@ -21,7 +21,7 @@
   executions.get(promptKey(turn.program, turn.sent)) ?? [];
 
 /** What was refused did not run, so that a caller may send it again. */
-export const refusedDidNotRun = (records: Records): RuleResult => {
+export const refusedRequestsDidNotRun = (records: Records): RuleResult => {
   const refused = new Set(
     records.reported
       .filter((reply) => reply.reported === 'refused' && reply.attempt !== '')
@@ -80,7 +80,7 @@
 };
 
 /** Every reply is one that a server gave to this very request, and history returns the same text. */
-export const repliesAreTrue = (records: Records): RuleResult => {
+export const repliesMatchExecutions = (records: Records): RuleResult => {
   const done = records.reported.filter(
     (reply) =>
       reply.reported === 'done' &&
@@ -91,7 +91,7 @@
 };
 
 /** The chunks of a stream are numbered without a gap and come from one execution. */
-export const streamsAreUnbroken = (records: Records): RuleResult => {
+export const streamsAreContiguous = (records: Records): RuleResult => {
   const turns = records.reported.filter(
     (reply) => reply.kind === 'turn' && reply.chunks.length > 0,
   );
--- a/packages/fleet/src/main.ts
+++ b/packages/fleet/src/main.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import cac from 'cac';
-import { countRefusals } from '@tillerstair/checker';
+import { countFailures } from '@tillerstair/checker';
 import { closeAsking } from './operator.js';
 import { fullSizes, norway, seoul, smallSizes, type House, type Sizes } from './layout.js';
 import { Run, type RunResult } from './run.js';
@@ -89,7 +89,7 @@
       .map(([k, n]) => `${k} ${n}`)
       .join(', ')}`,
   );
-  const why = [...countRefusals(r.records.reported)].sort().map(([k, n]) => `${k} ${n}`);
+  const why = [...countFailures(r.records.reported)].sort().map(([k, n]) => `${k} ${n}`);
   if (why.length > 0) console.log(`  not done: ${why.join(', ')}`);
   console.log(
     `  prefix hit share ${r.prefixShare.toFixed(3)}, first chunk median ${middle(r.firstChunkMs, 0.5)} ms, 99th ${middle(r.firstChunkMs, 0.99)} ms`,
--- a/packages/fleet/src/run.ts
+++ b/packages/fleet/src/run.ts
@@ -1,8 +1,8 @@
 /** Runs a scenario under traffic and checks what came of it. */
 import {
   checkRecords,
-  countReported,
-  noRecords,
+  countByOutcome,
+  emptyRecords,
   type ConfigRecord,
   type DrainingRecord,
   type Records,
@@ -178,7 +178,7 @@
         return readBack !== undefined;
       });
       const records: Records = {
-        ...noRecords,
+        ...emptyRecords,
         reported: this.traffic.reported,
         executed: this.fleet.executions.all(),
         configs: this.configs,
@@ -193,7 +193,7 @@
       return {
         records,
         results: checkRecords(records),
-        counts: countReported(this.traffic.reported),
+        counts: countByOutcome(this.traffic.reported),
         servingAfterMs,
         notes: this.notes,
         prefixShare: prompt === 0 ? 0 : turns.reduce((n, r) => n + r.cached, 0) / prompt,
--- a/packages/fleet/src/soak/soak-clients.ts
+++ b/packages/fleet/src/soak/soak-clients.ts
@@ -2,7 +2,7 @@
 import type { PassRecord } from '@tillerstair/checker';
 import { productDialect } from '@tillerstair/proxy';
 import { passHost } from '@tillerstair/sim';
-import { KeptConnection, type KeptAnswer } from '@tillerstair/stand-ins';
+import { PersistentConnection, type ConnectionResponse } from '@tillerstair/stand-ins';
 import { delay, hostClock } from '@tillerstair/wire';
 import { seeded } from '../layout.js';
 
@@ -11,7 +11,7 @@
   readonly pass: PassRecord;
   /** The address of the front. */
   readonly front: string;
-  readonly answer: KeptAnswer;
+  readonly answer: ConnectionResponse;
 }
 
 /** What decides the clients of a soak. */
@@ -45,7 +45,7 @@
 const success = 200;
 const firstServerError = 500;
 
-const reportedOf = ({ complete, status, body }: KeptAnswer): PassRecord['reported'] => {
+const reportedOf = ({ complete, status, body }: ConnectionResponse): PassRecord['reported'] => {
   if (complete && status === success) return 'done';
   if (complete && (promises.has(status) || status < firstServerError)) return 'refused';
   return body === '' || status !== success ? 'unknown' : 'partial';
@@ -73,7 +73,7 @@
 /** One client. */
 class SoakClient {
   private readonly draw: () => number;
-  private connection: KeptConnection | undefined;
+  private connection: PersistentConnection | undefined;
   private front = '';
   private sent = 0;
   private programs = 0;
@@ -112,10 +112,10 @@
     this.follow(operation, pass);
   }
 
-  private async openConnection(until: number): Promise<KeptConnection | undefined> {
+  private async openConnection(until: number): Promise<PersistentConnection | undefined> {
     while (!this.connection || this.connection.closed) {
       this.front = this.fronts[Math.floor(this.draw() * this.fronts.length)] ?? '';
-      this.connection = await KeptConnection.open(this.front).catch(() => undefined);
+      this.connection = await PersistentConnection.open(this.front).catch(() => undefined);
       if (this.connection) break;
       if (hostClock.now() >= until) return undefined;
       await delay(hostClock, reconnectMs);
@@ -143,7 +143,7 @@
     return this.lastKeyed;
   }
 
-  private passOf(operation: Operation, path: string, answer: KeptAnswer): PassRecord {
+  private passOf(operation: Operation, path: string, answer: ConnectionResponse): PassRecord {
     const { manner, attempt, key, program, after, input } = operation;
     return {
       manner: checkedManner[manner],
--- a/packages/fleet/src/soak/soak-rules.ts
+++ b/packages/fleet/src/soak/soak-rules.ts
@@ -1,9 +1,9 @@
 /** What a soak is judged by, from what its clients, servers and operators saw and from how its processes ended. */
 import {
-  configHistory,
+  checkConfigHistory,
   defaultTolerances,
-  noRecords,
-  passRules,
+  emptyRecords,
+  checkPassRules,
   type RuleResult,
 } from '@tillerstair/checker';
 import type { ConfigCall, ExecutionRecord } from '@tillerstair/checker';
@@ -148,7 +148,7 @@
     ordersAreAcknowledged(records, bounds),
     processesEndInOrder(records),
     configIsReadBack(records),
-    configHistory(records.configCalls),
-    ...passRules({ ...noRecords, passes, executed: records.executed }, defaultTolerances),
+    checkConfigHistory(records.configCalls),
+    ...checkPassRules({ ...emptyRecords, passes, executed: records.executed }, defaultTolerances),
   ];
 };
--- a/packages/sim/src/storm.ts
+++ b/packages/sim/src/storm.ts
@@ -2,7 +2,7 @@
  * A storm: a simulated deployment under load while the faults of a plan strike it. At its end all faults end, callers
  * finish, and the records are the checker's. The same options make the same storm.
  */
-import { noRecords, type Records, type RestartRecord } from '@tillerstair/checker';
+import { emptyRecords, type Records, type RestartRecord } from '@tillerstair/checker';
 import type { OperatorResponse } from '@tillerstair/control';
 import type { Machine } from './machine.js';
 import { PendingWork } from './pending-work.js';
@@ -156,7 +156,7 @@
     await this.calm();
     const readBack = await this.operators.readConfig();
     return {
-      ...noRecords,
+      ...emptyRecords,
       reported: world.reported,
       executed: world.servers.executed,
       passes: world.passes,
--- a/packages/stand-ins/src/caller-record.ts
+++ b/packages/stand-ins/src/caller-record.ts
@@ -1,6 +1,6 @@
 /** What a caller knows of its requests, and how it reads refusals, lost connections and broken streams. */
 import type { ReplyRecord } from '@tillerstair/checker';
-import { Refusal } from './messages.js';
+import { ErrorBody } from './messages.js';
 
 /** A reply with what only a caller over HTTP knows of it; times are in ms. */
 export interface CallerRecord extends ReplyRecord {
@@ -16,10 +16,10 @@
 export type Failure = Pick<CallerRecord, 'status' | 'reported' | 'errorCode'>;
 
 /** The error code of a stream that broke off without an end. */
-export const streamBrokenOff = 'cut';
+export const brokenStreamCode = 'cut';
 
 /** A record's values where nothing is known. */
-export const blankRecord = {
+export const recordDefaults = {
   program: '',
   key: '',
   attempt: '',
@@ -36,7 +36,7 @@
 
 /** Reads the body of an error; one that does not say that nothing ran leaves the outcome unknown. */
 export const failureOfReply = (status: number, body: unknown): Failure => {
-  const refusal = Refusal.safeParse(body);
+  const refusal = ErrorBody.safeParse(body);
   if (!refusal.success)
     return { status, reported: 'unknown', errorCode: `status ${status} without an error code` };
   const { executed, errorCode } = refusal.data;
--- a/packages/stand-ins/src/caller.ts
+++ b/packages/stand-ins/src/caller.ts
@@ -5,10 +5,10 @@
 import { randomUUID } from 'node:crypto';
 import { Agent, request, type Dispatcher } from 'undici';
 import {
-  blankRecord,
+  recordDefaults,
   failureOfConnection,
   failureOfReply,
-  streamBrokenOff,
+  brokenStreamCode,
   type CallerRecord,
 } from './caller-record.js';
 import { CallResult, CreatedProgram, FetchedTurn } from './messages.js';
@@ -99,7 +99,7 @@
           retryAfter: retryAfterOf(response),
         };
       } catch (error) {
-        if (stream.hasChunks) return stream.partial(streamBrokenOff);
+        if (stream.hasChunks) return stream.partial(brokenStreamCode);
         throw error;
       }
     });
@@ -152,7 +152,7 @@
   private async recorded(base: RecordBase, send: () => Promise<RecordEnd>): Promise<CallerRecord> {
     const end = await send().catch(failureOfConnection);
     const record: CallerRecord = {
-      ...blankRecord,
+      ...recordDefaults,
       tenant: this.tenant,
       to: Date.now(),
       ...base,
--- a/packages/stand-ins/src/faulty-server.ts
+++ b/packages/stand-ins/src/faulty-server.ts
@@ -25,7 +25,7 @@
   /** Requests under way. */
   protected busy = 0;
   /** Requests so far. */
-  protected served = 0;
+  protected requestCount = 0;
   private http: Server | undefined;
 
   protected constructor(
@@ -42,7 +42,7 @@
   }
 
   /** Whether a fault that strikes every `every`-th request strikes this one. */
-  protected strikes(every: number | undefined, requestNumber: number): boolean {
+  protected faultApplies(every: number | undefined, requestNumber: number): boolean {
     return every !== undefined && every > 0 && requestNumber % every === 0;
   }
 
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -5,5 +5,5 @@
 export * from './execution-log.js';
 export * from './caller-record.js';
 export * from './caller.js';
-export * from './kept-connection.js';
+export * from './persistent-connection.js';
 export * from './pass-server.js';
--- a/packages/stand-ins/src/messages.ts
+++ b/packages/stand-ins/src/messages.ts
@@ -11,7 +11,7 @@
 export const StreamLine = z.union([StreamEnd, StreamChunk, StreamPartial]);
 
 /** The body of an error. */
-export const Refusal = z.object({
+export const ErrorBody = z.object({
   executed: z.enum(['no', 'unknown']),
   errorCode: z.string().optional(),
 });
--- a/packages/stand-ins/src/model-server.ts
+++ b/packages/stand-ins/src/model-server.ts
@@ -86,7 +86,7 @@
     const closed = new AbortController();
     response.on('close', () => closed.abort());
     this.busy++;
-    this.served++;
+    this.requestCount++;
     const began = Date.now();
     const progress: Progress = { tokens: 0, reply: '', complete: false };
     const blocks = blocksOf(request.messages);
@@ -96,7 +96,7 @@
         request,
         response,
         closed: closed.signal,
-        number: this.served,
+        number: this.requestCount,
         uncachedBlocks: blocks.length - cached,
       };
       await this.generate(generation, progress);
@@ -131,7 +131,7 @@
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
     for (const text of replyTo(request.messages, request.maxTokens)) {
       if (closed.aborted) return;
-      if (progress.tokens >= tokensBeforeCut && this.strikes(this.faults.cutAfter, number)) {
+      if (progress.tokens >= tokensBeforeCut && this.faultApplies(this.faults.cutAfter, number)) {
         response.destroy();
         return;
       }
@@ -141,7 +141,7 @@
       await delay(hostClock, this.options.msPerToken * slowness * crowding, closed);
     }
     progress.complete = true;
-    if (this.strikes(this.faults.loseEnd, number)) response.destroy();
+    if (this.faultApplies(this.faults.loseEnd, number)) response.destroy();
     else
       response.end(`${JSON.stringify({ id: request.id, end: true, chunks: progress.tokens })}\n`);
   }
--- a/packages/stand-ins/src/kept-connection.ts
+++ b/packages/stand-ins/src/persistent-connection.ts
@@ -4,7 +4,7 @@
 import { hostClock } from '@tillerstair/wire';
 
 /** A request to send on a kept connection. */
-export interface KeptRequest {
+export interface ConnectionRequest {
   readonly path: string;
   /** Lines of the head, without the request line and the length. */
   readonly headers: readonly string[];
@@ -12,7 +12,7 @@
 }
 
 /** How one request on a kept connection ended. Times are in ms of the steady clock. */
-export interface KeptAnswer {
+export interface ConnectionResponse {
   /** When its last byte was written. */
   readonly sentAt: number;
   /** The status of its answer; 0 where not even the head came. */
@@ -66,7 +66,7 @@
   Number(/^retry-after: ([\d.]+)\r$/im.exec(text)?.[1] ?? 0);
 
 /** One connection of a client, on which requests are sent one after the other. */
-export class KeptConnection {
+export class PersistentConnection {
   private received = '';
   private isClosed = false;
   /** Called when something came or the connection ended. */
@@ -86,11 +86,11 @@
   }
 
   /** Opens a connection to HOST:PORT; rejects where nobody listens. */
-  static async open(address: string): Promise<KeptConnection> {
+  static async open(address: string): Promise<PersistentConnection> {
     const [host = '', port = ''] = address.split(':');
     const socket = connect(Number(port), host);
     await once(socket, 'connect');
-    return new KeptConnection(socket);
+    return new PersistentConnection(socket);
   }
 
   /** Whether the other end has closed it. */
@@ -99,7 +99,7 @@
   }
 
   /** Sends a POST; resolves once its answer is complete or the connection has ended. */
-  async send({ path, headers, body }: KeptRequest): Promise<KeptAnswer> {
+  async send({ path, headers, body }: ConnectionRequest): Promise<ConnectionResponse> {
     this.received = '';
     const head = [`POST ${path} HTTP/1.1`, ...headers, `Content-Length: ${body.length}`];
     this.socket.write([...head, '', body].join('\r\n'), 'latin1');
--- a/packages/stand-ins/src/service-server.ts
+++ b/packages/stand-ins/src/service-server.ts
@@ -38,7 +38,7 @@
     const keyHeader = incoming.headers['idempotency-key'];
     const key = typeof keyHeader === 'string' ? keyHeader : undefined;
     this.busy++;
-    const number = ++this.served;
+    const number = ++this.requestCount;
     const began = Date.now();
     try {
       await delay(hostClock, this.durationOf(number));
@@ -59,7 +59,7 @@
         reply: '',
         complete: true,
       });
-      if (this.strikes(this.faults.loseEnd, number)) {
+      if (this.faultApplies(this.faults.loseEnd, number)) {
         response.destroy();
         return;
       }
--- a/packages/stand-ins/src/turn-stream.ts
+++ b/packages/stand-ins/src/turn-stream.ts
@@ -2,7 +2,7 @@
 import { pipeline } from 'node:stream';
 import type { Readable } from 'node:stream';
 import split2 from 'split2';
-import { streamBrokenOff, type CallerRecord } from './caller-record.js';
+import { brokenStreamCode, type CallerRecord } from './caller-record.js';
 import { StreamLine } from './messages.js';
 
 /** What a caller has of a turn. */
@@ -36,7 +36,7 @@
       this.chunks.push(line.n);
       this.text += line.text;
     }
-    return this.partial(streamBrokenOff);
+    return this.partial(brokenStreamCode);
   }
 
   /** The reply so far, as one that ended early. */
--- a/tests/src/checker/checker-records.ts
+++ b/tests/src/checker/checker-records.ts
@@ -1,6 +1,6 @@
 /** Sound records of every kind, of which the tests of the checker make doctored ones. */
 import {
-  noRecords,
+  emptyRecords,
   type ConfigCall,
   type PassRecord,
   type ExecutionRecord,
@@ -262,7 +262,7 @@
 };
 
 export const good: Records = {
-  ...noRecords,
+  ...emptyRecords,
   passes,
   reported: [
     program,
--- a/tests/src/checker/configuration-history.test.ts
+++ b/tests/src/checker/configuration-history.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { configHistory, type ConfigAnswer, type ConfigCall } from '@tillerstair/checker';
+import { checkConfigHistory, type ConfigAnswer, type ConfigCall } from '@tillerstair/checker';
 
 const history = suite('the history of the configuration');
 
@@ -149,7 +149,7 @@
 
 sound.forEach(([what, calls]) => {
   history(`sound: ${what}`, () => {
-    const outcome = configHistory(calls);
+    const outcome = checkConfigHistory(calls);
     assert.equal(outcome.breaches, []);
     assert.ok(outcome.checked > 0);
   });
@@ -157,7 +157,7 @@
 
 doctored.forEach(([what, calls]) => {
   history(`caught: ${what}`, () => {
-    assert.is(configHistory(calls).breaches.length, 1);
+    assert.is(checkConfigHistory(calls).breaches.length, 1);
   });
 });
 
@@ -176,9 +176,9 @@
 }).flat();
 
 history('thousands of calls, many of them at once, are checked', () => {
-  assert.equal(configHistory(long).breaches, []);
+  assert.equal(checkConfigHistory(long).breaches, []);
   assert.is(
-    configHistory([
+    checkConfigHistory([
       ...long,
       read(versions * 100, versions * 100 + 1, versions - 1, `c${versions - 2}`),
     ]).breaches.length,
--- a/tests/src/control/repeated-changes.test.ts
+++ b/tests/src/control/repeated-changes.test.ts
@@ -4,7 +4,7 @@
  */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { configHistory, type ConfigAnswer } from '@tillerstair/checker';
+import { checkConfigHistory, type ConfigAnswer } from '@tillerstair/checker';
 import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
 import { OperatorAdapter } from '@tillerstair/platform';
 import { ConfigCalls, seededRng, World, type Machine } from '@tillerstair/sim';
@@ -110,7 +110,7 @@
   }
 
   check(): void {
-    assert.equal(configHistory(this.calls.calls).breaches, []);
+    assert.equal(checkConfigHistory(this.calls.calls).breaches, []);
   }
 }
 
--- a/tests/src/platform/stopping-front.test.ts
+++ b/tests/src/platform/stopping-front.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { until } from '@tillerstair/fleet';
 import { passHost } from '@tillerstair/sim';
-import { KeptConnection, type KeptAnswer } from '@tillerstair/stand-ins';
+import { PersistentConnection, type ConnectionResponse } from '@tillerstair/stand-ins';
 import { delay, hostClock } from '@tillerstair/wire';
 import { startServer, type TestServer } from '../support/http-server.js';
 import { call } from '../support/interface-calls.js';
@@ -43,13 +43,13 @@
 };
 
 /** A request that was sent, with its try. */
-interface Sent extends KeptAnswer {
+interface Sent extends ConnectionResponse {
   readonly attempt: string;
 }
 
 /** Sends a turn of a program of its own, so that every owner is asked. */
 const sendTurn = async (
-  connection: KeptConnection,
+  connection: PersistentConnection,
   path: string,
   attempt: string,
 ): Promise<Sent> => {
@@ -63,8 +63,8 @@
   return { attempt, ...(await connection.send({ path, headers, body: 'x' })) };
 };
 
-const openConnection = (): Promise<KeptConnection> =>
-  KeptConnection.open(`127.0.0.1:${system.ports.front}`);
+const openConnection = (): Promise<PersistentConnection> =>
+  PersistentConnection.open(`127.0.0.1:${system.ports.front}`);
 
 const bringUp = async (): Promise<void> => {
   engine = await startServer(playSlowly);
--- a/tests/src/support/world-helpers.ts
+++ b/tests/src/support/world-helpers.ts
@@ -1,7 +1,7 @@
 import * as assert from 'uvu/assert';
 import {
   checkRecords,
-  noRecords,
+  emptyRecords,
   type PassRecord,
   type ExecutionRecord,
   type Records,
@@ -138,7 +138,7 @@
 };
 
 export const recordsOf = (w: World, more: Partial<Records> = {}): Records => ({
-  ...noRecords,
+  ...emptyRecords,
   reported: w.reported,
   executed: w.servers.executed,
   passes: w.passes,
--- a/tests/src/zen/partitioned-control.test.ts
+++ b/tests/src/zen/partitioned-control.test.ts
@@ -5,7 +5,7 @@
 import { suite } from 'uvu';
 import { z } from 'zod';
 import * as assert from 'uvu/assert';
-import { configHistory, type ConfigCall } from '@tillerstair/checker';
+import { checkConfigHistory, type ConfigCall } from '@tillerstair/checker';
 import type { OperatorRequest } from '@tillerstair/control';
 import { ConfigCalls, seededRng, type Machine, type World } from '@tillerstair/sim';
 import { configText, small, worldUp } from '../support/world-helpers.js';
@@ -190,7 +190,7 @@
             .find((control) => (control === sim.master) === (role === 'master'));
           if (!target) throw new Error(`no control is a ${role}`);
           const run = await cutRun(sim, seed, target, direction);
-          const history = configHistory(run.calls);
+          const history = checkConfigHistory(run.calls);
           assert.equal(history.breaches, [], `seed ${seed}`);
           assert.ok(history.checked > 50);
           const { heartbeatInterval, failureTimeout, readLease } = sim.bounds;
@@ -274,7 +274,7 @@
     for (const [index, response] of responses.entries())
       assert.is(response?.status, 503, `call ${index}: ${JSON.stringify(response)}`);
     assert.is((await sim.clock.finish('put', put, 10000))?.status, 200);
-    assert.equal(configHistory(calls.calls).breaches, []);
+    assert.equal(checkConfigHistory(calls.calls).breaches, []);
   }
 });
 
@@ -327,7 +327,7 @@
     );
     for (const response of responses)
       assert.ok(response?.status === 503 || response?.status === 504, JSON.stringify(response));
-    assert.equal(configHistory(calls.calls).breaches, []);
+    assert.equal(checkConfigHistory(calls.calls).breaches, []);
   }
 });
 
