--- a/packages/checker/src/check.ts
+++ b/packages/checker/src/check.ts
@@ -1,6 +1,6 @@
 /**
- * The checker's entry: all rules of the never-list (`docs/never-list.md`) against the records of one run. Records come
- * from the callers and from the servers; the checker never asks the product itself.
+ * Entry point of the checker: applies every rule of `docs/never-list.md` to the records of one run. The records come
+ * from callers, operators and servers; the checker never queries the system under test.
  */
 import { checkConfigHistory } from './config-history.js';
 import {
@@ -22,7 +22,7 @@
 } from './reply-rules.js';
 import { defaultTolerances, type RuleResult, type Tolerances } from './rule-result.js';
 
-/** Checks every rule; the results come in the order of the never-list. */
+/** Checks every rule; returns one result per rule, in the order of `docs/never-list.md`. */
 export const checkRecords = (
   records: Records,
   tolerances: Tolerances = defaultTolerances,
@@ -53,13 +53,13 @@
   return counts;
 };
 
-/** How many replies there are of each kind and outcome, such as `turn done`. */
+/** Counts replies by kind and reported outcome; a key is, for example, `turn done`. */
 export const countByOutcome = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
   countBy(replies, ({ kind, reported }) => `${kind} ${reported}`);
 
-/** How many replies were not done, by outcome and error code. */
+/** Counts the replies with an outcome other than `done`, by outcome and error code. */
 export const countFailures = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
   countBy(
     replies.filter((reply) => reply.reported !== 'done'),
-    ({ reported, errorCode }) => `${reported} ${errorCode || 'without a code'}`,
+    ({ reported, errorCode }) => `${reported} ${errorCode || 'without an error code'}`,
   );
--- a/packages/checker/src/config-history.ts
+++ b/packages/checker/src/config-history.ts
@@ -1,30 +1,32 @@
 /**
  * Checks the operators' calls on the configuration for linearizability against a versioned compare-and-set register.
  *
- * The register has the newest version and the changes that were accepted. A change is accepted if it was accepted before
- * (it is acknowledged again), or else if it builds on the newest version; it is refused otherwise. Each call with an
- * answer must take effect at one moment between its beginning and its end; one without a clear answer may take effect
- * at any moment after it began, or never.
+ * The register holds the newest version and the set of accepted changes. It accepts a change that it accepted before
+ * (and acknowledges it again) or that is based on the newest version, and refuses any other. A call with a definite
+ * answer must take effect at one point between its invocation and its response; a call with an unclear answer may take
+ * effect at any point after its invocation, or never.
  *
- * The search is that of Wing and Gong. Calls that alter nothing are placed as soon as they fit, so it branches only
- * where several changes build on the same version, and states that were reached before are not searched again.
+ * The search is that of Wing and Gong. A call that does not alter the register is linearized as soon as its answer
+ * matches the register, so the search branches only where several changes have the same base version. Visited states
+ * are not searched again.
  */
 import type { RuleResult } from './rule-result.js';
 
-/** What an operator's call was answered. */
+/** The answer to an operator's call. */
 export type ConfigAnswer =
   | { readonly kind: 'accepted' }
   | { readonly kind: 'refused' }
   | { readonly kind: 'value'; readonly version: number; readonly content: string }
-  /** The call surely did nothing: it was invalid, or no master ran it. */
+  /** The call certainly had no effect: it was invalid, or no master ran it. */
   | { readonly kind: 'no-effect' }
+  /** The call may have taken effect, or may still do so. */
   | { readonly kind: 'unclear' };
 
-/** One call of an operator: what it asked for, when, and its answer. Times are in ms. */
+/** One call of an operator: the operation, its start and end in ms, and its answer. */
 export interface ConfigCall {
   readonly what:
     | { readonly kind: 'read' }
-    /** `content` is undefined where the caller does not know what its change makes. */
+    /** `content` is undefined if the caller does not know the content that its change results in. */
     | {
         readonly kind: 'change';
         readonly changeId: string;
@@ -33,6 +35,7 @@
         readonly content: string | undefined;
       };
   readonly calledAt: number;
+  /** Infinity if the call never ended. */
   readonly answeredAt: number;
   readonly answer: ConfigAnswer;
 }
@@ -50,7 +53,7 @@
 const changeIdOf = ({ what }: ConfigCall): string | undefined =>
   what.kind === 'change' ? what.changeId : undefined;
 
-const mustHappen = (call: ConfigCall): boolean => call.answer.kind !== 'unclear';
+const hasDefiniteAnswer = (call: ConfigCall): boolean => call.answer.kind !== 'unclear';
 
 const afterChange = (register: Register, change: Change): Register => ({
   version: change.version,
@@ -58,8 +61,8 @@
   accepted: new Set(register.accepted).add(change.changeId),
 });
 
-/** Whether a call that alters nothing could have had its answer at this state. */
-const fits = (register: Register, { what, answer }: ConfigCall): boolean => {
+/** Whether a call that does not alter the register would get its recorded answer from this state of the register. */
+const isConsistent = (register: Register, { what, answer }: ConfigCall): boolean => {
   if (what.kind === 'read') {
     if (answer.kind !== 'value' || answer.version !== register.version) return false;
     return register.content === undefined || answer.content === register.content;
@@ -68,8 +71,8 @@
   return answer.kind === 'refused' && what.base !== register.version;
 };
 
-/** Whether a call may change the state from this one. */
-const applies = (
+/** Whether a call is a change that the register would accept in this state. */
+const mayApply = (
   register: Register,
   call: ConfigCall,
 ): call is ConfigCall & { readonly what: Change } =>
@@ -78,32 +81,32 @@
   call.what.base === register.version &&
   !register.accepted.has(call.what.changeId);
 
-/** Whether a call without a clear answer may still alter something; versions only go up. */
+/** Whether a call with an unclear answer may still alter the register, whose version only increases. */
 const mayStillApply = (register: Register, { what }: ConfigCall): boolean =>
   what.kind === 'change' && what.base >= register.version && !register.accepted.has(what.changeId);
 
-/** The latest moment by which one of the calls that must happen has to have taken effect. */
+/** The time (ms) by which at least one pending call with a definite answer must have taken effect. */
 const deadlineOf = (pending: readonly ConfigCall[]): number =>
-  Math.min(...pending.filter(mustHappen).map((call) => call.answeredAt));
+  Math.min(...pending.filter(hasDefiniteAnswer).map((call) => call.answeredAt));
 
-/** Places every call that alters nothing and fits this state, and drops unclear calls that can do nothing more. */
-const unplacedCalls = (
+/** Removes pending calls that can be linearized without a change of state, and unclear ones that cannot apply. */
+const removePlaceableCalls = (
   register: Register,
   pending: readonly ConfigCall[],
 ): readonly ConfigCall[] => {
   let remaining = pending;
   for (;;) {
     const deadline = deadlineOf(remaining);
-    const next = remaining.filter((call) => {
+    const unplaced = remaining.filter((call) => {
       if (call.answer.kind === 'unclear') return mayStillApply(register, call);
-      return call.calledAt > deadline || !fits(register, call);
+      return call.calledAt > deadline || !isConsistent(register, call);
     });
-    if (next.length === remaining.length) return remaining;
-    remaining = next;
+    if (unplaced.length === remaining.length) return remaining;
+    remaining = unplaced;
   }
 };
 
-/** A state of the search: two with one key lead to the same ends. */
+/** Key of a search state; two states with the same key have the same successors. */
 const searchKeyOf = (
   register: Register,
   pending: readonly ConfigCall[],
@@ -117,9 +120,11 @@
 
 const describeCall = ({ what, calledAt, answeredAt, answer }: ConfigCall): string => {
   const operation =
-    what.kind === 'read' ? 'a read' : `change ${what.changeId} of ${what.base} to ${what.version}`;
+    what.kind === 'read'
+      ? 'a read'
+      : `change ${what.changeId} of version ${what.base} to ${what.version}`;
   const result = answer.kind === 'value' ? `version ${answer.version}` : answer.kind;
-  return `${operation} from ${calledAt.toFixed(0)} to ${answeredAt.toFixed(0)} got ${result}`;
+  return `${operation} from ${calledAt.toFixed(0)} to ${answeredAt.toFixed(0)} ms answered ${result}`;
 };
 
 interface SearchState {
@@ -127,13 +132,13 @@
   readonly pending: readonly ConfigCall[];
 }
 
-/** The states that the next change could lead to; clear calls are tried before unclear ones (the last is taken first). */
+/** The states after each possible next change; those of calls with a definite answer come last, to be popped first. */
 const successorsOf = ({ register, pending }: SearchState): readonly SearchState[] => {
   const deadline = deadlineOf(pending);
-  const unclear = pending.filter((call) => !mustHappen(call));
-  const clear = pending.filter(mustHappen);
-  return [...unclear, ...clear].flatMap((call) =>
-    call.calledAt <= deadline && applies(register, call)
+  const unclear = pending.filter((call) => !hasDefiniteAnswer(call));
+  const definite = pending.filter(hasDefiniteAnswer);
+  return [...unclear, ...definite].flatMap((call) =>
+    call.calledAt <= deadline && mayApply(register, call)
       ? [
           {
             register: afterChange(register, call.what),
@@ -144,45 +149,45 @@
   );
 };
 
-/** The calls that fit no order of events, in the attempt that got furthest; empty where the history is linearizable. */
+/** The calls that could not be linearized in the longest partial order found; empty if the history is linearizable. */
 const unexplainedCalls = (calls: readonly ConfigCall[]): readonly ConfigCall[] => {
   const numberOf = new Map(calls.map((call, number) => [call, number]));
   const seen = new Set<string>();
   const stack: SearchState[] = [{ register: emptyRegister, pending: calls }];
-  let fewest = Infinity;
+  let fewestRemaining = Infinity;
   let unexplained: readonly ConfigCall[] = [];
   for (let state = stack.pop(); state; state = stack.pop()) {
     const { register } = state;
-    const pending = unplacedCalls(register, state.pending);
-    const clear = pending.filter(mustHappen);
-    if (clear.length === 0) return [];
+    const pending = removePlaceableCalls(register, state.pending);
+    const definite = pending.filter(hasDefiniteAnswer);
+    if (definite.length === 0) return [];
     const key = searchKeyOf(register, pending, numberOf);
     if (seen.has(key)) continue;
     seen.add(key);
-    if (clear.length < fewest) {
+    if (definite.length < fewestRemaining) {
       const deadline = deadlineOf(pending);
-      fewest = clear.length;
-      unexplained = clear.filter((call) => call.calledAt <= deadline);
+      fewestRemaining = definite.length;
+      unexplained = definite.filter((call) => call.calledAt <= deadline);
     }
     stack.push(...successorsOf({ register, pending }));
   }
   return unexplained;
 };
 
-/** How many of the calls that fit no order of events a breach names. */
-const namedCalls = 4;
+/** Maximum number of calls that the text of a breach lists. */
+const maxReportedCalls = 4;
 
-/** The rule that the calls of all operators together are as if each had taken effect at one moment. */
+/** Checks that the calls of all operators are linearizable; calls without effect and unanswered reads are ignored. */
 export const checkConfigHistory = (calls: readonly ConfigCall[]): RuleResult => {
-  const counted = calls.filter(
+  const relevant = calls.filter(
     ({ what, answer }) =>
       answer.kind !== 'no-effect' && (what.kind === 'change' || answer.kind === 'value'),
   );
-  const unexplained = unexplainedCalls([...counted].sort((a, b) => a.calledAt - b.calledAt));
-  const named = unexplained.slice(0, namedCalls).map(describeCall).join('; ');
+  const unexplained = unexplainedCalls([...relevant].sort((a, b) => a.calledAt - b.calledAt));
+  const described = unexplained.slice(0, maxReportedCalls).map(describeCall).join('; ');
   return {
     rule: "the operators' calls are as if each took effect at one moment",
-    checked: counted.filter(mustHappen).length,
-    breaches: unexplained.length === 0 ? [] : [`no order of events explains: ${named}`],
+    checked: relevant.filter(hasDefiniteAnswer).length,
+    breaches: unexplained.length === 0 ? [] : [`calls that fit no linearization: ${described}`],
   };
 };
--- a/packages/checker/src/configuration-rules.ts
+++ b/packages/checker/src/configuration-rules.ts
@@ -1,8 +1,8 @@
-/** Rules on the configuration and on what it and the operators decide: pools, shares, draining servers, restarts. */
+/** Rules on the configuration and its effects: allowed pools, shares, draining servers, and restarts. */
 import type { ConfigRecord, ExecutionRecord, Records } from './records.js';
 import type { RuleResult, Tolerances } from './rule-result.js';
 
-/** A draining server gets nothing new. */
+/** Checks that a draining server gets no new work once `drainingMs` has passed since it was marked. */
 export const drainingServersGetNoNewWork = (
   records: Records,
   tolerances: Tolerances,
@@ -14,16 +14,18 @@
     for (const { server, pool, began } of records.executed) {
       if (began <= draining.at + tolerances.drainingMs || began >= draining.until) continue;
       if (server === draining.server)
-        breaches.push(`server ${server} got work ${began - draining.at} ms after its mark`);
+        breaches.push(
+          `server ${server} got work ${began - draining.at} ms after it was marked as draining`,
+        );
       else if (pool === poolOf.get(draining.server)) checked++;
     }
   return { rule: 'a draining server gets nothing new after 3 s', checked, breaches };
 };
 
-/** A split needs this many times its rounding in requests before it proves anything. */
-const provingRoundings = 4;
+/** A split counts as checked only if it has more than this many times `rounding` requests. */
+const minRoundingMultiple = 4;
 
-/** Work is split over pools by the shares of the configuration. */
+/** Checks that the work of each period was split over pools by the configured shares. */
 export const workFollowsShares = (records: Records): RuleResult => {
   const breaches: string[] = [];
   let checked = 0;
@@ -35,10 +37,10 @@
     for (const [pool, share] of split.shares) {
       const actual = executions.filter((execution) => execution.pool === pool).length;
       const expected = (executions.length * share) / total;
-      if (executions.length > split.rounding * provingRoundings) checked++;
+      if (executions.length > split.rounding * minRoundingMultiple) checked++;
       if (Math.abs(actual - expected) > (share === 0 ? 0 : split.rounding))
         breaches.push(
-          `pool ${pool} got ${actual} of ${executions.length}, its share is ${share} of ${total}`,
+          `pool ${pool} got ${actual} of ${executions.length} requests, but its share is ${share} of ${total}`,
         );
     }
   }
@@ -56,39 +58,41 @@
   }
 };
 
-const acknowledgedOf = (records: Records): readonly ConfigRecord[] =>
+const acknowledgedConfigs = (records: Records): readonly ConfigRecord[] =>
   records.configs
     .filter((config) => config.reported === 'done')
     .sort((a, b) => a.version - b.version);
 
-/** An acknowledged configuration decides where work goes, and no older one does. */
+/** Checks that work runs only in pools of the configuration in force, or of a newer one submitted by then. */
 export const acknowledgedConfigStaysInForce = (
   records: Records,
   tolerances: Tolerances,
 ): RuleResult => {
-  const acknowledged = acknowledgedOf(records);
+  const acknowledged = acknowledgedConfigs(records);
   const possible = records.configs.filter((config) => config.reported !== 'refused');
   const breaches: string[] = [];
   let checked = 0;
   for (const { kind, pool, began } of records.executed) {
-    const oldest = acknowledged
+    const newestInForce = acknowledged
       .filter((config) => config.reportedAt + tolerances.inForceMs < began)
       .at(-1);
-    if (!oldest) continue;
-    const older = possible.filter((config) => config.version < oldest.version);
-    const allowedByOldest = poolsOf(oldest, kind);
-    if (older.some((config) => poolsOf(config, kind).some((p) => !allowedByOldest.includes(p))))
+    if (!newestInForce) continue;
+    const older = possible.filter((config) => config.version < newestInForce.version);
+    const allowedPools = poolsOf(newestInForce, kind);
+    if (older.some((config) => poolsOf(config, kind).some((name) => !allowedPools.includes(name))))
       checked++;
-    const mayDecide = possible.filter(
-      (config) => config.version >= oldest.version && config.sentAt <= began,
+    const possiblyInForce = possible.filter(
+      (config) => config.version >= newestInForce.version && config.sentAt <= began,
     );
-    if (!mayDecide.some((config) => poolsOf(config, kind).includes(pool)))
-      breaches.push(`${kind} ran in pool ${pool} though version ${oldest.version} was in force`);
+    if (!possiblyInForce.some((config) => poolsOf(config, kind).includes(pool)))
+      breaches.push(
+        `${kind} ran in pool ${pool} though configuration version ${newestInForce.version} was in force`,
+      );
   }
   return { rule: 'an acknowledged configuration is in force and stays', checked, breaches };
 };
 
-/** No work reaches a pool that no configuration allowed by then. */
+/** Checks that no work ran in a pool that no configuration submitted by then allowed. */
 export const poolsWereAllowed = (records: Records): RuleResult => {
   const possible = records.configs.filter((config) => config.reported !== 'refused');
   const breaches = records.executed
@@ -96,7 +100,9 @@
       ({ kind, pool, began }) =>
         !possible.some((config) => config.sentAt <= began && poolsOf(config, kind).includes(pool)),
     )
-    .map(({ pool }) => `work ran in pool ${pool}`);
+    .map(
+      ({ pool }) => `work ran in pool ${pool}, which no configuration submitted by then allowed`,
+    );
   return {
     rule: 'no work reaches a pool never allowed',
     checked: records.executed.length,
@@ -104,10 +110,10 @@
   };
 };
 
-/** What is read back at the end is the newest acknowledged configuration, or a newer one of unknown outcome. */
+/** Checks that the read-back returned the newest acknowledged configuration, or a newer one of unknown outcome. */
 export const readBackIsNewest = (records: Records): RuleResult => {
   const rule = 'read-back gives the newest acknowledged configuration';
-  const newest = acknowledgedOf(records).at(-1);
+  const newest = acknowledgedConfigs(records).at(-1);
   if (!newest) return { rule, checked: 0, breaches: [] };
   const { readBack } = records;
   const isNewest =
@@ -119,11 +125,11 @@
       text === readBack.text &&
       version > newest.version,
   );
-  const breach = `read back version ${readBack?.version ?? 'none'}, acknowledged was ${newest.version}`;
+  const breach = `read back configuration version ${readBack?.version ?? 'none'}, acknowledged was ${newest.version}`;
   return { rule, checked: 1, breaches: isNewest || isUnknownButNewer ? [] : [breach] };
 };
 
-/** After a full stop, serving is back in time and no configuration is lost. */
+/** Checks that requests are served in time after a restart of all machines, and that no configuration is lost. */
 export const serviceResumesAfterRestart = (
   records: Records,
   tolerances: Tolerances,
@@ -131,8 +137,13 @@
   const breaches: string[] = [];
   for (const { servedAt, startedAt, configBefore, configAfter } of records.restarts) {
     if (servedAt - startedAt > tolerances.serveMs)
-      breaches.push(`serving was back after ${servedAt - startedAt} ms`);
-    if (configAfter < configBefore) breaches.push(`configuration ${configBefore} was lost`);
+      breaches.push(
+        `requests were served again ${servedAt - startedAt} ms after the restart, limit ${tolerances.serveMs} ms`,
+      );
+    if (configAfter < configBefore)
+      breaches.push(
+        `configuration version ${configBefore} was lost, version ${configAfter} is in force after the restart`,
+      );
   }
   return {
     rule: 'after a full stop serving is back within 12 s with its configuration',
--- a/packages/checker/src/index.ts
+++ b/packages/checker/src/index.ts
@@ -1,4 +1,4 @@
-/** Checks what callers were answered against what servers executed; used by the fleet, the simulator and the tests. */
+/** Checks the replies that callers received against the executions that servers logged, for fleet, sim and tests. */
 export * from './records.js';
 export * from './check.js';
 export { defaultTolerances, type RuleResult } from './rule-result.js';
--- a/packages/checker/src/operation-rules.ts
+++ b/packages/checker/src/operation-rules.ts
@@ -1,16 +1,16 @@
-/** Rules on keyed operations: an operation runs once, however often it is sent. */
+/** Rules on keyed operations: an operation runs at most once, however many times it is sent. */
 import type { ExecutionRecord, Records, ReplyRecord } from './records.js';
 import { groupBy, type RuleResult, type Tolerances } from './rule-result.js';
 
-/** The name of an operation as its server sees it: an operation key belongs to the tenant that sent it. */
+/** The operation key as servers receive it: scoped to the tenant that sent it. */
 const operationOf = (tenant: string, key: string): string =>
   `${encodeURIComponent(tenant)}/${encodeURIComponent(key)}`;
 
-/** The operation that a reply to a call is about. */
+/** The tenant-scoped operation key of a reply to a call. */
 export const operationOfReply = (reply: ReplyRecord): string =>
   operationOf(reply.tenant, reply.key);
 
-/** What servers executed under each operation key. */
+/** The executions of keyed calls, by tenant-scoped operation key. */
 export const executionsByOperation = (
   records: Records,
 ): ReadonlyMap<string, readonly ExecutionRecord[]> =>
@@ -19,7 +19,7 @@
     (execution) => execution.key,
   );
 
-/** No operation is executed twice. */
+/** Checks that no operation was executed more than once. */
 export const operationsRunOnce = (records: Records): RuleResult => {
   const executions = executionsByOperation(records);
   const breaches = [...executions]
@@ -28,13 +28,13 @@
   return { rule: 'no acting operation runs twice', checked: executions.size, breaches };
 };
 
-/** Counts the executions that follow another of the same operation too soon. */
-const repeatsWithin = (executions: readonly ExecutionRecord[], withinMs: number): number => {
+/** Counts the executions that end at most `withinMs` after the previous execution of the same operation. */
+const countRepeats = (executions: readonly ExecutionRecord[], withinMs: number): number => {
   const times = executions.map((execution) => execution.at).sort((a, b) => a - b);
   return times.filter((at, i) => i > 0 && at - (times[i - 1] ?? 0) <= withinMs).length;
 };
 
-/** Of two attempts with one operation key, at most one runs within the time that the key is remembered. */
+/** Checks that at most one attempt of an operation ran within `keyMs`, the time for which its key is remembered. */
 export const attemptsOfKeyRunOnce = (records: Records, tolerances: Tolerances): RuleResult => {
   const executions = executionsByOperation(records);
   const calls = records.reported.filter((reply) => reply.kind === 'call' && reply.key !== '');
@@ -44,8 +44,10 @@
     if (attempts.length < 2) continue;
     const executed = executions.get(operation) ?? [];
     if (executed.length > 0) checked++;
-    for (let n = repeatsWithin(executed, tolerances.keyMs); n > 0; n--)
-      breaches.push(`two attempts of ${operation} both ran`);
+    for (let repeats = countRepeats(executed, tolerances.keyMs); repeats > 0; repeats--)
+      breaches.push(
+        `two attempts of operation ${operation} both ran within ${tolerances.keyMs} ms`,
+      );
   }
   return { rule: 'two attempts with one key do not both run within a minute', checked, breaches };
 };
--- a/packages/checker/src/pass-rules.ts
+++ b/packages/checker/src/pass-rules.ts
@@ -1,8 +1,8 @@
-/** Rules on pass routes, whose requests are forwarded as they came: at most one run, true bytes, chains and budgets. */
+/** Rules on pass routes, whose requests are forwarded unchanged: single execution, exact bytes, prompts and budgets. */
 import type { ExecutionRecord, PassRecord, Records } from './records.js';
 import { groupBy, type RuleResult, type Tolerances } from './rule-result.js';
 
-/** One event of an event stream. */
+/** One server-sent event of a stream; `data` joins its data lines with line feeds. */
 export interface StreamEvent {
   readonly id: number;
   readonly data: string;
@@ -11,7 +11,7 @@
 const eventSeparator = '\n\n';
 const dataPrefix = 'data: ';
 
-/** The complete events of a stream's body, in order; a torn one at the end is left out. */
+/** Parses the complete events of a stream's body, in order; an incomplete event at the end is left out. */
 const eventsOf = (body: string): readonly StreamEvent[] =>
   body.split(eventSeparator).flatMap((block) => {
     const id = /^id: (\d+)$/m.exec(block)?.[1];
@@ -21,7 +21,7 @@
     return id !== undefined && data.length > 0 ? [{ id: Number(id), data: data.join('\n') }] : [];
   });
 
-/** What a streamed turn adds to the chain of its conversation: the data of its events, a line each. */
+/** The output of a streamed turn as it enters the prompt of the next turn: the data of its events, one per line. */
 export const outputOf = (body: string): string =>
   eventsOf(body)
     .map((event) => `${event.data}\n`)
@@ -32,10 +32,10 @@
 
 type Executions = ReadonlyMap<string, readonly ExecutionRecord[]>;
 
-const byAttempt = (records: Records): Executions =>
+const executionsByAttempt = (records: Records): Executions =>
   groupBy(passExecutions(records), (execution) => execution.attempt);
 
-const byKey = (records: Records): Executions =>
+const executionsByKey = (records: Records): Executions =>
   groupBy(
     passExecutions(records).filter((execution) => execution.key !== ''),
     (execution) => execution.key,
@@ -48,12 +48,12 @@
   pass.manner === 'repeatable' || (pass.manner === 'stream' && pass.resumable);
 
 const passesRunOnce = (records: Records): RuleResult => {
-  const executions = byAttempt(records);
+  const executions = executionsByAttempt(records);
   const unrepeatable = records.passes.filter((pass) => !mayRepeat(pass));
   const repeatedAttempts = unrepeatable
     .filter((pass) => (executions.get(pass.attempt) ?? []).length > 1)
     .map((pass) => `attempt ${pass.attempt} on ${pass.path} ran more than once`);
-  const repeatedKeys = [...byKey(records)]
+  const repeatedKeys = [...executionsByKey(records)]
     .filter(([, rows]) => rows.length > 1)
     .map(([key, rows]) => `key ${key} of a pass route ran ${rows.length} times`);
   return {
@@ -64,7 +64,7 @@
 };
 
 const refusedPassesDidNotRun = (records: Records): RuleResult => {
-  const executions = byAttempt(records);
+  const executions = executionsByAttempt(records);
   const refused = records.passes.filter(
     (pass) => pass.reported === 'refused' && pass.manner !== 'repeatable',
   );
@@ -85,38 +85,40 @@
   const executions = passExecutions(records);
   const breaches = executions
     .filter(({ attempt }) => !passes.has(attempt))
-    .map(({ server, attempt }) => `server ${server} ran attempt ${attempt}, which nobody sent`);
+    .map(({ server, attempt }) => `server ${server} ran attempt ${attempt}, which no caller sent`);
   return { rule: 'no pass runs that nobody sent', checked: executions.length, breaches };
 };
 
-/** Whether an execution gave this very body, or, on a resumable stream, the part of it after the resumption. */
-const gaveBody = (pass: PassRecord, execution: ExecutionRecord): boolean => {
+/** Whether an execution produced exactly this body or, for a resumable stream, the part after the resumption. */
+const producedBody = (pass: PassRecord, execution: ExecutionRecord): boolean => {
   if (!execution.complete) return false;
   if (execution.reply === pass.body) return true;
   return pass.manner === 'stream' && pass.resumable && pass.body.endsWith(execution.reply);
 };
 
-const donePassesHaveServerBytes = (records: Records): RuleResult => {
-  const attempts = byAttempt(records);
-  const keys = byKey(records);
+const completedPassesMatchServerBytes = (records: Records): RuleResult => {
+  const attempts = executionsByAttempt(records);
+  const keys = executionsByKey(records);
   const done = records.passes.filter((pass) => pass.reported === 'done');
-  const invented = done
+  const unproduced = done
     .filter((pass) => {
       const executions = pass.key === '' ? attempts.get(pass.attempt) : keys.get(pass.key);
-      return !(executions ?? []).some((execution) => gaveBody(pass, execution));
+      return !(executions ?? []).some((execution) => producedBody(pass, execution));
     })
-    .map((pass) => `attempt ${pass.attempt} on ${pass.path} got an answer no server gave`);
+    .map(
+      (pass) => `attempt ${pass.attempt} on ${pass.path} got a reply that no execution produced`,
+    );
   const keyed = groupBy(
     done.filter((pass) => pass.key !== ''),
     (pass) => pass.key,
   );
-  const ambiguous = [...keyed]
+  const inconsistent = [...keyed]
     .filter(([, passes]) => new Set(passes.map((pass) => pass.body)).size > 1)
-    .map(([key]) => `key ${key} got two answers`);
+    .map(([key]) => `key ${key} got replies with different bodies`);
   return {
     rule: "a pass reported done has its server's bytes",
     checked: done.length,
-    breaches: [...invented, ...ambiguous],
+    breaches: [...unproduced, ...inconsistent],
   };
 };
 
@@ -124,20 +126,21 @@
   const { attempt, body } = pass;
   const ids = eventsOf(body).map((event) => event.id);
   const breaches: string[] = [];
-  if (!body.endsWith(eventSeparator)) breaches.push(`attempt ${attempt} got a torn event`);
+  if (!body.endsWith(eventSeparator)) breaches.push(`attempt ${attempt} got an incomplete event`);
   if (ids.some((id, i) => id !== i))
-    breaches.push(`attempt ${attempt} has events ${ids.join(',')}`);
+    breaches.push(`attempt ${attempt} got events with ids ${ids.join(',')}`);
   if (!pass.resumable && !replies.some((reply) => reply.startsWith(body)))
-    breaches.push(`attempt ${attempt} is stitched`);
+    breaches.push(`attempt ${attempt} got a stream that matches no single execution`);
   const blocks = body.split(eventSeparator).filter((block) => block !== '');
   const isFromServer = (block: string): boolean =>
     replies.some((reply) => reply.includes(`${block}${eventSeparator}`));
-  if (!blocks.every(isFromServer)) breaches.push(`attempt ${attempt} has an event no server made`);
+  if (!blocks.every(isFromServer))
+    breaches.push(`attempt ${attempt} got an event that no server sent`);
   return breaches;
 };
 
-const passStreamsAreUnbroken = (records: Records): RuleResult => {
-  const executions = byAttempt(records);
+const passStreamsAreContiguous = (records: Records): RuleResult => {
+  const executions = executionsByAttempt(records);
   const streams = records.passes.filter((pass) => pass.manner === 'stream' && pass.body !== '');
   const breaches = streams.flatMap((pass) =>
     streamBreaches(
@@ -152,14 +155,14 @@
   };
 };
 
-interface Chain {
-  /** The prompt that a server has to see: every turn before it, whole, then its own input. */
+interface ConversationChain {
+  /** The prompt that the server must receive: input and output of all previous turns, then the input of this turn. */
   readonly prompt: string;
-  /** The earlier attempt that callers do not know to be done, if the chain runs into one; else empty. */
+  /** The nearest previous attempt that was not reported done; empty if all previous turns were. */
   readonly unknownAttempt: string;
 }
 
-const chainOf = (pass: PassRecord, passes: ReadonlyMap<string, PassRecord>): Chain => {
+const chainOf = (pass: PassRecord, passes: ReadonlyMap<string, PassRecord>): ConversationChain => {
   let prompt = pass.input;
   let previous = pass.after;
   for (
@@ -173,7 +176,7 @@
   return { prompt, unknownAttempt: previous };
 };
 
-const passesRunWithTheirChain = (records: Records): RuleResult => {
+const passesRunWithFullPrompt = (records: Records): RuleResult => {
   const passes = passesByAttempt(records);
   const breaches: string[] = [];
   let checked = 0;
@@ -183,11 +186,14 @@
     const { prompt, unknownAttempt } = chainOf(pass, passes);
     if (unknownAttempt !== '' && pass.manner === 'stream') {
       if (!passes.has(unknownAttempt))
-        breaches.push(`attempt ${attempt} ran though no turn ${unknownAttempt} was ever sent`);
+        breaches.push(
+          `attempt ${attempt} ran though the earlier turn ${unknownAttempt} of its conversation was never sent`,
+        );
       continue;
     }
     if (pass.after !== '') checked++;
-    if (said !== prompt) breaches.push(`server ${server} ran attempt ${attempt} with another body`);
+    if (said !== prompt)
+      breaches.push(`server ${server} ran attempt ${attempt} with a body other than the one sent`);
   }
   return {
     rule: 'a pass runs with its body byte for byte, its chain before it',
@@ -209,7 +215,7 @@
     if (received > budget / 2) checked++;
     if (received > budget + longestTurn)
       breaches.push(
-        `callers received ${received} tokens of program ${program}, which has ${budget}`,
+        `callers received ${received} tokens of program ${program}, whose budget is ${budget}`,
       );
   }
   return {
@@ -221,9 +227,9 @@
 
 const missingStatuses: readonly number[] = [404, 410];
 
-const passHistoryIsFound = (records: Records, tolerances: Tolerances): RuleResult => {
+const passHistoryIsRetained = (records: Records, tolerances: Tolerances): RuleResult => {
   const passes = passesByAttempt(records);
-  const followers = records.passes.filter((pass) => {
+  const followUps = records.passes.filter((pass) => {
     const previous = passes.get(pass.after);
     return (
       previous?.reported === 'done' &&
@@ -231,7 +237,7 @@
       pass.to - previous.to <= tolerances.historyMs
     );
   });
-  const breaches = followers
+  const breaches = followUps
     .filter((pass) => missingStatuses.includes(pass.status))
     .map(
       ({ after, status, errorCode, attempt }) =>
@@ -239,19 +245,19 @@
     );
   return {
     rule: 'a turn of a pass route answered in full is not reported missing',
-    checked: followers.length,
+    checked: followUps.length,
     breaches,
   };
 };
 
-/** The results of all rules on pass routes. */
+/** Checks all rules on pass routes; returns one result per rule. */
 export const checkPassRules = (records: Records, tolerances: Tolerances): readonly RuleResult[] => [
   passesRunOnce(records),
   refusedPassesDidNotRun(records),
   executedPassesWereSent(records),
-  donePassesHaveServerBytes(records),
-  passStreamsAreUnbroken(records),
-  passesRunWithTheirChain(records),
+  completedPassesMatchServerBytes(records),
+  passStreamsAreContiguous(records),
+  passesRunWithFullPrompt(records),
   passBudgetsHold(records),
-  passHistoryIsFound(records, tolerances),
+  passHistoryIsRetained(records, tolerances),
 ];
--- a/packages/checker/src/program-rules.ts
+++ b/packages/checker/src/program-rules.ts
@@ -1,8 +1,8 @@
-/** Rules on programs: their token budgets, and how long their history is found. */
+/** Rules on programs: token budgets, and retention of history. */
 import type { Records, ReplyRecord } from './records.js';
 import type { RuleResult, Tolerances } from './rule-result.js';
 
-/** Sub-agents share the budget of the program they belong to; their names begin with its name. */
+/** The program that holds the budget. A sub-agent shares its parent's, and is named after it: `parent~suffix`. */
 const budgetHolderOf = (program: string): string => program.split('~')[0] ?? program;
 
 const grantedBudgets = (records: Records): ReadonlyMap<string, number> =>
@@ -17,7 +17,7 @@
       .map((reply) => [reply.program, Number(reply.sent)]),
   );
 
-/** The tokens that callers received for each program; attempts of one turn count once, by the longest. */
+/** Tokens that callers received, by budget holder; of several attempts of a turn, only the longest counts. */
 const receivedTokens = (records: Records): ReadonlyMap<string, number> => {
   const longest = new Map<string, { readonly holder: string; readonly tokens: number }>();
   for (const turn of records.reported.filter((reply) => reply.kind === 'turn')) {
@@ -41,19 +41,23 @@
   return sums;
 };
 
-/** No program receives or causes more tokens than its budget and one turn. */
+/** Checks that no program receives or generates more tokens than its budget plus one turn. */
 export const budgetsHold = (records: Records): RuleResult => {
   const granted = grantedBudgets(records);
   const received = receivedTokens(records);
   const generated = generatedTokens(records);
   const breaches: string[] = [];
   for (const [program, budget] of granted) {
-    const toCallers = received.get(program) ?? 0;
-    const fromServers = generated.get(program) ?? 0;
-    if (toCallers > budget + records.perTurn)
-      breaches.push(`callers received ${toCallers} tokens of program ${program} of ${budget}`);
-    if (fromServers > budget + records.perTurn)
-      breaches.push(`servers made ${fromServers} tokens for program ${program} of ${budget}`);
+    const receivedTotal = received.get(program) ?? 0;
+    const generatedTotal = generated.get(program) ?? 0;
+    if (receivedTotal > budget + records.perTurn)
+      breaches.push(
+        `callers received ${receivedTotal} tokens of program ${program}, whose budget is ${budget}`,
+      );
+    if (generatedTotal > budget + records.perTurn)
+      breaches.push(
+        `servers generated ${generatedTotal} tokens for program ${program}, whose budget is ${budget}`,
+      );
   }
   const checked = [...granted].filter(
     ([program, budget]) => (generated.get(program) ?? 0) > budget / 2,
@@ -61,7 +65,7 @@
   return { rule: 'no program hands out more than its budget and one turn', checked, breaches };
 };
 
-/** One reply that reads a program or turn: missing is false while it was seen lately. */
+/** A program or turn that a request read, and the error codes that would report it as missing. */
 interface HistoryRead {
   readonly id: string;
   readonly missingCodes: readonly string[];
@@ -84,35 +88,35 @@
   const ofPrevious = {
     id: `${program} ${after}`,
     missingCodes: ['missing', 'missing-turn'],
-    subject: `turn ${program} ${after}, followed by another,`,
+    subject: `turn ${program} ${after}, which precedes the new turn,`,
   };
   return [ofProgram, ofPrevious];
 };
 
-/** When programs and turns were last known to be there, by the replies so far. */
-class HistoryTimes {
+/** Times (ms) at which programs and turns were last known to exist, by the replies added so far. */
+class LastSeenTimes {
   private readonly times = new Map<string, number>();
 
   timeOf(id: string): number | undefined {
     return this.times.get(id);
   }
 
-  /** Takes in a reply: a program lives on with each of its turns, a turn from its own end. */
+  /** Adds a reply: each turn renews the retention of its program; that of a turn starts once, at its first end. */
   add(reply: ReplyRecord): void {
     if (reply.reported !== 'done') return;
-    if (reply.kind === 'program' || reply.kind === 'turn') this.raise(reply.program, reply.to);
+    if (reply.kind === 'program' || reply.kind === 'turn') this.advance(reply.program, reply.to);
     const turnId = `${reply.program} ${reply.turn}`;
-    if (reply.kind === 'turn' && !this.times.has(turnId)) this.raise(turnId, reply.to);
+    if (reply.kind === 'turn' && !this.times.has(turnId)) this.advance(turnId, reply.to);
   }
 
-  private raise(id: string, at: number): void {
+  private advance(id: string, at: number): void {
     this.times.set(id, Math.max(this.times.get(id) ?? -Infinity, at));
   }
 }
 
-/** What ended is found, for as long as history has to last. */
+/** Checks that programs and turns are not reported missing within `historyMs` of when they were last known to exist. */
 export const historyIsRetained = (records: Records, tolerances: Tolerances): RuleResult => {
-  const times = new HistoryTimes();
+  const times = new LastSeenTimes();
   const breaches: string[] = [];
   let checked = 0;
   for (const reply of [...records.reported].sort((a, b) => a.to - b.to)) {
@@ -121,7 +125,9 @@
       if (at === undefined || reply.from < at || reply.to - at > tolerances.historyMs) continue;
       checked++;
       if (missingCodes.includes(reply.errorCode))
-        breaches.push(`${subject} was reported missing ${reply.to - at} ms after it ended`);
+        breaches.push(
+          `${subject} was reported missing ${reply.to - at} ms after it was last known to exist`,
+        );
     }
     times.add(reply);
   }
--- a/packages/checker/src/records.ts
+++ b/packages/checker/src/records.ts
@@ -1,31 +1,33 @@
-/** What the checker reads: records of callers, of servers and of operators, as plain data. */
+/** Input of the checker: records written by callers, servers and operators, as plain data. */
 import type { ConfigCall } from './config-history.js';
 
-/** A reply of the turn, program, history or call interface as its caller knows it. Times are ms of the caller's clock. */
+/** A request to the program, turn, history or call interface and its outcome as seen by the caller; times are in ms. */
 export interface ReplyRecord {
   readonly kind: 'program' | 'turn' | 'fetch' | 'call';
   readonly tenant: string;
   readonly program: string;
   readonly key: string;
-  /** The request's id; a retry has another one. */
+  /** Request id; each retry has a new one. */
   readonly attempt: string;
   readonly turn: string;
-  /** The turn before it in the conversation; empty at the first. */
+  /** Id of the previous turn of the conversation; empty for the first turn. */
   readonly after: string;
+  /** Time at which the request was sent, by the caller's clock. */
   readonly from: number;
+  /** Time at which the reply or the failure was complete, by the caller's clock. */
   readonly to: number;
   readonly reported: 'done' | 'refused' | 'unknown' | 'partial';
   readonly errorCode: string;
   readonly chunks: readonly number[];
   readonly text: string;
   readonly tokens: number;
-  /** What was sent: the prompt of a turn, the budget of a program, the body of a call. */
+  /** Content of the request: the prompt of a turn, the budget of a program, the body of a call. */
   readonly sent: string;
-  /** In seconds; 0 where the reply gave none. */
+  /** Value of `Retry-After` in seconds; 0 if the reply had none. */
   readonly retryAfter: number;
 }
 
-/** A request on a pass route as its caller knows it; `body` and `input` hold one byte a character. */
+/** A request on a pass route as seen by its caller; times are in ms, each character of `body` and `input` is a byte. */
 export interface PassRecord {
   readonly manner: 'repeatable' | 'once' | 'keyed' | 'stream';
   readonly path: string;
@@ -34,7 +36,7 @@
   readonly attempt: string;
   readonly program: string;
   readonly budget: number | null;
-  /** The most tokens that this turn may make. */
+  /** Maximum number of tokens that this turn may generate. */
   readonly most: number;
   readonly after: string;
   readonly input: string;
@@ -47,7 +49,7 @@
   readonly body: string;
 }
 
-/** What a server really executed, by its own record; the truth that replies are checked against. Times are in ms. */
+/** One execution from the log of the server that ran it; replies are checked against these. Times are in ms. */
 export interface ExecutionRecord {
   readonly kind: 'generate' | 'act' | 'pass';
   readonly server: string;
@@ -56,15 +58,16 @@
   readonly attempt: string;
   readonly program: string;
   readonly began: number;
+  /** Time at which the execution ended. */
   readonly at: number;
-  /** What the server was given: the end of a prompt, the path of a call, the body of a pass. */
+  /** Input that the server received: the end of a prompt, the path of a call, the body of a pass. */
   readonly said: string;
   readonly reply: string;
   readonly complete: boolean;
   readonly tokens: number;
 }
 
-/** A configuration that was submitted, and what its operator was answered. Times are in ms. */
+/** A configuration that an operator submitted, and the reported outcome. Times are in ms. */
 export interface ConfigRecord {
   readonly version: number;
   readonly text: string;
@@ -75,24 +78,24 @@
   readonly reportedAt: number;
 }
 
-/** A server that was marked draining at a time (ms), and until when. */
+/** A period (ms), from `at` to `until`, during which a server was marked as draining. */
 export interface DrainingRecord {
   readonly server: string;
   readonly at: number;
   readonly until: number;
 }
 
-/** A span of time (ms) in which work of one kind had to be split by shares, to within `rounding` requests. */
+/** A period (ms) during which work of one kind had to be split by shares, within `rounding` requests per pool. */
 export interface SharesRecord {
   readonly kind: ExecutionRecord['kind'];
   readonly from: number;
   readonly to: number;
-  /** Pool and share. */
+  /** Pairs of a pool and its share; the shares need not add up to 1. */
   readonly shares: readonly (readonly [string, number])[];
   readonly rounding: number;
 }
 
-/** A full stop and start of all machines, with the configuration version before and after. Times are in ms. */
+/** A stop and restart of all machines, with the configuration version before and after it. Times are in ms. */
 export interface RestartRecord {
   readonly stoppedAt: number;
   readonly startedAt: number;
@@ -101,7 +104,7 @@
   readonly configAfter: number;
 }
 
-/** All that one run recorded. */
+/** All records of one run. */
 export interface Records {
   readonly reported: readonly ReplyRecord[];
   readonly executed: readonly ExecutionRecord[];
@@ -111,12 +114,13 @@
   readonly drainings: readonly DrainingRecord[];
   readonly shares: readonly SharesRecord[];
   readonly restarts: readonly RestartRecord[];
+  /** The configuration read back at the end of the run; undefined if none could be read. */
   readonly readBack: { readonly version: number; readonly text: string } | undefined;
-  /** The most tokens that one turn may make. */
+  /** Maximum number of tokens that one turn may generate. */
   readonly perTurn: number;
 }
 
-/** The records of a run in which nothing happened; a base to add to. */
+/** Records of a run without any requests; callers spread it and override the fields they have. */
 export const emptyRecords: Records = {
   reported: [],
   executed: [],
--- a/packages/checker/src/reply-rules.ts
+++ b/packages/checker/src/reply-rules.ts
@@ -1,9 +1,9 @@
-/** Rules on what callers of turns and calls were answered: refusals did not run, replies and streams are true. */
+/** Rules on replies to turns and calls: refused requests did not run, and replies and streams match an execution. */
 import { executionsByOperation, operationOfReply } from './operation-rules.js';
 import type { ExecutionRecord, Records, ReplyRecord } from './records.js';
 import { groupBy, type RuleResult } from './rule-result.js';
 
-/** Servers record the last characters of a prompt only. */
+/** Number of characters at the end of a prompt that servers record. */
 const recordedPromptLength = 60;
 
 const promptKey = (program: string, prompt: string): string =>
@@ -20,7 +20,7 @@
 const executionsOfTurn = (executions: Executions, turn: ReplyRecord): readonly ExecutionRecord[] =>
   executions.get(promptKey(turn.program, turn.sent)) ?? [];
 
-/** What was refused did not run, so that a caller may send it again. */
+/** Checks that refused requests did not run, so that callers may safely retry them. */
 export const refusedRequestsDidNotRun = (records: Records): RuleResult => {
   const refused = new Set(
     records.reported
@@ -29,7 +29,10 @@
   );
   const breaches = records.executed
     .filter((execution) => refused.has(execution.attempt))
-    .map((execution) => `${execution.kind} of attempt ${execution.attempt} was refused and ran`);
+    .map(
+      (execution) =>
+        `${execution.kind} of attempt ${execution.attempt} was reported refused but ran`,
+    );
   return { rule: 'what was reported refused has not run', checked: refused.size, breaches };
 };
 
@@ -42,7 +45,7 @@
       execution.reply === turn.text,
   );
 
-/** The reply to a call names the server that executed it and the key it was executed under. */
+/** Whether the server and the operation key that the reply to a call contains are those of one of its executions. */
 const callHasExecution = (executions: Executions, call: ReplyRecord): boolean => {
   const [server = '', key = ''] = call.text.split(' ');
   const operation = operationOfReply(call);
@@ -59,10 +62,10 @@
     if (reply.kind === 'turn')
       return turnHasExecution(byPrompt, reply)
         ? []
-        : [`turn ${reply.program} ${reply.key} got an answer no server gave it`];
+        : [`turn ${reply.program} ${reply.key} got a reply that no execution produced`];
     return callHasExecution(byOperation, reply)
       ? []
-      : [`call ${operationOfReply(reply)} got an answer no server gave it`];
+      : [`call of operation ${operationOfReply(reply)} got a reply that no execution produced`];
   });
 };
 
@@ -76,10 +79,10 @@
   return done
     .filter((reply) => reply.kind === 'fetch')
     .filter((fetch) => (texts.get(turnIdOf(fetch)) ?? fetch.text) !== fetch.text)
-    .map((fetch) => `turn ${turnIdOf(fetch)} was fetched with another text`);
+    .map((fetch) => `turn ${turnIdOf(fetch)} was fetched with a text other than its reply`);
 };
 
-/** Every reply is one that a server gave to this very request, and history returns the same text. */
+/** Checks that every reply was produced by an execution of its own request, and that history returns the same text. */
 export const repliesMatchExecutions = (records: Records): RuleResult => {
   const done = records.reported.filter(
     (reply) =>
@@ -90,7 +93,7 @@
   return { rule: 'no foreign, cut or invented answer', checked: done.length, breaches };
 };
 
-/** The chunks of a stream are numbered without a gap and come from one execution. */
+/** Checks that the chunks of a stream are numbered without a gap and come from a single execution. */
 export const streamsAreContiguous = (records: Records): RuleResult => {
   const turns = records.reported.filter(
     (reply) => reply.kind === 'turn' && reply.chunks.length > 0,
@@ -98,12 +101,14 @@
   const executions = turnExecutions(records);
   const breaches: string[] = [];
   for (const turn of turns) {
-    if (turn.chunks.some((number, i) => number !== i))
-      breaches.push(`turn ${turn.program} ${turn.key} has chunks ${turn.chunks.join(',')}`);
+    if (turn.chunks.some((chunk, i) => chunk !== i))
+      breaches.push(`turn ${turn.program} ${turn.key} got chunks ${turn.chunks.join(',')}`);
     if (
       !executionsOfTurn(executions, turn).some((execution) => execution.reply.startsWith(turn.text))
     )
-      breaches.push(`turn ${turn.program} ${turn.key} is stitched`);
+      breaches.push(
+        `turn ${turn.program} ${turn.key} got a stream that matches no single execution`,
+      );
   }
   return { rule: 'no stream skips, repeats or stitches', checked: turns.length, breaches };
 };
--- a/packages/checker/src/rule-result.ts
+++ b/packages/checker/src/rule-result.ts
@@ -1,29 +1,29 @@
-/** What a rule of the checker returns, and how much the rules tolerate. */
+/** The result of a checker rule, and the time limits that the rules apply. */
 
-/** What came of checking one rule against the records of a run. */
+/** The result of checking one rule against the records of a run. */
 export interface RuleResult {
   readonly rule: string;
-  /** How many records could have broken the rule; a rule that checked none is unproven by the run. */
+  /** Number of records that could have breached the rule; a run with 0 gives no evidence for the rule. */
   readonly checked: number;
-  /** One sentence for each breach. */
+  /** One sentence per breach. */
   readonly breaches: readonly string[];
 }
 
-/** Bounds of the never-list, in ms, with what the clocks and the network of a test may add. */
+/** Limits of `docs/never-list.md` in ms, with an allowance for clock differences and network delay in tests. */
 export interface Tolerances {
-  /** A draining server gets nothing new after this time. */
+  /** Time after which a draining server must get no new work. */
   readonly drainingMs: number;
-  /** An acknowledged configuration is in force after this time. */
+  /** Time after its acknowledgment at which a configuration must be in force. */
   readonly inForceMs: number;
-  /** After a full stop, serving is back within this time. */
+  /** Maximum time from the restart of all machines until requests are served again. */
   readonly serveMs: number;
-  /** Finished history is found for at least this time. */
+  /** Minimum time for which finished turns and programs must be found in history. */
   readonly historyMs: number;
-  /** Two attempts with one operation key do not both run within this time. */
+  /** Period within which at most one attempt with the same operation key may run. */
   readonly keyMs: number;
 }
 
-/** The bounds that the users' pages give, with a little added for what a test cannot measure exactly. */
+/** The limits stated in the user documentation, some with an allowance for what a test cannot measure exactly. */
 export const defaultTolerances: Tolerances = {
   drainingMs: 3300,
   inForceMs: 2200,
@@ -32,7 +32,7 @@
   keyMs: 60000,
 };
 
-/** The rows of each key, in the order in which they came. */
+/** Groups rows by key; each group keeps the order of its rows. */
 export const groupBy = <Row>(
   rows: readonly Row[],
   keyOf: (row: Row) => string,
