--- a/packages/stand-ins/src/caller-record.ts
+++ b/packages/stand-ins/src/caller-record.ts
@@ -1,24 +1,24 @@
-/** What a caller knows of its requests, and how it reads refusals, lost connections and broken streams. */
+/** Records of requests as seen by their caller, and the mapping of error replies and connection errors to outcomes. */
 import type { ReplyRecord } from '@tillerstair/checker';
 import { ErrorBody } from './messages.js';
 
-/** A reply with what only a caller over HTTP knows of it; times are in ms. */
+/** The record of one HTTP request: the checker's record, and fields that only an HTTP caller has. Times are in ms. */
 export interface CallerRecord extends ReplyRecord {
-  /** The front that was asked. */
+  /** HOST:PORT of the front that received the request. */
   readonly front: string;
-  /** The HTTP status; 0 where no reply came. */
+  /** HTTP status; 0 if no reply was received. */
   readonly status: number;
-  /** From the request to the first chunk; 0 where none came. */
+  /** Time from the request to the first chunk; 0 if none was received. */
   readonly firstMs: number;
 }
 
-/** What a caller reports of a request that was not done. */
+/** The outcome of a request that did not complete, as its caller records it. */
 export type Failure = Pick<CallerRecord, 'status' | 'reported' | 'errorCode'>;
 
-/** The error code of a stream that broke off without an end. */
+/** Error code recorded for a stream that was cut off without an end line. */
 export const brokenStreamCode = 'cut';
 
-/** A record's values where nothing is known. */
+/** Default values for the fields of a record that a request does not set. */
 export const recordDefaults = {
   program: '',
   key: '',
@@ -34,7 +34,7 @@
   retryAfter: 0,
 } as const satisfies Partial<CallerRecord>;
 
-/** Reads the body of an error; one that does not say that nothing ran leaves the outcome unknown. */
+/** Maps an error reply to an outcome: `refused` if its body says that nothing was executed, otherwise `unknown`. */
 export const failureOfReply = (status: number, body: unknown): Failure => {
   const refusal = ErrorBody.safeParse(body);
   if (!refusal.success)
@@ -47,7 +47,7 @@
   };
 };
 
-/** Reads an error of the connection; only a refused connection is sure not to have run anything. */
+/** Maps a connection error to an outcome: only ECONNREFUSED guarantees that nothing ran, any other is `unknown`. */
 export const failureOfConnection = (error: unknown): Failure => {
   const code =
     error !== null && typeof error === 'object' && 'code' in error ? String(error.code) : '';
--- a/packages/stand-ins/src/caller.ts
+++ b/packages/stand-ins/src/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller of the fronts over HTTP. Each of its requests ends in exactly one record, which says what the caller knows:
- * done, refused (nothing ran), partial, or unknown.
+ * An HTTP client of the fronts. Each request produces exactly one record with the outcome as the caller knows it: done,
+ * refused (nothing ran), partial, or unknown.
  */
 import { randomUUID } from 'node:crypto';
 import { Agent, request, type Dispatcher } from 'undici';
@@ -14,12 +14,14 @@
 import { CallResult, CreatedProgram, FetchedTurn } from './messages.js';
 import { TurnStream } from './turn-stream.js';
 
-/** A turn to send. */
+/** The content of a turn request. */
 export interface TurnRequest {
   readonly program: string;
-  /** The turn that it follows; null at the first. */
+  /** Id of the previous turn of the conversation; null for the first turn. */
   readonly after: string | null;
+  /** Prompt of the turn. */
   readonly words: string;
+  /** Operation key. */
   readonly key: string;
   readonly maxTokens?: number;
 }
@@ -30,14 +32,14 @@
 }
 
 type RecordBase = Pick<CallerRecord, 'kind' | 'front' | 'from'> & Partial<CallerRecord>;
-type RecordEnd = Pick<CallerRecord, 'status' | 'reported'> & Partial<CallerRecord>;
+type RecordOutcome = Pick<CallerRecord, 'status' | 'reported'> & Partial<CallerRecord>;
 
 const defaultTimeoutMs = 20000;
 
 const retryAfterOf = (response: Dispatcher.ResponseData): number =>
   Number(response.headers['retry-after'] ?? 0);
 
-/** A caller of one tenant; all callers of a process share their connections. */
+/** A client that sends requests for one tenant; all instances in a process share one connection pool. */
 export class Caller {
   private static readonly agent = new Agent({
     connections: 256,
@@ -45,19 +47,19 @@
     connect: { timeout: 1000 },
   });
 
-  /** Every record goes to `onRecord`; `timeoutMs` bounds the head of a reply and each pause in its body. */
+  /** `onRecord` gets every record; `timeoutMs` limits the wait for the headers and between two parts of the body. */
   constructor(
     readonly tenant: string,
     private readonly onRecord: (record: CallerRecord) => void,
     private readonly timeoutMs = defaultTimeoutMs,
   ) {}
 
-  /** Closes the connections of all callers. */
+  /** Closes the shared connections; no instance can send requests afterwards. */
   static close(): Promise<void> {
     return Caller.agent.destroy();
   }
 
-  /** Creates a program with a budget, or, with a parent, a sub-agent that shares the parent's. */
+  /** Creates a program with a budget in tokens or, given a `parent`, a sub-agent that shares the parent's budget. */
   async program(front: string, budget: number, parent?: string): Promise<CallerRecord> {
     const base: RecordBase = { kind: 'program', front, from: Date.now(), sent: String(budget) };
     return this.recorded(base, async () => {
@@ -71,7 +73,7 @@
     });
   }
 
-  /** Sends a turn and reads its stream. */
+  /** Sends a turn and reads its stream; a stream that fails after its first chunk is recorded as partial. */
   async turn(front: string, turn: TurnRequest): Promise<CallerRecord> {
     const { program, after, words, key, maxTokens } = turn;
     const from = Date.now();
@@ -105,7 +107,7 @@
     });
   }
 
-  /** Reads a turn back from history. */
+  /** Fetches a turn from history. */
   async fetch(front: string, program: string, turn: string): Promise<CallerRecord> {
     const base: RecordBase = { kind: 'fetch', front, from: Date.now(), program, turn };
     return this.recorded(base, async () => {
@@ -123,7 +125,7 @@
     });
   }
 
-  /** Sends a keyed call. */
+  /** Sends a call with an operation key. */
   async call(front: string, path: string, body: unknown, key: string): Promise<CallerRecord> {
     const attempt = randomUUID();
     const base: RecordBase = {
@@ -148,8 +150,11 @@
     });
   }
 
-  /** Runs one request to its end, whatever that is, and records it. */
-  private async recorded(base: RecordBase, send: () => Promise<RecordEnd>): Promise<CallerRecord> {
+  /** Sends one request and records its outcome, also if it failed. */
+  private async recorded(
+    base: RecordBase,
+    send: () => Promise<RecordOutcome>,
+  ): Promise<CallerRecord> {
     const end = await send().catch(failureOfConnection);
     const record: CallerRecord = {
       ...recordDefaults,
--- a/packages/stand-ins/src/execution-log.ts
+++ b/packages/stand-ins/src/execution-log.ts
@@ -1,35 +1,35 @@
-/** What stand-in servers really executed, in memory and, if wanted, in a file. */
+/** Log of the executions of stand-in servers, in memory and optionally in a file. */
 import { appendFileSync } from 'node:fs';
 import type { IncomingMessage } from 'node:http';
 import type { ExecutionRecord } from '@tillerstair/checker';
 
-/** An execution with what only the server knows of it; `cached` and `prompt` are counted in prefix blocks. */
+/** One execution with details that the checker does not need; `cached` and `prompt` are numbers of prompt blocks. */
 export interface LoggedExecution extends ExecutionRecord {
   readonly id: string;
   readonly cached: number;
   readonly prompt: number;
 }
 
-/** The request id that names the attempt; empty where the request has none. */
-export const attemptOf = (request: IncomingMessage): string => {
+/** The `X-Request-Id` of a request, which identifies the attempt; empty if the header is missing. */
+export const attemptIdOf = (request: IncomingMessage): string => {
   const requestId = request.headers['x-request-id'];
   return typeof requestId === 'string' ? requestId : '';
 };
 
-/** The log of one or more servers; rows are never removed. */
+/** An append-only log that one or more servers share. */
 export class ExecutionLog {
   private readonly rows: LoggedExecution[] = [];
 
-  /** With a file name, each row is also appended there as a line of JSON. */
+  /** If `file` is given, each row is also appended to it synchronously as a line of JSON. */
   constructor(private readonly file?: string) {}
 
-  /** Adds one execution, at its end. */
+  /** Appends an execution that has ended. */
   add(row: LoggedExecution): void {
     this.rows.push(row);
     if (this.file !== undefined) appendFileSync(this.file, `${JSON.stringify(row)}\n`);
   }
 
-  /** All rows so far, in the order in which executions ended. */
+  /** Returns all rows, in the order in which the executions ended. */
   all(): readonly LoggedExecution[] {
     return this.rows;
   }
--- a/packages/stand-ins/src/faulty-server.ts
+++ b/packages/stand-ins/src/faulty-server.ts
@@ -1,30 +1,30 @@
-/** What model servers and services have in common: the load page, and faults that are set while they run. */
+/** Base of the model server and the service: a load endpoint, and fault injection at run time. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { z } from 'zod';
 import { readBody, sendJson, serveHttp } from '@tillerstair/wire';
 
-/** Faults of a server; those that are left out stay as they are. */
+/** Faults to inject; a fault that is left out keeps its current value. */
 export const Faults = z.object({
-  /** Reports itself as draining on its load page. */
+  /** Whether `/load` reports the server as draining. */
   draining: z.boolean().optional(),
-  /** Breaks off every n-th reply after a few chunks; 0 for none. */
+  /** Cuts off every n-th reply after its first chunks; 0 disables the fault. */
   cutAfter: z.number().optional(),
-  /** Breaks off every n-th reply just before its end; 0 for none. */
+  /** Closes the connection before the end of every n-th reply; 0 disables the fault. */
   loseEnd: z.number().optional(),
-  /** How many times slower than usual. */
+  /** Factor by which prefill and decoding take longer. */
   slow: z.number().optional(),
 });
-/** See the schema. */
+/** The faults to inject, as parsed from the body of a request to `/faults`. */
 export type Faults = z.infer<typeof Faults>;
 
 const maxFaultsBytes = 4096;
 
-/** An HTTP server with a load page, a page that sets faults, and one page of work that subclasses serve. */
+/** An HTTP server with `/load`, `/faults`, and one path of work that subclasses serve. */
 export abstract class FaultyServer {
   protected faults: Faults = {};
-  /** Requests under way. */
+  /** Number of work requests in flight. */
   protected busy = 0;
-  /** Requests so far. */
+  /** Number of work requests accepted so far. */
   protected requestCount = 0;
   private http: Server | undefined;
 
@@ -33,20 +33,20 @@
     private readonly workPath: string,
   ) {}
 
-  /** Serves one request of work; it counts itself in `busy` and `served`. */
+  /** Serves one work request; implementations update `busy` and `requestCount`. */
   protected abstract serve(request: IncomingMessage, response: ServerResponse): Promise<void>;
 
-  /** Sets the faults that are named, from the next request on. */
+  /** Sets the given faults; requests in flight may see them too. */
   set(faults: Faults): void {
     this.faults = { ...this.faults, ...faults };
   }
 
-  /** Whether a fault that strikes every `every`-th request strikes this one. */
+  /** Whether a fault of every `every`-th request applies to the one with this number; undefined or 0 disables it. */
   protected faultApplies(every: number | undefined, requestNumber: number): boolean {
     return every !== undefined && every > 0 && requestNumber % every === 0;
   }
 
-  /** Resolves once the server listens. */
+  /** Starts the server; resolves once it listens. */
   async start(): Promise<void> {
     this.http = await serveHttp(this.address, async (request, response, url) => {
       switch (url.pathname) {
@@ -73,7 +73,7 @@
     });
   }
 
-  /** Closes all connections, also those with work under way, and resolves once the port is free. */
+  /** Closes all connections, including those with requests in flight; resolves once the port is free. */
   async stop(): Promise<void> {
     const { http } = this;
     if (!http) return;
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Model servers, services and callers that stand in for real ones, with faults on demand and true records. */
+/** Test doubles of model servers, services and callers, with fault injection and a log of what they did. */
 export * from './faulty-server.js';
 export * from './model-server.js';
 export * from './service-server.js';
--- a/packages/stand-ins/src/main-model.ts
+++ b/packages/stand-ins/src/main-model.ts
@@ -1,16 +1,18 @@
 #!/usr/bin/env node
-/** Starts one stand-in model server as a process of its own. */
+/** Command line that runs one stand-in model server in this process. */
 import cac from 'cac';
 import { ExecutionLog } from './execution-log.js';
 import { ModelServer } from './model-server.js';
 
 const cli = cac('stand-in-model');
-cli.option('--addr <addr>', 'IP:PORT to serve at');
-cli.option('--id <id>', 'Name in the ledger', { default: 'model' });
-cli.option('--pool <pool>', 'Pool in the ledger', { default: 'models' });
-cli.option('--msPerToken <ms>', 'Decode pace', { default: 5 });
-cli.option('--prefillMsPerKb <ms>', 'Prefill pace', { default: 20 });
-cli.option('--ledger <file>', 'Where to write what really ran');
+cli.option('--addr <addr>', 'IP:PORT to listen on');
+cli.option('--id <id>', 'Server name in the execution log', { default: 'model' });
+cli.option('--pool <pool>', 'Pool name in the execution log', { default: 'models' });
+cli.option('--msPerToken <ms>', 'Decode time per token in ms', { default: 5 });
+cli.option('--prefillMsPerKb <ms>', 'Prefill time per uncached KiB of the prompt in ms', {
+  default: 20,
+});
+cli.option('--ledger <file>', 'File to append the execution log to');
 cli.help();
 const { options } = cli.parse();
 const addr: unknown = options['addr'];
@@ -30,6 +32,6 @@
     new ExecutionLog(typeof file === 'string' ? file : undefined),
   ).start();
 } else if (!options['help']) {
-  process.stderr.write('stand-in-model: --addr: must be given\n');
+  process.stderr.write('stand-in-model: missing required option --addr\n');
   process.exit(2);
 }
--- a/packages/stand-ins/src/main-service.ts
+++ b/packages/stand-ins/src/main-service.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
-/** Starts one stand-in service as a process of its own. */
+/** Command line that runs one stand-in service in this process. */
 import cac from 'cac';
 import { ExecutionLog } from './execution-log.js';
 import { ServiceServer } from './service-server.js';
 
 const cli = cac('stand-in-service');
-cli.option('--addr <addr>', 'IP:PORT to serve at');
-cli.option('--id <id>', 'Name in the ledger', { default: 'service' });
-cli.option('--pool <pool>', 'Pool in the ledger', { default: 'services' });
-cli.option('--ledger <file>', 'Where to write what really ran');
+cli.option('--addr <addr>', 'IP:PORT to listen on');
+cli.option('--id <id>', 'Server name in the execution log', { default: 'service' });
+cli.option('--pool <pool>', 'Pool name in the execution log', { default: 'services' });
+cli.option('--ledger <file>', 'File to append the execution log to');
 cli.help();
 const { options } = cli.parse();
 const addr: unknown = options['addr'];
@@ -26,6 +26,6 @@
     new ExecutionLog(typeof file === 'string' ? file : undefined),
   ).start();
 } else if (!options['help']) {
-  process.stderr.write('stand-in-service: --addr: must be given\n');
+  process.stderr.write('stand-in-service: missing required option --addr\n');
   process.exit(2);
 }
--- a/packages/stand-ins/src/model-server.ts
+++ b/packages/stand-ins/src/model-server.ts
@@ -1,22 +1,25 @@
-/** A model server that streams made-up replies at a set pace, with a prefix cache and faults. */
+/** Stand-in model server: streams generated replies at a configured rate, with a prefix cache and fault injection. */
 import { createHash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
 import { hostClock, delay, readBody, sendJson } from '@tillerstair/wire';
-import { attemptOf, type ExecutionLog } from './execution-log.js';
+import { attemptIdOf, type ExecutionLog } from './execution-log.js';
 import { FaultyServer } from './faulty-server.js';
 import { blockLength, blocksOf, PromptCache, type PromptMessage } from './prompt-cache.js';
 
-/** How a model server is set up. */
+/** Options of a stand-in model server. */
 export interface ModelServerOptions {
   readonly id: string;
   readonly pool: string;
-  /** IP:PORT to listen at. */
+  /** IP:PORT to listen on. */
   readonly addr: string;
+  /** Prefill time in ms per 1024 characters of the prompt that are not cached. */
   readonly prefillMsPerKb: number;
+  /** Decode time per token in ms. */
   readonly msPerToken: number;
-  /** Requests that it serves at full pace; it refuses at four times that number. */
+  /** Requests in flight above which decoding slows down; at four times that number, requests are refused with 503. */
   readonly slots: number;
+  /** Capacity of the prefix cache, in units of 1024 characters. */
   readonly cacheKb: number;
 }
 
@@ -28,44 +31,47 @@
 type GenerateRequest = z.infer<typeof GenerateRequest>;
 
 const maxRequestBytes = 16 << 20;
-const refusesAtSlots = 4;
-/** A reply that is broken off early has this many tokens. */
+const maxInFlightPerSlot = 4;
+/** Number of tokens sent before the `cutAfter` fault cuts off a reply. */
 const tokensBeforeCut = 3;
 const recordedPromptLength = 60;
-const shortestReply = 8;
-const replyLengths = 24;
+const minReplyTokens = 8;
+const replyTokenRange = 24;
 
-/** The tokens of the reply to a conversation, the same at each server; at least one and at most `maxTokens`. */
-const replyTo = (messages: readonly PromptMessage[], maxTokens: number): readonly string[] => {
+/** The tokens of the reply to a conversation, identical on every server; at least one and at most `maxTokens`. */
+const generateReply = (
+  messages: readonly PromptMessage[],
+  maxTokens: number,
+): readonly string[] => {
   const digest = createHash('sha256').update(JSON.stringify(messages)).digest();
-  const length = shortestReply + (digest.readUInt8(0) % replyLengths);
+  const length = minReplyTokens + (digest.readUInt8(0) % replyTokenRange);
   return Array.from(
     { length: Math.max(1, Math.min(maxTokens, length)) },
     (_, i) => `w${digest.readUInt8(i % digest.length).toString(36)}${i} `,
   );
 };
 
-/** What has been sent of a reply so far. */
+/** The part of a reply that has been sent so far. */
 interface Progress {
   tokens: number;
   reply: string;
-  /** All tokens were made; the end may still have been lost on its way. */
+  /** Whether all tokens were sent; the end line may still have been lost. */
   complete: boolean;
 }
 
-/** One generation under way. */
+/** One generation in progress. */
 interface Generation {
   readonly request: GenerateRequest;
   readonly response: ServerResponse;
   /** Aborted when the client closes the connection. */
   readonly closed: AbortSignal;
-  /** How many requests this server had with this one. */
-  readonly number: number;
-  /** Blocks of the prompt that are not in the cache. */
+  /** Number of this request, counted from 1 over all requests that the server accepted. */
+  readonly requestNumber: number;
+  /** Number of blocks of the prompt that were not in the cache. */
   readonly uncachedBlocks: number;
 }
 
-/** A model server on a port of its own. */
+/** A stand-in model server that listens on its own port. */
 export class ModelServer extends FaultyServer {
   private readonly cache: PromptCache;
 
@@ -79,7 +85,7 @@
 
   protected async serve(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
     const request = GenerateRequest.parse(JSON.parse(await readBody(incoming, maxRequestBytes)));
-    if (this.busy >= this.options.slots * refusesAtSlots) {
+    if (this.busy >= this.options.slots * maxInFlightPerSlot) {
       sendJson(response, 503, { executed: 'no' });
       return;
     }
@@ -96,7 +102,7 @@
         request,
         response,
         closed: closed.signal,
-        number: this.requestCount,
+        requestNumber: this.requestCount,
         uncachedBlocks: blocks.length - cached,
       };
       await this.generate(generation, progress);
@@ -108,7 +114,7 @@
         pool: this.options.pool,
         id: request.id,
         key: '',
-        attempt: attemptOf(incoming),
+        attempt: attemptIdOf(incoming),
         program: request.id.split('/')[0] ?? '',
         began,
         at: Date.now(),
@@ -123,25 +129,28 @@
   }
 
   private async generate(generation: Generation, progress: Progress): Promise<void> {
-    const { request, response, closed, number } = generation;
-    const slowness = this.faults.slow ?? 1;
-    const crowding = Math.max(1, this.busy / this.options.slots);
+    const { request, response, closed, requestNumber } = generation;
+    const slowdown = this.faults.slow ?? 1;
+    const loadFactor = Math.max(1, this.busy / this.options.slots);
     const uncachedKb = (generation.uncachedBlocks * blockLength) / 1024;
-    await delay(hostClock, uncachedKb * this.options.prefillMsPerKb * slowness, closed);
+    await delay(hostClock, uncachedKb * this.options.prefillMsPerKb * slowdown, closed);
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
-    for (const text of replyTo(request.messages, request.maxTokens)) {
+    for (const text of generateReply(request.messages, request.maxTokens)) {
       if (closed.aborted) return;
-      if (progress.tokens >= tokensBeforeCut && this.faultApplies(this.faults.cutAfter, number)) {
+      if (
+        progress.tokens >= tokensBeforeCut &&
+        this.faultApplies(this.faults.cutAfter, requestNumber)
+      ) {
         response.destroy();
         return;
       }
       response.write(`${JSON.stringify({ id: request.id, n: progress.tokens, text })}\n`);
       progress.tokens++;
       progress.reply += text;
-      await delay(hostClock, this.options.msPerToken * slowness * crowding, closed);
+      await delay(hostClock, this.options.msPerToken * slowdown * loadFactor, closed);
     }
     progress.complete = true;
-    if (this.faultApplies(this.faults.loseEnd, number)) response.destroy();
+    if (this.faultApplies(this.faults.loseEnd, requestNumber)) response.destroy();
     else
       response.end(`${JSON.stringify({ id: request.id, end: true, chunks: progress.tokens })}\n`);
   }
--- a/packages/stand-ins/src/pass-server.ts
+++ b/packages/stand-ins/src/pass-server.ts
@@ -1,20 +1,21 @@
-/** A server of pass routes: streams of events, and bodies in one piece, at a set pace and with true records. */
+/** Stand-in server of pass routes: sends event streams or whole bodies at a configured rate and logs its executions. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { hostClock, delay, readBytes, sendJson, serveHttp } from '@tillerstair/wire';
-import { attemptOf, type ExecutionLog } from './execution-log.js';
+import { attemptIdOf, type ExecutionLog } from './execution-log.js';
 
-/** How a pass server is set up. */
+/** Options of a pass server. */
 export interface PassServerOptions {
   readonly id: string;
   readonly pool: string;
-  /** IP:PORT to listen at. */
+  /** IP:PORT to listen on. */
   readonly addr: string;
-  /** How long a body in one piece takes, in ms. */
+  /** Delay before a body that is not streamed is sent, in ms. */
   readonly bodyMs: number;
-  /** Between two events of a stream, in ms. */
+  /** Interval between two events of a stream, in ms. */
   readonly eventMs: number;
-  /** The fewest events of a stream, and how many more it may have. */
+  /** Minimum number of events of a stream. */
   readonly fewestEvents: number;
+  /** Maximum number of events of a stream beyond `fewestEvents`. */
   readonly eventRange: number;
 }
 
@@ -25,19 +26,19 @@
   return typeof value === 'string' ? value : '';
 };
 
-/** A server whose answers carry its name and a number that no other answer has. */
+/** A server whose replies contain its id and the request number, so that each reply is unique. */
 export class PassServer {
   private http: Server | undefined;
   private busy = 0;
-  private served = 0;
+  private requestCount = 0;
 
-  /** Executions are logged with times of the steady clock. */
+  /** Executions are logged with times of the monotonic clock, in ms. */
   constructor(
     readonly options: PassServerOptions,
     private readonly log: ExecutionLog,
   ) {}
 
-  /** Resolves once the server listens. */
+  /** Starts the server; resolves once it listens. */
   async start(): Promise<void> {
     this.http = await serveHttp(this.options.addr, async (request, response, url) => {
       if (url.pathname === '/load') sendJson(response, 200, { busy: this.busy, draining: false });
@@ -45,7 +46,7 @@
     });
   }
 
-  /** Closes all connections, also those with work under way. */
+  /** Closes all connections, including those with requests in flight, without waiting for the port to be free. */
   stop(): void {
     this.http?.closeAllConnections();
     this.http?.close();
@@ -54,16 +55,16 @@
   private async execute(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const said = (await readBytes(request, maxRequestBytes)).toString('latin1');
     const began = hostClock.now();
-    const number = ++this.served;
-    const attempt = attemptOf(request);
+    const requestNumber = ++this.requestCount;
+    const attempt = attemptIdOf(request);
     const isStream = headerOf(request, 'x-tokens') !== '';
     response.setHeader('X-Request-Id', attempt);
     this.busy++;
     let reply = '';
     try {
       reply = isStream
-        ? await this.streamEvents(response, number)
-        : await this.sendBody(response, number);
+        ? await this.streamEvents(response, requestNumber)
+        : await this.sendBody(response, requestNumber);
     } finally {
       this.busy--;
       const { id, pool } = this.options;
@@ -87,14 +88,14 @@
     }
   }
 
-  private async streamEvents(response: ServerResponse, number: number): Promise<string> {
+  private async streamEvents(response: ServerResponse, requestNumber: number): Promise<string> {
     const { id, eventMs, fewestEvents, eventRange } = this.options;
     response.setHeader('Content-Type', 'text/event-stream');
-    const events = fewestEvents + (number % (eventRange + 1));
+    const eventCount = fewestEvents + (requestNumber % (eventRange + 1));
     let reply = '';
-    for (let n = 0; n < events && !response.destroyed; n++) {
+    for (let eventId = 0; eventId < eventCount && !response.destroyed; eventId++) {
       await delay(hostClock, eventMs);
-      const event = `id: ${n}\ndata: ${id}.${number}.${n}\n\n`;
+      const event = `id: ${eventId}\ndata: ${id}.${requestNumber}.${eventId}\n\n`;
       response.write(event);
       reply += event;
     }
@@ -102,10 +103,10 @@
     return reply;
   }
 
-  private async sendBody(response: ServerResponse, number: number): Promise<string> {
+  private async sendBody(response: ServerResponse, requestNumber: number): Promise<string> {
     const { id, bodyMs } = this.options;
     await delay(hostClock, bodyMs);
-    const reply = `${id}.${number}`;
+    const reply = `${id}.${requestNumber}`;
     if (!response.destroyed) response.end(reply);
     return reply;
   }
--- a/packages/stand-ins/src/persistent-connection.ts
+++ b/packages/stand-ins/src/persistent-connection.ts
@@ -1,36 +1,37 @@
-/** A client that keeps one connection open and goes on using it, whatever the answers say, until the other end closes it. */
+/** A client that reuses one connection, whatever the responses say, until the peer closes it. */
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
 import { hostClock } from '@tillerstair/wire';
 
-/** A request to send on a kept connection. */
+/** A POST request to send on a persistent connection. */
 export interface ConnectionRequest {
   readonly path: string;
-  /** Lines of the head, without the request line and the length. */
+  /** Header lines, except the request line and `Content-Length`. */
   readonly headers: readonly string[];
+  /** Each character is one byte. */
   readonly body: string;
 }
 
-/** How one request on a kept connection ended. Times are in ms of the steady clock. */
+/** The outcome of one request on a persistent connection; times are in ms of the monotonic clock. */
 export interface ConnectionResponse {
-  /** When its last byte was written. */
+  /** Time at which the request was written to the socket. */
   readonly sentAt: number;
-  /** The status of its answer; 0 where not even the head came. */
+  /** HTTP status; 0 if no status line was received. */
   readonly status: number;
-  /** Whether all of the answer came. */
+  /** Whether the whole response was received. */
   readonly complete: boolean;
-  /** The bytes of the body that came, one a character. */
+  /** The part of the body that was received; each character is one byte. */
   readonly body: string;
-  /** The value of `Retry-After` in seconds; 0 where there is none. */
+  /** Value of `Retry-After` in seconds; 0 if the header is missing. */
   readonly retryAfter: number;
-  /** When the answer or the connection ended. */
+  /** Time at which the response was complete or the connection closed. */
   readonly endedAt: number;
 }
 
-const headEnd = '\r\n\r\n';
-const chunkHead = /^([0-9a-f]+)\r\n/i;
+const headerTerminator = '\r\n\r\n';
+const chunkSizeLine = /^([0-9a-f]+)\r\n/i;
 
-/** What has been received of a body, and whether that is all of it. */
+/** The part of a response body that was received, and whether it is complete. */
 interface ReceivedBody {
   readonly body: string;
   readonly complete: boolean;
@@ -38,22 +39,22 @@
 
 const decodeChunks = (text: string): ReceivedBody => {
   let body = '';
-  for (let at = 0; ;) {
-    const head = chunkHead.exec(text.slice(at));
-    if (!head) return { body, complete: false };
-    const size = parseInt(head[1], 16);
-    if (size === 0) return { body, complete: text.slice(at).endsWith(headEnd) };
-    const from = at + head[0].length;
-    body += text.slice(from, from + size);
-    at = from + size + '\r\n'.length;
+  for (let position = 0; ;) {
+    const sizeLine = chunkSizeLine.exec(text.slice(position));
+    if (!sizeLine) return { body, complete: false };
+    const size = parseInt(sizeLine[1], 16);
+    if (size === 0) return { body, complete: text.slice(position).endsWith(headerTerminator) };
+    const start = position + sizeLine[0].length;
+    body += text.slice(start, start + size);
+    position = start + size + '\r\n'.length;
   }
 };
 
-const bodyOf = (text: string): ReceivedBody => {
-  const end = text.indexOf(headEnd);
+const decodeBody = (text: string): ReceivedBody => {
+  const end = text.indexOf(headerTerminator);
   if (end < 0) return { body: '', complete: false };
   const head = text.slice(0, end);
-  const rest = text.slice(end + headEnd.length);
+  const rest = text.slice(end + headerTerminator.length);
   const length = /^content-length: (\d+)$/im.exec(head)?.[1];
   if (length !== undefined) return { body: rest, complete: rest.length >= Number(length) };
   if (/^transfer-encoding: chunked$/im.test(head)) return decodeChunks(rest);
@@ -65,11 +66,11 @@
 const retryAfterOf = (text: string): number =>
   Number(/^retry-after: ([\d.]+)\r$/im.exec(text)?.[1] ?? 0);
 
-/** One connection of a client, on which requests are sent one after the other. */
+/** One connection, on which requests are sent sequentially. */
 export class PersistentConnection {
   private received = '';
   private isClosed = false;
-  /** Called when something came or the connection ended. */
+  /** Called when data was received or the connection closed. */
   private onProgress: () => void = () => undefined;
 
   private constructor(private readonly socket: Socket) {
@@ -85,7 +86,7 @@
     socket.on('end', () => socket.end());
   }
 
-  /** Opens a connection to HOST:PORT; rejects where nobody listens. */
+  /** Opens a connection to HOST:PORT; rejects with the socket's error if it cannot connect. */
   static async open(address: string): Promise<PersistentConnection> {
     const [host = '', port = ''] = address.split(':');
     const socket = connect(Number(port), host);
@@ -93,24 +94,24 @@
     return new PersistentConnection(socket);
   }
 
-  /** Whether the other end has closed it. */
+  /** Whether the connection is closed, by either end. */
   get closed(): boolean {
     return this.isClosed;
   }
 
-  /** Sends a POST; resolves once its answer is complete or the connection has ended. */
+  /** Sends a request; resolves once its response is complete or the connection has closed. */
   async send({ path, headers, body }: ConnectionRequest): Promise<ConnectionResponse> {
     this.received = '';
     const head = [`POST ${path} HTTP/1.1`, ...headers, `Content-Length: ${body.length}`];
     this.socket.write([...head, '', body].join('\r\n'), 'latin1');
     const sentAt = hostClock.now();
-    while (!this.isClosed && !bodyOf(this.received).complete)
+    while (!this.isClosed && !decodeBody(this.received).complete)
       await new Promise<void>((resolve) => {
         this.onProgress = resolve;
       });
     const { received } = this;
     return {
-      ...bodyOf(received),
+      ...decodeBody(received),
       sentAt,
       status: statusOf(received),
       retryAfter: retryAfterOf(received),
@@ -118,7 +119,7 @@
     };
   }
 
-  /** Closes it from this end. */
+  /** Closes the connection from this end. */
   close(): void {
     this.socket.destroy();
   }
--- a/packages/stand-ins/src/prompt-cache.ts
+++ b/packages/stand-ins/src/prompt-cache.ts
@@ -1,4 +1,4 @@
-/** The prefix cache of a stand-in model server: blocks of a prompt, each hashed with all blocks before it. */
+/** Prefix cache of a stand-in model server: each block of a prompt is hashed together with all blocks before it. */
 import { createHash } from 'node:crypto';
 
 /** One message of a conversation. */
@@ -7,13 +7,13 @@
   readonly text: string;
 }
 
-/** Characters in a block. */
+/** Number of characters in a block. */
 export const blockLength = 256;
 
 const hashLength = 12;
 const bytesPerKb = 1024;
 
-/** The hashes of a prompt's blocks; two prompts share a hash where they are alike up to there. */
+/** The hashes of a prompt's blocks; two prompts share a hash only if they are equal up to and including that block. */
 export const blocksOf = (messages: readonly PromptMessage[]): readonly string[] => {
   const blocks: string[] = [];
   let hash = '';
@@ -30,13 +30,13 @@
   return blocks;
 };
 
-/** A least-recently-used cache of blocks. */
+/** A cache of block hashes that evicts the least recently used. */
 export class PromptCache {
   private readonly blocks = new Set<string>();
 
   constructor(private readonly capacityKb: number) {}
 
-  /** Takes in a prompt; returns how many of its blocks, from the first on, were there already. */
+  /** Adds the blocks of a prompt; returns the length of the prefix, in blocks, that was already cached. */
   add(blocks: readonly string[]): number {
     let hits = 0;
     while (hits < blocks.length && this.blocks.has(blocks[hits] ?? '')) hits++;
--- a/packages/stand-ins/src/service-server.ts
+++ b/packages/stand-ins/src/service-server.ts
@@ -1,30 +1,30 @@
-/** A service that executes calls after a pause, with faults; it keeps no operation keys of its own. */
+/** Stand-in service: executes calls after a delay, with fault injection; it does not deduplicate operation keys. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
 import { hostClock, delay, readBody, sendJson } from '@tillerstair/wire';
-import { attemptOf, type ExecutionLog } from './execution-log.js';
+import { attemptIdOf, type ExecutionLog } from './execution-log.js';
 import { FaultyServer } from './faulty-server.js';
 
-/** How a service is set up. */
+/** Options of a stand-in service. */
 export interface ServiceServerOptions {
   readonly id: string;
   readonly pool: string;
-  /** IP:PORT to listen at. */
+  /** IP:PORT to listen on. */
   readonly addr: string;
-  /** The shortest time that a call takes, in ms. */
+  /** Minimum duration of a call, in ms. */
   readonly leastMs: number;
-  /** The longest time that a call takes, in ms. */
+  /** Upper bound of the duration of a call, in ms. */
   readonly mostMs: number;
 }
 
 const ActRequest = z.object({ id: z.string(), path: z.string(), body: z.string() });
 
 const maxRequestBytes = 1 << 20;
-/** Spreads the durations of successive calls over the whole range. */
+/** Coprime to `durationSteps`, so that the durations of successive calls spread over the whole range. */
 const durationStride = 7919;
 const durationSteps = 100;
 
-/** A service on a port of its own. */
+/** A stand-in service that listens on its own port. */
 export class ServiceServer extends FaultyServer {
   constructor(
     readonly options: ServiceServerOptions,
@@ -38,17 +38,17 @@
     const keyHeader = incoming.headers['idempotency-key'];
     const key = typeof keyHeader === 'string' ? keyHeader : undefined;
     this.busy++;
-    const number = ++this.requestCount;
+    const requestNumber = ++this.requestCount;
     const began = Date.now();
     try {
-      await delay(hostClock, this.durationOf(number));
+      await delay(hostClock, this.durationOf(requestNumber));
       this.log.add({
         kind: 'act',
         server: this.options.id,
         pool: this.options.pool,
         id: request.id,
         key: key ?? '',
-        attempt: attemptOf(incoming),
+        attempt: attemptIdOf(incoming),
         program: '',
         began,
         at: Date.now(),
@@ -59,13 +59,13 @@
         reply: '',
         complete: true,
       });
-      if (this.faultApplies(this.faults.loseEnd, number)) {
+      if (this.faultApplies(this.faults.loseEnd, requestNumber)) {
         response.destroy();
         return;
       }
       sendJson(response, 200, {
         id: request.id,
-        result: { did: request.path, key: key ?? null, by: this.options.id, n: number },
+        result: { did: request.path, key: key ?? null, by: this.options.id, n: requestNumber },
       });
     } finally {
       this.busy--;
--- a/packages/stand-ins/src/turn-stream.ts
+++ b/packages/stand-ins/src/turn-stream.ts
@@ -1,29 +1,29 @@
-/** Reads the stream of one turn as it comes, and tells a complete one from one that broke off. */
+/** Reads the stream of one turn as it arrives, and tells a complete stream from one that was cut off. */
 import { pipeline } from 'node:stream';
 import type { Readable } from 'node:stream';
 import split2 from 'split2';
 import { brokenStreamCode, type CallerRecord } from './caller-record.js';
 import { StreamLine } from './messages.js';
 
-/** What a caller has of a turn. */
+/** The part of a caller's record that comes from the stream of a turn. */
 export type TurnReply = Pick<CallerRecord, 'status' | 'reported' | 'chunks' | 'text' | 'firstMs'> &
   Partial<Pick<CallerRecord, 'turn' | 'tokens' | 'errorCode'>>;
 
-/** The stream of one turn; what came before an error stays readable. */
+/** The stream of one turn; the chunks received before an error stay available through `partial`. */
 export class TurnStream {
   private readonly chunks: number[] = [];
   private text = '';
   private firstMs = 0;
 
-  /** Counts the time to the first chunk from `startedAt` (ms). */
+  /** `startedAt` is the time of the request in ms, from which the time to the first chunk is measured. */
   constructor(private readonly startedAt: number) {}
 
-  /** Whether any chunk came. */
+  /** Whether any chunk was received. */
   get hasChunks(): boolean {
     return this.chunks.length > 0;
   }
 
-  /** Reads to the end; throws what the connection throws. */
+  /** Reads to the end of the stream; rejects with the connection's error, or if a line does not match its schema. */
   async read(body: Readable): Promise<TurnReply> {
     const lines = split2();
     pipeline(body, lines, () => undefined);
@@ -39,7 +39,7 @@
     return this.partial(brokenStreamCode);
   }
 
-  /** The reply so far, as one that ended early. */
+  /** The reply as received so far, reported as partial with the given error code. */
   partial(errorCode: string): TurnReply {
     return { ...this.reply('partial'), errorCode };
   }
