--- a/tests/src/checker/checker-records.ts
+++ b/tests/src/checker/checker-records.ts
@@ -1,4 +1,4 @@
-/** Sound records of every kind, of which the tests of the checker make doctored ones. */
+/** Valid records of every kind. The tests of the checker override single fields or records to make them invalid. */
 import {
   emptyRecords,
   type ConfigCall,
@@ -8,7 +8,7 @@
   type ReplyRecord,
 } from '@tillerstair/checker';
 
-export const reported: ReplyRecord = {
+export const callReply: ReplyRecord = {
   kind: 'call',
   tenant: 't',
   program: '',
@@ -27,7 +27,7 @@
   retryAfter: 0,
 };
 
-export const executed: ExecutionRecord = {
+export const callExecution: ExecutionRecord = {
   kind: 'act',
   server: 's1',
   pool: 'shop',
@@ -42,10 +42,10 @@
   tokens: 0,
 };
 
-const said = 'what is in stock? #1'.padEnd(60, ' ');
+const turnPrompt = 'what is in stock? #1'.padEnd(60, ' ');
 
-export const turn: ReplyRecord = {
-  ...reported,
+export const turnReply: ReplyRecord = {
+  ...callReply,
   kind: 'turn',
   program: 'p',
   key: 't1',
@@ -54,22 +54,22 @@
   text: 'a b ',
   chunks: [0, 1],
   tokens: 2,
-  sent: said,
+  sent: turnPrompt,
 };
 
-export const gen: ExecutionRecord = {
-  ...executed,
+export const turnExecution: ExecutionRecord = {
+  ...callExecution,
   kind: 'generate',
   pool: 'models',
   key: '',
   attempt: 'i2',
   program: 'p',
-  said,
+  said: turnPrompt,
   reply: 'a b ',
   tokens: 2,
 };
 
-export const first = {
+export const firstConfig = {
   version: 1,
   text: 'c0',
   turnPools: ['early'],
@@ -79,7 +79,7 @@
   reportedAt: -30000,
 };
 
-export const config = {
+export const secondConfig = {
   version: 2,
   text: 'c1',
   turnPools: ['models'],
@@ -89,8 +89,8 @@
   reportedAt: -10000,
 };
 
-export const program: ReplyRecord = {
-  ...reported,
+export const programReply: ReplyRecord = {
+  ...callReply,
   kind: 'program',
   program: 'p',
   key: '',
@@ -101,8 +101,8 @@
   to: 20,
 };
 
-export const fetched: ReplyRecord = {
-  ...turn,
+export const fetchReply: ReplyRecord = {
+  ...turnReply,
   kind: 'fetch',
   key: '',
   attempt: '',
@@ -111,18 +111,20 @@
   chunks: [],
 };
 
-const refused: ReplyRecord = {
-  ...reported,
+const refusedCallReply: ReplyRecord = {
+  ...callReply,
   key: 'r',
   attempt: 'i9',
   reported: 'refused',
   text: '',
 };
 
-export const away = { server: 's9', at: -10000, until: 1e9 };
+/** Server `s9` is draining from -10 s on. */
+export const draining = { server: 's9', at: -10000, until: 1e9 };
 
-export const late: ExecutionRecord = {
-  ...executed,
+/** Work that `s9` got 3 s after it was marked as draining, within the limit. */
+export const drainingExecution: ExecutionRecord = {
+  ...callExecution,
   server: 's9',
   key: 't/l',
   attempt: 'i7',
@@ -130,8 +132,9 @@
   at: -6990,
 };
 
-export const split = Array.from({ length: 30 }, (_, i): ExecutionRecord => ({
-  ...executed,
+/** 30 calls split 1:2 over the pools `shop` and `more`. */
+export const splitExecutions = Array.from({ length: 30 }, (_, i): ExecutionRecord => ({
+  ...callExecution,
   key: `t/w${i}`,
   attempt: `w${i}`,
   began: 2000 + i,
@@ -139,7 +142,8 @@
   pool: i % 3 === 0 ? 'shop' : 'more',
 }));
 
-export const wide = {
+/** A submitted configuration of unknown outcome that also allows the pool `more`. */
+export const unknownConfig = {
   version: 3,
   text: 'c2',
   turnPools: ['models'],
@@ -149,10 +153,11 @@
   reportedAt: 1100,
 };
 
-export const ev = (...ns: readonly number[]): string =>
-  ns.map((n) => `id: ${n}\ndata: d${n}\n\n`).join('');
+/** The body of an event stream with the given event ids. */
+export const streamBody = (...eventIds: readonly number[]): string =>
+  eventIds.map((id) => `id: ${id}\ndata: d${id}\n\n`).join('');
 
-export const passed: PassRecord = {
+export const keyedPass: PassRecord = {
   manner: 'keyed',
   path: '/keyed/x',
   resumable: false,
@@ -172,8 +177,8 @@
   body: 'out',
 };
 
-export const passExecuted: ExecutionRecord = {
-  ...executed,
+export const keyedExecution: ExecutionRecord = {
+  ...callExecution,
   kind: 'pass',
   key: 'pk',
   attempt: 'a1',
@@ -181,39 +186,39 @@
   reply: 'out',
 };
 
-export const root: PassRecord = {
-  ...passed,
+export const rootTurn: PassRecord = {
+  ...keyedPass,
   manner: 'stream',
   path: '/turn/x',
   key: '',
   attempt: 'a2',
   program: 'pp',
   budget: 6,
-  body: ev(0, 1),
+  body: streamBody(0, 1),
 };
 
-export const next: PassRecord = {
-  ...root,
+export const nextTurn: PassRecord = {
+  ...rootTurn,
   attempt: 'a3',
   after: 'a2',
   input: 'more',
   from: 300,
   to: 400,
-  body: ev(0, 1, 2),
+  body: streamBody(0, 1, 2),
 };
 
-export const live: PassRecord = {
-  ...root,
+export const resumable: PassRecord = {
+  ...rootTurn,
   path: '/live/x',
   resumable: true,
   attempt: 'a4',
   program: '',
   budget: null,
-  body: ev(0, 1, 2),
+  body: streamBody(0, 1, 2),
 };
 
-export const not: PassRecord = {
-  ...passed,
+export const refusedPass: PassRecord = {
+  ...keyedPass,
   manner: 'once',
   path: '/once/x',
   key: '',
@@ -223,59 +228,79 @@
   body: '',
 };
 
-export const rootExecuted: ExecutionRecord = {
-  ...passExecuted,
+export const rootExecution: ExecutionRecord = {
+  ...keyedExecution,
   key: '',
   attempt: 'a2',
   program: 'pp',
-  reply: ev(0, 1),
+  reply: streamBody(0, 1),
   tokens: 2,
 };
 
-export const nextExecuted: ExecutionRecord = {
-  ...rootExecuted,
+export const nextExecution: ExecutionRecord = {
+  ...rootExecution,
   attempt: 'a3',
   said: 'ind0\nd1\nmore',
-  reply: ev(0, 1, 2),
+  reply: streamBody(0, 1, 2),
   tokens: 3,
 };
 
-const liveExecutions: readonly ExecutionRecord[] = [
-  { ...rootExecuted, attempt: 'a4', program: '', reply: ev(0), complete: false, tokens: 1 },
-  { ...rootExecuted, attempt: 'a4', program: '', reply: ev(1, 2), tokens: 2 },
+/** The stream was cut off after event 0 and resumed with event 1. */
+const resumableExecutions: readonly ExecutionRecord[] = [
+  {
+    ...rootExecution,
+    attempt: 'a4',
+    program: '',
+    reply: streamBody(0),
+    complete: false,
+    tokens: 1,
+  },
+  { ...rootExecution, attempt: 'a4', program: '', reply: streamBody(1, 2), tokens: 2 },
 ];
 
-export const passes: readonly PassRecord[] = [passed, root, next, live, not];
+export const passes: readonly PassRecord[] = [
+  keyedPass,
+  rootTurn,
+  nextTurn,
+  resumable,
+  refusedPass,
+];
 
 const passExecutions: readonly ExecutionRecord[] = [
-  passExecuted,
-  rootExecuted,
-  nextExecuted,
-  ...liveExecutions,
+  keyedExecution,
+  rootExecution,
+  nextExecution,
+  ...resumableExecutions,
 ];
 
-export const configRead: ConfigCall = {
+export const configReadCall: ConfigCall = {
   what: { kind: 'read' },
   calledAt: 1,
   answeredAt: 2,
   answer: { kind: 'value', version: 0, content: '' },
 };
 
-export const good: Records = {
+export const valid: Records = {
   ...emptyRecords,
   passes,
   reported: [
-    program,
-    turn,
-    fetched,
-    reported,
-    { ...reported, attempt: 'i3', from: 300, to: 350 },
-    refused,
+    programReply,
+    turnReply,
+    fetchReply,
+    callReply,
+    { ...callReply, attempt: 'i3', from: 300, to: 350 },
+    refusedCallReply,
+  ],
+  executed: [
+    callExecution,
+    turnExecution,
+    drainingExecution,
+    ...splitExecutions,
+    ...passExecutions,
   ],
-  executed: [executed, gen, late, ...split, ...passExecutions],
-  configs: [first, config, wide],
-  configCalls: [configRead],
-  drainings: [away],
+  configs: [firstConfig, secondConfig, unknownConfig],
+  configCalls: [configReadCall],
+  drainings: [draining],
   restarts: [{ stoppedAt: 0, startedAt: 0, servedAt: 5000, configBefore: 2, configAfter: 2 }],
   shares: [
     {
@@ -293,11 +318,21 @@
   perTurn: 4,
 };
 
-export const brokenOff = (...ns: readonly number[]): Records => ({
-  ...good,
+/** Valid records and one more turn of program `pp`, whose stream was cut off after the given events. */
+export const withPartialStream = (...eventIds: readonly number[]): Records => ({
+  ...valid,
   executed: [
-    ...good.executed,
-    { ...rootExecuted, attempt: 'a9', reply: ev(...ns), complete: false, tokens: ns.length },
+    ...valid.executed,
+    {
+      ...rootExecution,
+      attempt: 'a9',
+      reply: streamBody(...eventIds),
+      complete: false,
+      tokens: eventIds.length,
+    },
+  ],
+  passes: [
+    ...passes,
+    { ...rootTurn, attempt: 'a9', reported: 'partial', body: streamBody(...eventIds) },
   ],
-  passes: [...passes, { ...root, attempt: 'a9', reported: 'partial', body: ev(...ns) }],
 });
--- a/tests/src/checker/checker.test.ts
+++ b/tests/src/checker/checker.test.ts
@@ -1,123 +1,139 @@
-/** The checker passes sound records, also near the bounds. */
+/** The checker reports no breach for valid records, including those just inside a limit. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { checkRecords, type Records } from '@tillerstair/checker';
 import {
-  reported,
-  executed,
-  turn,
-  gen,
-  first,
-  config,
-  program,
-  fetched,
-  away,
-  late,
-  wide,
-  passExecuted,
-  root,
-  not,
-  rootExecuted,
+  callReply,
+  callExecution,
+  turnReply,
+  turnExecution,
+  firstConfig,
+  secondConfig,
+  programReply,
+  fetchReply,
+  draining,
+  drainingExecution,
+  unknownConfig,
+  keyedExecution,
+  rootTurn,
+  refusedPass,
+  rootExecution,
   passes,
-  good,
-  brokenOff,
+  valid,
+  withPartialStream,
 } from './checker-records.js';
 
-const bites = suite('the checker bites');
+const checker = suite('checker, valid records');
 
-bites('sound records breach nothing and prove every rule', () => {
-  for (const v of checkRecords(good)) {
-    assert.equal(v.breaches, [], v.rule);
-    assert.ok(v.checked > 0, v.rule);
+checker('valid records breach no rule and every rule checks at least one record', () => {
+  for (const result of checkRecords(valid)) {
+    assert.equal(result.breaches, [], result.rule);
+    assert.ok(result.checked > 0, result.rule);
   }
 });
 
-const sound: readonly (readonly [string, Records])[] = [
+const validNearBound: readonly (readonly [string, Records])[] = [
   [
-    'a key run again after more than a minute under another tenant',
-    { ...good, executed: [...good.executed, { ...executed, key: 'u/k' }] },
+    'the key of one tenant, used by another tenant too',
+    { ...valid, executed: [...valid.executed, { ...callExecution, key: 'u/k' }] },
   ],
   [
-    'an attempt reported unknown that ran, and another attempt of its key reported refused',
+    'a refused attempt of a key whose other attempts were done',
     {
-      ...good,
-      reported: [...good.reported, { ...reported, attempt: 'i8', reported: 'refused', text: '' }],
+      ...valid,
+      reported: [...valid.reported, { ...callReply, attempt: 'i8', reported: 'refused', text: '' }],
     },
   ],
   [
-    'a budget overrun by less than one turn',
-    { ...good, executed: [...good.executed, { ...gen, tokens: 4 }] },
+    'a budget exceeded by less than one turn',
+    { ...valid, executed: [...valid.executed, { ...turnExecution, tokens: 4 }] },
   ],
   [
-    'a turn missing after more than a minute',
+    'a turn reported missing after more than a minute',
     {
-      ...good,
+      ...valid,
       reported: [
-        program,
-        turn,
-        { ...fetched, from: 60300, to: 60301, reported: 'refused', errorCode: 'missing', text: '' },
+        programReply,
+        turnReply,
+        {
+          ...fetchReply,
+          from: 60300,
+          to: 60301,
+          reported: 'refused',
+          errorCode: 'missing',
+          text: '',
+        },
       ],
     },
   ],
   [
-    'work just inside the draining bound',
-    { ...good, executed: [...good.executed, { ...late, key: 't/m', began: away.at + 3300 }] },
+    'work on a draining server just inside the time limit',
+    {
+      ...valid,
+      executed: [
+        ...valid.executed,
+        { ...drainingExecution, key: 't/m', began: draining.at + 3300 },
+      ],
+    },
   ],
   [
-    'work of an older version just inside the bound',
+    'work in a pool of an older configuration just inside the time limit',
     {
-      ...good,
-      configs: [first, { ...config, reportedAt: -2000 }, wide],
+      ...valid,
+      configs: [firstConfig, { ...secondConfig, reportedAt: -2000 }, unknownConfig],
       executed: [
-        ...good.executed,
-        { ...gen, attempt: 'n', program: 'n', pool: 'early', began: 200 },
+        ...valid.executed,
+        { ...turnExecution, attempt: 'n', program: 'n', pool: 'early', began: 200 },
       ],
     },
   ],
   [
-    'a split within rounding',
+    'work split by shares within rounding',
     {
-      ...good,
-      executed: [...good.executed, { ...executed, key: 't/z', pool: 'more', began: 2500 }],
+      ...valid,
+      executed: [...valid.executed, { ...callExecution, key: 't/z', pool: 'more', began: 2500 }],
     },
   ],
   [
-    'serving back just in time',
+    'requests served again just inside the time limit after a restart',
     {
-      ...good,
+      ...valid,
       restarts: [{ stoppedAt: 0, startedAt: 0, servedAt: 12500, configBefore: 2, configAfter: 3 }],
     },
   ],
-  ['a budget on pass routes overrun by one turn', brokenOff(0, 1, 2, 3, 4)],
+  ['a budget on pass routes exceeded by one turn', withPartialStream(0, 1, 2, 3, 4)],
   [
-    'a budget on pass routes overrun by what nobody received',
+    'a budget on pass routes exceeded only by tokens that no caller received',
     {
-      ...good,
-      executed: [...good.executed, { ...rootExecuted, attempt: 'a9', tokens: 6 }],
-      passes: [...passes, { ...root, attempt: 'a9', reported: 'unknown', body: '' }],
+      ...valid,
+      executed: [...valid.executed, { ...rootExecution, attempt: 'a9', tokens: 6 }],
+      passes: [...passes, { ...rootTurn, attempt: 'a9', reported: 'unknown', body: '' }],
     },
   ],
   [
-    'a repeatable pass that ran twice and was reported refused once more',
+    'a repeatable pass that ran twice and was reported refused',
     {
-      ...good,
+      ...valid,
       executed: [
-        ...good.executed,
-        ...[1, 2].map(() => ({ ...passExecuted, key: '', attempt: 'a8' })),
+        ...valid.executed,
+        ...[1, 2].map(() => ({ ...keyedExecution, key: '', attempt: 'a8' })),
       ],
-      passes: [...passes, { ...not, manner: 'repeatable', attempt: 'a8' }],
+      passes: [...passes, { ...refusedPass, manner: 'repeatable', attempt: 'a8' }],
     },
   ],
-  ['a version of unknown fate read back', { ...good, readBack: { version: 3, text: 'c2' } }],
+  [
+    'a configuration of unknown outcome read back',
+    { ...valid, readBack: { version: 3, text: 'c2' } },
+  ],
 ];
 
-sound.forEach(([what, records]) => {
-  bites(`near the bound but sound: ${what}`, () => {
+validNearBound.forEach(([description, records]) => {
+  checker(`valid, near a limit: ${description}`, () => {
     assert.equal(
-      checkRecords(records).flatMap((v) => v.breaches),
+      checkRecords(records).flatMap((result) => result.breaches),
       [],
     );
   });
 });
 
-bites.run();
+checker.run();
--- a/tests/src/checker/configuration-history.test.ts
+++ b/tests/src/checker/configuration-history.test.ts
@@ -1,8 +1,9 @@
+/** The linearizability check of operators' calls accepts linearizable histories and detects the others. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { checkConfigHistory, type ConfigAnswer, type ConfigCall } from '@tillerstair/checker';
 
-const history = suite('the history of the configuration');
+const history = suite('linearizability of configuration changes');
 
 const accepted: ConfigAnswer = { kind: 'accepted' };
 const refused: ConfigAnswer = { kind: 'refused' };
@@ -36,57 +37,70 @@
   answer: { kind: 'value', version, content },
 });
 
-const a = change('a', 0, 2, between(0, 10), accepted);
-const b = change('b', 2, 5, between(20, 30), accepted);
+const changeA = change('a', 0, 2, between(0, 10), accepted);
+const changeB = change('b', 2, 5, between(20, 30), accepted);
 
-const sound: readonly (readonly [string, readonly ConfigCall[]])[] = [
+const linearizable: readonly (readonly [string, readonly ConfigCall[]])[] = [
   [
-    'changes and reads one after the other',
-    [read(0, 1, 0, ''), a, read(11, 12, 2, 'a'), b, read(31, 32, 5, 'b')],
+    'sequential changes and reads',
+    [read(0, 1, 0, ''), changeA, read(11, 12, 2, 'a'), changeB, read(31, 32, 5, 'b')],
   ],
   [
-    'a read under way with a change sees either',
-    [a, b, read(19, 31, 2, 'a'), read(19, 31, 5, 'b')],
+    'a read concurrent with a change returns either version',
+    [changeA, changeB, read(19, 31, 2, 'a'), read(19, 31, 5, 'b')],
   ],
   [
-    'an unclear change that happened after its end',
-    [a, change('x', 2, 4, between(20, 30), unclear), read(40, 41, 2, 'a'), read(60, 61, 4, 'x')],
+    'an unclear change that took effect after its end',
+    [
+      changeA,
+      change('x', 2, 4, between(20, 30), unclear),
+      read(40, 41, 2, 'a'),
+      read(60, 61, 4, 'x'),
+    ],
   ],
   [
-    'an unclear change that never happened',
-    [a, change('x', 2, 4, between(11, 12), unclear), b, read(40, 41, 5, 'b')],
+    'an unclear change that never took effect',
+    [changeA, change('x', 2, 4, between(11, 12), unclear), changeB, read(40, 41, 5, 'b')],
   ],
   [
-    'an unclear change sent again and acknowledged',
+    'an unclear change retried and acknowledged',
     [
-      a,
+      changeA,
       change('x', 2, 4, between(11, 12), unclear),
       change('x', 2, 4, between(20, 30), accepted),
       change('x', 2, 4, between(40, 50), accepted),
     ],
   ],
-  ['a refusal by a change under way', [a, change('x', 2, 4, between(15, 25), refused), b]],
   [
-    'a change refused, as another took its number',
+    'a change refused because of a concurrent change',
+    [changeA, change('x', 2, 4, between(15, 25), refused), changeB],
+  ],
+  [
+    'a change refused because another change was accepted under its version',
     [
-      a,
+      changeA,
       change('x', 2, 5, between(15, 40), refused),
-      b,
+      changeB,
       change('x', 2, 5, between(50, 60), refused),
     ],
   ],
   [
-    'one that did not run and was refused later',
-    [a, change('x', 2, 5, between(11, 12), notRun), b, change('x', 2, 5, between(40, 41), refused)],
+    'a change that did not run and was refused on retry',
+    [
+      changeA,
+      change('x', 2, 5, between(11, 12), notRun),
+      changeB,
+      change('x', 2, 5, between(40, 41), refused),
+    ],
   ],
   [
-    'a call that never ended',
-    [a, change('x', 2, 4, between(11, Infinity), unclear), read(20, 21, 4, 'x')],
+    'a change that never got an answer but took effect',
+    [changeA, change('x', 2, 4, between(11, Infinity), unclear), read(20, 21, 4, 'x')],
   ],
   [
-    'two unclear ones under one number, one read',
+    'two unclear changes to one version, on which a later change is based',
     [
-      a,
+      changeA,
       change('x', 2, 4, between(11, 12), unclear),
       change('y', 2, 4, between(11, 12), unclear),
       change('z', 4, 6, between(20, 30), accepted),
@@ -95,23 +109,32 @@
   ],
 ];
 
-const doctored: readonly (readonly [string, readonly ConfigCall[]])[] = [
-  ['a stale read from a cut-off master', [a, b, read(31, 40, 2, 'a')]],
-  ['a false refusal from old state', [a, b, change('c', 5, 7, between(40, 50), refused)]],
+const notLinearizable: readonly (readonly [string, readonly ConfigCall[]])[] = [
+  ['a stale read from an isolated master', [changeA, changeB, read(31, 40, 2, 'a')]],
+  [
+    'a false refusal based on old state',
+    [changeA, changeB, change('c', 5, 7, between(40, 50), refused)],
+  ],
   [
     'a false refusal though nothing else was accepted',
-    [a, change('c', 2, 7, between(40, 50), refused), read(60, 61, 2, 'a')],
+    [changeA, change('c', 2, 7, between(40, 50), refused), read(60, 61, 2, 'a')],
   ],
-  ['two confirmed under one number', [a, change('x', 2, 5, between(15, 40), accepted), b]],
-  ['two confirmed on one base', [a, change('x', 2, 4, between(15, 40), accepted), b]],
   [
-    'an accepted change refused when sent again',
-    [a, b, change('a', 0, 2, between(40, 50), refused)],
+    'two changes accepted under the same version',
+    [changeA, change('x', 2, 5, between(15, 40), accepted), changeB],
   ],
   [
-    'an unclear order that was read, refused when sent again',
+    'two changes accepted on the same base version',
+    [changeA, change('x', 2, 4, between(15, 40), accepted), changeB],
+  ],
+  [
+    'an accepted change refused on retry',
+    [changeA, changeB, change('a', 0, 2, between(40, 50), refused)],
+  ],
+  [
+    'an unclear change that was read, then refused on retry',
     [
-      a,
+      changeA,
       change('x', 2, 4, between(11, 12), unclear),
       read(20, 21, 4, 'x'),
       change('x', 2, 4, between(40, 50), refused),
@@ -119,71 +142,77 @@
   ],
   [
     'an acknowledged change lost',
-    [a, b, change('x', 2, 4, between(40, 50), accepted), read(60, 61, 4, 'x')],
+    [changeA, changeB, change('x', 2, 4, between(40, 50), accepted), read(60, 61, 4, 'x')],
   ],
-  ['an acknowledged change lost, the configuration with it', [a, read(20, 21, 0, '')]],
   [
-    'versions going back',
+    'an acknowledged change lost together with the whole configuration',
+    [changeA, read(20, 21, 0, '')],
+  ],
+  [
+    'a read that returns an older version than a previous read',
     [
-      a,
+      changeA,
       change('x', 2, 4, between(11, Infinity), unclear),
       read(20, 21, 4, 'x'),
       read(30, 31, 2, 'a'),
     ],
   ],
   [
-    'led with old state',
-    [a, b, change('c', 2, 8, between(40, 50), accepted), read(60, 61, 8, 'c')],
+    'a change accepted on old state after a newer one was acknowledged',
+    [changeA, changeB, change('c', 2, 8, between(40, 50), accepted), read(60, 61, 8, 'c')],
   ],
-  ['a change seen before it was sent', [a, read(11, 12, 5, 'b'), b]],
-  ['a version with another content', [a, read(11, 12, 2, 'b')]],
+  ['a change read before it was sent', [changeA, read(11, 12, 5, 'b'), changeB]],
+  ['a version read with the content of another change', [changeA, read(11, 12, 2, 'b')]],
   [
-    'one that did not run, read',
-    [a, change('x', 2, 4, between(11, 12), notRun), read(20, 21, 4, 'x')],
+    'a change read although it did not run',
+    [changeA, change('x', 2, 4, between(11, 12), notRun), read(20, 21, 4, 'x')],
   ],
   [
-    'refused, and still read',
-    [a, b, change('x', 5, 6, between(40, 41), refused), read(50, 51, 6, 'x')],
+    'a change read although it was refused',
+    [changeA, changeB, change('x', 5, 6, between(40, 41), refused), read(50, 51, 6, 'x')],
   ],
 ];
 
-sound.forEach(([what, calls]) => {
-  history(`sound: ${what}`, () => {
+linearizable.forEach(([description, calls]) => {
+  history(`linearizable: ${description}`, () => {
     const outcome = checkConfigHistory(calls);
     assert.equal(outcome.breaches, []);
     assert.ok(outcome.checked > 0);
   });
 });
 
-doctored.forEach(([what, calls]) => {
-  history(`caught: ${what}`, () => {
+notLinearizable.forEach(([description, calls]) => {
+  history(`not linearizable: ${description}`, () => {
     assert.is(checkConfigHistory(calls).breaches.length, 1);
   });
 });
 
-const versions = 400;
+const versionCount = 400;
 
-/** Many changes, each beside a rival on the same base that lost, an unclear one that never happened, reads, and a resend. */
-const long = Array.from({ length: versions }, (_, v) => {
-  const at = v * 100;
+/** Per version: an accepted change, a refused and an unclear one on the same base, a concurrent read, and a retry. */
+const longHistory = Array.from({ length: versionCount }, (_, base) => {
+  const start = base * 100;
   return [
-    change(`c${v}`, v, v + 1, between(at, at + 60), accepted),
-    change(`r${v}`, v, v + 1, between(at + 10, at + 90), refused),
-    change(`u${v}`, v, v + 1, between(at + 5, at + 20), unclear),
-    read(at + 20, at + 80, v + 1, `c${v}`),
-    change(`c${v}`, v, v + 1, between(at + 150, at + 250), accepted),
+    change(`c${base}`, base, base + 1, between(start, start + 60), accepted),
+    change(`r${base}`, base, base + 1, between(start + 10, start + 90), refused),
+    change(`u${base}`, base, base + 1, between(start + 5, start + 20), unclear),
+    read(start + 20, start + 80, base + 1, `c${base}`),
+    change(`c${base}`, base, base + 1, between(start + 150, start + 250), accepted),
   ];
 }).flat();
 
-history('thousands of calls, many of them at once, are checked', () => {
-  assert.equal(checkConfigHistory(long).breaches, []);
-  assert.is(
-    checkConfigHistory([
-      ...long,
-      read(versions * 100, versions * 100 + 1, versions - 1, `c${versions - 2}`),
-    ]).breaches.length,
-    1,
-  );
-});
+history(
+  'a history of 2000 calls with many concurrent ones is checked, and a stale read in it is detected',
+  () => {
+    assert.equal(checkConfigHistory(longHistory).breaches, []);
+    assert.is(
+      checkConfigHistory([
+        ...longHistory,
+        read(versionCount * 100, versionCount * 100 + 1, versionCount - 1, `c${versionCount - 2}`),
+      ]).breaches.length,
+      1,
+    );
+  },
+);
 
 history.run();
--- a/tests/src/checker/invalid-records.test.ts
+++ b/tests/src/checker/invalid-records.test.ts
@@ -1,115 +1,141 @@
-/** The checker catches each doctored record. */
+/** The checker detects the breach in each set of invalid records: valid records with one manipulated. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { checkRecords, type Records } from '@tillerstair/checker';
 import {
-  reported,
-  executed,
-  turn,
-  gen,
-  program,
-  fetched,
-  away,
-  late,
-  split,
-  ev,
-  passed,
-  passExecuted,
-  root,
-  next,
-  live,
-  not,
-  rootExecuted,
-  nextExecuted,
+  callReply,
+  callExecution,
+  turnReply,
+  turnExecution,
+  programReply,
+  fetchReply,
+  draining,
+  drainingExecution,
+  splitExecutions,
+  streamBody,
+  keyedPass,
+  keyedExecution,
+  rootTurn,
+  nextTurn,
+  resumable,
+  refusedPass,
+  rootExecution,
+  nextExecution,
   passes,
-  configRead,
-  good,
-  brokenOff,
+  configReadCall,
+  valid,
+  withPartialStream,
 } from './checker-records.js';
 
-const bites = suite('the checker bites');
+const checker = suite('checker, invalid records');
 
-const doctored: readonly (readonly [string, Records])[] = [
-  ['runs twice', { ...good, executed: [...good.executed, { ...executed, at: 90000 }] }],
+/** Part of the title of the rule that must be breached, and the records that breach it. */
+const invalidRecords: readonly (readonly [string, Records])[] = [
+  ['runs twice', { ...valid, executed: [...valid.executed, { ...callExecution, at: 90000 }] }],
   [
     'both run within a minute',
-    { ...good, executed: [...good.executed, { ...executed, at: 5000 }] },
+    { ...valid, executed: [...valid.executed, { ...callExecution, at: 5000 }] },
   ],
   [
     'reported refused has not run',
-    { ...good, reported: [...good.reported, { ...reported, reported: 'refused', text: '' }] },
+    { ...valid, reported: [...valid.reported, { ...callReply, reported: 'refused', text: '' }] },
   ],
   [
     'reported refused has not run',
     {
-      ...good,
+      ...valid,
       reported: [
-        program,
-        { ...turn, reported: 'refused', chunks: [], text: '' },
-        { ...turn, attempt: 'i4', reported: 'unknown' },
+        programReply,
+        { ...turnReply, reported: 'refused', chunks: [], text: '' },
+        { ...turnReply, attempt: 'i4', reported: 'unknown' },
       ],
     },
   ],
   [
     'foreign, cut or invented',
-    { ...good, reported: [...good.reported, { ...reported, key: 'other', text: 's1 t/k' }] },
+    { ...valid, reported: [...valid.reported, { ...callReply, key: 'other', text: 's1 t/k' }] },
   ],
   [
     'foreign, cut or invented',
-    { ...good, reported: [...good.reported, { ...reported, tenant: 'u' }] },
+    { ...valid, reported: [...valid.reported, { ...callReply, tenant: 'u' }] },
   ],
   [
     'foreign, cut or invented',
-    { ...good, reported: [program, { ...turn, text: 'a ', chunks: [0] }] },
+    { ...valid, reported: [programReply, { ...turnReply, text: 'a ', chunks: [0] }] },
   ],
-  ['foreign, cut or invented', { ...good, reported: [program, { ...turn, program: 'q' }] }],
-  ['foreign, cut or invented', { ...good, executed: [executed, { ...gen, complete: false }] }],
   [
     'foreign, cut or invented',
-    { ...good, reported: [...good.reported, { ...fetched, text: 'a c ' }] },
+    { ...valid, reported: [programReply, { ...turnReply, program: 'q' }] },
+  ],
+  [
+    'foreign, cut or invented',
+    { ...valid, executed: [callExecution, { ...turnExecution, complete: false }] },
+  ],
+  [
+    'foreign, cut or invented',
+    { ...valid, reported: [...valid.reported, { ...fetchReply, text: 'a c ' }] },
   ],
   [
     'its budget and one turn',
     {
-      ...good,
-      reported: [program, ...Array.from({ length: 4 }, (_, i) => ({ ...turn, key: `t${i}` }))],
+      ...valid,
+      reported: [
+        programReply,
+        ...Array.from({ length: 4 }, (_, i) => ({ ...turnReply, key: `t${i}` })),
+      ],
     },
   ],
   [
     'its budget and one turn',
-    { ...good, executed: [executed, gen, gen, gen, { ...gen, program: 'p~h' }] },
+    {
+      ...valid,
+      executed: [
+        callExecution,
+        turnExecution,
+        turnExecution,
+        turnExecution,
+        { ...turnExecution, program: 'p~h' },
+      ],
+    },
   ],
   [
     'reported missing',
     {
-      ...good,
+      ...valid,
       reported: [
-        program,
-        turn,
-        { ...fetched, reported: 'refused', errorCode: 'missing', text: '' },
+        programReply,
+        turnReply,
+        { ...fetchReply, reported: 'refused', errorCode: 'missing', text: '' },
       ],
     },
   ],
   [
     'reported missing',
     {
-      ...good,
+      ...valid,
       reported: [
-        program,
-        turn,
-        { ...fetched, from: 60000, to: 60190, reported: 'refused', errorCode: 'missing', text: '' },
+        programReply,
+        turnReply,
+        {
+          ...fetchReply,
+          from: 60000,
+          to: 60190,
+          reported: 'refused',
+          errorCode: 'missing',
+          text: '',
+        },
       ],
     },
   ],
   [
     'reported missing',
     {
-      ...good,
+      ...valid,
       reported: [
-        program,
-        turn,
+        programReply,
+        turnReply,
         {
-          ...turn,
+          ...turnReply,
           key: 't2',
           after: 'x',
           from: 300,
@@ -125,38 +151,46 @@
   [
     'reported missing',
     {
-      ...good,
+      ...valid,
       reported: [
-        program,
-        { ...turn, reported: 'refused', errorCode: 'missing', chunks: [], text: '' },
+        programReply,
+        { ...turnReply, reported: 'refused', errorCode: 'missing', chunks: [], text: '' },
       ],
     },
   ],
-  ['skips, repeats or stitches', { ...good, reported: [program, { ...turn, chunks: [0, 2] }] }],
   [
     'skips, repeats or stitches',
-    { ...good, reported: [program, { ...turn, reported: 'partial', text: 'a c ' }] },
+    { ...valid, reported: [programReply, { ...turnReply, chunks: [0, 2] }] },
   ],
-  ['skips, repeats or stitches', { ...good, executed: [executed] }],
-  ['draining server', { ...good, drainings: [{ server: 's1', at: -4000, until: 1e9 }] }],
+  [
+    'skips, repeats or stitches',
+    { ...valid, reported: [programReply, { ...turnReply, reported: 'partial', text: 'a c ' }] },
+  ],
+  ['skips, repeats or stitches', { ...valid, executed: [callExecution] }],
+  ['draining server', { ...valid, drainings: [{ server: 's1', at: -4000, until: 1e9 }] }],
   [
     'draining server',
-    { ...good, executed: [...good.executed, { ...late, began: away.at + 3301 }] },
+    {
+      ...valid,
+      executed: [...valid.executed, { ...drainingExecution, began: draining.at + 3301 }],
+    },
   ],
   [
     'shares the operator gave',
     {
-      ...good,
+      ...valid,
       executed: [
-        ...good.executed,
-        ...split.slice(0, 12).map((x) => ({ ...x, pool: 'shop', key: `${x.key}b` })),
+        ...valid.executed,
+        ...splitExecutions
+          .slice(0, 12)
+          .map((execution) => ({ ...execution, pool: 'shop', key: `${execution.key}b` })),
       ],
     },
   ],
   [
     'shares the operator gave',
     {
-      ...good,
+      ...valid,
       shares: [
         {
           kind: 'act',
@@ -171,125 +205,177 @@
       ],
     },
   ],
-  ['in force', { ...good, executed: [...good.executed, { ...gen, pool: 'early' }] }],
+  ['in force', { ...valid, executed: [...valid.executed, { ...turnExecution, pool: 'early' }] }],
   [
     'in force',
     {
-      ...good,
-      executed: [...good.executed, { ...executed, key: 't/e', pool: 'more', began: 999 }],
+      ...valid,
+      executed: [...valid.executed, { ...callExecution, key: 't/e', pool: 'more', began: 999 }],
     },
   ],
-  ['never allowed', { ...good, executed: [{ ...executed, pool: 'secret' }, gen] }],
-  ['never allowed', { ...good, executed: [{ ...executed, pool: 'more' }, gen] }],
-  ['read-back', { ...good, readBack: { version: 2, text: 'other' } }],
-  ['read-back', { ...good, readBack: { version: 1, text: 'c0' } }],
-  ['read-back', { ...good, readBack: undefined }],
+  ['never allowed', { ...valid, executed: [{ ...callExecution, pool: 'secret' }, turnExecution] }],
+  ['never allowed', { ...valid, executed: [{ ...callExecution, pool: 'more' }, turnExecution] }],
+  ['read-back', { ...valid, readBack: { version: 2, text: 'other' } }],
+  ['read-back', { ...valid, readBack: { version: 1, text: 'c0' } }],
+  ['read-back', { ...valid, readBack: undefined }],
   [
     'took effect at one moment',
     {
-      ...good,
-      configCalls: [{ ...configRead, answer: { kind: 'value', version: 9, content: 'x' } }],
+      ...valid,
+      configCalls: [{ ...configReadCall, answer: { kind: 'value', version: 9, content: 'x' } }],
     },
   ],
   [
     'full stop',
     {
-      ...good,
+      ...valid,
       restarts: [{ stoppedAt: 0, startedAt: 0, servedAt: 12501, configBefore: 1, configAfter: 1 }],
     },
   ],
   [
     'full stop',
     {
-      ...good,
+      ...valid,
       restarts: [{ stoppedAt: 0, startedAt: 0, servedAt: 4000, configBefore: 2, configAfter: 1 }],
     },
   ],
   [
     'may not be repeated',
-    { ...good, executed: [...good.executed, { ...passExecuted, attempt: 'a9' }] },
+    { ...valid, executed: [...valid.executed, { ...keyedExecution, attempt: 'a9' }] },
   ],
-  ['may not be repeated', { ...good, executed: [...good.executed, rootExecuted] }],
+  ['may not be repeated', { ...valid, executed: [...valid.executed, rootExecution] }],
   [
     'refused on a pass route',
-    { ...good, executed: [...good.executed, { ...passExecuted, key: '', attempt: 'a5' }] },
+    { ...valid, executed: [...valid.executed, { ...keyedExecution, key: '', attempt: 'a5' }] },
   ],
   [
     'refused on a pass route',
-    { ...good, passes: [...passes, { ...root, reported: 'refused', status: 402, body: '' }] },
+    { ...valid, passes: [...passes, { ...rootTurn, reported: 'refused', status: 402, body: '' }] },
   ],
   [
     'nobody sent',
-    { ...good, executed: [...good.executed, { ...passExecuted, key: '', attempt: 'a9' }] },
+    { ...valid, executed: [...valid.executed, { ...keyedExecution, key: '', attempt: 'a9' }] },
+  ],
+  [
+    "its server's bytes",
+    {
+      ...valid,
+      passes: [{ ...keyedPass, body: 'ou' }, rootTurn, nextTurn, resumable, refusedPass],
+    },
+  ],
+  [
+    "its server's bytes",
+    { ...valid, passes: [...passes, { ...keyedPass, attempt: 'a9', body: 'other' }] },
   ],
-  ["its server's bytes", { ...good, passes: [{ ...passed, body: 'ou' }, root, next, live, not] }],
   [
     "its server's bytes",
-    { ...good, passes: [...passes, { ...passed, attempt: 'a9', body: 'other' }] },
+    {
+      ...valid,
+      passes: [keyedPass, { ...rootTurn, body: streamBody(0) }, nextTurn, resumable, refusedPass],
+    },
   ],
-  ["its server's bytes", { ...good, passes: [passed, { ...root, body: ev(0) }, next, live, not] }],
   [
     'repeats or tears',
-    { ...good, passes: [...passes, { ...root, reported: 'partial', body: ev(0).slice(0, -1) }] },
+    {
+      ...valid,
+      passes: [...passes, { ...rootTurn, reported: 'partial', body: streamBody(0).slice(0, -1) }],
+    },
   ],
   [
     'repeats or tears',
-    { ...good, passes: [passed, root, next, { ...live, body: ev(0, 0, 1, 2) }, not] },
+    {
+      ...valid,
+      passes: [
+        keyedPass,
+        rootTurn,
+        nextTurn,
+        { ...resumable, body: streamBody(0, 0, 1, 2) },
+        refusedPass,
+      ],
+    },
   ],
-  ['repeats or tears', { ...good, passes: [passed, root, next, { ...live, body: ev(0, 2) }, not] }],
   [
     'repeats or tears',
     {
-      ...good,
-      passes: [passed, root, next, { ...live, reported: 'partial', body: ev(0, 1, 2, 3) }, not],
+      ...valid,
+      passes: [
+        keyedPass,
+        rootTurn,
+        nextTurn,
+        { ...resumable, body: streamBody(0, 2) },
+        refusedPass,
+      ],
+    },
+  ],
+  [
+    'repeats or tears',
+    {
+      ...valid,
+      passes: [
+        keyedPass,
+        rootTurn,
+        nextTurn,
+        { ...resumable, reported: 'partial', body: streamBody(0, 1, 2, 3) },
+        refusedPass,
+      ],
     },
   ],
   [
     'its chain before it',
     {
-      ...good,
-      executed: good.executed.map((x) => (x === nextExecuted ? { ...x, said: 'ind0\nd1more' } : x)),
+      ...valid,
+      executed: valid.executed.map((execution) =>
+        execution === nextExecution ? { ...execution, said: 'ind0\nd1more' } : execution,
+      ),
     },
   ],
   [
     'its chain before it',
     {
-      ...good,
-      executed: good.executed.map((x) => (x === passExecuted ? { ...x, said: 'In' } : x)),
+      ...valid,
+      executed: valid.executed.map((execution) =>
+        execution === keyedExecution ? { ...execution, said: 'In' } : execution,
+      ),
     },
   ],
   [
     'its chain before it',
-    { ...good, passes: [passed, root, { ...next, after: 'none' }, live, not] },
+    {
+      ...valid,
+      passes: [keyedPass, rootTurn, { ...nextTurn, after: 'none' }, resumable, refusedPass],
+    },
   ],
   [
     'pass routes hands out',
-    { ...good, passes: [...passes, ...['b1', 'b2'].map((attempt) => ({ ...next, attempt }))] },
+    { ...valid, passes: [...passes, ...['b1', 'b2'].map((attempt) => ({ ...nextTurn, attempt }))] },
   ],
-  ['pass routes hands out', brokenOff(0, 1, 2, 3, 4, 5)],
+  ['pass routes hands out', withPartialStream(0, 1, 2, 3, 4, 5)],
   [
     'of a pass route answered in full',
     {
-      ...good,
-      passes: [...passes, { ...next, attempt: 'a9', reported: 'refused', status: 404, body: '' }],
+      ...valid,
+      passes: [
+        ...passes,
+        { ...nextTurn, attempt: 'a9', reported: 'refused', status: 404, body: '' },
+      ],
     },
   ],
   [
     'never allowed',
-    { ...good, executed: [...good.executed, { ...passExecuted, key: '', pool: 'secret' }] },
+    { ...valid, executed: [...valid.executed, { ...keyedExecution, key: '', pool: 'secret' }] },
   ],
 ];
 
-doctored.forEach(([rule, records], i) => {
-  bites(`doctored record ${i + 1} is caught: ${rule}`, () => {
-    const hit = checkRecords(records)
-      .filter((v) => v.breaches.length > 0)
-      .map((v) => v.rule);
+invalidRecords.forEach(([rule, records], i) => {
+  checker(`invalid record ${i + 1} is detected: ${rule}`, () => {
+    const breachedRules = checkRecords(records)
+      .filter((result) => result.breaches.length > 0)
+      .map((result) => result.rule);
     assert.ok(
-      hit.some((r) => r.includes(rule)),
-      `caught ${hit.join('; ') || 'nothing'}`,
+      breachedRules.some((title) => title.includes(rule)),
+      `expected a breach of "${rule}", breached rules: ${breachedRules.join('; ') || 'none'}`,
     );
   });
 });
 
-bites.run();
+checker.run();
