--- a/tests/src/checker/invalid-records.test.ts
+++ b/tests/src/checker/invalid-records.test.ts
@@ -373,7 +373,7 @@
       .map((result) => result.rule);
     assert.ok(
       breachedRules.some((title) => title.includes(rule)),
-      `expected a breach of "${rule}", breached rules: ${breachedRules.join('; ') || 'none'}`,
+      `expected a breach of "${rule}", breached rules: ${breachedRules.join('; ') || 'nothing'}`,
     );
   });
 });
