--- a/packages/agent/src/daemon.ts
+++ b/packages/agent/src/daemon.ts
@@ -4,7 +4,7 @@
 
 void runDaemon({
   name: 'front-agent',
-  about: 'Keeps the control link of the front-proxy beside it and feeds it over loopback.',
+  description: 'Keeps the control link of the front-proxy beside it and feeds it over loopback.',
   schema: AgentSettings,
   flags: [
     ['addr', 'Own address, IP:PORT'],
--- a/packages/agent/src/start.ts
+++ b/packages/agent/src/start.ts
@@ -1,6 +1,11 @@
 /** Starts a front-agent: the agent, and its pages. */
 import type { ServerResponse } from 'node:http';
-import { servePages, stderrLog, type AgentSettings, type Running } from '@tillerstair/settings';
+import {
+  servePages,
+  createStderrLogger,
+  type AgentSettings,
+  type RunningProgram,
+} from '@tillerstair/settings';
 import { nodeViewOf, type NodeView } from '@tillerstair/state';
 import { hostClock, sendJson, TcpTransport } from '@tillerstair/wire';
 import { reloadableBounds } from '@tillerstair/zen';
@@ -21,8 +26,10 @@
 };
 
 /** Starts a front-agent; `reload` takes other seeds and bounds over. */
-export const startAgent = async (settings: AgentSettings): Promise<Running<AgentSettings>> => {
-  const log = stderrLog('agent', settings.log);
+export const startAgent = async (
+  settings: AgentSettings,
+): Promise<RunningProgram<AgentSettings>> => {
+  const log = createStderrLogger('agent', settings.log);
   const reloadable = reloadableBounds(settings.bounds);
   const agent = new Agent({
     ...settings,
@@ -49,7 +56,7 @@
     },
     stop: async () => {
       await agent.stop();
-      await http.endWithin(reloadable.bounds.heartbeatInterval);
+      await http.closeWithin(reloadable.bounds.heartbeatInterval);
     },
   };
 };
--- a/packages/control/src/daemon.ts
+++ b/packages/control/src/daemon.ts
@@ -4,7 +4,7 @@
 
 void runDaemon({
   name: 'control-node',
-  about: "Keeps the cluster state, may become master, takes the operators' HTTP.",
+  description: "Keeps the cluster state, may become master, takes the operators' HTTP.",
   schema: ControlSettings,
   flags: [
     ['addr', 'Own address, IP:PORT'],
--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -5,10 +5,10 @@
 import { randomBytes } from 'node:crypto';
 import {
   servePages,
-  stderrLog,
+  createStderrLogger,
   type ControlSettings,
   type Readiness,
-  type Running,
+  type RunningProgram,
 } from '@tillerstair/settings';
 import { FolderDisk } from '@tillerstair/journal';
 import { replicationFor, type Member } from '@tillerstair/state';
@@ -111,8 +111,8 @@
 export const startControl = async (
   settings: ControlSettings,
   extensions: ControlExtensions = {},
-): Promise<Running<ControlSettings>> => {
-  const log = stderrLog('control', settings.log);
+): Promise<RunningProgram<ControlSettings>> => {
+  const log = createStderrLogger('control', settings.log);
   const disk = await FolderDisk.acquire(settings.data);
   const reloadable = reloadableBounds(settings.bounds);
   const node = await openNode(disk, settings, reloadable.bounds, log, extensions.list);
@@ -129,7 +129,7 @@
       const withinMs = reloadable.bounds.failureTimeout * lastOperationsTimeouts;
       const listeners = furtherListener ? [http, furtherListener] : [http];
       // Operators hear what became of their operations before this control leaves the cluster that decides on them.
-      await Promise.all(listeners.map((listener) => listener.endWithin(withinMs)));
+      await Promise.all(listeners.map((listener) => listener.closeWithin(withinMs)));
       await node.stop();
       await disk.release();
     },
--- a/packages/ctl/src/compare-views.ts
+++ b/packages/ctl/src/compare-views.ts
@@ -37,7 +37,7 @@
 };
 
 /** Compares two views; the differences of the cluster state come sorted by name, after those of term and master. */
-export const compare = (a: NodeViewReply, b: NodeViewReply): Comparison => {
+export const compareViews = (a: NodeViewReply, b: NodeViewReply): Comparison => {
   const factsA = factsOf(a);
   const factsB = factsOf(b);
   const headNames = ['term', 'master', 'applied'];
--- a/packages/ctl/src/view-commands.ts
+++ b/packages/ctl/src/view-commands.ts
@@ -1,6 +1,6 @@
 /** Commands that show what the cluster takes for true: the margin of losses, and the views of two nodes. */
 import { MarginReport } from '@tillerstair/state';
-import { compare, type Comparison } from './compare-views.js';
+import { compareViews, type Comparison } from './compare-views.js';
 import { requestAny, requestAt } from './control-client.js';
 import { messageOf, NotReachableError } from './errors.js';
 import { isMarginFull, marginLines } from './margin.js';
@@ -51,7 +51,7 @@
     );
     throw new NotReachableError(errors.join('\n'));
   }
-  const comparison = compare(viewA.value, viewB.value);
+  const comparison = compareViews(viewA.value, viewB.value);
   print(options, comparison, () => comparisonLines(comparison, a, b).join('\n'));
   return comparison.differences.length === 0 ? ExitCode.done : ExitCode.failed;
 };
--- a/packages/proxy/src/daemon.ts
+++ b/packages/proxy/src/daemon.ts
@@ -4,7 +4,7 @@
 
 void runDaemon({
   name: 'front-proxy',
-  about: 'Serves callers, places turns, holds budgets. Fed by the front-agent beside it.',
+  description: 'Serves callers, places turns, holds budgets. Fed by the front-agent beside it.',
   schema: ProxySettings,
   flags: [
     ['addr', 'Own address for other fronts, IP:PORT'],
--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -55,7 +55,7 @@
 /** The connections of callers, as a front that stops sees them (`DrainableServer`). */
 export interface CallerConnections {
   /** How many requests have no complete answer yet. */
-  readonly unansweredRequests: number;
+  readonly pendingRequests: number;
   /** Has each connection end with its next answer; requests are still taken. */
   announceClose(): void;
   /** Takes no further connection or request. */
@@ -63,7 +63,7 @@
 }
 
 const unansweredOf = (callers: readonly CallerConnections[]): number =>
-  callers.reduce((sum, { unansweredRequests }) => sum + unansweredRequests, 0);
+  callers.reduce((sum, { pendingRequests }) => sum + pendingRequests, 0);
 
 /** A front of the cluster. */
 export class Front {
--- a/packages/proxy/src/start.ts
+++ b/packages/proxy/src/start.ts
@@ -2,10 +2,10 @@
 import { randomBytes } from 'node:crypto';
 import {
   servePages,
-  stderrLog,
+  createStderrLogger,
   type ProxySettings,
   type Readiness,
-  type Running,
+  type RunningProgram,
 } from '@tillerstair/settings';
 import {
   hostClock,
@@ -80,8 +80,8 @@
   settings: ProxySettings,
   dialect: Dialect = productDialect,
   openListeners: OpenListeners = noListeners,
-): Promise<Running<ProxySettings>> => {
-  const log = stderrLog('proxy', settings.log);
+): Promise<RunningProgram<ProxySettings>> => {
+  const log = createStderrLogger('proxy', settings.log);
   let { bounds } = settings;
   const backend: HttpBackend = new HttpBackend(
     {
@@ -108,7 +108,7 @@
       const callers = [http, ...listeners.callers];
       await front.stop(callers);
       const servers = [...callers, ...listeners.watchers];
-      await Promise.all(servers.map((server) => server.endWithin(lastAnswersMs)));
+      await Promise.all(servers.map((server) => server.closeWithin(lastAnswersMs)));
       await feed.close();
       await backend.close();
     },
--- a/packages/settings/src/daemon.ts
+++ b/packages/settings/src/daemon.ts
@@ -1,7 +1,7 @@
 /** The command line of a daemon: flags, `--settings`, `--help` and `--version`. */
 import cac from 'cac';
 import { z } from 'zod';
-import { live, type Running } from './program.js';
+import { runProgram, type RunningProgram } from './program.js';
 import { readSettings } from './settings.js';
 
 /** The version that programs show. */
@@ -29,11 +29,11 @@
 /** One daemon: how it is called, its settings, and how it is started. */
 export interface DaemonSpec<T> {
   readonly name: string;
-  readonly about: string;
+  readonly description: string;
   readonly schema: z.ZodType<T>;
   /** Names and descriptions of its flags; each sets the setting of its name. */
   readonly flags: readonly (readonly [string, string])[];
-  start(daemonSettings: T): Promise<Running<T>>;
+  start(daemonSettings: T): Promise<RunningProgram<T>>;
 }
 
 /** Runs a daemon as the command line of this process says, until it is told to stop. */
@@ -42,7 +42,7 @@
   cli.option('--settings <file>', 'A YAML or JSON file of settings');
   for (const [flag, about] of spec.flags) cli.option(`--${flag} <value>`, about);
   cli.option('--bounds.<name> <ms>', 'Any of the bounds, as in --bounds.serveWithin 12000');
-  cli.usage(`[flags]\n\n  ${spec.about}`);
+  cli.usage(`[flags]\n\n  ${spec.description}`);
   cli.help();
   cli.version(version);
   const { options } = cli.parse(process.argv, { run: false });
@@ -50,5 +50,5 @@
   const file: unknown = options['settings'];
   const read = (): T =>
     readSettings(spec.schema, typeof file === 'string' ? file : undefined, collectFlags(options));
-  await live(spec.name, read, (settings) => spec.start(settings));
+  await runProgram(spec.name, read, (settings) => spec.start(settings));
 };
--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -7,7 +7,7 @@
 const exitCodes = { stopped: 0, failed: 1, invalidSettings: 2, unusableFolder: 3 } as const;
 
 /** A started program. `T` is the type of its settings. */
-export interface Running<T = never> {
+export interface RunningProgram<T = never> {
   /** Ends what is under way and releases everything that the program opened. */
   stop(): Promise<void>;
   /** Takes over settings that were read again, as far as they may change while the program runs. */
@@ -15,7 +15,10 @@
 }
 
 /** Writes log lines of a part of a program to the standard error stream. */
-export const stderrLog = (part: string, level: 'debug' | 'info' | 'warn' | 'error'): Logger =>
+export const createStderrLogger = (
+  part: string,
+  level: 'debug' | 'info' | 'warn' | 'error',
+): Logger =>
   createLogger(part, level, (line) => {
     process.stderr.write(`${line}\n`);
   });
@@ -28,7 +31,7 @@
     : textOf(error);
 
 /** Reads the settings again and applies them; invalid ones are reported in one line and the old ones stay in force. */
-const reloadSettings = <T>(name: string, read: () => T, running: Running<T>): void => {
+const reloadSettings = <T>(name: string, read: () => T, running: RunningProgram<T>): void => {
   try {
     running.reload?.(read());
     process.stderr.write(`${name}: Settings were read again.\n`);
@@ -54,7 +57,7 @@
   process.exit(isFolderFault ? exitCodes.unusableFolder : exitCodes.failed);
 };
 
-const stopOnSignals = <T>(running: Running<T>): void => {
+const stopOnSignals = <T>(running: RunningProgram<T>): void => {
   let stopping = false;
   const stop = (): void => {
     if (stopping) return;
@@ -73,13 +76,13 @@
  * during the start is met once the program runs. Ends with 2 for invalid settings, 3 for a data folder that
  * cannot be used, 1 otherwise.
  */
-export const live = async <T>(
+export const runProgram = async <T>(
   name: string,
   read: () => T,
-  start: (settings: T) => Promise<Running<T>>,
+  start: (settings: T) => Promise<RunningProgram<T>>,
 ): Promise<void> => {
   process.on('unhandledRejection', (error) => reportUnhandled(name, error));
-  const started: { running?: Running<T>; reloadWanted: boolean } = { reloadWanted: false };
+  const started: { running?: RunningProgram<T>; reloadWanted: boolean } = { reloadWanted: false };
   process.on('SIGHUP', () => {
     if (started.running) reloadSettings(name, read, started.running);
     else started.reloadWanted = true;
--- a/packages/store/src/daemon.ts
+++ b/packages/store/src/daemon.ts
@@ -4,7 +4,7 @@
 
 void runDaemon({
   name: 'store-node',
-  about: "Keeps replicas of programs' history, budgets and operation keys.",
+  description: "Keeps replicas of programs' history, budgets and operation keys.",
   schema: StoreSettings,
   flags: [
     ['addr', 'Own address, IP:PORT'],
--- a/packages/store/src/start.ts
+++ b/packages/store/src/start.ts
@@ -3,9 +3,9 @@
 import { FolderDisk } from '@tillerstair/journal';
 import {
   servePages,
-  stderrLog,
+  createStderrLogger,
   type Readiness,
-  type Running,
+  type RunningProgram,
   type StoreSettings,
 } from '@tillerstair/settings';
 import type { Member } from '@tillerstair/state';
@@ -51,8 +51,10 @@
  *
  * @throws FolderInUseError if another process has the data folder.
  */
-export const startStore = async (settings: StoreSettings): Promise<Running<StoreSettings>> => {
-  const log = stderrLog('store', settings.log);
+export const startStore = async (
+  settings: StoreSettings,
+): Promise<RunningProgram<StoreSettings>> => {
+  const log = createStderrLogger('store', settings.log);
   const disk = await FolderDisk.acquire(settings.data);
   const reloadable = reloadableBounds(settings.bounds);
   const { bounds } = reloadable;
@@ -93,7 +95,7 @@
     },
     stop: async () => {
       await node.stop();
-      await http.endWithin(bounds.heartbeatInterval);
+      await http.closeWithin(bounds.heartbeatInterval);
       await disk.release();
     },
   };
--- a/packages/wire/src/drainable-server.ts
+++ b/packages/wire/src/drainable-server.ts
@@ -1,7 +1,7 @@
 /**
  * An HTTP server that can be drained: its connections end without cutting an answer, and clients learn in time that they
  * have to open new ones. Owns which answers are incomplete on each connection, and whether requests are still taken.
- * Invariant: a request that the handler gets has its answer in full before `endWithin` closes its connection, unless that
+ * Invariant: a request that the handler gets has its answer in full before `closeWithin` closes its connection, unless that
  * time runs out; a request that the handler does not get has not run.
  */
 import {
@@ -58,14 +58,14 @@
   }
 
   /** How many requests have no complete answer yet. */
-  get unansweredRequests(): number {
+  get pendingRequests(): number {
     let count = 0;
     for (const responses of this.unanswered.values()) count += responses.size;
     return count;
   }
 
   /** Whether a request on this connection has no complete answer yet. */
-  isAnswering(socket: Duplex): boolean {
+  hasPendingRequest(socket: Duplex): boolean {
     return this.unanswered.has(socket);
   }
 
@@ -88,7 +88,7 @@
   }
 
   /** Stops accepting and resolves once all connections have ended: when everything is answered, or after `withinMs`. */
-  async endWithin(withinMs: number, clock: Clock = hostClock): Promise<void> {
+  async closeWithin(withinMs: number, clock: Clock = hostClock): Promise<void> {
     this.stopAccepting();
     if (this.unanswered.size > 0) {
       const over = new AbortController();
--- a/packages/wire/src/log.ts
+++ b/packages/wire/src/log.ts
@@ -1,5 +1,5 @@
 /** Logs of the programs: one JSON line for each message, written by `roarr`. */
-import './log-on.js';
+import './enable-logging.js';
 import { ROARR, Roarr } from 'roarr';
 
 /** The levels, from the least to the most important. */
--- a/packages/wire/src/task-queue.ts
+++ b/packages/wire/src/task-queue.ts
@@ -25,7 +25,7 @@
   }
 
   /** How many tasks wait or run. */
-  get waiting(): number {
+  get pendingTasks(): number {
     return this.depth;
   }
 
--- a/tests/src/ctl/command-line.test.ts
+++ b/tests/src/ctl/command-line.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { compare, patchConfig } from '@tillerstair/ctl';
+import { compareViews, patchConfig } from '@tillerstair/ctl';
 import { freePorts, programs, until, ask } from '@tillerstair/fleet';
 import { checkConfig } from '@tillerstair/state';
 
@@ -155,13 +155,16 @@
     ['config', '2'],
     ['server s', 'pool'],
   ]);
-  const c = compare(old, now);
+  const c = compareViews(old, now);
   assert.is(c.newer, 'b');
   assert.equal(
     c.differences.map((d) => d.fact),
     ['applied', 'config', 'server s'],
   );
-  assert.equal(compare(old, { ...old, id: 'y', facts: old.facts.slice(0, 2) }).differences, []);
+  assert.equal(
+    compareViews(old, { ...old, id: 'y', facts: old.facts.slice(0, 2) }).differences,
+    [],
+  );
 });
 
 product.run();
--- a/tests/src/platform/adapter-refusals.test.ts
+++ b/tests/src/platform/adapter-refusals.test.ts
@@ -6,14 +6,19 @@
 import { freePorts } from '@tillerstair/fleet';
 import {
   controlSettings,
-  createPlatformList,
+  createPlatformServerList,
   readSettings,
   storeSettings,
 } from '@tillerstair/platform';
 import { InvalidSettingsError } from '@tillerstair/settings';
 import { RpcError, serveHttp } from '@tillerstair/wire';
 import { call } from '../support/interface-calls.js';
-import { origin, pageUp, settingsFile, written } from '../support/platform-adapter.js';
+import {
+  origin,
+  startOperatorApi,
+  settingsFile,
+  withSettingsFile,
+} from '../support/platform-adapter.js';
 
 const refusing = suite('what the adapter refuses');
 
@@ -22,7 +27,7 @@
 const ProductFile = z.looseObject({ version: z.number(), routes: Named, pools: Named });
 
 refusing('turns are retained only where a route says so', async () => {
-  const page = await pageUp(() => ({ status: 200, body: {} }));
+  const page = await startOperatorApi(() => ({ status: 200, body: {} }));
   const { ways, ...rest } = Origin.parse(JSON.parse(origin));
   try {
     const unretained = { ...rest, ways: ways.map((way) => ({ ...way, retained: false })) };
@@ -38,7 +43,7 @@
 refusing(
   'a change whose version or body cannot be read is refused and changes nothing',
   async () => {
-    const page = await pageUp(() => ({ status: 200, body: { taken: true } }));
+    const page = await startOperatorApi(() => ({ status: 200, body: { taken: true } }));
     try {
       for (const [headers, body] of [
         [[], origin],
@@ -66,7 +71,7 @@
 
 /** Sends a patch to a product that answers its preparation like this, and takes whatever is handed in. */
 const patched = async (prepared: OperatorResponse) => {
-  const page = await pageUp(({ method }) =>
+  const page = await startOperatorApi(({ method }) =>
     method === 'POST' ? prepared : { status: 200, body: {} },
   );
   try {
@@ -115,18 +120,18 @@
 });
 
 refusing('only the first start may found a cluster, and the greatest loss counts', async () => {
-  await written(settingsFile, (path) => {
+  await withSettingsFile(settingsFile, (path) => {
     const control = controlSettings(readSettings(path));
     assert.is(control.mayBootstrap, true);
     assert.is(control.losses, 4);
   });
-  await written({ ...settingsFile, firstBoot: false }, (path) =>
+  await withSettingsFile({ ...settingsFile, firstBoot: false }, (path) =>
     assert.is(controlSettings(readSettings(path)).mayBootstrap, false),
   );
 });
 
 refusing('a program that keeps data does not start without a folder', () =>
-  written({ ...settingsFile, dataDir: null }, (path) => {
+  withSettingsFile({ ...settingsFile, dataDir: null }, (path) => {
     for (const settingsOf of [controlSettings, storeSettings])
       assert.throws(
         () => settingsOf(readSettings(path)),
@@ -144,7 +149,7 @@
     return Promise.resolve();
   });
   try {
-    const servers = await createPlatformList(() => `127.0.0.1:${port}`).read(2000);
+    const servers = await createPlatformServerList(() => `127.0.0.1:${port}`).read(2000);
     return servers.map(({ draining }) => draining);
   } catch (e) {
     return e instanceof RpcError ? e.code : e;
--- a/tests/src/platform/adapter.test.ts
+++ b/tests/src/platform/adapter.test.ts
@@ -11,7 +11,7 @@
 import {
   agentSettings,
   controlSettings,
-  createPlatformList,
+  createPlatformServerList,
   proxySettings,
   readSettings,
   storeSettings,
@@ -138,7 +138,7 @@
   coldLeftMs: 0,
 });
 const outcome = (addr: string): Promise<unknown> =>
-  createPlatformList(() => addr)
+  createPlatformServerList(() => addr)
     .read(2000)
     .catch((e: unknown) => (e instanceof RpcError ? 'errorCode' : e));
 
@@ -155,7 +155,7 @@
       );
     },
     async (addr) => {
-      assert.equal(await createPlatformList(() => addr).read(2000), [
+      assert.equal(await createPlatformServerList(() => addr).read(2000), [
         { id: 'i-1', pool: 'd', url: 'http://10.0.0.1:80', zone: 'a', places: 6, draining: false },
         { id: 'i-2', pool: 'd', url: 'http://10.0.0.2:80', zone: 'a', places: 6, draining: true },
       ]);
--- a/tests/src/platform/interface.test.ts
+++ b/tests/src/platform/interface.test.ts
@@ -6,13 +6,13 @@
 import { passHost } from '@tillerstair/sim';
 import { serverUp, type Asked, type Heard, type Up } from '../support/http-server.js';
 import { call, headerOf, jsonOf } from '../support/interface-calls.js';
-import { configuration, play, tryOf, way } from '../support/platform-servers.js';
-import { listUp, systemUp, type ListEntry } from '../support/platform-system.js';
+import { configuration, respondByPath, tryIdOf, buildWay } from '../support/platform-servers.js';
+import { startServerList, startSystem, type ListEntry } from '../support/platform-system.js';
 
 const outside = suite("the users' names: settings, orders, headers, statuses and paths");
 
 const askedOf = (server: Up, attempt: string): Asked => {
-  const asked = server.seen.find((one) => tryOf(one) === attempt);
+  const asked = server.seen.find((one) => tryIdOf(one) === attempt);
   if (!asked) throw new Error(`no request ${attempt} came`);
   return asked;
 };
@@ -20,8 +20,8 @@
 let tool: Up;
 let spare: Up;
 let entries: readonly ListEntry[] = [];
-let list: Awaited<ReturnType<typeof listUp>>;
-let system: Awaited<ReturnType<typeof systemUp>>;
+let list: Awaited<ReturnType<typeof startServerList>>;
+let system: Awaited<ReturnType<typeof startSystem>>;
 
 const order = (method: string, base: number | undefined, body: object | string): Promise<Heard> =>
   call(
@@ -57,17 +57,17 @@
 ) => ({ serverId, depot, address: `127.0.0.1:${port}`, state });
 
 outside.before(async () => {
-  engine = await serverUp(play);
-  tool = await serverUp(play);
-  spare = await serverUp(play);
+  engine = await serverUp(respondByPath);
+  tool = await serverUp(respondByPath);
+  spare = await serverUp(respondByPath);
   entries = [
     entry('i-engine', 'engines', engine.port),
     entry('i-tool', 'tools', tool.port),
     entry('i-going', 'tools', spare.port, 'winding_down'),
     entry('i-spare', 'spares', spare.port),
   ];
-  list = await listUp(() => entries);
-  system = await systemUp(list.port);
+  list = await startServerList(() => entries);
+  system = await startSystem(list.port);
 });
 
 outside.after(async () => {
@@ -105,16 +105,19 @@
   const bad: readonly (object | string)[] = [
     '{"edition":',
     { edition: 7 },
-    configuration(7, { ways: [way('a', 'streamed', 'nowhere')] }),
+    configuration(7, { ways: [buildWay('a', 'streamed', 'nowhere')] }),
     configuration(7, {
-      ways: [way('a', 'streamed', 'tools'), { ...way('a', 'streamed', 'tools'), name: 'b' }],
+      ways: [
+        buildWay('a', 'streamed', 'tools'),
+        { ...buildWay('a', 'streamed', 'tools'), name: 'b' },
+      ],
     }),
-    configuration(7, { ways: [{ ...way('a', 'streamed', 'tools'), deadlineMs: 0 }] }),
-    configuration(7, { ways: [{ ...way('a', 'streamed', 'tools'), wayKind: 'unheard' }] }),
+    configuration(7, { ways: [{ ...buildWay('a', 'streamed', 'tools'), deadlineMs: 0 }] }),
+    configuration(7, { ways: [{ ...buildWay('a', 'streamed', 'tools'), wayKind: 'unheard' }] }),
     configuration(7, {
       ways: [
         {
-          ...way('a', 'streamed', 'tools'),
+          ...buildWay('a', 'streamed', 'tools'),
           depot: undefined,
           dispatch: [{ depot: 'tools', share: 0 }],
         },
@@ -130,7 +133,9 @@
   const patch = {
     edition: 9,
     upsert: {
-      ways: [way('split', 'repeatable', 'tools', { dispatch: [{ depot: 'tools', share: 90 }] })],
+      ways: [
+        buildWay('split', 'repeatable', 'tools', { dispatch: [{ depot: 'tools', share: 90 }] }),
+      ],
       depots: [{ name: 'spares', connLimit: 7 }],
     },
     remove: { ways: ['quick'], depots: [] },
@@ -215,7 +220,8 @@
 });
 
 outside('what a server says of a request: Not-Run, 421, Server-Seal', async () => {
-  const sentOn = (attempt: string): number => tool.seen.filter((a) => tryOf(a) === attempt).length;
+  const sentOn = (attempt: string): number =>
+    tool.seen.filter((a) => tryIdOf(a) === attempt).length;
   for (const deed of ['full', 'other']) {
     const heard = await send(`/once/${deed}`, `try-${deed}`);
     assert.is(heard.status, 503, deed);
--- a/tests/src/platform/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -239,7 +239,7 @@
 
 settings('a failure that nobody waited for is told and does not end a program', () => {
   const program = `
-  import { live } from '@tillerstair/settings';
+  import { runProgram } from '@tillerstair/settings';
     const start = async () => {
       setImmediate(() => {
         void Promise.reject(new Error('nobody waits'));
@@ -247,7 +247,7 @@
       });
       return { stop: async () => undefined };
     };
-    await live('a-program', () => ({}), start);
+    await runProgram('a-program', () => ({}), start);
     process.stdin.on('data', () => undefined);
   `;
   const executed = spawnSync(process.execPath, ['--input-type=module', '-e', program], {
--- a/tests/src/platform/stopping-front.test.ts
+++ b/tests/src/platform/stopping-front.test.ts
@@ -8,8 +8,8 @@
 import { delay, hostClock } from '@tillerstair/wire';
 import { serverUp, type Up } from '../support/http-server.js';
 import { call } from '../support/interface-calls.js';
-import { configuration, play, tryOf } from '../support/platform-servers.js';
-import { graceMs, listUp, systemUp } from '../support/platform-system.js';
+import { configuration, respondByPath, tryIdOf } from '../support/platform-servers.js';
+import { graceMs, startServerList, startSystem } from '../support/platform-system.js';
 
 const stopping = suite('a front that is told to stop');
 
@@ -24,17 +24,17 @@
 const lossSlackMs = 200;
 
 let engine: Up;
-let list: Awaited<ReturnType<typeof listUp>>;
-let system: Awaited<ReturnType<typeof systemUp>>;
+let list: Awaited<ReturnType<typeof startServerList>>;
+let system: Awaited<ReturnType<typeof startSystem>>;
 
 /** Two machines, so that requests are passed on to the front that owns their program. */
 const fronts = 2;
 
 /** Streams two events, the second after `streamMs`; every other request is answered as elsewhere. */
-const playSlowly: typeof play = (asked, res, req) => {
-  if (!asked.path.endsWith('/slow')) return play(asked, res, req);
+const playSlowly: typeof respondByPath = (asked, res, req) => {
+  if (!asked.path.endsWith('/slow')) return respondByPath(asked, res, req);
   res.writeHead(200, [
-    ...['Try-Id', tryOf(asked)],
+    ...['Try-Id', tryIdOf(asked)],
     ...['Server-Seal', 'seal.1'],
     ...['Content-Type', 'text/event-stream'],
   ]);
@@ -68,7 +68,7 @@
 
 const bringUp = async (): Promise<void> => {
   engine = await serverUp(playSlowly);
-  list = await listUp(() => [
+  list = await startServerList(() => [
     {
       serverId: 'i-engine',
       depot: 'engines',
@@ -76,7 +76,7 @@
       state: 'accepting',
     },
   ]);
-  system = await systemUp(list.port, fronts);
+  system = await startSystem(list.port, fronts);
   const { control, ready } = system.ports;
   const order = JSON.stringify(configuration(5));
   await until('a configuration', 30000, async () => {
@@ -159,7 +159,7 @@
       return sent;
     }),
   );
-  const passedOn = new Set(engine.seen.map((asked) => tryOf(asked)));
+  const passedOn = new Set(engine.seen.map((asked) => tryIdOf(asked)));
   assert.equal(lossesOf(answers.flat(), passedOn, signalledAt), []);
   assert.ok(answers.flat().some(({ complete, status }) => complete && status === 200));
   const proxy = (await ended).find(({ role }) => role === 'front-proxy');
--- a/tests/src/platform/translation.test.ts
+++ b/tests/src/platform/translation.test.ts
@@ -6,7 +6,12 @@
 import * as assert from 'uvu/assert';
 import { platformDialect, readSettings } from '@tillerstair/platform';
 import { call, headerOf, jsonOf } from '../support/interface-calls.js';
-import { origin, pageUp, settingsFile, written } from '../support/platform-adapter.js';
+import {
+  origin,
+  startOperatorApi,
+  settingsFile,
+  withSettingsFile,
+} from '../support/platform-adapter.js';
 import { repositoryRoot } from '../support/repository.js';
 
 const translation = suite("the platform's names and what the adapter makes of them");
@@ -27,13 +32,13 @@
 };
 
 translation('every name of the settings file that is used is read under that name', () =>
-  written({ ...settingsFile, ...unusedSettings }, (path) =>
+  withSettingsFile({ ...settingsFile, ...unusedSettings }, (path) =>
     assert.equal(readSettings(path), settingsFile),
   ),
 );
 
 translation('a program whose settings file cannot be used ends with 2 and names the place', () =>
-  written({ ...settingsFile, portRange: 3 }, (path) => {
+  withSettingsFile({ ...settingsFile, portRange: 3 }, (path) => {
     const ended = spawnSync(
       process.execPath,
       [join(repositoryRoot, 'platform', 'dist', 'main.js'), 'store-node'],
@@ -167,7 +172,7 @@
 };
 
 translation("every name of a configuration has its place in the product's file", async () => {
-  const page = await pageUp(() => ({ status: 200, body: {} }));
+  const page = await startOperatorApi(() => ({ status: 200, body: {} }));
   try {
     const heard = await call(page.port, 'PUT', '/configuration', ['If-Match', '"5"'], origin);
     assert.is(heard.status, 200);
@@ -183,7 +188,7 @@
 });
 
 translation('an order that is sent again has the same change id in every version', async () => {
-  const page = await pageUp(() => ({ status: 200, body: { taken: true, version: 9 } }));
+  const page = await startOperatorApi(() => ({ status: 200, body: { taken: true, version: 9 } }));
   try {
     const patch = '{"edition":9,"remove":{"ways":["r-2"]}}';
     await call(page.port, 'PATCH', '/configuration', ['If-Match', '7'], patch);
@@ -209,7 +214,7 @@
     [503, 503, '1'],
     [504, 504, ''],
   ] as const) {
-    const page = await pageUp(() => ({ status, body: {} }));
+    const page = await startOperatorApi(() => ({ status, body: {} }));
     try {
       const heard = await call(page.port, 'PUT', '/configuration', ['If-Match', '5'], origin);
       assert.is(heard.status, expected);
@@ -222,7 +227,7 @@
 
 translation('the operators page asks the product for stores to be emptied', async () => {
   let done = false;
-  const page = await pageUp(() => ({ status: 200, body: { done } }));
+  const page = await startOperatorApi(() => ({ status: 200, body: { done } }));
   try {
     const retire = (method: string) => call(page.port, method, '/retire/vault-a%2F1');
     assert.equal(jsonOf(await retire('POST')), { state: 'in_service' });
--- a/tests/src/support/platform-adapter.ts
+++ b/tests/src/support/platform-adapter.ts
@@ -30,7 +30,7 @@
 };
 
 /** Runs `work` on a settings file that holds `value`. */
-export const written = async <T>(value: object, work: (path: string) => T): Promise<T> => {
+export const withSettingsFile = async <T>(value: object, work: (path: string) => T): Promise<T> => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-names-'));
   const path = join(dir, 'settings.yaml');
   await writeFile(path, JSON.stringify(value));
@@ -42,7 +42,9 @@
 };
 
 /** The operators' page with a product behind it that answers as a test says and records what it is asked. */
-export const pageUp = async (answer: (operation: OperatorRequest) => OperatorResponse) => {
+export const startOperatorApi = async (
+  answer: (operation: OperatorRequest) => OperatorResponse,
+) => {
   const asked: OperatorRequest[] = [];
   const [port = 0] = await freePorts(1);
   const server = await serveHttp(
--- a/tests/src/support/platform-servers.ts
+++ b/tests/src/support/platform-servers.ts
@@ -4,7 +4,7 @@
 import { headerOf } from './interface-calls.js';
 
 /** A route of a configuration. */
-export const way = (name: string, wayKind: string, depot: string, more: object = {}) => ({
+export const buildWay = (name: string, wayKind: string, depot: string, more: object = {}) => ({
   name,
   host: passHost,
   pathPrefix: `/${name}/`,
@@ -21,12 +21,12 @@
 export const configuration = (edition: number, more: object = {}) => ({
   edition,
   ways: [
-    way('again', 'repeatable', 'tools'),
-    way('once', 'once_only', 'tools'),
-    way('keyed', 'keyed_once', 'tools'),
-    way('quick', 'repeatable', 'tools', { deadlineMs: 300 }),
-    way('turn', 'streamed', 'engines', { retained: true, retainS: 60, gapTargetMs: 250 }),
-    way('live', 'streamed', 'engines', { resumable: true, pinned: true }),
+    buildWay('again', 'repeatable', 'tools'),
+    buildWay('once', 'once_only', 'tools'),
+    buildWay('keyed', 'keyed_once', 'tools'),
+    buildWay('quick', 'repeatable', 'tools', { deadlineMs: 300 }),
+    buildWay('turn', 'streamed', 'engines', { retained: true, retainS: 60, gapTargetMs: 250 }),
+    buildWay('live', 'streamed', 'engines', { resumable: true, pinned: true }),
   ],
   depots: [
     {
@@ -51,14 +51,14 @@
 });
 
 /** The id of a client's try, as a server sees it. */
-export const tryOf = (asked: Asked): string => headerOf(asked.headers, 'try-id');
+export const tryIdOf = (asked: Asked): string => headerOf(asked.headers, 'try-id');
 
 /** A server in the platform's words; the last part of the path says what it does. */
-export const play: Play = (asked, res) => {
+export const respondByPath: Play = (asked, res) => {
   const [, , deed = ''] = asked.path.split('/');
   const answer = (status: number, body: string, ...more: readonly string[]): void => {
     res.writeHead(status, [
-      ...['Try-Id', tryOf(asked)],
+      ...['Try-Id', tryIdOf(asked)],
       ...(deed === 'unsealed' ? [] : ['Server-Seal', 'seal.1']),
       ...['Server-Load', '3,0,8'],
       ...more,
--- a/tests/src/support/platform-system.ts
+++ b/tests/src/support/platform-system.ts
@@ -19,7 +19,7 @@
 }
 
 /** The platform's list of servers, one entry a page. */
-export const listUp = async (entries: () => readonly ListEntry[]) => {
+export const startServerList = async (entries: () => readonly ListEntry[]) => {
   const asked: string[] = [];
   const http = createServer((req, res) => {
     asked.push(req.url ?? '');
@@ -134,7 +134,7 @@
 });
 
 /** Starts a control, three stores, and agents and fronts; `TILLERSTAIR_CONFIG` names the settings of each. */
-export const systemUp = async (listPort: number, fronts = 1) => {
+export const startSystem = async (listPort: number, fronts = 1) => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-interface-'));
   const [front = 0, ready = 0, control = 0] = await freePorts(3);
   const ports: SystemPorts = { front, ready, control };
--- a/tests/src/wire/drainable-server.test.ts
+++ b/tests/src/wire/drainable-server.test.ts
@@ -78,7 +78,7 @@
     await work({ server, taken, open });
   } finally {
     for (const socket of sockets) socket.destroy();
-    await server.endWithin(0);
+    await server.closeWithin(0);
   }
 };
 
@@ -134,15 +134,15 @@
     (await send(rig, rested, '/rested')).end('ok');
     while (!rested.received.includes('ok')) await once(rested.socket, 'data');
     const response = await send(rig, busy, '/busy');
-    assert.is(rig.server.unansweredRequests, 1);
+    assert.is(rig.server.pendingRequests, 1);
     rig.server.stopAccepting();
     const ended = [unused, rested, busy].map(({ accepted }) => accepted.destroyed);
     assert.equal(ended, [true, true, false]);
-    assert.is(rig.server.unansweredRequests, 1);
+    assert.is(rig.server.pendingRequests, 1);
     response.end('whole');
     await busy.closed;
     assert.match(busy.received, /whole/);
-    assert.is(rig.server.unansweredRequests, 0);
+    assert.is(rig.server.pendingRequests, 0);
   }),
 );
 
@@ -188,7 +188,7 @@
     await send(rig, stuck, '/stuck');
     const clock = new ManualClock();
     let ended = false;
-    const end = rig.server.endWithin(1000, clock).then(() => {
+    const end = rig.server.closeWithin(1000, clock).then(() => {
       ended = true;
     });
     response.end('whole');
