--- a/packages/settings/src/errors.ts
+++ b/packages/settings/src/errors.ts
@@ -1,12 +1,12 @@
-/** What is wrong with settings. */
+/** Errors of settings. */
 
-/** One fault, with the setting or the line of the file that it is at. */
+/** One error in the settings: `place` is the flag, the path of the setting, or the line of the file. */
 export interface Finding {
   readonly place: string;
   readonly text: string;
 }
 
-/** Settings that a program cannot start with. */
+/** The settings are invalid, so the program cannot start; the message has one line for each finding. */
 export class InvalidSettingsError extends Error {
   override readonly name = 'InvalidSettingsError';
 
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Settings of all programs, their command line, and the life of a program as a process. */
+/** Settings of all programs, their command line, and their life cycle as processes. */
 export * from './daemon.js';
 export * from './errors.js';
 export * from './operator-pages.js';
--- a/packages/settings/src/operator-pages.ts
+++ b/packages/settings/src/operator-pages.ts
@@ -1,17 +1,20 @@
-/** The HTTP pages that every program has for whoever watches it: `/live` and `/ready`. */
+/** The HTTP health checks of every program: `/live` for liveness and `/ready` for readiness. */
 import { sendJson, serveHttp, type DrainableServer, type HttpHandler } from '@tillerstair/wire';
 
 const okStatus = 200;
 const notFoundStatus = 404;
 const unavailableStatus = 503;
 
-/** Whether a program can do its work, and why. */
+/** Readiness of a program, with the reason; it is the body of the `/ready` response. */
 export interface Readiness {
   readonly ready: boolean;
   readonly why: string;
 }
 
-/** Serves `/live` and `/ready` at an address, and all other paths by `handleOther`. */
+/**
+ * Starts an HTTP server with `/live` (always 200) and `/ready` (200 or 503). `handleOther` handles all other paths;
+ * without it they are answered 404.
+ */
 export const servePages = (
   addr: string,
   readiness: () => Readiness,
--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -1,20 +1,20 @@
-/** The life of a program as a process: its start, SIGHUP, SIGTERM and SIGINT, and its exit codes. */
+/** The life cycle of a program as a process: start, reload on SIGHUP, stop on SIGTERM and SIGINT, and exit codes. */
 import { FolderInUseError, JournalDamagedError } from '@tillerstair/journal';
 import { createLogger, type Logger } from '@tillerstair/wire';
 import { InvalidSettingsError } from './errors.js';
 
-/** Exit codes of a program; they are stated on the operators' pages. */
+/** Exit codes of a program; they are documented for operators. */
 const exitCodes = { stopped: 0, failed: 1, invalidSettings: 2, unusableFolder: 3 } as const;
 
 /** A started program. `T` is the type of its settings. */
 export interface RunningProgram<T = never> {
-  /** Ends what is under way and releases everything that the program opened. */
+  /** Ends the work in progress and releases all resources of the program. */
   stop(): Promise<void>;
-  /** Takes over settings that were read again, as far as they may change while the program runs. */
+  /** Applies reloaded settings, as far as they can change while the program runs. */
   reload?(settings: T): void;
 }
 
-/** Writes log lines of a part of a program to the standard error stream. */
+/** Creates a logger that writes to standard error; `part` is the name of the program in each line. */
 export const createStderrLogger = (
   part: string,
   level: 'debug' | 'info' | 'warn' | 'error',
@@ -23,14 +23,15 @@
     process.stderr.write(`${line}\n`);
   });
 
-const textOf = (error: unknown): string => (error instanceof Error ? error.message : String(error));
+const messageOf = (error: unknown): string =>
+  error instanceof Error ? error.message : String(error);
 
 const findingsText = (error: unknown): string =>
   error instanceof InvalidSettingsError
     ? error.findings.map(({ place, text }) => `${place}: ${text}`).join('; ')
-    : textOf(error);
+    : messageOf(error);
 
-/** Reads the settings again and applies them; invalid ones are reported in one line and the old ones stay in force. */
+/** Reloads and applies the settings. Invalid ones are reported in one line, and the previous ones stay in effect. */
 const reloadSettings = <T>(name: string, read: () => T, running: RunningProgram<T>): void => {
   try {
     running.reload?.(read());
@@ -40,7 +41,7 @@
   }
 };
 
-/** A rejection that nobody handled is a fault of the program; it is reported, and does not end what others rely on. */
+/** Logs an unhandled rejection. It is a bug, but the process keeps running, since other nodes depend on it. */
 const reportUnhandled = (name: string, error: unknown): void => {
   const text = error instanceof Error ? (error.stack ?? error.message) : String(error);
   process.stderr.write(`${name}: A failure was not handled: ${text}\n`);
@@ -52,9 +53,10 @@
       process.stderr.write(`${name}: ${place}: ${text}\n`);
     process.exit(exitCodes.invalidSettings);
   }
-  process.stderr.write(`${name}: cannot start: ${textOf(error)}\n`);
-  const isFolderFault = error instanceof FolderInUseError || error instanceof JournalDamagedError;
-  process.exit(isFolderFault ? exitCodes.unusableFolder : exitCodes.failed);
+  process.stderr.write(`${name}: cannot start: ${messageOf(error)}\n`);
+  const isFolderUnusable =
+    error instanceof FolderInUseError || error instanceof JournalDamagedError;
+  process.exit(isFolderUnusable ? exitCodes.unusableFolder : exitCodes.failed);
 };
 
 const stopOnSignals = <T>(running: RunningProgram<T>): void => {
@@ -72,9 +74,13 @@
 };
 
 /**
- * Starts a program and keeps it until SIGTERM or SIGINT. SIGHUP reads its settings again; one that comes
- * during the start is met once the program runs. Ends with 2 for invalid settings, 3 for a data folder that
- * cannot be used, 1 otherwise.
+ * Runs a program until SIGTERM or SIGINT. SIGHUP reloads its settings; one that arrives during the start takes effect
+ * once the program runs. A failed start exits with code 2 for invalid settings, 3 for a data folder that is in use or
+ * damaged, and 1 otherwise.
+ *
+ * @param name - the name of the program in messages
+ * @param read - reads the settings; throws `InvalidSettingsError`
+ * @param start - starts the program with its settings
  */
 export const runProgram = async <T>(
   name: string,
@@ -82,16 +88,18 @@
   start: (settings: T) => Promise<RunningProgram<T>>,
 ): Promise<void> => {
   process.on('unhandledRejection', (error) => reportUnhandled(name, error));
-  const started: { running?: RunningProgram<T>; reloadWanted: boolean } = { reloadWanted: false };
+  const program: { running?: RunningProgram<T>; reloadRequested: boolean } = {
+    reloadRequested: false,
+  };
   process.on('SIGHUP', () => {
-    if (started.running) reloadSettings(name, read, started.running);
-    else started.reloadWanted = true;
+    if (program.running) reloadSettings(name, read, program.running);
+    else program.reloadRequested = true;
   });
   try {
-    started.running = await start(read());
+    program.running = await start(read());
   } catch (error) {
     return exitAfterFailedStart(name, error);
   }
-  if (started.reloadWanted) reloadSettings(name, read, started.running);
-  stopOnSignals(started.running);
+  if (program.reloadRequested) reloadSettings(name, read, program.running);
+  stopOnSignals(program.running);
 };
--- a/packages/settings/src/schemas.ts
+++ b/packages/settings/src/schemas.ts
@@ -1,5 +1,6 @@
 /**
- * The settings of each program, with their limits and usual values. Their keys are those of settings files and flags.
+ * Schemas of the settings of each program, with limits and default values. The keys are those of settings files and
+ * command-line flags.
  */
 import { isIP } from 'node:net';
 import { z } from 'zod';
@@ -16,13 +17,13 @@
 
 const addr = z
   .string()
-  .refine(isAddress, { error: 'must be an IP number and a port, as in 10.0.0.1:7400' });
+  .refine(isAddress, { error: 'must be an IP address and a port, such as 10.0.0.1:7400' });
 
-/** A time in ms. */
-const ms = (least: number, most: number, usual: number) =>
-  z.number().int().min(least).max(most).default(usual);
+/** A duration in whole milliseconds between `min` and `max`. */
+const ms = (min: number, max: number, defaultMs: number) =>
+  z.number().int().min(min).max(max).default(defaultMs);
 
-/** The outer bounds of a deployment, in ms, from which all other times follow. */
+/** Time bounds of a deployment, in ms; all other timeouts and intervals are derived from them. */
 const Bounds = z
   .strictObject({
     serveWithin: ms(1000, 120000, 12000),
@@ -33,25 +34,30 @@
   })
   .prefault({});
 
-/** What every program has. */
+/** Settings of every program. */
 const Common = {
-  zone: z.string().regex(/^[a-z0-9-]{1,64}$/, { error: 'must be a short lower-case name' }),
+  zone: z
+    .string()
+    .regex(/^[a-z0-9-]{1,64}$/, { error: 'must be 1 to 64 lower-case letters, digits or hyphens' }),
   http: addr,
   log: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
   bounds: Bounds,
 };
-/** What every member of a cluster has. */
-const Linked = {
+/** Settings of every program that joins the cluster. */
+const ClusterMember = {
   addr,
   listen: addr.optional(),
   name: z.string().max(200).default(''),
   seeds: z.array(addr).length(3, { error: 'must be three addresses' }),
 };
 
-/** Settings of a control; times in ms, sizes in bytes. `slots` and `losses` count only when a cluster is bootstrapped. */
+/**
+ * Settings of a control; times in ms, sizes in bytes. `slots` (number of slots) and `losses` (simultaneous losses to
+ * tolerate) are used only when a cluster is bootstrapped.
+ */
 export const ControlSettings = z.strictObject({
   ...Common,
-  ...Linked,
+  ...ClusterMember,
   data: z.string().min(1),
   slots: z.number().int().min(8).max(4096).default(64),
   losses: z.number().int().min(1).max(7).default(1),
@@ -62,13 +68,13 @@
     .min(65536)
     .default(4 << 20),
 });
-/** Settings of one control, checked and complete. */
+/** Validated settings of a control, with defaults filled in. */
 export type ControlSettings = z.infer<typeof ControlSettings>;
 
 /** Settings of a store; times in ms, sizes in bytes. */
 export const StoreSettings = z.strictObject({
   ...Common,
-  ...Linked,
+  ...ClusterMember,
   data: z.string().min(1),
   journalLongAt: z
     .number()
@@ -78,17 +84,17 @@
   retentionMs: z.number().int().min(60000).default(3600000),
   hintsMost: z.number().int().min(100).default(100000),
 });
-/** Settings of one store, checked and complete. */
+/** Validated settings of a store, with defaults filled in. */
 export type StoreSettings = z.infer<typeof StoreSettings>;
 
-/** Settings of the agent beside a proxy; times in ms. */
+/** Settings of the agent of a proxy; times in ms. */
 export const AgentSettings = z.strictObject({
   ...Common,
-  ...Linked,
+  ...ClusterMember,
   proxy: addr,
   stopWithin: ms(100, 600000, 5000),
 });
-/** Settings of one agent, checked and complete. */
+/** Validated settings of an agent, with defaults filled in. */
 export type AgentSettings = z.infer<typeof AgentSettings>;
 
 /** Settings of a proxy; times in ms, sizes in bytes. */
@@ -107,5 +113,5 @@
   retentionMs: z.number().int().min(60000).default(3600000),
   stopWithin: ms(100, 600000, 5000),
 });
-/** Settings of one proxy, checked and complete. */
+/** Validated settings of a proxy, with defaults filled in. */
 export type ProxySettings = z.infer<typeof ProxySettings>;
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -1,10 +1,10 @@
-/** Reads settings from a file and from flags, which go before the file. */
+/** Reads settings from a file and from flags; flags take precedence over the file. */
 import { readFileSync } from 'node:fs';
 import { parseDocument } from 'yaml';
 import type { z } from 'zod';
 import { InvalidSettingsError, type Finding } from './errors.js';
 
-/** The one flag that names a list, separated by commas. */
+/** The only flag whose value is a comma-separated list. */
 const listFlag = 'seeds';
 
 const parseFlag = (path: string, value: unknown): unknown => {
@@ -17,7 +17,7 @@
 const isTable = (value: unknown): value is object =>
   value !== null && typeof value === 'object' && !Array.isArray(value);
 
-/** Sets the value of a flag such as `bounds.serveWithin`, beside the other values of its table. */
+/** Sets a setting by its path, such as `bounds.serveWithin`; other values of its table are kept. */
 const setFlag = (settings: Map<string, unknown>, path: string, value: unknown): void => {
   const [head = '', ...rest] = path.split('.');
   if (rest.length === 0) {
@@ -32,7 +32,7 @@
   settings.set(head, Object.fromEntries(inner));
 };
 
-/** Reads the table of a settings file; what is wrong with the file is added to `findings`. */
+/** Reads the table of a settings file; errors of the file are added to `findings`. */
 const readTable = (file: string, findings: Finding[]): ReadonlyMap<string, unknown> => {
   try {
     const document = parseDocument(readFileSync(file, 'utf8'));
@@ -49,7 +49,7 @@
   return new Map();
 };
 
-/** Where a setting comes from: its flag, or the file and its path in it. */
+/** The source of a setting for error messages: its flag, or the file and the path in it. */
 const placeOf = (
   path: string,
   file: string | undefined,
@@ -61,11 +61,11 @@
 };
 
 /**
- * Reads and checks all settings of a program.
+ * Reads and validates the settings of a program.
  *
- * @param file the path of a YAML or JSON file, if there is one
- * @param flags values by the path of their setting
- * @throws InvalidSettingsError with all faults that were found.
+ * @param file - the path of a YAML or JSON file, if there is one
+ * @param flags - values by the path of their setting
+ * @throws InvalidSettingsError with all findings
  */
 export const readSettings = <T>(
   schema: z.ZodType<T>,
--- a/packages/wire/src/clock.ts
+++ b/packages/wire/src/clock.ts
@@ -1,36 +1,36 @@
-/** Time as the programs see it: a steady clock that can be replaced, and waits on it. */
+/** A monotonic clock that tests can replace, and helpers for delays and timeouts on it. */
 import { setMaxListeners } from 'node:events';
 
-/** A timer that can be stopped before it fires. */
+/** A pending timer; `stop` cancels it if it has not fired yet. */
 export interface TimerHandle {
   stop(): void;
 }
 
-/** A steady clock: it never goes back and has nothing to do with the time of day. */
+/** A monotonic clock: it never goes back and is unrelated to the time of day. */
 export interface Clock {
-  /** Milliseconds since an arbitrary moment, with fractions. */
+  /** Milliseconds since an arbitrary starting point, with fractions. */
   now(): number;
-  /** Runs something once, after `ms` milliseconds. */
+  /** Calls `run` once, after `ms` milliseconds. */
   after(ms: number, run: () => void): TimerHandle;
 }
 
 const nanosecondsPerMillisecond = 1e6;
 
-/** The clock of the machine. */
+/** The monotonic clock of the operating system. */
 export const hostClock: Clock = {
-  /** Reads the steady clock of the operating system. */
+  /** Milliseconds by `process.hrtime`. */
   now: () => Number(process.hrtime.bigint()) / nanosecondsPerMillisecond,
-  /** Keeps the process alive until the timer fires or is stopped. */
+  /** Starts a timer that keeps the process alive until it fires or is stopped. */
   after: (ms, run) => {
     const timer = setTimeout(run, ms);
     return { stop: () => clearTimeout(timer) };
   },
 };
 
-/** Rounds to whole milliseconds, never below one: platform timers refuse fractions. */
+/** Rounds to whole milliseconds, at least 1: the timers of the platform reject fractions. */
 export const toTimerMs = (ms: number): number => Math.max(1, Math.round(ms));
 
-/** Waits `ms` milliseconds, or until the signal is aborted; it never throws. */
+/** Resolves after `ms` milliseconds, or as soon as the signal is aborted; it never rejects. */
 export const delay = (clock: Clock, ms: number, signal?: AbortSignal): Promise<void> =>
   new Promise((resolve) => {
     if (signal?.aborted) {
@@ -48,7 +48,7 @@
     signal?.addEventListener('abort', onAbort, { once: true });
   });
 
-/** Waits for `work` for at most `ms` milliseconds, then throws what `timeoutError` makes; the work itself goes on. */
+/** Settles as `work` does, or rejects with `timeoutError()` after `ms` milliseconds; `work` itself is not cancelled. */
 export const withTimeout = <T>(
   clock: Clock,
   ms: number,
@@ -62,7 +62,7 @@
     work.then(resolve, reject);
   });
 
-/** An abort controller for the life of a program, which any number of waits may listen to. */
+/** Creates an abort controller whose signal accepts any number of listeners without Node's leak warning. */
 export const createAbortController = (): AbortController => {
   const controller = new AbortController();
   setMaxListeners(0, controller.signal);
--- a/packages/wire/src/drainable-server.ts
+++ b/packages/wire/src/drainable-server.ts
@@ -1,8 +1,9 @@
 /**
- * An HTTP server that can be drained: its connections end without cutting an answer, and clients learn in time that they
- * have to open new ones. Owns which answers are incomplete on each connection, and whether requests are still taken.
- * Invariant: a request that the handler gets has its answer in full before `closeWithin` closes its connection, unless that
- * time runs out; a request that the handler does not get has not run.
+ * An HTTP server that supports graceful shutdown: connections are closed without truncating a response, and clients are
+ * told early, by `Connection: close`, to open new ones. Owns the set of incomplete responses of each connection and the
+ * phase of the shutdown.
+ * Invariant: a request that was passed to the handler gets its complete response before `closeWithin` closes its
+ * connection, unless that timeout expires; a request that was not passed to the handler has not been executed.
  */
 import {
   Server,
@@ -15,11 +16,14 @@
 import type { Duplex } from 'node:stream';
 import { delay, hostClock, type Clock } from './clock.js';
 
-/** `announcing`: each answer is the last of its connection. `refusing`: requests are refused, none is handled. */
+/**
+ * `serving`: requests are handled, connections stay open. `announcing`: requests are handled, connections are closed
+ * after their responses. `refusing`: requests are answered 503 and not passed to the handler.
+ */
 type Phase = 'serving' | 'announcing' | 'refusing';
 
 const serviceUnavailable = 503;
-/** When a client may come back with a request that a stopping server did not take, in seconds: at once, elsewhere. */
+/** `Retry-After` of a rejected request, in seconds. Short, because another server can handle it immediately. */
 const retryAfterS = 0.05;
 const refusalBody = JSON.stringify({
   executed: 'no',
@@ -27,7 +31,7 @@
   text: 'this server is stopping',
 });
 
-const refuse = (response: ServerResponse): void => {
+const sendServiceUnavailable = (response: ServerResponse): void => {
   response.writeHead(serviceUnavailable, {
     'Content-Type': 'application/json',
     'Content-Length': String(Buffer.byteLength(refusalBody)),
@@ -36,13 +40,13 @@
   response.end(refusalBody);
 };
 
-/** An HTTP server whose connections can be ended in order. */
+/** An HTTP server that can be drained and then closed. */
 export class DrainableServer extends Server {
   private readonly openSockets = new Set<Socket>();
   private readonly unanswered = new Map<Duplex, Set<ServerResponse>>();
   private phase: Phase = 'serving';
 
-  /** `handler` gets each request that is taken. */
+  /** @param handler - called for each accepted request */
   constructor(
     options: ServerOptions,
     private readonly handler: RequestListener,
@@ -53,75 +57,75 @@
       socket.on('close', () => this.openSockets.delete(socket));
     });
     this.on('request', (request: IncomingMessage, response: ServerResponse) => {
-      this.take(request, response);
+      this.handleRequest(request, response);
     });
   }
 
-  /** How many requests have no complete answer yet. */
+  /** Number of requests without a complete response. */
   get pendingRequests(): number {
     let count = 0;
     for (const responses of this.unanswered.values()) count += responses.size;
     return count;
   }
 
-  /** Whether a request on this connection has no complete answer yet. */
+  /** Whether a request on this connection is still without a complete response. */
   hasPendingRequest(socket: Duplex): boolean {
     return this.unanswered.has(socket);
   }
 
-  /** Goes on serving; from now on each connection ends with its next answer, or with those that are under way. */
+  /** Keeps serving, but closes each connection after its pending responses or, if it is idle, after its next one. */
   announceClose(): void {
     if (this.phase === 'serving') this.phase = 'announcing';
     for (const responses of this.unanswered.values())
-      for (const response of responses) this.makeLast(response);
+      for (const response of responses) this.closeAfter(response);
   }
 
-  /** Takes no further connection or request, and ends connections on which nothing is under way. */
+  /** Stops accepting connections and requests, and closes the connections without a pending request. */
   stopAccepting(): void {
     if (this.phase === 'refusing') return;
     this.announceClose();
     this.phase = 'refusing';
     if (this.listening) this.close();
     this.closeIdleConnections();
-    // Node counts a connection that was never used as one whose request is awaited.
+    // `closeIdleConnections` skips connections that never sent a byte: Node counts them as waiting for a request.
     for (const socket of this.openSockets) if (socket.bytesRead === 0) socket.destroy();
   }
 
-  /** Stops accepting and resolves once all connections have ended: when everything is answered, or after `withinMs`. */
+  /** Stops accepting requests, waits for the pending responses for at most `withinMs`, then closes all connections. */
   async closeWithin(withinMs: number, clock: Clock = hostClock): Promise<void> {
     this.stopAccepting();
     if (this.unanswered.size > 0) {
-      const over = new AbortController();
+      const timeout = new AbortController();
       const answered = new Promise<void>((resolve) => {
         this.once('allAnswered', resolve);
       });
-      await Promise.race([answered, delay(clock, withinMs, over.signal)]);
-      over.abort();
+      await Promise.race([answered, delay(clock, withinMs, timeout.signal)]);
+      timeout.abort();
     }
     this.closeAllConnections();
   }
 
-  private take(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const { socket } = request;
     const earlier = this.unanswered.get(socket) ?? new Set<ServerResponse>();
-    // RFC 9112, 9.6: what a client sends behind a request whose answer closes the connection is not processed.
+    // RFC 9112, 9.6: requests that follow one whose response closes the connection are not processed.
     if ([...earlier].some(({ shouldKeepAlive }) => !shouldKeepAlive)) return;
     this.unanswered.set(socket, earlier.add(response));
-    response.on('close', () => this.answered(socket, response));
-    if (this.phase !== 'serving') this.makeLast(response);
-    if (this.phase === 'refusing') refuse(response);
+    response.on('close', () => this.removeResponse(socket, response));
+    if (this.phase !== 'serving') this.closeAfter(response);
+    if (this.phase === 'refusing') sendServiceUnavailable(response);
     else this.handler(request, response);
   }
 
-  /** Has the connection end behind this answer, whether its head was sent already or not. */
-  private makeLast(response: ServerResponse): void {
+  /** Closes the connection after this response, also if its head has already been sent with `keep-alive`. */
+  private closeAfter(response: ServerResponse): void {
     const { socket } = response;
     if (response.headersSent && response.shouldKeepAlive)
       response.once('finish', () => socket?.destroySoon());
     response.shouldKeepAlive = false;
   }
 
-  private answered(socket: Duplex, response: ServerResponse): void {
+  private removeResponse(socket: Duplex, response: ServerResponse): void {
     const responses = this.unanswered.get(socket);
     responses?.delete(response);
     if (responses?.size === 0) this.unanswered.delete(socket);
--- a/packages/wire/src/enable-logging.ts
+++ b/packages/wire/src/enable-logging.ts
@@ -1,2 +1,2 @@
-/** `roarr` reads this variable when it is loaded, so it must be set by a module that is imported before it. */
+/** Enables `roarr`, which reads this variable when it is loaded: this module must be imported before it. */
 process.env['ROARR_LOG'] ??= 'true';
--- a/packages/wire/src/errors/admission-error.ts
+++ b/packages/wire/src/errors/admission-error.ts
@@ -6,7 +6,8 @@
 } from './rpc-error.js';
 
 /**
- * No server could be assigned: a full queue, a wait that would last too long, no route or no usable server.
+ * No server could be assigned to the request: the queue is full, the wait in it is too long, no route matches, or no
+ * server is usable.
  */
 export class AdmissionError extends RpcError {
   override readonly name: string = 'AdmissionError';
--- a/packages/wire/src/errors/decode.ts
+++ b/packages/wire/src/errors/decode.ts
@@ -1,4 +1,4 @@
-/** Errors as they come from elsewhere: from the inner wire, or thrown by a library. */
+/** Converts errors from outside into `RpcError`s: those of the node-to-node protocol and those that a library threw. */
 import { z } from 'zod';
 import { AdmissionError } from './admission-error.js';
 import { ElectionError } from './election-error.js';
@@ -18,7 +18,7 @@
 } from './rpc-error.js';
 import { TransportError } from './transport-error.js';
 
-/** A code as it stands on the wire; one that this version does not know is read as `internal`. */
+/** Schema of an error code in a message; a code that this version does not know is parsed as `internal`. */
 export const RpcErrorCodeOnWire = z.enum(Object.values(rpcErrorCodes).flat()).catch('internal');
 
 const isCodeOf = <Family extends RpcErrorFamily>(
@@ -29,7 +29,7 @@
   return codes.includes(code);
 };
 
-/** Makes the error of the family that a code belongs to, with what crossed the wire. */
+/** Creates the error class of the code's family from the fields of an error message. */
 export const rpcErrorOf = (
   code: RpcErrorCode,
   message: string,
@@ -46,13 +46,13 @@
   return new OperationError(code, message, executed);
 };
 
-/** Whether an error tells of a fault in this program rather than of a failure outside it. */
+/** Whether an error is a bug in this program rather than a failure outside it. */
 export const isProgrammingError = (
   error: unknown,
 ): error is TypeError | RangeError | ReferenceError =>
   error instanceof TypeError || error instanceof RangeError || error instanceof ReferenceError;
 
-/** Any thrown value as an `RpcError`; of one that is not, nobody knows whether the work was executed. */
+/** Returns a thrown `RpcError` as it is; any other value becomes an `internal` error with `executed: unknown`. */
 export const toRpcError = (error: unknown): RpcError =>
   error instanceof RpcError
     ? error
--- a/packages/wire/src/errors/election-error.ts
+++ b/packages/wire/src/errors/election-error.ts
@@ -6,7 +6,8 @@
 } from './rpc-error.js';
 
 /**
- * A control refuses by the rules of election and publishing: another master, term, cluster or node is meant, or no majority answered.
+ * A control rejected the request under the rules of election and state publishing: the request is for another master,
+ * term, cluster or node, or no majority answered.
  */
 export class ElectionError extends RpcError {
   override readonly name: string = 'ElectionError';
--- a/packages/wire/src/errors/feed-error.ts
+++ b/packages/wire/src/errors/feed-error.ts
@@ -6,7 +6,8 @@
 } from './rpc-error.js';
 
 /**
- * A proxy and the agent beside it are not in step: no proxy, another one, or one that needs the whole configuration.
+ * A proxy and its agent are out of sync: there is no proxy, it is not the one that the agent expects, or it needs the
+ * complete configuration.
  */
 export class FeedError extends RpcError {
   override readonly name: string = 'FeedError';
--- a/packages/wire/src/errors/operation-error.ts
+++ b/packages/wire/src/errors/operation-error.ts
@@ -6,7 +6,7 @@
 } from './rpc-error.js';
 
 /**
- * An operator's request is refused: its subject does not exist, or the state does not allow it.
+ * An operator's request was rejected: what it names does not exist, or the cluster state does not allow it.
  */
 export class OperationError extends RpcError {
   override readonly name: string = 'OperationError';
--- a/packages/wire/src/errors/ownership-error.ts
+++ b/packages/wire/src/errors/ownership-error.ts
@@ -6,8 +6,8 @@
 } from './rpc-error.js';
 
 /**
- * This node does not own the slot now, or does not know the route yet. Another front, or the same one after the next
- * publish, can serve the request: it has not run, so a front may forward it again.
+ * This node does not own the slot at present, or does not know the route yet. Another front, or the same one after the
+ * next state publish, can serve the request. It has not been executed, so a front may forward it again.
  */
 export class OwnershipError extends RpcError {
   override readonly name: string = 'OwnershipError';
--- a/packages/wire/src/errors/protocol-error.ts
+++ b/packages/wire/src/errors/protocol-error.ts
@@ -6,7 +6,7 @@
 } from './rpc-error.js';
 
 /**
- * The request itself could not be handled: an unknown kind, a closed queue, or a fault in the handler.
+ * The request could not be handled: its kind is unknown, the task queue is closed, or the handler has a bug.
  */
 export class ProtocolError extends RpcError {
   override readonly name: string = 'ProtocolError';
--- a/packages/wire/src/errors/replica-error.ts
+++ b/packages/wire/src/errors/replica-error.ts
@@ -6,7 +6,7 @@
 } from './rpc-error.js';
 
 /**
- * A replica of a slot cannot serve: it is unavailable, fenced at a higher ownership epoch, or has moved.
+ * A replica of a slot cannot serve the request: it is unavailable, fenced at a higher ownership epoch, or has moved.
  */
 export class ReplicaError extends RpcError {
   override readonly name: string = 'ReplicaError';
--- a/packages/wire/src/errors/rpc-error.ts
+++ b/packages/wire/src/errors/rpc-error.ts
@@ -1,16 +1,16 @@
 /**
- * The base of the errors that cross the inner wire. `docs/errors.md` lists every code with its class.
+ * The base class of the errors in node-to-node messages. `docs/errors.md` lists every code with its class.
  *
- * An error says two things: a code, and whether the work that was asked for has been executed.
+ * An error has a code and says whether the requested work has been executed.
  */
 
 /**
- * Whether requested work has been executed. `no` is a promise: it has not run and never will on account of that
- * request, so it may be sent again.
+ * Whether the requested work has been executed. `no` guarantees that this request has not been executed and never will
+ * be, so it is safe to retry.
  */
 export type ExecutionStatus = 'no' | 'unknown' | 'yes';
 
-/** Every code by the family that has it: one class for each family. */
+/** All error codes by family; each family has its own error class. */
 export const rpcErrorCodes = {
   transport: ['connection-refused', 'connection-lost', 'request-timeout', 'gone'],
   protocol: ['internal', 'unknown', 'unknown-kind', 'closed'],
@@ -34,25 +34,25 @@
   operation: ['missing', 'refused', 'forgotten', 'wrong-base'],
 } as const;
 
-/** The families of errors. */
+/** A family of error codes. */
 export type RpcErrorFamily = keyof typeof rpcErrorCodes;
 
 /** The codes of one family. */
 export type RpcErrorCodeOf<Family extends RpcErrorFamily> = (typeof rpcErrorCodes)[Family][number];
 
-/** Every code that an `RpcError` can have; they stand on the inner wire and as `errorCode` in answers. */
+/** Any code of an `RpcError`; it is sent in node-to-node messages and as `errorCode` in HTTP responses. */
 export type RpcErrorCode = RpcErrorCodeOf<RpcErrorFamily>;
 
-/** When callers are asked to come back if nothing better is known, in milliseconds. */
+/** Retry delay that is suggested to callers if the error has no better estimate, in milliseconds. */
 export const defaultRetryAfterMs = 1000;
 
-/** An error of a request between processes. */
+/** Failure of a request between processes. */
 export class RpcError extends Error {
   override readonly name: string = 'RpcError';
 
   /**
-   * @param executed - whether the work has been executed
-   * @param retryAfterMs - when the caller may try again, in milliseconds; it does not cross the inner wire
+   * @param executed - whether the requested work has been executed
+   * @param retryAfterMs - delay before the caller may retry, in milliseconds; not sent in node-to-node messages
    */
   constructor(
     readonly code: RpcErrorCode,
--- a/packages/wire/src/errors/transport-error.ts
+++ b/packages/wire/src/errors/transport-error.ts
@@ -1,7 +1,7 @@
-/** Errors of the connection to another process, which say what is known of a request that was under way. */
+/** Errors of the connection to another process; each states whether the request in flight can have been executed. */
 import { RpcError, type ExecutionStatus, type RpcErrorCodeOf } from './rpc-error.js';
 
-/** A request had no response because of its connection, its time limit or its caller. */
+/** A request got no response: its connection failed, it timed out, or its caller cancelled it. */
 export class TransportError extends RpcError {
   override readonly name: string = 'TransportError';
 
@@ -14,38 +14,38 @@
   }
 }
 
-/** No connection could be opened: nothing of the request left this process. */
+/** No connection could be opened, so no part of the request was sent. */
 export class ConnectionRefusedError extends TransportError {
   override readonly name = 'ConnectionRefusedError';
 
   constructor(to: string) {
-    super('connection-refused', `no connection to ${to}`, 'no');
+    super('connection-refused', `cannot connect to ${to}`, 'no');
   }
 }
 
-/** The connection ended while a request was under way: it may have been executed. */
+/** The connection closed while the request was in flight; the request may have been executed. */
 export class ConnectionLostError extends TransportError {
   override readonly name = 'ConnectionLostError';
 
   constructor(to: string) {
-    super('connection-lost', `connection to ${to} was lost`, 'unknown');
+    super('connection-lost', `lost the connection to ${to} during the request`, 'unknown');
   }
 }
 
-/** No response came in time: the request may have been executed. */
+/** No response arrived before the timeout; the request may have been executed. */
 export class RequestTimeoutError extends TransportError {
   override readonly name = 'RequestTimeoutError';
 
   constructor(to: string) {
-    super('request-timeout', `no response from ${to} in time`, 'unknown');
+    super('request-timeout', `request to ${to} timed out`, 'unknown');
   }
 }
 
-/** Whoever made the request has gone; `executed` says whether it had been sent by then. */
+/** The caller cancelled the request. `executed` is `no` if the request had not been sent by then, else `unknown`. */
 export class RequestCancelledError extends TransportError {
   override readonly name = 'RequestCancelledError';
 
   constructor(executed: ExecutionStatus) {
-    super('gone', 'the caller is gone', executed);
+    super('gone', 'the caller cancelled the request', executed);
   }
 }
--- a/packages/wire/src/errors/unavailable-error.ts
+++ b/packages/wire/src/errors/unavailable-error.ts
@@ -6,7 +6,8 @@
 } from './rpc-error.js';
 
 /**
- * The answer cannot be given now: a quorum, a lease or a finished turn is missing. It never means that something does not exist.
+ * The request cannot be answered at present, for lack of a quorum, a lease or a finished turn. It never means that the
+ * requested item does not exist.
  */
 export class UnavailableError extends RpcError {
   override readonly name: string = 'UnavailableError';
--- a/packages/wire/src/http.ts
+++ b/packages/wire/src/http.ts
@@ -1,12 +1,12 @@
-/** Plain HTTP for operators' and callers' pages: reading bodies, answering in JSON, and one handler for all requests. */
+/** HTTP server helpers for the interfaces of operators and callers: reading bodies, JSON responses, error statuses. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { parseAddress } from './address.js';
 import { DrainableServer } from './drainable-server.js';
 
-/** Answers one request; what it throws becomes 413 or 500. */
+/** Responds to one request. `BodyTooLargeError` is answered 413, any other rejection 500. */
 export type HttpHandler = (req: IncomingMessage, res: ServerResponse, url: URL) => Promise<void>;
 
-/** Answers in JSON, unless the answer has ended or its caller is gone. */
+/** Sends a JSON response, unless the response has already ended or the connection is closed. */
 export const sendJson = (
   res: ServerResponse,
   status: number,
@@ -15,33 +15,33 @@
 ): void => {
   if (res.destroyed || res.writableEnded) return;
   const text = JSON.stringify(body);
-  for (const [k, v] of headers) res.setHeader(k, v);
+  for (const [name, value] of headers) res.setHeader(name, value);
   res.setHeader('content-type', 'application/json');
   res.statusCode = status;
   res.end(text);
 };
 
-/** A body is longer than the receiver takes; answered 413. */
+/** A request body exceeds the receiver's limit; answered 413. */
 export class BodyTooLargeError extends Error {}
 
-/** The bytes of a request's body; throws `BodyTooLargeError` for more than `maxBytes` of them. */
+/** Reads the body of a request; throws `BodyTooLargeError` if it has more than `maxBytes` bytes. */
 export const readBytes = async (req: IncomingMessage, maxBytes: number): Promise<Buffer> => {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  for await (const part of req) {
-    const bytes = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
+  for await (const chunk of req) {
+    const bytes = Buffer.isBuffer(chunk) ? chunk : Buffer.from(String(chunk));
     size += bytes.length;
     if (size > maxBytes) throw new BodyTooLargeError(`body is over ${maxBytes} bytes`);
-    parts.push(bytes);
+    chunks.push(bytes);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 };
 
-/** A request's body as UTF-8 text, within the same limit. */
+/** Reads the body of a request as UTF-8 text; throws `BodyTooLargeError` if it has more than `maxBytes` bytes. */
 export const readBody = async (req: IncomingMessage, maxBytes: number): Promise<string> =>
   (await readBytes(req, maxBytes)).toString('utf8');
 
-/** The URL of a request's path; undefined if it cannot be read. */
+/** Parses the path of a request; undefined if it is not a valid URL path. */
 const parsePath = (path: string): URL | undefined => {
   try {
     const url = new URL(`http://x${path.startsWith('/') ? '' : '/'}${path}`);
@@ -53,8 +53,9 @@
 };
 
 /**
- * Listens at an address; resolves once it does. A body that is too long is answered 413, any other error of the handler
- * 500 with `executed: "unknown"`, or a broken connection if the answer has begun.
+ * Starts an HTTP server at an address; resolves once it listens and rejects if it cannot. A path that cannot be parsed
+ * is answered 400, a body that is too large 413, and any other error of the handler 500 with `executed: "unknown"`; if
+ * the response has already begun, the connection is closed instead.
  */
 export const serveHttp = (address: string, handler: HttpHandler): Promise<DrainableServer> => {
   const server = new DrainableServer({}, (req, res) => {
--- a/packages/wire/src/incoming-connection.ts
+++ b/packages/wire/src/incoming-connection.ts
@@ -1,14 +1,14 @@
-/** The serving side of a connection: reads requests, runs the handler, writes its chunks and its response. */
+/** The server side of a node-to-node connection: reads requests, runs the handler, writes chunks and responses. */
 import type { Socket } from 'node:net';
 import split2 from 'split2';
 import { toRpcError } from './errors/index.js';
 import { CancelLine, encodeLine, HelloLine, RequestLine, type WireLine } from './messages.js';
 import type { RequestHandler } from './transport.js';
 
-/** Serves the requests of one accepted socket; it ends the socket when a line cannot be read. */
+/** Serves the requests of one accepted socket; a line that cannot be parsed closes the socket. */
 export class IncomingConnection {
   private readonly running = new Map<number, AbortController>();
-  /** The address that the opener gave in its first line; empty until then. */
+  /** The peer's address from its `HelloLine`; empty until that line arrives. */
   private peer = '';
 
   constructor(
@@ -17,7 +17,7 @@
     private readonly maxLineBytes: number,
   ) {}
 
-  /** Reads until the socket closes; handlers that still run then see their signal aborted. */
+  /** Serves requests until the socket closes, then aborts the signals of the handlers that still run. */
   async serve(): Promise<void> {
     this.socket.setNoDelay(true);
     const lines = this.socket.pipe(split2({ maxLength: this.maxLineBytes }));
--- a/packages/wire/src/messages.ts
+++ b/packages/wire/src/messages.ts
@@ -1,20 +1,20 @@
 /**
- * The lines on a connection between two processes, as JSON. The opener sends `HelloLine` first, then requests and
- * cancellations; the other side sends replies. `docs/design.md`, section "Wire".
+ * Schemas of the JSON lines on a connection between two processes. The client side sends `HelloLine` first, then
+ * requests and cancellations; the server side sends replies. See `docs/design.md`, section "Wire".
  */
 import { z } from 'zod';
 import { RpcErrorCodeOnWire } from './errors/index.js';
 
-/** The first line: the opener's own address, and the address that it means to reach. */
+/** The first line of a connection: the client's own address, and the address that it connects to. */
 export const HelloLine = z.object({ hello: z.string(), to: z.string() });
 
 /** A request; `id` is unique on its connection. */
 export const RequestLine = z.object({ id: z.number(), kind: z.string(), body: z.unknown() });
 
-/** The opener no longer waits for the response to request `id`. */
+/** Cancels request `id`: the client no longer waits for its response. */
 export const CancelLine = z.object({ id: z.number(), cancel: z.literal(true) });
 
-/** A chunk of the response, the response itself or an error, to request `id`. */
+/** A reply to request `id`: a chunk of the response, the final response, or an error. */
 export const ReplyLine = z.object({
   id: z.number(),
   chunk: z.unknown().optional(),
@@ -28,12 +28,12 @@
     .optional(),
 });
 
-/** What can be written as one line. */
+/** Any message of the protocol, before it is encoded. */
 export type WireLine =
   | z.input<typeof HelloLine>
   | z.input<typeof RequestLine>
   | z.input<typeof CancelLine>
   | z.input<typeof ReplyLine>;
 
-/** Writes a message as one line. */
+/** Encodes a message as one line of JSON, with its line break. */
 export const encodeLine = (message: WireLine): string => `${JSON.stringify(message)}\n`;
--- a/packages/wire/src/outgoing-connection.ts
+++ b/packages/wire/src/outgoing-connection.ts
@@ -1,4 +1,4 @@
-/** The asking side of a connection: opens it, sends requests, and gives each reply to whoever waits for it. */
+/** The client side of a node-to-node connection: opens it, sends requests, and matches replies to pending requests. */
 import { createConnection, type Socket } from 'node:net';
 import split2 from 'split2';
 import { parseAddress } from './address.js';
@@ -19,21 +19,23 @@
   readonly onChunk: EmitChunk;
 }
 
-/** Where and how a connection is opened. */
+/** Target, limits and callback of an outgoing connection. */
 export interface OutgoingOptions {
-  /** The own address, told in the first line. */
+  /** Address of this process, sent in the `HelloLine`. */
   readonly self: string;
+  /** Address of the other process. */
   readonly to: string;
-  /** How long opening may last, in milliseconds. */
+  /** Timeout of opening the connection, in milliseconds; also the silence after which the peer may count as down. */
   readonly openTimeoutMs: number;
+  /** Maximum length of a reply line, in bytes; a longer one closes the connection. */
   readonly maxLineBytes: number;
-  /** Called once, after the requests under way have failed. */
+  /** Called once when the connection has closed, after its pending requests have been rejected. */
   onClosed(connection: OutgoingConnection): void;
 }
 
 const ignoreChunk: EmitChunk = () => undefined;
 
-/** One connection to another process; a new one is made after it has closed. */
+/** One connection to another process. It is not reopened: after it has closed, a new instance is needed. */
 export class OutgoingConnection {
   private readonly socket: Socket;
   private readonly opened: Promise<void>;
@@ -58,12 +60,15 @@
     void this.readReplies();
   }
 
-  /** Waits until the connection is open; throws `ConnectionRefusedError` if it never opens. */
+  /** Resolves once the connection is open; rejects with `ConnectionRefusedError` if it cannot be opened. */
   ready(): Promise<void> {
     return this.opened;
   }
 
-  /** Sends a request on an open connection and waits for its response. */
+  /**
+   * Sends a request on the open connection and returns its response. `id` must be unique on this connection. Throws a
+   * `TransportError`, or the error that the peer replied.
+   */
   async send(id: number, kind: string, body: unknown, options: CallOptions): Promise<unknown> {
     if (this.socket.destroyed) throw new ConnectionRefusedError(this.options.to);
     const cleanups = new Set<() => void>();
@@ -100,7 +105,10 @@
     });
   }
 
-  /** A peer that has sent nothing since the request, for longer than opening may last, is taken for dead. */
+  /**
+   * Rejects the request after its timeout. If the peer has sent nothing since the request, and nothing for longer than
+   * `openTimeoutMs`, it counts as down and the connection is closed.
+   */
   private failAfterTimeout(
     id: number,
     timeoutMs: number,
--- a/packages/wire/src/task-queue.ts
+++ b/packages/wire/src/task-queue.ts
@@ -1,16 +1,16 @@
-/** Work that must not overlap, run in the order in which it came by an actor of its own (`nact`). */
+/** Runs asynchronous tasks one at a time, in the order of their submission, on an actor (`nact`) for each queue. */
 import { dispatch, spawn, start, stop } from 'nact';
 import { ProtocolError } from './errors/index.js';
 
 type Task = () => Promise<void>;
 
 const actorSystem = start();
-let queuesMade = 0;
+let queueCount = 0;
 
-/** Runs tasks one after another; a task that fails does not hold up those behind it. */
+/** A serial task queue; a task that fails does not stop the tasks after it. */
 export class TaskQueue {
   private readonly actor;
-  private depth = 0;
+  private pending = 0;
   private closed = false;
 
   constructor(name: string) {
@@ -20,31 +20,31 @@
         await task();
         return undefined;
       },
-      `${name}-${++queuesMade}`,
+      `${name}-${++queueCount}`,
     );
   }
 
-  /** How many tasks wait or run. */
+  /** Number of tasks that are queued or running. */
   get pendingTasks(): number {
-    return this.depth;
+    return this.pending;
   }
 
-  /** Runs a task once those before it have ended; rejects with code `closed` after `close`. */
+  /** Runs a task after all earlier tasks have settled; rejects with code `closed` after `close`. */
   run<T>(work: () => Promise<T>): Promise<T> {
-    if (this.closed) return Promise.reject(new ProtocolError('closed', 'the queue is closed'));
-    this.depth++;
+    if (this.closed) return Promise.reject(new ProtocolError('closed', 'the task queue is closed'));
+    this.pending++;
     return new Promise<T>((resolve, reject) => {
       const task: Task = () =>
         work()
           .then(resolve, reject)
           .finally(() => {
-            this.depth--;
+            this.pending--;
           });
       dispatch(this.actor, task);
     });
   }
 
-  /** Takes no more tasks. */
+  /** Rejects all further tasks and stops the actor. */
   close(): void {
     this.closed = true;
     stop(this.actor);
--- a/packages/wire/src/tcp-transport.ts
+++ b/packages/wire/src/tcp-transport.ts
@@ -1,4 +1,4 @@
-/** Requests between processes over TCP: one connection for each direction and pair of processes. */
+/** Requests between processes over TCP, with one connection for each pair of processes and direction. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { parseAddress } from './address.js';
 import { RequestCancelledError } from './errors/index.js';
@@ -9,7 +9,7 @@
 const defaultOpenTimeoutMs = 1000;
 const defaultMaxLineBytes = 64 << 20;
 
-/** The transport of the real programs; the simulator has its own. */
+/** The transport of the deployed programs; the simulator has its own. */
 export class TcpTransport implements Transport {
   private readonly outgoing = new Map<string, OutgoingConnection>();
   private readonly incoming = new Set<Socket>();
@@ -18,10 +18,10 @@
   private readonly lossListeners = new Set<(to: string) => void>();
 
   /**
-   * @param self - the address that others reach this process at
-   * @param listenAddress - where it listens, if that is another
-   * @param openTimeoutMs - how long opening a connection may last
-   * @param maxLineBytes - the longest message; a longer one ends its connection
+   * @param self - the address at which other processes reach this one
+   * @param listenAddress - the address to bind, if it differs from `self`
+   * @param openTimeoutMs - timeout of opening a connection, in milliseconds
+   * @param maxLineBytes - maximum size of a message in bytes; a larger one closes its connection
    */
   constructor(
     readonly self: string,
@@ -75,13 +75,13 @@
       to,
       openTimeoutMs: this.openTimeoutMs,
       maxLineBytes: this.maxLineBytes,
-      onClosed: (closed) => this.forget(to, closed),
+      onClosed: (closed) => this.removeConnection(to, closed),
     });
     this.outgoing.set(to, connection);
     return connection;
   }
 
-  private forget(to: string, closed: OutgoingConnection): void {
+  private removeConnection(to: string, closed: OutgoingConnection): void {
     if (this.outgoing.get(to) === closed) this.outgoing.delete(to);
     for (const listener of this.lossListeners) listener(to);
   }
--- a/packages/wire/src/transport.ts
+++ b/packages/wire/src/transport.ts
@@ -1,43 +1,48 @@
-/** Requests between processes, whatever carries them: TCP in the real programs, simulated links in tests. */
+/** The interface for requests between processes: TCP in the deployed programs, simulated links in tests. */
 
-/** A request as its receiver sees it. */
+/** An incoming request. */
 export interface RpcRequest {
   /** The address of the process that sent it. */
   readonly from: string;
-  /** What is asked for, such as `zen/publish`. */
+  /** The type of the request, such as `zen/publish`. */
   readonly kind: string;
-  /** Unchecked: the handler of the kind parses it. */
+  /** Not validated yet: the handler of the kind parses it. */
   readonly body: unknown;
 }
 
-/** Takes one chunk of a response. */
+/** Called with each chunk of a streamed response. */
 export type EmitChunk = (chunk: unknown) => void;
 
-/** Handles requests; a thrown error goes back as an `RpcError`. `gone` is aborted once nobody waits any more. */
+/**
+ * Handles a request and resolves with its response; an error that it throws is sent back as an `RpcError`. `signal` is
+ * aborted when the caller cancels the request or its connection closes.
+ */
 export type RequestHandler = (
   request: RpcRequest,
   emit: EmitChunk,
-  gone: AbortSignal,
+  signal: AbortSignal,
 ) => Promise<unknown>;
 
-/** How a request is made. */
+/** Options of one request. */
 export interface CallOptions {
-  /** How long to wait for the response, in milliseconds, once the connection is open. */
+  /** Timeout of the response, in milliseconds, from when the connection is open. */
   readonly timeoutMs: number;
+  /** Called with each chunk, in order, before the request resolves. */
   readonly onChunk?: EmitChunk;
-  /** Aborted when the caller no longer waits; the other side is then told to stop its work. */
+  /** Cancels the request when aborted, and aborts the signal of its handler on the other side. */
   readonly signal?: AbortSignal;
 }
 
 /** Sends requests to other processes and serves theirs. */
 export interface Transport {
-  /** The address that others reach this process at. */
+  /** The address at which other processes reach this one. */
   readonly self: string;
-  /** Makes a request; throws a `TransportError` or the error that the handler threw. */
+  /** Sends a request and returns its response; throws a `TransportError` or the error that the handler threw. */
   call(to: string, kind: string, body: unknown, options: CallOptions): Promise<unknown>;
-  /** Begins to serve requests; resolves once it listens. */
+  /** Starts serving requests; resolves once the transport listens. */
   serve(handler: RequestHandler): Promise<void>;
-  /** Calls the listener whenever a connection to another process has ended or could not be opened. */
+  /** Calls the listener with the address of a process whenever the connection to it closed or could not be opened. */
   onConnectionLost(listener: (to: string) => void): void;
+  /** Closes all connections and stops listening. */
   close(): Promise<void>;
 }
