--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -23,13 +23,12 @@
     process.stderr.write(`${line}\n`);
   });
 
-const messageOf = (error: unknown): string =>
-  error instanceof Error ? error.message : String(error);
+const textOf = (error: unknown): string => (error instanceof Error ? error.message : String(error));
 
 const findingsText = (error: unknown): string =>
   error instanceof InvalidSettingsError
     ? error.findings.map(({ place, text }) => `${place}: ${text}`).join('; ')
-    : messageOf(error);
+    : textOf(error);
 
 /** Reloads and applies the settings. Invalid ones are reported in one line, and the previous ones stay in effect. */
 const reloadSettings = <T>(name: string, read: () => T, running: RunningProgram<T>): void => {
@@ -53,7 +52,7 @@
       process.stderr.write(`${name}: ${place}: ${text}\n`);
     process.exit(exitCodes.invalidSettings);
   }
-  process.stderr.write(`${name}: cannot start: ${messageOf(error)}\n`);
+  process.stderr.write(`${name}: cannot start: ${textOf(error)}\n`);
   const isFolderUnusable =
     error instanceof FolderInUseError || error instanceof JournalDamagedError;
   process.exit(isFolderUnusable ? exitCodes.unusableFolder : exitCodes.failed);
--- a/tests/src/support/code-references.ts
+++ b/tests/src/support/code-references.ts
@@ -1,24 +1,25 @@
 /**
- * References from pages to the code: `path/to/file.ts` or `path/to/file.ts#name` in backticks. A name is a declaration
- * of that file, or a member of one of its classes, interfaces and objects, written `Class.member` or just `member`.
+ * Finds and checks references from documentation pages to the code: `path/to/file.ts` or `path/to/file.ts#name` in
+ * backticks. A name is a declaration of that file, or a member of one of its classes, interfaces and objects, written
+ * `Class.member` or just `member`.
  */
 import { readdir, readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import ts from 'typescript';
 import { repositoryRoot } from './repository.js';
 
-/** One reference of a page. */
+/** A reference from a page to a file or to a declaration in it. */
 export interface CodeReference {
   readonly page: string;
   readonly file: string;
-  /** Empty where the reference names a file alone. */
+  /** The declared name; empty if the reference is to the whole file. */
   readonly name: string;
 }
 
 const referencePattern =
   /`((?:packages|platform|tests|docs)\/[\w./-]+\.(?:ts|mjs|js|json))(?:#([\w.]+))?`/g;
 
-/** Every page that may refer to code, by its path from the root. */
+/** Reads all pages that may refer to code: maps the path from the repository's root to the text. */
 export const readPages = async (): Promise<ReadonlyMap<string, string>> => {
   const names = await readdir(join(repositoryRoot, 'docs'));
   const pages = names.filter((name) => name.endsWith('.md')).map((name) => join('docs', name));
@@ -33,11 +34,11 @@
   return new Map(texts);
 };
 
-/** The references of a page, in its order. */
+/** The references in the text of a page, in order of appearance. */
 export const referencesIn = (page: string, text: string): readonly CodeReference[] =>
   [...text.matchAll(referencePattern)].map(([, file = '', name = '']) => ({ page, file, name }));
 
-/** The kinds of declarations whose names count. A parameter's name does only where it declares a field too. */
+/** Kinds of declarations that can be referenced. A parameter can be only if it also declares a property. */
 const declarationTests: readonly ((node: ts.Node) => boolean)[] = [
   ts.isFunctionDeclaration,
   ts.isVariableDeclaration,
@@ -52,14 +53,16 @@
 ];
 
 const isDeclaration = (node: ts.Node): node is ts.NamedDeclaration =>
-  declarationTests.some((test) => test(node));
+  declarationTests.some((isKind) => isKind(node));
 
 const nameOf = (node: ts.Node): string | undefined => {
   if (!isDeclaration(node) || !node.name) return undefined;
   return ts.isIdentifier(node.name) || ts.isStringLiteral(node.name) ? node.name.text : undefined;
 };
 
-/** The names that a source declares: each by itself and, inside another declaration, as `Outer.name`. */
+/**
+ * The names that a source file declares, each as `name` and, if it is inside another declaration, also as `Outer.name`.
+ */
 export const declaredNames = (file: string, text: string): ReadonlySet<string> => {
   const names = new Set<string>();
   const visit = (node: ts.Node, outer: string): void => {
@@ -76,7 +79,7 @@
   return names;
 };
 
-/** What is wrong with a reference; undefined where its file exists and declares its name. */
+/** Describes why a reference is broken; undefined if its file exists and declares the name. */
 export const findingOf = async ({
   page,
   file,
--- a/tests/src/support/platform-adapter.ts
+++ b/tests/src/support/platform-adapter.ts
@@ -1,4 +1,4 @@
-/** The adapter to the users' platform as tests use it: a settings file, a configuration, and the operators' page. */
+/** Fixtures for tests of the platform adapter: a settings file, a configuration, and an operators' HTTP interface. */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -7,7 +7,7 @@
 import { createOperatorApi } from '@tillerstair/platform';
 import { serveHttp } from '@tillerstair/wire';
 
-/** Every field of the settings file that the product uses, with values of their own. */
+/** A settings file with every field that the product uses, each with a distinct value. */
 export const settingsFile = {
   nodeName: 'counter-1',
   nodeIp: '10.1.0.30',
@@ -29,7 +29,7 @@
   cloudApi: { address: '10.200.0.100:8142', ratePerS: 44 },
 };
 
-/** Runs `work` on a settings file that holds `value`. */
+/** Runs `work` with the path of a temporary settings file that contains `value`. */
 export const withSettingsFile = async <T>(value: object, work: (path: string) => T): Promise<T> => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-names-'));
   const path = join(dir, 'settings.yaml');
@@ -41,7 +41,10 @@
   }
 };
 
-/** The operators' page with a product behind it that answers as a test says and records what it is asked. */
+/**
+ * Serves the operators' HTTP interface on a free port. Operations of the product are recorded in `asked` and answered
+ * by `answer`; `first` returns the first recorded one.
+ */
 export const startOperatorApi = async (
   answer: (operation: OperatorRequest) => OperatorResponse,
 ) => {
@@ -60,13 +63,13 @@
   };
   const first = (): OperatorRequest => {
     const operation = asked.at(0);
-    if (!operation) throw new Error('nothing was asked');
+    if (!operation) throw new Error('the adapter executed no operation');
     return operation;
   };
   return { port, asked, first, close };
 };
 
-/** A configuration of the operators with every field that the product uses. */
+/** The text of an operators' configuration with every field that the product uses. */
 export const origin = JSON.stringify({
   edition: 7,
   ways: [
--- a/tests/src/support/platform-servers.ts
+++ b/tests/src/support/platform-servers.ts
@@ -1,10 +1,10 @@
-/** A configuration and servers in the words of the users' platform, for the test that holds its names. */
+/** A configuration and a server that use the names of the users' platform, for tests of the outer protocol. */
 import { passHost } from '@tillerstair/sim';
 import type { Asked, Play } from './http-server.js';
 import { headerOf } from './interface-calls.js';
 
-/** A route of a configuration. */
-export const buildWay = (name: string, wayKind: string, depot: string, more: object = {}) => ({
+/** Builds a route (`way`) of a configuration; `overrides` replaces or adds fields. */
+export const buildWay = (name: string, wayKind: string, depot: string, overrides: object = {}) => ({
   name,
   host: passHost,
   pathPrefix: `/${name}/`,
@@ -14,11 +14,11 @@
   urgency: 1,
   depot,
   tries: 2,
-  ...more,
+  ...overrides,
 });
 
-/** A whole configuration with a route of each kind. */
-export const configuration = (edition: number, more: object = {}) => ({
+/** Builds a complete configuration with routes of each kind; `overrides` replaces or adds fields. */
+export const configuration = (edition: number, overrides: object = {}) => ({
   edition,
   ways: [
     buildWay('again', 'repeatable', 'tools'),
@@ -47,35 +47,35 @@
     headerWaitMs: 3000,
     idleCloseMs: 15000,
   },
-  ...more,
+  ...overrides,
 });
 
-/** The id of a client's try, as a server sees it. */
-export const tryIdOf = (asked: Asked): string => headerOf(asked.headers, 'try-id');
+/** The `Try-Id` header of a request that a server received. */
+export const tryIdOf = (request: Asked): string => headerOf(request.headers, 'try-id');
 
-/** A server in the platform's words; the last part of the path says what it does. */
-export const respondByPath: Play = (asked, res) => {
-  const [, , deed = ''] = asked.path.split('/');
-  const answer = (status: number, body: string, ...more: readonly string[]): void => {
+/** A server of the platform; the second segment of the path selects its response. */
+export const respondByPath: Play = (request, res) => {
+  const [, , behavior = ''] = request.path.split('/');
+  const answer = (status: number, body: string, ...headers: readonly string[]): void => {
     res.writeHead(status, [
-      ...['Try-Id', tryIdOf(asked)],
-      ...(deed === 'unsealed' ? [] : ['Server-Seal', 'seal.1']),
+      ...['Try-Id', tryIdOf(request)],
+      ...(behavior === 'unsealed' ? [] : ['Server-Seal', 'seal.1']),
       ...['Server-Load', '3,0,8'],
-      ...more,
+      ...headers,
     ]);
     res.end(body);
   };
-  if (deed === 'silent') return;
-  if (deed === 'full') return answer(503, 'full', 'Not-Run', '1');
-  if (deed === 'other') return answer(421, 'not me');
-  if (deed === 'overloaded') return answer(503, 'overloaded');
-  if (deed === 'failed') return answer(500, 'failed here');
-  if (['turn', 'live'].includes(asked.path.split('/')[1] ?? ''))
+  if (behavior === 'silent') return;
+  if (behavior === 'full') return answer(503, 'full', 'Not-Run', '1');
+  if (behavior === 'other') return answer(421, 'not me');
+  if (behavior === 'overloaded') return answer(503, 'overloaded');
+  if (behavior === 'failed') return answer(500, 'failed here');
+  if (['turn', 'live'].includes(request.path.split('/')[1] ?? ''))
     return answer(
       200,
       'id: 1\ndata: one\n\nid: 2\ndata: two\n\n',
       'Content-Type',
       'text/event-stream',
     );
-  answer(200, `did ${asked.body.toString()}`, 'X-Own', 'kept');
+  answer(200, `did ${request.body.toString()}`, 'X-Own', 'kept');
 };
--- a/tests/src/support/platform-system.ts
+++ b/tests/src/support/platform-system.ts
@@ -1,4 +1,4 @@
-/** The four programs of the users' platform as real processes on this machine, started as the platform starts them. */
+/** Starts the four programs for the users' platform as real processes on this machine, in the platform's way. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
 import { createServer } from 'node:http';
@@ -10,7 +10,7 @@
 import { Bound } from './http-server.js';
 import { repositoryRoot } from './repository.js';
 
-/** An entry of the platform's list of servers, as its pages give it. */
+/** An entry of the platform's server list, as its API returns it. */
 export interface ListEntry {
   readonly serverId: string;
   readonly depot: string;
@@ -18,7 +18,7 @@
   readonly state: 'accepting' | 'winding_down';
 }
 
-/** The platform's list of servers, one entry a page. */
+/** Serves the platform's server list with one entry per page; `asked` records the URLs of the requests. */
 export const startServerList = async (entries: () => readonly ListEntry[]) => {
   const asked: string[] = [];
   const http = createServer((req, res) => {
@@ -26,15 +26,15 @@
     const url = new URL(req.url ?? '/', 'http://x');
     if (url.pathname !== '/servers') return res.writeHead(404).end();
     const all = entries();
-    const at = Number(url.searchParams.get('pageToken') ?? 0);
-    const page = all.slice(at, at + 1).map((entry) => ({
+    const index = Number(url.searchParams.get('pageToken') ?? 0);
+    const page = all.slice(index, index + 1).map((entry) => ({
       ...entry,
       zone: 'gangnam-a',
       edition: 'v1',
       berths: 8,
       coldLeftMs: 0,
     }));
-    const nextToken = at + 1 < all.length ? String(at + 1) : null;
+    const nextToken = index + 1 < all.length ? String(index + 1) : null;
     res.end(JSON.stringify({ servers: page, nextToken }));
   });
   http.listen(0, '127.0.0.1');
@@ -47,21 +47,22 @@
   return { port, asked, close };
 };
 
-/** How long after SIGTERM the platform kills a process, in ms. */
+/** Time between SIGTERM and SIGKILL when the platform stops a process, in ms. */
 export const graceMs = 4000;
 const millisecondsPerSecond = 1000;
 
-const portsOfAMachine = 16;
+const portsPerMachine = 16;
 
-const firstOfRange = async (): Promise<number> => {
+/** The first port of `portsPerMachine` consecutive free ports. */
+const findFreePortRange = async (): Promise<number> => {
   for (;;) {
-    const ports = await freePorts(portsOfAMachine);
-    const [first = 0] = ports;
-    if (ports.every((port, i) => port === first + i)) return first;
+    const ports = await freePorts(portsPerMachine);
+    const [firstPort = 0] = ports;
+    if (ports.every((port, i) => port === firstPort + i)) return firstPort;
   }
 };
 
-/** Ports where the programs serve callers, readiness and operators. */
+/** Ports of the listeners for callers, readiness checks and operators. */
 interface SystemPorts {
   readonly front: number;
   readonly ready: number;
@@ -82,17 +83,17 @@
   { name: 'vault-3', role: 'store-node', ip: '127.0.0.3', serves: ['vault'] },
 ];
 
-/** The two programs of the n-th machine that serves clients; the first is at 127.0.0.1. */
-const frontRoles = (n: number): readonly Role[] => {
-  const name = `counter-${n + 1}`;
-  const ip = n === 0 ? '127.0.0.1' : `127.0.0.${roles.length + n}`;
+/** The two programs of the front machine with the given index; the first machine is at 127.0.0.1. */
+const frontRoles = (index: number): readonly Role[] => {
+  const name = `counter-${index + 1}`;
+  const ip = index === 0 ? '127.0.0.1' : `127.0.0.${roles.length + index}`;
   return [
     { name, role: 'front-agent', ip, serves: [] },
     { name, role: 'front-proxy', ip, serves: ['counter'] },
   ];
 };
 
-/** The settings file with every name that the platform's pages give it. */
+/** A settings file with all fields that the platform's documentation lists. */
 const settingsOf = (
   role: Role,
   ports: SystemPorts,
@@ -114,7 +115,7 @@
       : {}),
     ...(role.role === 'control-node' ? { controlAddr: `127.0.0.1:${ports.control}` } : {}),
   },
-  portRange: [firstPort, firstPort + portsOfAMachine - 1],
+  portRange: [firstPort, firstPort + portsPerMachine - 1],
   seedNodes: [`127.0.0.1:${ports.control}`],
   firstBoot: true,
   lossCounts: false,
@@ -133,15 +134,18 @@
   cloudApi: { address: `127.0.0.1:${listPort}`, ratePerS: 100, rounds: [], lagMaxMs: 100 },
 });
 
-/** Starts a control, three stores, and agents and fronts; `TILLERSTAIR_CONFIG` names the settings of each. */
-export const startSystem = async (listPort: number, fronts = 1) => {
+/**
+ * Starts a control, three stores, and an agent and a proxy for each front; `TILLERSTAIR_CONFIG` is the path of the
+ * settings file of each. `close` kills all processes and removes their files.
+ */
+export const startSystem = async (listPort: number, frontCount = 1) => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-interface-'));
   const [front = 0, ready = 0, control = 0] = await freePorts(3);
   const ports: SystemPorts = { front, ready, control };
-  const firstPort = await firstOfRange();
+  const firstPort = await findFreePortRange();
   const started: { readonly name: string; readonly role: string; readonly child: ChildProcess }[] =
     [];
-  const allFronts = Array.from({ length: fronts }, (_, n) => frontRoles(n)).flat();
+  const allFronts = Array.from({ length: frontCount }, (_, index) => frontRoles(index)).flat();
   for (const role of [...roles, ...allFronts]) {
     const data = join(dir, `${role.name}-${role.role}`);
     mkdirSync(data);
--- a/tests/src/support/raw-connection.ts
+++ b/tests/src/support/raw-connection.ts
@@ -1,11 +1,11 @@
-/** One recorded request over a connection of its own, in the bytes in which it was recorded. */
+/** Replays a recorded request, byte for byte, over a new connection. */
 import { connect } from 'node:net';
 import split2 from 'split2';
 import { until } from '@tillerstair/fleet';
 import { hostClock } from '@tillerstair/wire';
 import { parseMessage, type Message, type RecordedCall } from './stored-fixture.js';
 
-/** All that came back for a request. */
+/** The reply to a request: its chunks and the final message. */
 export interface RawAnswer {
   readonly chunks: readonly unknown[];
   readonly end: Message;
@@ -13,8 +13,8 @@
 
 const answerTimeoutMs = 10000;
 
-/** Codes of nodes that are not, or not yet, the ones to ask. */
-const passingCodes: ReadonlySet<string> = new Set([
+/** Error codes of nodes that do not own the slot, or cannot serve it yet. */
+const transientCodes: ReadonlySet<string> = new Set([
   'no-owner',
   'not-owner',
   'not-ready',
@@ -24,7 +24,7 @@
 
 const ownerTimeoutMs = 20000;
 
-/** Sends the recorded lines and resolves with the answer. Rejects if there is none in time. */
+/** Sends the recorded lines to a node and returns its reply; throws if none arrives within 10 s. */
 export const callRaw = async (address: string, call: RecordedCall): Promise<RawAnswer> => {
   const [host = '', port = ''] = address.split(':');
   const socket = connect(Number(port), host);
@@ -40,14 +40,17 @@
       if (message.chunk === undefined) return { chunks, end: message };
       chunks.push(message.chunk);
     }
-    throw new Error(`no answer to ${call.line}`);
+    throw new Error(`no reply to ${call.line}`);
   } finally {
     timer.stop();
     socket.destroy();
   }
 };
 
-/** Sends the recorded lines to several nodes until one of them, the owner, answers them. */
+/**
+ * Sends the recorded lines to all nodes until one of them, the owner, answers without an error. Throws after 20 s, or
+ * if no node answers with a transient code.
+ */
 export const callOwner = async (
   addresses: readonly string[],
   call: RecordedCall,
@@ -58,10 +61,10 @@
     answered = answers.find(({ end }) => end.error === undefined);
     if (answered !== undefined) return true;
     const codes = answers.map(({ end }) => end.error?.code ?? '');
-    if (codes.every((code) => !passingCodes.has(code)))
-      throw new Error(`${codes.join()} to ${call.line}`);
+    if (codes.every((code) => !transientCodes.has(code)))
+      throw new Error(`errors ${codes.join()} in reply to ${call.line}`);
     return false;
   });
-  if (answered === undefined) throw new Error(`no answer to ${call.line}`);
+  if (answered === undefined) throw new Error(`no reply to ${call.line}`);
   return answered;
 };
--- a/tests/src/support/repository.ts
+++ b/tests/src/support/repository.ts
@@ -1,9 +1,9 @@
-/** The source files of this repository, for tests that check rules of the code. */
+/** Reads the source files of this repository, for tests that check rules of the code. */
 import { readdir, readFile } from 'node:fs/promises';
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 
-/** The root folder of the repository; compiled tests stand three folders below it. */
+/** The root folder of the repository; compiled test modules are three folders below it. */
 export const repositoryRoot = join(dirname(fileURLToPath(import.meta.url)), '..', '..', '..');
 
 const typescriptFilesBelow = async (folder: string): Promise<readonly string[]> => {
@@ -11,7 +11,7 @@
   return names.filter((name) => name.endsWith('.ts')).map((name) => join(folder, name));
 };
 
-/** The folders of sources: one for each package, the platform's and the tests'. */
+/** The source folders of all packages, of the platform adapter and of the tests, relative to the root. */
 const sourceFolders = async (): Promise<readonly string[]> => {
   const packages = await readdir(join(repositoryRoot, 'packages'));
   return [
@@ -21,7 +21,7 @@
   ];
 };
 
-/** Every TypeScript source, by its path from the root, with its text. */
+/** Reads all TypeScript sources: maps the path from the root to the text. */
 export const readSources = async (): Promise<ReadonlyMap<string, string>> => {
   const folders = await sourceFolders();
   const files = (await Promise.all(folders.map(typescriptFilesBelow))).flat();
--- a/tests/src/support/stored-cluster.ts
+++ b/tests/src/support/stored-cluster.ts
@@ -1,4 +1,4 @@
-/** A cluster of real programs over real disks and TCP, started on stored data. */
+/** Starts a cluster of the real programs, on disk and over TCP, from stored data folders. */
 import { startAgent } from '@tillerstair/agent';
 import { startControl } from '@tillerstair/control';
 import { ask, freePorts, until } from '@tillerstair/fleet';
@@ -11,17 +11,21 @@
 } from '@tillerstair/settings';
 import { startStore } from '@tillerstair/store';
 
-interface Started {
+interface StartedProgram {
   stop(): Promise<void>;
 }
 
+/** A running cluster: the addresses of its listeners, and `stop`, which stops all programs. */
 export interface StoredCluster {
-  /** Addresses of the controls for other nodes and for operators. */
+  /** Addresses of the controls for other nodes. */
   readonly controls: readonly string[];
+  /** HTTP addresses of the controls for operators. */
   readonly operators: readonly string[];
-  /** Addresses of the proxies for other nodes, for their agents, and for callers. */
+  /** Addresses of the proxies for other nodes. */
   readonly proxies: readonly string[];
+  /** Addresses of the proxies for their agents. */
   readonly feeds: readonly string[];
+  /** HTTP addresses of the proxies for callers. */
   readonly callers: readonly string[];
   stop(): Promise<void>;
 }
@@ -30,67 +34,79 @@
   log: 'error',
   bounds: { serveWithin: 8000, heartbeatInterval: 400, failureTimeout: 1200, drainingWithin: 1500 },
 };
-const nodesOfAKind = [0, 1, 2];
-const frontNumbers = [0, 1];
-const addressesNeeded = 24;
+const memberIndexes = [0, 1, 2];
+const frontIndexes = [0, 1];
+const portCount = 24;
 
-/** Starts three controls and three stores on their folders, and two new fronts; resolves when callers are served. */
+/**
+ * Starts three controls and three stores on their stored folders, and two new fronts; resolves once the fronts are
+ * ready.
+ */
 export const startStoredCluster = async (
   folderOf: (name: string) => string,
 ): Promise<StoredCluster> => {
-  const ports = [...(await freePorts(addressesNeeded))];
+  const ports = [...(await freePorts(portCount))];
   const nextAddress = (): string => `127.0.0.1:${ports.shift() ?? 0}`;
-  const pair = (): { addr: string; http: string } => ({ addr: nextAddress(), http: nextAddress() });
-  const controls = nodesOfAKind.map(pair);
-  const seeds = controls.map((c) => c.addr);
-  const member = (kind: string, n: number) => ({
+  const addressPair = (): { addr: string; http: string } => ({
+    addr: nextAddress(),
+    http: nextAddress(),
+  });
+  const controls = memberIndexes.map(addressPair);
+  const seeds = controls.map((control) => control.addr);
+  const memberSettings = (kind: string, index: number) => ({
     ...common,
     seeds,
-    zone: `zone-${n}`,
-    name: `${kind}-${n}`,
-    data: folderOf(`${kind}-${n}`),
+    zone: `zone-${index}`,
+    name: `${kind}-${index}`,
+    data: folderOf(`${kind}-${index}`),
   });
-  const fronts = frontNumbers.map(() => ({
-    proxy: { ...pair(), feed: nextAddress() },
-    agent: pair(),
+  const fronts = frontIndexes.map(() => ({
+    proxy: { ...addressPair(), feed: nextAddress() },
+    agent: addressPair(),
   }));
-  const started: Started[] = [];
+  const started: StartedProgram[] = [];
   const stop = async (): Promise<void> => {
     await Promise.all(started.map((program) => program.stop()));
   };
   const startAll = async (): Promise<void> => {
-    for (const [n, addresses] of controls.entries())
+    for (const [index, addresses] of controls.entries())
+      started.unshift(
+        await startControl(
+          ControlSettings.parse({ ...memberSettings('control', index), ...addresses }),
+        ),
+      );
+    for (const index of memberIndexes)
       started.unshift(
-        await startControl(ControlSettings.parse({ ...member('control', n), ...addresses })),
+        await startStore(
+          StoreSettings.parse({ ...memberSettings('store', index), ...addressPair() }),
+        ),
       );
-    for (const n of nodesOfAKind)
-      started.unshift(await startStore(StoreSettings.parse({ ...member('store', n), ...pair() })));
-    for (const [n, { proxy, agent }] of fronts.entries()) {
-      const place = { ...common, zone: `zone-${n}` };
-      started.unshift(await startProxy(ProxySettings.parse({ ...place, ...proxy })));
+    for (const [index, { proxy, agent }] of fronts.entries()) {
+      const shared = { ...common, zone: `zone-${index}` };
+      started.unshift(await startProxy(ProxySettings.parse({ ...shared, ...proxy })));
       started.unshift(
-        await startAgent(AgentSettings.parse({ ...place, ...agent, proxy: proxy.feed, seeds })),
+        await startAgent(AgentSettings.parse({ ...shared, ...agent, proxy: proxy.feed, seeds })),
       );
     }
   };
-  const callers = fronts.map((f) => f.proxy.http);
+  const callers = fronts.map((front) => front.proxy.http);
   try {
     await startAll();
-    await until('the fronts', 30000, async () => {
+    await until('all fronts are ready', 30000, async () => {
       const replies = await Promise.all(
         callers.map((http) => ask('GET', `http://${http}/ready`, '', 500)),
       );
       return replies.every((reply) => reply.status === 200);
     });
-  } catch (e) {
+  } catch (error) {
     await stop();
-    throw e;
+    throw error;
   }
   return {
     controls: seeds,
-    operators: controls.map((c) => c.http),
-    proxies: fronts.map((f) => f.proxy.addr),
-    feeds: fronts.map((f) => f.proxy.feed),
+    operators: controls.map((control) => control.http),
+    proxies: fronts.map((front) => front.proxy.addr),
+    feeds: fronts.map((front) => front.proxy.feed),
     callers,
     stop,
   };
--- a/tests/src/support/stored-fixture.ts
+++ b/tests/src/support/stored-fixture.ts
@@ -1,4 +1,4 @@
-/** Data folders and node-to-node messages that an earlier version wrote; `tests/fixtures/make.mjs` says how. */
+/** Reads the data folders and node-to-node messages of an earlier version, recorded by `tests/fixtures/make.mjs`. */
 import { cp, mkdtemp, readFile, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -55,6 +55,7 @@
     z.object({ election: StoredElection, replicas: StoredReplicas.optional() }),
   ),
 });
+/** What the recorded programs answered and stored, by program and node. */
 export type Expected = z.infer<typeof Expected>;
 
 const Row = z.object({
@@ -73,29 +74,32 @@
   response: z.unknown().optional(),
   error: z.object({ code: z.string(), text: z.string(), executed: z.string() }).optional(),
 });
+/** A node-to-node message, with the fields of all kinds of lines. */
 export type Message = z.infer<typeof Message>;
 
-/** One request with all that was sent back for it. */
+/** A recorded request with all replies to it. */
 export interface RecordedCall {
   readonly from: string;
   readonly to: string;
   readonly kind: string;
   readonly body: unknown;
-  /** The request as it went over the connection, and the line that the connection began with. */
+  /** The request as it was sent. */
   readonly line: string;
+  /** The first line of its connection. */
   readonly helloLine: string;
   readonly chunks: readonly unknown[];
-  /** The last message, or undefined where the connection ended before it. */
+  /** The final reply; undefined if the connection closed before it. */
   readonly end: Message | undefined;
 }
 
-/** What the programs that wrote the fixture answered, and what their logs say. */
+/** Reads the answers of the programs that wrote the fixture, and the contents of their data folders. */
 export const readExpected = async (): Promise<Expected> =>
   Expected.parse(JSON.parse(await readFile(join(fixtureFolder, 'expected.json'), 'utf8')));
 
+/** Parses one line of a connection. */
 export const parseMessage = (line: string): Message => Message.parse(JSON.parse(line));
 
-/** All recorded requests in the order in which they were sent. */
+/** Reads all recorded requests, in the order in which they were sent. */
 export const readConversation = async (): Promise<readonly RecordedCall[]> => {
   const text = await readFile(join(fixtureFolder, 'conversation.jsonl'), 'utf8');
   const rows = text
@@ -117,13 +121,13 @@
     const helloLine = hellos.get(connection) ?? '';
     const { hello = '', to = '' } = parseMessage(helloLine);
     const messages = answers.get(`${connection} ${id}`) ?? [];
-    const chunks = messages.flatMap((m) => (m.chunk === undefined ? [] : [m.chunk]));
-    const end = messages.find((m) => m.response !== undefined || m.error !== undefined);
+    const chunks = messages.flatMap((reply) => (reply.chunk === undefined ? [] : [reply.chunk]));
+    const end = messages.find((reply) => reply.response !== undefined || reply.error !== undefined);
     return [{ from: hello, to, kind, body, line, helloLine, chunks, end }];
   });
 };
 
-/** Copies the data folders, since programs write to them, and removes the copy at the end. */
+/** Runs `use` on a temporary copy of the data folders, since programs write to them. */
 export const withStoredData = async (
   use: (folderOf: (name: string) => string) => Promise<void>,
 ): Promise<void> => {
