--- a/tests/src/platform/interface.test.ts
+++ b/tests/src/platform/interface.test.ts
@@ -1,4 +1,7 @@
-/** Holds every name of the users' pages still: settings, orders, headers, statuses and paths, at the real programs. */
+/**
+ * Tests the outer protocol against the real programs, so that no name of it changes: settings, configuration requests,
+ * headers, statuses and paths.
+ */
 import { once } from 'node:events';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -9,12 +12,12 @@
 import { configuration, respondByPath, tryIdOf, buildWay } from '../support/platform-servers.js';
 import { startServerList, startSystem, type ListEntry } from '../support/platform-system.js';
 
-const outside = suite("the users' names: settings, orders, headers, statuses and paths");
+const protocol = suite('the outer protocol: settings, configuration requests, headers, statuses');
 
-const askedOf = (server: Up, attempt: string): Asked => {
-  const asked = server.seen.find((one) => tryIdOf(one) === attempt);
-  if (!asked) throw new Error(`no request ${attempt} came`);
-  return asked;
+const requestOf = (server: Up, attempt: string): Asked => {
+  const request = server.seen.find((candidate) => tryIdOf(candidate) === attempt);
+  if (!request) throw new Error(`the server received no request with try id ${attempt}`);
+  return request;
 };
 let engine: Up;
 let tool: Up;
@@ -23,7 +26,12 @@
 let list: Awaited<ReturnType<typeof startServerList>>;
 let system: Awaited<ReturnType<typeof startSystem>>;
 
-const order = (method: string, base: number | undefined, body: object | string): Promise<Heard> =>
+/** Sends a configuration request to the control; without `base` it has no `If-Match`. */
+const sendConfiguration = (
+  method: string,
+  base: number | undefined,
+  body: object | string,
+): Promise<Heard> =>
   call(
     system.ports.control,
     method,
@@ -32,6 +40,7 @@
     typeof body === 'string' ? body : JSON.stringify(body),
   );
 
+/** Sends a request to the front, with a try id and 3000 ms to answer. */
 const send = (
   path: string,
   attempt: string,
@@ -46,7 +55,8 @@
     body,
   );
 
-const readiness = async (): Promise<number> =>
+/** The status of the front's readiness check; 0 if it does not answer. */
+const readinessStatus = async (): Promise<number> =>
   (await call(system.ports.ready, 'GET', '/readiness').catch(() => ({ status: 0 }))).status;
 
 const entry = (
@@ -56,7 +66,7 @@
   state: ListEntry['state'] = 'accepting',
 ) => ({ serverId, depot, address: `127.0.0.1:${port}`, state });
 
-outside.before(async () => {
+protocol.before(async () => {
   engine = await serverUp(respondByPath);
   tool = await serverUp(respondByPath);
   spare = await serverUp(respondByPath);
@@ -70,39 +80,51 @@
   system = await startSystem(list.port);
 });
 
-outside.after(async () => {
+protocol.after(async () => {
   await system.close();
   list.close();
   for (const server of [engine, tool, spare]) server.close();
 });
 
-outside('a front answers 503 at /readiness before a configuration is in force', async () => {
-  await until('the front listens', 20000, async () => (await readiness()) !== 0);
-  assert.is(await readiness(), 503);
+protocol('a front answers 503 at /readiness before a configuration is in force', async () => {
+  await until('the front listens', 20000, async () => (await readinessStatus()) !== 0);
+  assert.is(await readinessStatus(), 503);
 });
 
-outside('GET /configuration and PATCH say that there is none; PUT needs If-Match', async () => {
-  await until('a master', 30000, async () => {
-    const heard = await call(system.ports.control, 'GET', '/configuration').catch(() => undefined);
-    return heard?.status === 404;
-  });
-  assert.is((await order('PUT', undefined, configuration(3))).status, 400);
-  assert.is((await order('PATCH', 0, { edition: 4 })).status, 412);
-});
+protocol(
+  'without a configuration GET is answered 404 and PATCH 412; PUT requires If-Match',
+  async () => {
+    await until('a master is elected', 30000, async () => {
+      const response = await call(system.ports.control, 'GET', '/configuration').catch(
+        () => undefined,
+      );
+      return response?.status === 404;
+    });
+    assert.is((await sendConfiguration('PUT', undefined, configuration(3))).status, 400);
+    assert.is((await sendConfiguration('PATCH', 0, { edition: 4 })).status, 412);
+  },
+);
 
-outside('PUT /configuration: 200, again 200, another on the same version 412', async () => {
-  const first = JSON.stringify(configuration(5));
-  await until('taken', 20000, async () => (await order('PUT', 0, first)).status === 200);
-  assert.is((await order('PUT', 0, first)).status, 200);
-  assert.is((await order('PUT', 0, configuration(6))).status, 412);
-  const read = await call(system.ports.control, 'GET', '/configuration');
-  assert.is(read.status, 200);
-  assert.is(headerOf(read.headers, 'content-type'), 'application/json');
-  assert.is(read.body.toString(), first);
-});
+protocol(
+  'PUT /configuration: 200, for a retry 200, for another on the same version 412',
+  async () => {
+    const first = JSON.stringify(configuration(5));
+    await until(
+      'the configuration is accepted',
+      20000,
+      async () => (await sendConfiguration('PUT', 0, first)).status === 200,
+    );
+    assert.is((await sendConfiguration('PUT', 0, first)).status, 200);
+    assert.is((await sendConfiguration('PUT', 0, configuration(6))).status, 412);
+    const read = await call(system.ports.control, 'GET', '/configuration');
+    assert.is(read.status, 200);
+    assert.is(headerOf(read.headers, 'content-type'), 'application/json');
+    assert.is(read.body.toString(), first);
+  },
+);
 
-outside('a configuration that cannot be read, or breaks a rule, is answered 400', async () => {
-  const bad: readonly (object | string)[] = [
+protocol('a configuration that cannot be parsed, or violates a rule, is answered 400', async () => {
+  const invalidBodies: readonly (object | string)[] = [
     '{"edition":',
     { edition: 7 },
     configuration(7, { ways: [buildWay('a', 'streamed', 'nowhere')] }),
@@ -125,11 +147,11 @@
     }),
     configuration(5),
   ];
-  for (const body of bad)
-    assert.is((await order('PUT', 5, body)).status, 400, JSON.stringify(body));
+  for (const body of invalidBodies)
+    assert.is((await sendConfiguration('PUT', 5, body)).status, 400, JSON.stringify(body));
 });
 
-outside('PATCH /configuration: edition, upsert, remove and intakeLimits', async () => {
+protocol('PATCH /configuration: edition, upsert, remove and intakeLimits', async () => {
   const patch = {
     edition: 9,
     upsert: {
@@ -146,108 +168,117 @@
       idleCloseMs: 15000,
     },
   };
-  assert.is((await order('PATCH', 5, patch)).status, 200);
-  assert.is((await order('PATCH', 5, patch)).status, 200);
-  assert.is((await order('PATCH', 5, { ...patch, edition: 10 })).status, 412);
+  assert.is((await sendConfiguration('PATCH', 5, patch)).status, 200);
+  assert.is((await sendConfiguration('PATCH', 5, patch)).status, 200);
+  assert.is((await sendConfiguration('PATCH', 5, { ...patch, edition: 10 })).status, 412);
   const read = jsonOf(await call(system.ports.control, 'GET', '/configuration'));
   const before = configuration(5);
   assert.equal(read, {
     ...before,
     edition: 9,
-    ways: [...before.ways.filter((w) => w.name !== 'quick'), ...patch.upsert.ways],
-    depots: before.depots.map((d) => (d.name === 'spares' ? patch.upsert.depots[0] : d)),
+    ways: [...before.ways.filter((way) => way.name !== 'quick'), ...patch.upsert.ways],
+    depots: before.depots.map((depot) =>
+      depot.name === 'spares' ? patch.upsert.depots[0] : depot,
+    ),
     intakeLimits: patch.intakeLimits,
   });
-  assert.is((await order('PUT', 9, configuration(11))).status, 200);
+  assert.is((await sendConfiguration('PUT', 9, configuration(11))).status, 200);
 });
 
-outside('a front in touch answers 200 at /readiness, and 503 at any other path', async () => {
-  await until('ready', 20000, async () => (await readiness()) === 200);
+protocol('a connected front answers 200 at /readiness, and 503 at any other path', async () => {
+  await until('the front is ready', 20000, async () => (await readinessStatus()) === 200);
   assert.is((await call(system.ports.ready, 'GET', '/live')).status, 503);
 });
 
-outside(
-  'the list of servers is asked page by page, and servers of `state` accepting serve',
+protocol(
+  'the server list is read page by page, and only servers with `state` accepting serve requests',
   async () => {
-    await until('served', 20000, async () => (await send('/again/x', 'warm-up')).status === 200);
+    await until(
+      'a request is served',
+      20000,
+      async () => (await send('/again/x', 'warm-up')).status === 200,
+    );
     assert.ok(list.asked.includes('/servers'));
     assert.ok(list.asked.includes('/servers?pageToken=1'));
     assert.is(spare.seen.length, 0);
   },
 );
 
-outside('a request goes on with its headers, and Expect-Server and Time-Left-Ms set', async () => {
-  const headers = [
-    ...['Content-Type', 'text/x-own', 'X-Own', 'a', 'Model', 'm', 'Session', 's1'],
-    ...['Program-Time-Left', '5200', 'Connection', 'x-hop', 'X-Hop', 'gone'],
-    ...['Expect-Server', 'someone-else'],
-  ];
-  const heard = await send('/again/deed?q=1', 'try-1', headers, 'a body');
-  assert.is(heard.status, 200);
-  assert.is(heard.body.toString(), 'did a body');
-  for (const [name, value] of [
-    ['try-id', 'try-1'],
-    ['server-seal', 'seal.1'],
-    ['x-own', 'kept'],
-  ] as const)
-    assert.is(headerOf(heard.headers, name), value);
-  const asked = askedOf(tool, 'try-1');
-  assert.is(asked.method, 'POST');
-  assert.is(asked.path, '/again/deed?q=1');
-  const sent = asked.headers;
-  for (const [name, value] of [
-    ['host', passHost],
-    ['content-type', 'text/x-own'],
-    ['x-own', 'a'],
-    ['model', 'm'],
-    ['session', 's1'],
-    ['program-time-left', '5200'],
-    ['expect-server', 'i-tool'],
-    ['x-hop', ''],
-  ] as const)
-    assert.is(headerOf(sent, name), value, name);
-  const left = Number(headerOf(sent, 'time-left-ms'));
-  assert.ok(left > 0 && left <= 3000, String(left));
-});
+protocol(
+  'a request is forwarded with its headers, and Expect-Server and Time-Left-Ms set',
+  async () => {
+    const headers = [
+      ...['Content-Type', 'text/x-own', 'X-Own', 'a', 'Model', 'm', 'Session', 's1'],
+      ...['Program-Time-Left', '5200', 'Connection', 'x-hop', 'X-Hop', 'gone'],
+      ...['Expect-Server', 'someone-else'],
+    ];
+    const response = await send('/again/deed?q=1', 'try-1', headers, 'a body');
+    assert.is(response.status, 200);
+    assert.is(response.body.toString(), 'did a body');
+    for (const [name, value] of [
+      ['try-id', 'try-1'],
+      ['server-seal', 'seal.1'],
+      ['x-own', 'kept'],
+    ] as const)
+      assert.is(headerOf(response.headers, name), value);
+    const request = requestOf(tool, 'try-1');
+    assert.is(request.method, 'POST');
+    assert.is(request.path, '/again/deed?q=1');
+    const forwarded = request.headers;
+    for (const [name, value] of [
+      ['host', passHost],
+      ['content-type', 'text/x-own'],
+      ['x-own', 'a'],
+      ['model', 'm'],
+      ['session', 's1'],
+      ['program-time-left', '5200'],
+      ['expect-server', 'i-tool'],
+      ['x-hop', ''],
+    ] as const)
+      assert.is(headerOf(forwarded, name), value, name);
+    const timeLeftMs = Number(headerOf(forwarded, 'time-left-ms'));
+    assert.ok(timeLeftMs > 0 && timeLeftMs <= 3000, String(timeLeftMs));
+  },
+);
 
-outside('the time handed to a server is bounded by `deadlineMs` too', async () => {
+protocol('the time left that a server is told is limited by `deadlineMs` too', async () => {
   const before = Date.now();
-  const heard = await send('/quick/silent', 'try-quick');
+  const response = await send('/quick/silent', 'try-quick');
   assert.ok(Date.now() - before < 3000);
-  assert.is(heard.status, 502);
-  const asked = askedOf(tool, 'try-quick');
-  assert.ok(Number(headerOf(asked.headers, 'time-left-ms')) <= 300);
+  assert.is(response.status, 502);
+  const request = requestOf(tool, 'try-quick');
+  assert.ok(Number(headerOf(request.headers, 'time-left-ms')) <= 300);
 });
 
-outside('what a server says of a request: Not-Run, 421, Server-Seal', async () => {
-  const sentOn = (attempt: string): number =>
-    tool.seen.filter((a) => tryIdOf(a) === attempt).length;
-  for (const deed of ['full', 'other']) {
-    const heard = await send(`/once/${deed}`, `try-${deed}`);
-    assert.is(heard.status, 503, deed);
-    assert.ok(Number(headerOf(heard.headers, 'retry-after')) > 0);
-    assert.is(headerOf(heard.headers, 'server-seal'), '');
-    assert.is(sentOn(`try-${deed}`), 1);
+protocol('status of a request by the answer of its server: Not-Run, 421, Server-Seal', async () => {
+  const forwardedCount = (attempt: string): number =>
+    tool.seen.filter((request) => tryIdOf(request) === attempt).length;
+  for (const behavior of ['full', 'other']) {
+    const response = await send(`/once/${behavior}`, `try-${behavior}`);
+    assert.is(response.status, 503, behavior);
+    assert.ok(Number(headerOf(response.headers, 'retry-after')) > 0);
+    assert.is(headerOf(response.headers, 'server-seal'), '');
+    assert.is(forwardedCount(`try-${behavior}`), 1);
   }
-  for (const deed of ['overloaded', 'unsealed'])
-    assert.is((await send(`/once/${deed}`, `try-${deed}`)).status, 502, deed);
+  for (const behavior of ['overloaded', 'unsealed'])
+    assert.is((await send(`/once/${behavior}`, `try-${behavior}`)).status, 502, behavior);
   const failed = await send('/once/failed', 'try-failed');
   assert.is(failed.status, 500);
   assert.is(failed.body.toString(), 'failed here');
   assert.is(headerOf(failed.headers, 'server-seal'), 'seal.1');
 });
 
-outside('refusals of a front: 400, 404, 413, 431', async () => {
-  const plain = (path: string, headers: readonly string[], body = ''): Promise<Heard> =>
+protocol('a front rejects invalid requests itself: 400, 404, 413, 431', async () => {
+  const sendPlain = (path: string, headers: readonly string[], body = ''): Promise<Heard> =>
     call(system.ports.front, 'POST', path, headers, body);
-  assert.is((await plain('/again/x', [])).status, 400);
-  assert.is((await plain('/nowhere/x', ['Try-Id', 'n'])).status, 404);
-  assert.is((await plain('/again/x', ['Try-Id', 'b'], 'y'.repeat(5001))).status, 413);
-  assert.is((await plain('/again/x', ['Try-Id', 'h', 'X', 'y'.repeat(2001)])).status, 431);
+  assert.is((await sendPlain('/again/x', [])).status, 400);
+  assert.is((await sendPlain('/nowhere/x', ['Try-Id', 'n'])).status, 404);
+  assert.is((await sendPlain('/again/x', ['Try-Id', 'b'], 'y'.repeat(5001))).status, 413);
+  assert.is((await sendPlain('/again/x', ['Try-Id', 'h', 'X', 'y'.repeat(2001)])).status, 431);
 });
 
-outside(
-  'an operation with Operation-Key runs once: repeats get its answer, 409 while it runs',
+protocol(
+  'an operation with Operation-Key is executed once: retries get its answer, or 409 while it runs',
   async () => {
     const key = ['Operation-Key', 'k-1'];
     const first = await send('/keyed/x', 'try-k1', key, 'order');
@@ -256,28 +287,32 @@
     assert.is(second.status, 200);
     assert.is(second.body.toString(), first.body.toString());
     assert.is(headerOf(second.headers, 'server-seal'), 'seal.1');
-    const runs = tool.seen.filter((a) => headerOf(a.headers, 'operation-key') === 'k-1');
-    assert.is(runs.length, 1);
+    const executions = tool.seen.filter(
+      (request) => headerOf(request.headers, 'operation-key') === 'k-1',
+    );
+    assert.is(executions.length, 1);
     assert.is((await send('/keyed/x', 'try-k3')).status, 400);
     const silent = send('/keyed/silent', 'try-k4', ['Operation-Key', 'k-2']);
-    await until('under way', 5000, () =>
-      Promise.resolve(tool.seen.some((a) => headerOf(a.headers, 'operation-key') === 'k-2')),
+    await until('the server received the operation', 5000, () =>
+      Promise.resolve(
+        tool.seen.some((request) => headerOf(request.headers, 'operation-key') === 'k-2'),
+      ),
     );
-    const again = await call(
+    const retry = await call(
       system.ports.front,
       'POST',
       '/keyed/silent',
       ['Try-Id', 'try-k5', 'Operation-Key', 'k-2', 'Time-Left-Ms', '200'],
       'x',
     );
-    assert.is(again.status, 409);
+    assert.is(retry.status, 409);
     assert.is((await silent).status, 502);
   },
 );
 
 const events = 'id: 1\ndata: one\n\nid: 2\ndata: two\n\n';
 
-outside('turns: Previous-Turn, Program, Token-Budget, Token-Count and Prompt-Prefix', async () => {
+protocol('turns: Previous-Turn, Program, Token-Budget, Token-Count and Prompt-Prefix', async () => {
   const turn = (attempt: string, previous: string, body: string, budget = 1000): Promise<Heard> =>
     send(
       '/turn/x',
@@ -294,25 +329,25 @@
   assert.is(first.body.toString(), events);
   assert.is(headerOf(first.headers, 'content-type'), 'text/event-stream');
   assert.is((await turn('t-2', 't-1', ' Next')).status, 200);
-  const asked = askedOf(engine, 't-2');
-  assert.is(asked.body.toString(), 'Helloone\ntwo\n Next');
-  assert.is(headerOf(asked.headers, 'token-count'), '10,20');
-  assert.is(headerOf(asked.headers, 'program'), 'p1');
+  const request = requestOf(engine, 't-2');
+  assert.is(request.body.toString(), 'Helloone\ntwo\n Next');
+  assert.is(headerOf(request.headers, 'token-count'), '10,20');
+  assert.is(headerOf(request.headers, 'program'), 'p1');
   assert.is((await turn('t-3', 't-none', 'x')).status, 404);
   // Two turns of two events, ten tokens each (`strideTokens`), are charged: 40.
   assert.is((await turn('t-4', 't-2', 'x', 59)).status, 402);
   assert.is((await turn('t-5', 't-2', 'x', 60)).status, 200);
 });
 
-outside('a stream on a `resumable` route carries Last-Event-Id on', async () => {
-  const heard = await send('/live/x', 'l-1', ['Last-Event-Id', '12', 'Token-Count', '10,20']);
-  assert.is(heard.status, 200);
-  const asked = askedOf(engine, 'l-1');
-  assert.is(headerOf(asked.headers, 'last-event-id'), '12');
+protocol('a stream on a `resumable` route is forwarded with Last-Event-Id', async () => {
+  const response = await send('/live/x', 'l-1', ['Last-Event-Id', '12', 'Token-Count', '10,20']);
+  assert.is(response.status, 200);
+  const request = requestOf(engine, 'l-1');
+  assert.is(headerOf(request.headers, 'last-event-id'), '12');
 });
 
-outside(
-  'POST and GET /retire/NODE: 409 when too few would be left, 404 for an unknown one',
+protocol(
+  'POST and GET /retire/NODE: 409 if too few nodes would remain, 404 for an unknown node',
   async () => {
     const retire = (method: string, node: string): Promise<Heard> =>
       call(
@@ -324,29 +359,29 @@
       );
     assert.is((await retire('POST', 'vault-1')).status, 409);
     assert.is((await retire('POST', 'vault-none')).status, 404);
-    const shown = await retire('GET', 'vault-1');
-    assert.is(shown.status, 200);
-    assert.equal(jsonOf(shown), { state: 'in_service' });
+    const report = await retire('GET', 'vault-1');
+    assert.is(report.status, 200);
+    assert.equal(jsonOf(report), { state: 'in_service' });
     assert.is((await call(system.ports.control, 'GET', '/elsewhere')).status, 404);
   },
 );
 
-outside(
-  'a front that is stopped says Connection: close and 503 at /readiness, and ends with 0',
+protocol(
+  'a stopping front answers Connection: close and 503 at /readiness, and exits with code 0',
   async () => {
     const front = system.started.find(({ role }) => role === 'front-proxy');
     const agent = system.started.find(({ role }) => role === 'front-agent');
     assert.ok(front && agent);
-    const over = Promise.all([front, agent].map((one) => once(one.child, 'exit')));
+    const exits = Promise.all([front, agent].map((program) => once(program.child, 'exit')));
     front.child.kill('SIGTERM');
-    // The agent is in touch still, so only the front itself knows that it stops.
-    await until('not ready', 4000, async () => (await readiness()) === 503);
+    // The agent is still connected, so only the front itself knows that it is stopping.
+    await until('the front is not ready', 4000, async () => (await readinessStatus()) === 503);
     agent.child.kill('SIGTERM');
-    const heard = await send('/again/x', 'last');
-    assert.is(heard.status, 200);
-    assert.is(headerOf(heard.headers, 'connection'), 'close');
-    for (const ended of await over) assert.equal(ended, [0, null]);
+    const response = await send('/again/x', 'last');
+    assert.is(response.status, 200);
+    assert.is(headerOf(response.headers, 'connection'), 'close');
+    for (const exit of await exits) assert.equal(exit, [0, null]);
   },
 );
 
-outside.run();
+protocol.run();
--- a/tests/src/platform/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -1,4 +1,4 @@
-/** Settings of any deployment start a fleet; settings that are read again disturb nothing. */
+/** Programs start with the settings of any deployment, and reloaded settings do not disturb a running program. */
 import { spawn, spawnSync, type ChildProcess } from 'node:child_process';
 import { mkdtemp, readFile, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -19,7 +19,7 @@
 import { configText, servers } from '../support/world-helpers.js';
 import { repositoryRoot } from '../support/repository.js';
 
-const settings = suite('settings of unseen deployments, and settings read again');
+const settings = suite('settings of arbitrary deployments, and reloaded settings');
 
 const withFolder = async <T>(work: (dir: string) => Promise<T>): Promise<T> => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-settings-'));
@@ -30,12 +30,12 @@
   }
 };
 
-/** A settings file with figures drawn over the full ranges of its fields, uneven ones among them. */
-const drawn = (seed: number): string => {
-  const rng = seededRng(seed);
-  const between = (least: number, most: number): number => least + rng() * (most - least);
-  const uneven = (least: number, most: number): number =>
-    rng() < 0.3 ? between(least, most) : Math.round(between(least, most));
+/** A settings file with random values over the full range of each field, some of them fractional. */
+const randomSettings = (seed: number): string => {
+  const random = seededRng(seed);
+  const between = (min: number, max: number): number => min + random() * (max - min);
+  const maybeFractional = (min: number, max: number): number =>
+    random() < 0.3 ? between(min, max) : Math.round(between(min, max));
   const zones = Math.ceil(between(0, 7));
   const seeds = Array.from(
     { length: Math.ceil(between(0, 3)) },
@@ -56,13 +56,13 @@
     },
     portRange: [firstPort, firstPort + 15],
     seedNodes: seeds,
-    firstBoot: rng() < 0.5,
+    firstBoot: random() < 0.5,
     dataDir: '/data/x',
     intakeLimits: {
       cpuShare: between(0.1, 4),
       coreCount: Math.ceil(between(0, 8)),
-      memoryMb: uneven(64, 64000),
-      fdLimit: uneven(256, 100000),
+      memoryMb: maybeFractional(64, 64000),
+      fdLimit: maybeFractional(256, 100000),
     },
     withstand: {
       machineLosses: Math.ceil(between(0, 3)),
@@ -70,79 +70,82 @@
       regionLosses: 0,
     },
     timeBounds: {
-      contactMs: uneven(700, 20000),
-      drainMs: uneven(301, 20000),
-      graceS: uneven(1, 60),
-      inForceMs: uneven(150, 20000),
-      recoverS: uneven(3, 60),
-      passWindowS: uneven(5, 600),
-      catchUpS: uneven(1, 30),
-      ackWithinMs: uneven(500, 20000),
+      contactMs: maybeFractional(700, 20000),
+      drainMs: maybeFractional(301, 20000),
+      graceS: maybeFractional(1, 60),
+      inForceMs: maybeFractional(150, 20000),
+      recoverS: maybeFractional(3, 60),
+      passWindowS: maybeFractional(5, 600),
+      catchUpS: maybeFractional(1, 30),
+      ackWithinMs: maybeFractional(500, 20000),
     },
     cloudApi: {
       address: '10.200.0.100:8142',
-      ratePerS: uneven(2, 100),
-      lagMaxMs: uneven(50, 3000),
+      ratePerS: maybeFractional(2, 100),
+      lagMaxMs: maybeFractional(50, 3000),
     },
   });
 };
 
-const readDrawn = (seed: number): Promise<PlatformSettings> =>
+const readRandomSettings = (seed: number): Promise<PlatformSettings> =>
   withFolder(async (dir) => {
     const path = join(dir, 'settings.yaml');
-    await writeFile(path, drawn(seed));
+    await writeFile(path, randomSettings(seed));
     return readSettings(path);
   });
 
-const times = (b: ZenBounds): readonly number[] => [
-  b.heartbeatInterval,
-  b.failureTimeout,
-  b.pingRoundTimeout,
-  b.joinTimeout,
-  b.publishTimeout,
-  b.bootstrapStablePeriod,
-  b.replicaReplacementDelay,
-  b.readLease,
-  b.drainingCommitTimeout,
-  b.listReadInterval,
+const timesOf = (bounds: ZenBounds): readonly number[] => [
+  bounds.heartbeatInterval,
+  bounds.failureTimeout,
+  bounds.pingRoundTimeout,
+  bounds.joinTimeout,
+  bounds.publishTimeout,
+  bounds.bootstrapStablePeriod,
+  bounds.replicaReplacementDelay,
+  bounds.readLease,
+  bounds.drainingCommitTimeout,
+  bounds.listReadInterval,
 ];
 
 settings('times derived from any settings are whole, positive and in order', async () => {
   for (let seed = 1; seed <= 200; seed++) {
-    const read = await readDrawn(seed);
-    const all = [
-      agentSettings(read),
-      controlSettings(read),
-      proxySettings(read),
-      storeSettings(read),
+    const platformSettings = await readRandomSettings(seed);
+    const allSettings = [
+      agentSettings(platformSettings),
+      controlSettings(platformSettings),
+      proxySettings(platformSettings),
+      storeSettings(platformSettings),
     ];
-    for (const daemonSettings of all) {
-      const b = zenBounds(daemonSettings.bounds);
-      for (const ms of times(b))
-        assert.ok(Number.isInteger(ms) && ms > 0, `seed ${seed}: ${JSON.stringify(b)}`);
+    for (const daemonSettings of allSettings) {
+      const derived = zenBounds(daemonSettings.bounds);
+      for (const ms of timesOf(derived))
+        assert.ok(Number.isInteger(ms) && ms > 0, `seed ${seed}: ${JSON.stringify(derived)}`);
       assert.ok(
-        b.heartbeatInterval * 2 < b.failureTimeout && b.failureTimeout < b.replicaReplacementDelay,
+        derived.heartbeatInterval * 2 < derived.failureTimeout &&
+          derived.failureTimeout < derived.replicaReplacementDelay,
         `seed ${seed}: heartbeat, failure timeout, replacement`,
       );
       assert.ok(
-        b.readLease < daemonSettings.bounds.drainingWithin && b.listReadInterval < b.readLease,
+        derived.readLease < daemonSettings.bounds.drainingWithin &&
+          derived.listReadInterval < derived.readLease,
         `seed ${seed}: list, lease, drain bound`,
       );
-      assert.ok(b.pingRoundTimeout < b.joinTimeout, `seed ${seed}: ping, join`);
+      assert.ok(derived.pingRoundTimeout < derived.joinTimeout, `seed ${seed}: ping, join`);
     }
   }
 });
 
-settings('a fleet with the bounds of any settings serves', async () => {
+settings('a simulated cluster with the time bounds of any settings serves', async () => {
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
-    const { bounds: outer } = controlSettings(await readDrawn(seed));
-    const w = new World(seed, { controls: 3, stores: 3, fronts: 2, outer });
-    await w.bringUp((base) => configText(base), servers);
-    const reported = await w.clock.finish('program', w.program(100), 20000);
-    assert.is(reported.reported, 'done', `seed ${seed}`);
+    const { bounds: outer } = controlSettings(await readRandomSettings(seed));
+    const world = new World(seed, { controls: 3, stores: 3, fronts: 2, outer });
+    await world.bringUp((base) => configText(base), servers);
+    const result = await world.clock.finish('program', world.program(100), 20000);
+    assert.is(result.reported, 'done', `seed ${seed}`);
   }
 });
 
+/** Starts a control-node and resolves once it is live; `seeds` are the ports of its seeds, `ports` its own. */
 const startControl = async (
   dir: string,
   seeds: readonly number[],
@@ -155,16 +158,16 @@
     http: `127.0.0.1:${http}`,
     zone: 'a',
     data: join(dir, 'data'),
-    seeds: seeds.map((p) => `127.0.0.1:${p}`),
+    seeds: seeds.map((port) => `127.0.0.1:${port}`),
   };
   await writeFile(file, JSON.stringify(text));
   const child = spawn(process.execPath, [programs.get('control-node') ?? '', '--settings', file], {
     stdio: ['ignore', 'ignore', 'pipe'],
   });
   let log = '';
-  child.stderr.on('data', (part) => (log += String(part)));
+  child.stderr.on('data', (chunk) => (log += String(chunk)));
   await until(
-    'live',
+    'the control is live',
     10000,
     async () => (await ask('GET', `http://127.0.0.1:${http}/live`, '', 500)).status === 200,
   );
@@ -172,34 +175,38 @@
 };
 
 settings(
-  'SIGHUP reads the settings again: new seeds are used, bad ones are told and change nothing',
+  'SIGHUP reloads the settings: new seeds are used, invalid settings are reported and ignored',
   () =>
     withFolder(async (dir) => {
-      const [a = 0, aHttp = 0, nobody = 0] = await freePorts(3);
-      const { child, log, file } = await startControl(dir, [nobody, nobody, nobody], [a, aHttp]);
+      const [port = 0, httpPort = 0, unusedPort = 0] = await freePorts(3);
+      const { child, log, file } = await startControl(
+        dir,
+        [unusedPort, unusedPort, unusedPort],
+        [port, httpPort],
+      );
       try {
-        const ready = async (): Promise<boolean> =>
-          (await ask('GET', `http://127.0.0.1:${aHttp}/ready`, '', 500)).status === 200;
-        assert.not.ok(await ready());
+        const isReady = async (): Promise<boolean> =>
+          (await ask('GET', `http://127.0.0.1:${httpPort}/ready`, '', 500)).status === 200;
+        assert.not.ok(await isReady());
         await writeFile(file, '{ "addr": 3 }');
         child.kill('SIGHUP');
-        await until('findings', 5000, () =>
+        await until('the findings are logged', 5000, () =>
           Promise.resolve(log().includes('The settings in force stay')),
         );
         assert.match(log(), 'addr');
         const text = {
-          addr: `127.0.0.1:${a}`,
-          http: `127.0.0.1:${aHttp}`,
+          addr: `127.0.0.1:${port}`,
+          http: `127.0.0.1:${httpPort}`,
           zone: 'a',
           data: join(dir, 'data'),
-          seeds: [a, a, a].map((p) => `127.0.0.1:${p}`),
+          seeds: [port, port, port].map((seedPort) => `127.0.0.1:${seedPort}`),
         };
         await writeFile(file, JSON.stringify(text));
         child.kill('SIGHUP');
-        await until('read again', 5000, () =>
+        await until('the settings are reloaded', 5000, () =>
           Promise.resolve(log().includes('Settings were read again')),
         );
-        await until('a cluster of one, found by the new seeds', 20000, ready);
+        await until('a cluster of one node forms by the new seeds', 20000, isReady);
         assert.is(child.exitCode, null);
       } finally {
         child.kill('SIGKILL');
@@ -207,15 +214,15 @@
     }),
 );
 
-settings('no program ends by SIGHUP, also while it starts', async () => {
+settings('SIGHUP does not end a program, also while it starts', async () => {
   await withFolder(async (dir) => {
-    const [a = 0, h = 0] = await freePorts(2);
-    const { child } = await startControl(dir, [a, a, a], [a, h]);
-    for (let n = 0; n < 5; n++) child.kill('SIGHUP');
+    const [port = 0, httpPort = 0] = await freePorts(2);
+    const { child } = await startControl(dir, [port, port, port], [port, httpPort]);
+    for (let i = 0; i < 5; i++) child.kill('SIGHUP');
     await until(
-      'still live',
+      'the control is still live',
       5000,
-      async () => (await ask('GET', `http://127.0.0.1:${h}/live`, '', 500)).status === 200,
+      async () => (await ask('GET', `http://127.0.0.1:${httpPort}/live`, '', 500)).status === 200,
     );
     assert.is(child.exitCode, null);
     assert.is(child.signalCode, null);
@@ -223,21 +230,21 @@
   });
 });
 
-settings('the packages listed for a clean build can be installed', async () => {
+settings('the system packages listed in the deploy file can be installed', async () => {
   const deploy = await readFile(join(repositoryRoot, 'deploy', 'system.toml'), 'utf8');
-  const listed = /^packages = \[([^\]]*)\]$/m.exec(deploy)?.[1];
-  assert.type(listed, 'string');
-  const names = [...(listed ?? '').matchAll(/"([a-z0-9.+-]+)"/g)].map((m) => m[1]);
+  const packageList = /^packages = \[([^\]]*)\]$/m.exec(deploy)?.[1];
+  assert.type(packageList, 'string');
+  const names = [...(packageList ?? '').matchAll(/"([a-z0-9.+-]+)"/g)].map((match) => match[1]);
   assert.ok(names.includes('nodejs'));
-  const tried = spawnSync('apt-get', ['install', '-s', ...names], { encoding: 'utf8' });
-  if (tried.error) {
+  const simulated = spawnSync('apt-get', ['install', '-s', ...names], { encoding: 'utf8' });
+  if (simulated.error) {
     process.stdout.write('skipped: there is no apt-get on this machine\n');
     return;
   }
-  assert.is(tried.status, 0, tried.stderr);
+  assert.is(simulated.status, 0, simulated.stderr);
 });
 
-settings('a failure that nobody waited for is told and does not end a program', () => {
+settings('an unhandled rejection is logged and does not end a program', () => {
   const program = `
   import { runProgram } from '@tillerstair/settings';
     const start = async () => {
@@ -250,13 +257,13 @@
     await runProgram('a-program', () => ({}), start);
     process.stdin.on('data', () => undefined);
   `;
-  const executed = spawnSync(process.execPath, ['--input-type=module', '-e', program], {
+  const result = spawnSync(process.execPath, ['--input-type=module', '-e', program], {
     encoding: 'utf8',
     stdio: ['pipe', 'pipe', 'pipe'],
     timeout: 20000,
   });
-  assert.is(executed.status, 7);
-  assert.match(executed.stderr, 'A failure was not handled: Error: nobody waits');
+  assert.is(result.status, 7);
+  assert.match(result.stderr, 'A failure was not handled: Error: nobody waits');
 });
 
 settings.run();
--- a/tests/src/platform/stopping-front.test.ts
+++ b/tests/src/platform/stopping-front.test.ts
@@ -1,4 +1,4 @@
-/** A front that is told to stop, as real processes: clients go on using their open connections until it is gone. */
+/** A front that receives SIGTERM, as real processes, while clients keep using their open connections until it exits. */
 import { once } from 'node:events';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -11,30 +11,34 @@
 import { configuration, respondByPath, tryIdOf } from '../support/platform-servers.js';
 import { graceMs, startServerList, startSystem } from '../support/platform-system.js';
 
-const stopping = suite('a front that is told to stop');
+const stopping = suite('a front that receives SIGTERM');
 
-/** How long a stream of the stand-in engine lasts, in ms. */
+/** Duration of a stream of the stand-in engine, in ms. */
 const streamMs = 1200;
-/** Clients that wait on open connections, and how long after the signal each sends its next request, in ms. */
-const connections = 24;
-const nextRequestEveryMs = 150;
-/** So many programs in a row are served before a test begins: each front has its slots by then. */
+/** Number of clients with an open connection. */
+const connectionCount = 24;
+/** Delay between the first requests of two clients after the signal, in ms. */
+const requestIntervalMs = 150;
+/** Number of programs in a row that must be served before a test begins: by then each front has its slots. */
 const programsServed = 20;
-/** A connection may end this long after a request's last byte, if nothing was passed on (`lossSlackMs`). */
+/**
+ * Maximum time between the last byte of a request and the end of its connection, in ms, that does not count as a loss
+ * if the request was not forwarded (the platform's `lossSlackMs`).
+ */
 const lossSlackMs = 200;
 
 let engine: Up;
 let list: Awaited<ReturnType<typeof startServerList>>;
 let system: Awaited<ReturnType<typeof startSystem>>;
 
-/** Two machines, so that requests are passed on to the front that owns their program. */
-const fronts = 2;
+/** Two front machines, so that requests are forwarded to the front that owns their program. */
+const frontCount = 2;
 
-/** Streams two events, the second after `streamMs`; every other request is answered as elsewhere. */
-const playSlowly: typeof respondByPath = (asked, res, req) => {
-  if (!asked.path.endsWith('/slow')) return respondByPath(asked, res, req);
+/** Answers `/slow` with two events, the second after `streamMs`, and all other paths by `respondByPath`. */
+const respondSlowly: typeof respondByPath = (received, res, req) => {
+  if (!received.path.endsWith('/slow')) return respondByPath(received, res, req);
   res.writeHead(200, [
-    ...['Try-Id', tryIdOf(asked)],
+    ...['Try-Id', tryIdOf(received)],
     ...['Server-Seal', 'seal.1'],
     ...['Content-Type', 'text/event-stream'],
   ]);
@@ -42,17 +46,17 @@
   hostClock.after(streamMs, () => res.end('id: 2\ndata: two\n\n'));
 };
 
-/** A request that was sent, with its try. */
-interface Sent extends KeptAnswer {
+/** The response to a request, with the id of its attempt. */
+interface AttemptAnswer extends KeptAnswer {
   readonly attempt: string;
 }
 
-/** Sends a turn of a program of its own, so that every owner is asked. */
+/** Sends a turn of a new program for each attempt, so that requests reach the slots of all owners. */
 const sendTurn = async (
   connection: KeptConnection,
   path: string,
   attempt: string,
-): Promise<Sent> => {
+): Promise<AttemptAnswer> => {
   const headers = [
     `Host: ${passHost}`,
     `Try-Id: ${attempt}`,
@@ -66,8 +70,8 @@
 const openConnection = (): Promise<KeptConnection> =>
   KeptConnection.open(`127.0.0.1:${system.ports.front}`);
 
-const bringUp = async (): Promise<void> => {
-  engine = await serverUp(playSlowly);
+const startAll = async (): Promise<void> => {
+  engine = await serverUp(respondSlowly);
   list = await startServerList(() => [
     {
       serverId: 'i-engine',
@@ -76,21 +80,21 @@
       state: 'accepting',
     },
   ]);
-  system = await startSystem(list.port, fronts);
+  system = await startSystem(list.port, frontCount);
   const { control, ready } = system.ports;
-  const order = JSON.stringify(configuration(5));
-  await until('a configuration', 30000, async () => {
-    const heard = await call(control, 'PUT', '/configuration', ['If-Match', '0'], order).catch(
+  const body = JSON.stringify(configuration(5));
+  await until('the configuration is accepted', 30000, async () => {
+    const response = await call(control, 'PUT', '/configuration', ['If-Match', '0'], body).catch(
       () => undefined,
     );
-    return heard?.status === 200;
+    return response?.status === 200;
   });
-  await until('a ready front', 20000, async () => {
-    const heard = await call(ready, 'GET', '/readiness').catch(() => undefined);
-    return heard?.status === 200;
+  await until('the front is ready', 20000, async () => {
+    const response = await call(ready, 'GET', '/readiness').catch(() => undefined);
+    return response?.status === 200;
   });
   let served = 0;
-  await until('turns of many programs', 20000, async () => {
+  await until('turns of many programs in a row are served', 20000, async () => {
     const connection = await openConnection();
     const { status } = await sendTurn(connection, '/turn/x', `first-${served}`);
     connection.close();
@@ -99,13 +103,13 @@
   });
 };
 
-const takeDown = async (): Promise<void> => {
+const stopAll = async (): Promise<void> => {
   await system.close();
   list.close();
   engine.close();
 };
 
-/** Signals the machine of the front as the platform does: SIGTERM to all its processes, SIGKILL after the grace. */
+/** Stops the machine of the front as the platform does: SIGTERM to all its processes, SIGKILL after `graceMs`. */
 const stopFrontMachine = () => {
   const signalledAt = hostClock.now();
   const ended = system.started
@@ -121,52 +125,59 @@
   return { signalledAt, ended: Promise.all(ended) };
 };
 
-/** What was lost: an answer that is not complete though the request was passed on, or was read and left for long. */
+/**
+ * Describes the lost requests: those with an incomplete response that were forwarded, or whose connection ended more
+ * than `lossSlackMs` after they were sent.
+ */
 const lossesOf = (
-  answers: readonly Sent[],
-  passedOn: ReadonlySet<string>,
+  answers: readonly AttemptAnswer[],
+  forwarded: ReadonlySet<string>,
   signalledAt: number,
 ): readonly string[] =>
   answers
     .filter(
       ({ attempt, complete, sentAt, endedAt }) =>
-        !complete && (passedOn.has(attempt) || endedAt - sentAt > lossSlackMs),
+        !complete && (forwarded.has(attempt) || endedAt - sentAt > lossSlackMs),
     )
     .map(
       ({ attempt, status, sentAt, endedAt }) =>
         `${attempt} sent ${Math.round(sentAt - signalledAt)} ms after SIGTERM, ` +
-        `${passedOn.has(attempt) ? 'passed on' : 'not passed on'}, ended with ${status} ` +
+        `${forwarded.has(attempt) ? 'forwarded' : 'not forwarded'}, ended with ${status} ` +
         `after ${Math.round(endedAt - sentAt)} ms`,
     );
 
-stopping.before.each(bringUp);
-stopping.after.each(takeDown);
+stopping.before.each(startAll);
+stopping.after.each(stopAll);
 
-stopping('loses no request on connections that clients keep using until it is gone', async () => {
-  const open = await Promise.all(Array.from({ length: connections }, openConnection));
-  const warm = await Promise.all(
-    open.map((connection, n) => sendTurn(connection, '/turn/x', `warm-${n}`)),
+stopping('loses no request on connections that clients keep using until it exits', async () => {
+  const connections = await Promise.all(Array.from({ length: connectionCount }, openConnection));
+  const firstAnswers = await Promise.all(
+    connections.map((connection, index) => sendTurn(connection, '/turn/x', `warm-${index}`)),
   );
-  assert.ok(warm.every(({ complete }) => complete));
+  assert.ok(firstAnswers.every(({ complete }) => complete));
   const { signalledAt, ended } = stopFrontMachine();
   const answers = await Promise.all(
-    open.map(async (connection, n) => {
-      const sent: Sent[] = [];
-      await delay(hostClock, n * nextRequestEveryMs);
+    connections.map(async (connection, index) => {
+      const sent: AttemptAnswer[] = [];
+      await delay(hostClock, index * requestIntervalMs);
       for (let i = 0; !connection.closed; i++) {
-        sent.push(await sendTurn(connection, '/turn/slow', `kept-${n}-${i}`));
+        sent.push(await sendTurn(connection, '/turn/slow', `kept-${index}-${i}`));
       }
       return sent;
     }),
   );
-  const passedOn = new Set(engine.seen.map((asked) => tryIdOf(asked)));
-  assert.equal(lossesOf(answers.flat(), passedOn, signalledAt), []);
+  const forwarded = new Set(engine.seen.map((received) => tryIdOf(received)));
+  assert.equal(lossesOf(answers.flat(), forwarded, signalledAt), []);
   assert.ok(answers.flat().some(({ complete, status }) => complete && status === 200));
   const proxy = (await ended).find(({ role }) => role === 'front-proxy');
-  assert.is(proxy?.code, 0, `the proxy ended by itself, after ${proxy?.afterMs} ms`);
+  assert.is(
+    proxy?.code,
+    0,
+    `the proxy did not exit with code 0 by itself; it ended after ${proxy?.afterMs} ms`,
+  );
 });
 
-stopping('ends by itself though a client holds a connection that it never used', async () => {
+stopping('exits by itself although a client holds a connection that it never used', async () => {
   const unused = await openConnection();
   const { ended } = stopFrontMachine();
   const proxy = (await ended).find(({ role }) => role === 'front-proxy');
--- a/tests/src/platform/translation.test.ts
+++ b/tests/src/platform/translation.test.ts
@@ -1,4 +1,7 @@
-/** What the adapter makes of the platform's names: settings, deploy file, headers, configurations and answers. */
+/**
+ * How the platform adapter translates the names of the platform: settings, deploy file, headers, configurations,
+ * answers.
+ */
 import { spawnSync } from 'node:child_process';
 import { readFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -14,9 +17,9 @@
 } from '../support/platform-adapter.js';
 import { repositoryRoot } from '../support/repository.js';
 
-const translation = suite("the platform's names and what the adapter makes of them");
+const translation = suite("translation of the platform's names");
 
-/** Names of the settings pages that the product has no use for. */
+/** Documented settings of the platform that the product does not use. */
 const unusedSettings = {
   post: 'my-counter',
   machineClass: 'counter',
@@ -31,13 +34,13 @@
   pacts: ['base', 'drain'],
 };
 
-translation('every name of the settings file that is used is read under that name', () =>
+translation('every used field of the settings file is read under its documented name', () =>
   withSettingsFile({ ...settingsFile, ...unusedSettings }, (path) =>
     assert.equal(readSettings(path), settingsFile),
   ),
 );
 
-translation('a program whose settings file cannot be used ends with 2 and names the place', () =>
+translation('a program with an invalid settings file exits with code 2 and reports the field', () =>
   withSettingsFile({ ...settingsFile, portRange: 3 }, (path) => {
     const ended = spawnSync(
       process.execPath,
@@ -50,7 +53,7 @@
 );
 
 translation(
-  'the deploy file keeps its names, and its programs are those that can be run',
+  'the deploy file has its documented keys, and its programs are the roles that can be run',
   async () => {
     const text = await readFile(join(repositoryRoot, 'deploy', 'system.toml'), 'utf8');
     const [top = '', ...roles] = text.split(/^\[roles\./m);
@@ -82,7 +85,7 @@
   },
 );
 
-translation('headers have the names of the protocol page', () =>
+translation('headers have the names of the protocol documentation', () =>
   assert.equal([...new Map(Object.entries(platformDialect)).values()].sort(), [
     '',
     'expect-server',
@@ -101,7 +104,7 @@
   ]),
 );
 
-const pass = (manner: string, deadlineMs: number, more: object = {}): object => ({
+const pass = (manner: string, deadlineMs: number, overrides: object = {}): object => ({
   manner,
   tries: 1,
   deadlineMs,
@@ -110,7 +113,7 @@
   turnRetentionMs: 0,
   resumable: false,
   pauseMs: 0,
-  ...more,
+  ...overrides,
 });
 
 const productFile = {
@@ -171,41 +174,53 @@
   origin,
 };
 
-translation("every name of a configuration has its place in the product's file", async () => {
-  const page = await startOperatorApi(() => ({ status: 200, body: {} }));
+translation("every field of a configuration is translated into the product's file", async () => {
+  const operatorApi = await startOperatorApi(() => ({ status: 200, body: {} }));
   try {
-    const heard = await call(page.port, 'PUT', '/configuration', ['If-Match', '"5"'], origin);
-    assert.is(heard.status, 200);
-    const operation = page.first();
+    const response = await call(
+      operatorApi.port,
+      'PUT',
+      '/configuration',
+      ['If-Match', '"5"'],
+      origin,
+    );
+    assert.is(response.status, 200);
+    const operation = operatorApi.first();
     assert.is(operation.method, 'PUT');
     assert.is(operation.path, '/v1/config');
     assert.equal(JSON.parse(operation.body), productFile);
-    // Its digest is told and compared, so the order of the keys stays too.
+    // Digests of the file are reported and compared, so the order of the keys must not change either.
     assert.is(operation.body, JSON.stringify(productFile));
   } finally {
-    page.close();
+    operatorApi.close();
   }
 });
 
-translation('an order that is sent again has the same change id in every version', async () => {
-  const page = await startOperatorApi(() => ({ status: 200, body: { taken: true, version: 9 } }));
-  try {
-    const patch = '{"edition":9,"remove":{"ways":["r-2"]}}';
-    await call(page.port, 'PATCH', '/configuration', ['If-Match', '7'], patch);
-    const operation = page.first();
-    assert.is(operation.method, 'POST');
-    assert.is(operation.path, '/v1/config/prepare');
-    assert.equal(JSON.parse(operation.body), {
-      base: 7,
-      version: 9,
-      changeId: '202fc5968ce5d2bacb37092a1ad63f74',
-    });
-  } finally {
-    page.close();
-  }
-});
+translation(
+  'a request that is sent again has the same change id, also in later versions of the product',
+  async () => {
+    const operatorApi = await startOperatorApi(() => ({
+      status: 200,
+      body: { taken: true, version: 9 },
+    }));
+    try {
+      const patch = '{"edition":9,"remove":{"ways":["r-2"]}}';
+      await call(operatorApi.port, 'PATCH', '/configuration', ['If-Match', '7'], patch);
+      const operation = operatorApi.first();
+      assert.is(operation.method, 'POST');
+      assert.is(operation.path, '/v1/config/prepare');
+      assert.equal(JSON.parse(operation.body), {
+        base: 7,
+        version: 9,
+        changeId: '202fc5968ce5d2bacb37092a1ad63f74',
+      });
+    } finally {
+      operatorApi.close();
+    }
+  },
+);
 
-translation("the product's statuses become those of the operators' page", async () => {
+translation("the product's statuses are mapped to those of the platform", async () => {
   for (const [status, expected, retryAfter] of [
     [200, 200, ''],
     [400, 400, ''],
@@ -214,31 +229,37 @@
     [503, 503, '1'],
     [504, 504, ''],
   ] as const) {
-    const page = await startOperatorApi(() => ({ status, body: {} }));
+    const operatorApi = await startOperatorApi(() => ({ status, body: {} }));
     try {
-      const heard = await call(page.port, 'PUT', '/configuration', ['If-Match', '5'], origin);
-      assert.is(heard.status, expected);
-      assert.is(headerOf(heard.headers, 'retry-after'), retryAfter);
+      const response = await call(
+        operatorApi.port,
+        'PUT',
+        '/configuration',
+        ['If-Match', '5'],
+        origin,
+      );
+      assert.is(response.status, expected);
+      assert.is(headerOf(response.headers, 'retry-after'), retryAfter);
     } finally {
-      page.close();
+      operatorApi.close();
     }
   }
 });
 
-translation('the operators page asks the product for stores to be emptied', async () => {
+translation('retiring a node empties its store, and reports whether it is done', async () => {
   let done = false;
-  const page = await startOperatorApi(() => ({ status: 200, body: { done } }));
+  const operatorApi = await startOperatorApi(() => ({ status: 200, body: { done } }));
   try {
-    const retire = (method: string) => call(page.port, method, '/retire/vault-a%2F1');
+    const retire = (method: string) => call(operatorApi.port, method, '/retire/vault-a%2F1');
     assert.equal(jsonOf(await retire('POST')), { state: 'in_service' });
     done = true;
     assert.equal(jsonOf(await retire('GET')), { state: 'delivered' });
-    assert.equal(page.asked, [
+    assert.equal(operatorApi.asked, [
       { method: 'POST', path: '/v1/stores/vault-a%2F1/empty', body: '' },
       { method: 'GET', path: '/v1/stores/vault-a%2F1/empty', body: '' },
     ]);
   } finally {
-    page.close();
+    operatorApi.close();
   }
 });
 
