--- a/tests/src/ctl/manifests.test.ts
+++ b/tests/src/ctl/manifests.test.ts
@@ -1,9 +1,10 @@
+/** Translation of Kubernetes Gateway API manifests to configuration files. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { fromManifests } from '@tillerstair/ctl';
 import { checkConfig } from '@tillerstair/state';
 
-const manifests = suite('manifests in the manner of the Gateway API');
+const manifests = suite('translation of Gateway API manifests');
 
 const gateway = `apiVersion: gateway.networking.k8s.io/v1
 kind: Gateway
@@ -13,40 +14,43 @@
   listeners: [{ name: http, port: 80, protocol: HTTP }]
 `;
 const route = (
-  more = '',
-  rule = '',
+  specFields = '',
+  ruleFields = '',
   kind = 'turn',
 ): string => `apiVersion: gateway.networking.k8s.io/v1
 kind: HTTPRoute
 metadata: { name: chat, annotations: { tillerstair/kind: ${kind} } }
 spec:
   parentRefs: [{ name: door }]
-  ${more}
+  ${specFields}
   rules:
     - matches: [{ path: { type: PathPrefix, value: /chat } }]
       backendRefs: [{ name: new-models, weight: 7 }, { name: old-models, weight: 3 }]
-      ${rule}
+      ${ruleFields}
 `;
 
-manifests('weights become shares, backends become pools, the file is whole', () => {
-  const { text, findings } = fromManifests(
-    [{ file: 'a.yaml', text: `${gateway}---\n${route()}` }],
-    4,
-  );
-  assert.equal(findings, []);
-  const { config } = checkConfig(text ?? '');
-  assert.is(config?.base, 4);
-  assert.equal(
-    config?.pools.map((p) => `${p.name} ${p.kind}`),
-    ['new-models model', 'old-models model'],
-  );
-  assert.equal(
-    config?.routes[0]?.shares.map((s) => `${s.pool} ${s.share}`),
-    ['new-models 7', 'old-models 3'],
-  );
-});
+manifests(
+  'weights become shares, backends become pools, and the file is a valid configuration',
+  () => {
+    const { text, findings } = fromManifests(
+      [{ file: 'a.yaml', text: `${gateway}---\n${route()}` }],
+      4,
+    );
+    assert.equal(findings, []);
+    const { config } = checkConfig(text ?? '');
+    assert.is(config?.base, 4);
+    assert.equal(
+      config?.pools.map((pool) => `${pool.name} ${pool.kind}`),
+      ['new-models model', 'old-models model'],
+    );
+    assert.equal(
+      config?.routes[0]?.shares.map((share) => `${share.pool} ${share.share}`),
+      ['new-models 7', 'old-models 3'],
+    );
+  },
+);
 
-manifests('what is not supported is a finding with its place, all of them at once', () => {
+manifests('unsupported fields and kinds are reported with their places, all at once', () => {
   const cases: readonly (readonly [string, readonly string[]])[] = [
     [
       `${gateway}---\n${route('hostnames: [x.example]')}`,
@@ -80,11 +84,11 @@
     [`${gateway}---\n- 3\n`, ['a.yaml document 2']],
     [gateway, ['there is no HTTPRoute']],
   ];
-  for (const [text, words] of cases) {
-    const got = fromManifests([{ file: 'a.yaml', text }], 0);
-    assert.is(got.text, undefined, text);
-    const all = got.findings.map((f) => `${f.place}: ${f.text}`).join('\n');
-    for (const w of words) assert.ok(all.includes(w), `${w} in: ${all}`);
+  for (const [text, expectedParts] of cases) {
+    const result = fromManifests([{ file: 'a.yaml', text }], 0);
+    assert.is(result.text, undefined, text);
+    const report = result.findings.map((finding) => `${finding.place}: ${finding.text}`).join('\n');
+    for (const part of expectedParts) assert.ok(report.includes(part), `${part} in: ${report}`);
   }
 });
 
--- a/tests/src/settings/settings-file.test.ts
+++ b/tests/src/settings/settings-file.test.ts
@@ -1,4 +1,4 @@
-/** Settings files and flags: what is refused, with the place that is told, and which value goes before which. */
+/** Settings files and flags: invalid settings and their reported places, and the precedence of flags over the file. */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -46,7 +46,7 @@
 
 const noFlags: ReadonlyMap<string, unknown> = new Map();
 
-/** Findings of a control's settings, the file's name cut off. */
+/** The places of the findings in a control's settings, without the path of the file. */
 const placesIn = async (settings: unknown, flags = noFlags): Promise<readonly string[]> => {
   let places: readonly string[] = [];
   await withFile(JSON.stringify(settings), (file) => {
@@ -56,7 +56,7 @@
   return places;
 };
 
-files('a flag goes before the file, and changes nothing beside it', () =>
+files('a flag takes precedence over the file, and changes no other setting', () =>
   withFile(
     JSON.stringify({ ...member, slots: 32, bounds: { serveWithin: 9000, failureTimeout: 2000 } }),
     (file) => {
@@ -74,7 +74,7 @@
   ),
 );
 
-files('an address is an IP number and a port', async () => {
+files('an address must be an IP address and a port', async () => {
   assert.equal(await placesIn(member), []);
   for (const addr of [
     'localhost:7400',
@@ -92,8 +92,8 @@
     assert.equal(await placesIn({ ...member, addr }), [], addr);
 });
 
-files('values out of their limits are refused, each with its place', async () => {
-  const wrong = {
+files('values outside their limits are rejected, each with its place', async () => {
+  const invalid = {
     ...member,
     zone: 'Zone A',
     seeds: member.seeds.slice(1),
@@ -102,7 +102,7 @@
     journalLongAt: 65535,
     bounds: { serveWithin: 999, heartbeatInterval: 1.5 },
   };
-  assert.equal([...(await placesIn(wrong))].sort(), [
+  assert.equal([...(await placesIn(invalid))].sort(), [
     'bounds.heartbeatInterval',
     'bounds.serveWithin',
     'journalLongAt',
@@ -113,19 +113,19 @@
   ]);
 });
 
-files('a setting that is not known is refused, also inside a table', async () => {
+files('an unknown setting is rejected, also inside a table', async () => {
   assert.is((await placesIn({ ...member, slot: 8 })).length, 1);
   assert.is((await placesIn({ ...member, bounds: { serveWithins: 9000 } })).length, 1);
 });
 
-files('a wrong flag is told as that flag', async () => {
+files('an invalid flag is reported by its name', async () => {
   assert.equal(await placesIn(member, new Map([['slots', 'many']])), ['--slots']);
   assert.equal(await placesIn(member, new Map([['bounds.serveWithin', '1']])), [
     '--bounds.serveWithin',
   ]);
 });
 
-files('a file that is no table, or cannot be read, is refused', async () => {
+files('a file that is not a table, or cannot be read, is rejected', async () => {
   assert.ok((await placesIn([1, 2])).includes('file'));
   assert.ok((await placesIn('text')).includes('file'));
   const flags = new Map(Object.entries({ ...member, seeds: member.seeds.join() }));
@@ -136,7 +136,7 @@
   );
 });
 
-files('a syntax error is refused with its line, also when all settings are there', () =>
+files('a syntax error is reported with its line, even if all settings are given', () =>
   withFile(`addr: 127.0.0.1:1\nzone: a\nhttp: 127.0.0.1:2\nfeed: "127.0.0.1:3\n`, (file) => {
     const flags = new Map([['feed', '127.0.0.1:3']]);
     const findings = findingsOf(() => readSettings(ProxySettings, file, flags));
--- a/tests/src/wire/drainable-server.test.ts
+++ b/tests/src/wire/drainable-server.test.ts
@@ -1,4 +1,4 @@
-/** How a server that is drained treats each kind of connection. */
+/** How `DrainableServer` treats idle, busy and unused connections while it drains. */
 import { once } from 'node:events';
 import type { RequestListener, ServerResponse } from 'node:http';
 import { connect, Socket } from 'node:net';
@@ -7,14 +7,14 @@
 import { z } from 'zod';
 import { DrainableServer, type Clock } from '@tillerstair/wire';
 
-const draining = suite('a server that is drained');
+const draining = suite('draining an HTTP server');
 
-const Bound = z.object({ port: z.number() });
+const BoundAddress = z.object({ port: z.number() });
 
-/** Longer than any test lasts: no connection ends because it rests. */
-const keptForMs = 600000;
+/** Longer than any test, so that no connection is closed for being idle. */
+const keepAliveTimeoutMs = 600000;
 
-/** A clock whose only timer fires when the test says so. */
+/** A clock whose only timer fires when the test calls `elapse`. */
 class ManualClock implements Clock {
   private fire: () => void = () => undefined;
 
@@ -34,29 +34,30 @@
 
 interface Client {
   readonly socket: Socket;
-  /** The same connection at the server. */
+  /** The server side of the same connection. */
   readonly accepted: Socket;
   received: string;
   readonly closed: Promise<unknown>;
 }
 
-interface Rig {
+interface TestServer {
   readonly server: DrainableServer;
-  /** Answers of requests that the handler got, by path. */
+  /** Responses to the requests that the handler received, by path. */
   readonly taken: Map<string, ServerResponse>;
+  /** Opens a new connection to the server. */
   open(): Promise<Client>;
 }
 
-const withServer = async (work: (rig: Rig) => Promise<void>): Promise<void> => {
+const withServer = async (work: (testServer: TestServer) => Promise<void>): Promise<void> => {
   const taken = new Map<string, ServerResponse>();
   const handler: RequestListener = (req, res) => {
     taken.set(req.url ?? '', res);
     server.emit('taken');
   };
-  const server = new DrainableServer({ keepAliveTimeout: keptForMs }, handler);
+  const server = new DrainableServer({ keepAliveTimeout: keepAliveTimeoutMs }, handler);
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
-  const { port } = Bound.parse(server.address());
+  const { port } = BoundAddress.parse(server.address());
   const sockets: Socket[] = [];
   const open = async (): Promise<Client> => {
     const serverSide = once(server, 'connection');
@@ -64,12 +65,12 @@
     sockets.push(socket);
     const [accepted] = await Promise.all([serverSide, once(socket, 'connect')]);
     const sides: readonly unknown[] = accepted;
-    const [atServer] = sides;
-    if (!(atServer instanceof Socket)) throw new Error('no connection came');
+    const [serverSocket] = sides;
+    if (!(serverSocket instanceof Socket)) throw new Error('the server accepted no connection');
     const closed = once(socket, 'close');
-    const client: Client = { socket, accepted: atServer, received: '', closed };
-    socket.on('data', (part) => {
-      client.received += part.toString('latin1');
+    const client: Client = { socket, accepted: serverSocket, received: '', closed };
+    socket.on('data', (chunk) => {
+      client.received += chunk.toString('latin1');
     });
     socket.on('error', () => undefined);
     return client;
@@ -84,41 +85,48 @@
 
 const get = (path: string): string => `GET ${path} HTTP/1.1\r\nHost: x\r\n\r\n`;
 
-const answerOf = ({ taken }: Rig, path: string): ServerResponse => {
+const responseTo = ({ taken }: TestServer, path: string): ServerResponse => {
   const response = taken.get(path);
-  if (!response) throw new Error(`${path} was not taken`);
+  if (!response) throw new Error(`the handler received no request for ${path}`);
   return response;
 };
 
-const send = async (rig: Rig, client: Client, path: string): Promise<ServerResponse> => {
-  const taken = once(rig.server, 'taken');
+/** Sends a GET request and resolves with its response object once the handler has received it. */
+const send = async (
+  testServer: TestServer,
+  client: Client,
+  path: string,
+): Promise<ServerResponse> => {
+  const handled = once(testServer.server, 'taken');
   client.socket.write(get(path));
-  await taken;
-  return answerOf(rig, path);
+  await handled;
+  return responseTo(testServer, path);
 };
 
-draining('serves on after it announced its close, and each answer is the last one', () =>
-  withServer(async (rig) => {
-    const client = await rig.open();
-    (await send(rig, client, '/before')).end('ok');
-    while (!client.received.includes('ok')) await once(client.socket, 'data');
-    assert.match(client.received, /^Connection: keep-alive\r$/m);
-    rig.server.announceClose();
-    client.received = '';
-    (await send(rig, client, '/after')).end('ok');
-    await client.closed;
-    assert.match(client.received, /^Connection: close\r$/m);
-    assert.match(client.received, /ok/);
-  }),
+draining(
+  'keeps serving after it announced its close, and closes each connection after its response',
+  () =>
+    withServer(async (testServer) => {
+      const client = await testServer.open();
+      (await send(testServer, client, '/before')).end('ok');
+      while (!client.received.includes('ok')) await once(client.socket, 'data');
+      assert.match(client.received, /^Connection: keep-alive\r$/m);
+      testServer.server.announceClose();
+      client.received = '';
+      (await send(testServer, client, '/after')).end('ok');
+      await client.closed;
+      assert.match(client.received, /^Connection: close\r$/m);
+      assert.match(client.received, /ok/);
+    }),
 );
 
-draining('ends a connection behind an answer whose head went out before the announcement', () =>
-  withServer(async (rig) => {
-    const client = await rig.open();
-    const response = await send(rig, client, '/stream');
+draining('closes a connection after a response whose head was sent before the announcement', () =>
+  withServer(async (testServer) => {
+    const client = await testServer.open();
+    const response = await send(testServer, client, '/stream');
     response.write('first');
     while (!client.received.includes('first')) await once(client.socket, 'data');
-    rig.server.announceClose();
+    testServer.server.announceClose();
     response.end('last');
     await once(response, 'finish');
     assert.ok(client.accepted.writableEnded);
@@ -128,38 +136,44 @@
   }),
 );
 
-draining('ends resting connections, used or not, once it stops accepting; not busy ones', () =>
-  withServer(async (rig) => {
-    const [unused, rested, busy] = [await rig.open(), await rig.open(), await rig.open()];
-    (await send(rig, rested, '/rested')).end('ok');
-    while (!rested.received.includes('ok')) await once(rested.socket, 'data');
-    const response = await send(rig, busy, '/busy');
-    assert.is(rig.server.pendingRequests, 1);
-    rig.server.stopAccepting();
-    const ended = [unused, rested, busy].map(({ accepted }) => accepted.destroyed);
-    assert.equal(ended, [true, true, false]);
-    assert.is(rig.server.pendingRequests, 1);
-    response.end('whole');
-    await busy.closed;
-    assert.match(busy.received, /whole/);
-    assert.is(rig.server.pendingRequests, 0);
-  }),
+draining(
+  'closes idle connections, used or unused, when it stops accepting, but not busy ones',
+  () =>
+    withServer(async (testServer) => {
+      const [unused, idle, busy] = [
+        await testServer.open(),
+        await testServer.open(),
+        await testServer.open(),
+      ];
+      (await send(testServer, idle, '/rested')).end('ok');
+      while (!idle.received.includes('ok')) await once(idle.socket, 'data');
+      const response = await send(testServer, busy, '/busy');
+      assert.is(testServer.server.pendingRequests, 1);
+      testServer.server.stopAccepting();
+      const destroyed = [unused, idle, busy].map(({ accepted }) => accepted.destroyed);
+      assert.equal(destroyed, [true, true, false]);
+      assert.is(testServer.server.pendingRequests, 1);
+      response.end('whole');
+      await busy.closed;
+      assert.match(busy.received, /whole/);
+      assert.is(testServer.server.pendingRequests, 0);
+    }),
 );
 
-draining('refuses a request that was only half there when it stopped accepting', () =>
-  withServer(async (rig) => {
-    const client = await rig.open();
+draining('rejects a request that had been received only in part when it stopped accepting', () =>
+  withServer(async (testServer) => {
+    const client = await testServer.open();
     const [start, rest] = [get('/half').slice(0, 10), get('/half').slice(10)];
-    // The answer to the first request shows that the bytes behind it have been read.
-    const first = once(rig.server, 'taken');
+    // Once the first request is handled, the bytes after it have been read too.
+    const firstHandled = once(testServer.server, 'taken');
     client.socket.write(get('/first') + start);
-    await first;
-    answerOf(rig, '/first').end('ok');
+    await firstHandled;
+    responseTo(testServer, '/first').end('ok');
     while (!client.received.includes('ok')) await once(client.socket, 'data');
-    rig.server.stopAccepting();
+    testServer.server.stopAccepting();
     client.socket.write(rest);
-    await Promise.race([client.closed, once(rig.server, 'taken')]);
-    assert.not(rig.taken.has('/half'));
+    await Promise.race([client.closed, once(testServer.server, 'taken')]);
+    assert.not(testServer.taken.has('/half'));
     await client.closed;
     assert.match(client.received, /HTTP\/1\.1 503 /);
     assert.match(client.received, /^Retry-After: [\d.]+\r$/m);
@@ -167,28 +181,28 @@
   }),
 );
 
-draining('does not handle a request behind one whose answer ends the connection', () =>
-  withServer(async (rig) => {
-    const client = await rig.open();
-    rig.server.announceClose();
-    const first = once(rig.server, 'taken');
+draining('does not handle a request after one whose response closes the connection', () =>
+  withServer(async (testServer) => {
+    const client = await testServer.open();
+    testServer.server.announceClose();
+    const firstHandled = once(testServer.server, 'taken');
     client.socket.write(get('/first') + get('/second'));
-    await first;
-    answerOf(rig, '/first').end('ok');
+    await firstHandled;
+    responseTo(testServer, '/first').end('ok');
     await client.closed;
-    assert.not(rig.taken.has('/second'));
+    assert.not(testServer.taken.has('/second'));
     assert.match(client.received, /ok/);
   }),
 );
 
-draining('ends as soon as all is answered, and at its time at the latest', () =>
-  withServer(async (rig) => {
-    const [quick, stuck] = [await rig.open(), await rig.open()];
-    const response = await send(rig, quick, '/quick');
-    await send(rig, stuck, '/stuck');
+draining('closes once all requests are answered, or when the timeout expires', () =>
+  withServer(async (testServer) => {
+    const [quick, stuck] = [await testServer.open(), await testServer.open()];
+    const response = await send(testServer, quick, '/quick');
+    await send(testServer, stuck, '/stuck');
     const clock = new ManualClock();
     let ended = false;
-    const end = rig.server.closeWithin(1000, clock).then(() => {
+    const end = testServer.server.closeWithin(1000, clock).then(() => {
       ended = true;
     });
     response.end('whole');
