--- a/tests/src/ctl/command-line.test.ts
+++ b/tests/src/ctl/command-line.test.ts
@@ -88,7 +88,7 @@
     const child = spawn(process.execPath, argumentsFor(httpPort), { stdio: 'ignore' });
     const exitCode = new Promise<number | null>((resolve) => child.on('exit', resolve));
     await until(
-      'the daemon is live',
+      'live',
       10000,
       async () => (await ask('GET', `http://127.0.0.1:${httpPort}/live`, '', 500)).status === 200,
     );
--- a/tests/src/platform/adapter.test.ts
+++ b/tests/src/platform/adapter.test.ts
@@ -176,14 +176,13 @@
 adapter(
   'a server list that is rejected, truncated, invalid or lacks a page is an error, never a short list',
   async () => {
-    const firstPage = JSON.stringify({ servers: [entry(1)], nextToken: 'x' });
+    const first = JSON.stringify({ servers: [entry(1)], nextToken: 'x' });
     const faultyServers: readonly RequestListener[] = [
       (_req, res) => res.writeHead(429).end(),
       (_req, res) => res.end('{"servers":['),
       (_req, res) => res.end(JSON.stringify({ servers: [entry(1)] })),
-      (req, res) =>
-        req.url?.includes('pageToken') ? res.writeHead(503).end() : res.end(firstPage),
-      (req, res) => (req.url?.includes('pageToken') ? res.destroy() : res.end(firstPage)),
+      (req, res) => (req.url?.includes('pageToken') ? res.writeHead(503).end() : res.end(first)),
+      (req, res) => (req.url?.includes('pageToken') ? res.destroy() : res.end(first)),
     ];
     for (const serve of faultyServers)
       assert.is(await withListServer(serve, readList), 'errorCode');
--- a/tests/src/platform/interface.test.ts
+++ b/tests/src/platform/interface.test.ts
@@ -110,7 +110,7 @@
   async () => {
     const first = JSON.stringify(configuration(5));
     await until(
-      'the configuration is accepted',
+      'taken',
       20000,
       async () => (await sendConfiguration('PUT', 0, first)).status === 200,
     );
@@ -177,16 +177,14 @@
     ...before,
     edition: 9,
     ways: [...before.ways.filter((way) => way.name !== 'quick'), ...patch.upsert.ways],
-    depots: before.depots.map((depot) =>
-      depot.name === 'spares' ? patch.upsert.depots[0] : depot,
-    ),
+    depots: before.depots.map((d) => (d.name === 'spares' ? patch.upsert.depots[0] : d)),
     intakeLimits: patch.intakeLimits,
   });
   assert.is((await sendConfiguration('PUT', 9, configuration(11))).status, 200);
 });
 
 protocol('a connected front answers 200 at /readiness, and 503 at any other path', async () => {
-  await until('the front is ready', 20000, async () => (await readinessStatus()) === 200);
+  await until('ready', 20000, async () => (await readinessStatus()) === 200);
   assert.is((await call(system.ports.ready, 'GET', '/live')).status, 503);
 });
 
--- a/tests/src/platform/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -167,7 +167,7 @@
   let log = '';
   child.stderr.on('data', (chunk) => (log += String(chunk)));
   await until(
-    'the control is live',
+    'live',
     10000,
     async () => (await ask('GET', `http://127.0.0.1:${http}/live`, '', 500)).status === 200,
   );
@@ -190,7 +190,7 @@
         assert.not.ok(await isReady());
         await writeFile(file, '{ "addr": 3 }');
         child.kill('SIGHUP');
-        await until('the findings are logged', 5000, () =>
+        await until('findings', 5000, () =>
           Promise.resolve(log().includes('The settings in force stay')),
         );
         assert.match(log(), 'addr');
--- a/tests/src/repository/architecture.test.ts
+++ b/tests/src/repository/architecture.test.ts
@@ -1,3 +1,4 @@
+/** Checks that the documentation agrees with the code: files, names, tests, error codes, log lines, package graph. */
 import { execFile } from 'node:child_process';
 import { readFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -11,10 +12,13 @@
 
 const pages = suite('references from the pages to the code');
 const run = promisify(execFile);
-/** The users' plain words, from their letter on readable code. The code may not contain them, so they stand in a file of data. */
+/**
+ * The users' list of plain words, from their letter on readable code. The code may not contain them, so they are in a
+ * data file.
+ */
 const PlainWords = z.array(z.string()).min(60);
 
-/** Pages that name tests by topic and file, as in `zen/vote`. */
+/** Pages that refer to tests by folder and file, such as `zen/vote`. */
 const testPages = ['never-list', 'brief', 'incidents', 'callers'].map((name) =>
   join('docs', `${name}.md`),
 );
@@ -23,7 +27,10 @@
     ([, name = '']) => name,
   );
 
-/** Pages whose names in backticks, as in `StateSender`, `Publisher.publish` and `joinMaster`, are names of the code. */
+/**
+ * Pages in which names in backticks, such as `StateSender`, `Publisher.publish` and `joinMaster`, are names of the
+ * code.
+ */
 const designPages = [
   'answers-and-connections',
   'control-safety',
@@ -34,7 +41,7 @@
   'platform',
   'zen',
 ].map((name) => join('docs', `${name}.md`));
-/** Names of others in the same pages: the language's, Node's, the Gateway API's, and a field of the users' orders. */
+/** Other names in these pages: of the language, Node and the Gateway API, and a field of the users' requests. */
 const foreignNames: ReadonlySet<string> = new Set([
   'Object.fromEntries',
   'setImmediate',
@@ -51,14 +58,17 @@
 const architecture = join('docs', 'ARCHITECTURE.md');
 const glossary = join('docs', 'glossary.md');
 
-pages('every file that a page names exists and declares the name beside it', async () => {
-  const references = [...(await readPages())].flatMap(([page, text]) => referencesIn(page, text));
-  const findings = await Promise.all(references.map(findingOf));
-  assert.equal(
-    findings.filter((finding) => finding !== undefined),
-    [],
-  );
-});
+pages(
+  'every file that a page refers to exists and declares the name in the reference',
+  async () => {
+    const references = [...(await readPages())].flatMap(([page, text]) => referencesIn(page, text));
+    const findings = await Promise.all(references.map(findingOf));
+    assert.equal(
+      findings.filter((finding) => finding !== undefined),
+      [],
+    );
+  },
+);
 
 pages('every name of the code in the design pages is declared somewhere', async () => {
   const sources = [...(await readSources())].filter(([file]) => !file.startsWith('tests'));
@@ -72,7 +82,7 @@
   );
 });
 
-pages('every test that a page names in backticks is there', async () => {
+pages('every test that a page names in backticks exists', async () => {
   const tests = new Set(
     [...(await readSources()).keys()].filter((file) => file.endsWith('.test.ts')),
   );
@@ -85,7 +95,7 @@
   );
 });
 
-pages('the architecture page and the glossary rest on many references', async () => {
+pages('the architecture page and the glossary have a minimum number of references', async () => {
   const texts = await readPages();
   const countIn = (page: string): number =>
     referencesIn(page, texts.get(page) ?? '').filter(({ name }) => name !== '').length;
@@ -93,7 +103,7 @@
   assert.ok(countIn(glossary) >= 60, `${countIn(glossary)} in ${glossary}`);
 });
 
-pages('a reference to a missing file or name is found', async () => {
+pages('a reference to a missing file or name is reported', async () => {
   const text =
     'see `packages/zen/src/vote.ts#grantVote`, `packages/zen/src/vote.ts#grant` and `packages/no.ts`';
   const findings = await Promise.all(referencesIn('a page', text).map(findingOf));
@@ -104,7 +114,7 @@
   ]);
 });
 
-pages('a name in a comment or a call is no declaration', () => {
+pages('a name in a comment or a call is not a declaration', () => {
   const text = '/** mentioned */ class Outer { member() { called(); } get value() { return 1; } }';
   const names = declaredNames('x.ts', text);
   assert.ok(['Outer', 'member', 'Outer.member', 'value'].every((name) => names.has(name)));
@@ -131,7 +141,7 @@
   },
 );
 
-pages('the page of errors lists every code, and no code that there is not', async () => {
+pages('the page of errors lists exactly the existing error codes', async () => {
   const text = (await readPages()).get(join('docs', 'errors.md')) ?? '';
   const rows = text.split('\n').filter((line) => line.startsWith('| `'));
   const listed = rows.flatMap((row) =>
@@ -140,11 +150,11 @@
   assert.equal([...listed].sort(), Object.values(rpcErrorCodes).flat().sort());
 });
 
-pages('the log lines that the operators page explains are in the code', async () => {
+pages('the log lines that the operators page explains exist in the code', async () => {
   const text = (await readPages()).get(join('docs', 'operators.md')) ?? '';
   const table = text.split('## What the log says')[1]?.split('\n## ')[0] ?? '';
   const lines = [...table.matchAll(/^\| (.+?) \|/gm)].map(([, line = '']) => line).slice(1);
-  const words = lines.flatMap((line) => line.split(/…| \/ |,/).map((part) => part.trim()));
+  const fragments = lines.flatMap((line) => line.split(/…| \/ |,/).map((part) => part.trim()));
   const code = [...(await readSources())]
     .filter(([file]) => file.startsWith('packages'))
     .map(([, source]) => source)
@@ -152,12 +162,12 @@
   assert.ok(lines.length > 15, `${lines.length} lines`);
   const inCode = (part: string): boolean => code.includes(part.replace(/^\((\w+)\)$/, "'$1'"));
   assert.equal(
-    words.filter((part) => !inCode(part)),
+    fragments.filter((part) => !inCode(part)),
     [],
   );
 });
 
-pages('the package graph shows the imports as they are', async () => {
+pages('the package graph matches the imports of the packages', async () => {
   await run(process.execPath, [join(repositoryRoot, 'docs', 'package-graph.mjs'), '--check']);
 });
 
--- a/tests/src/repository/fresh-clone.test.ts
+++ b/tests/src/repository/fresh-clone.test.ts
@@ -1,4 +1,4 @@
-/** What README promises of a fresh clone: after `npm ci`, the programs run without a build. */
+/** In a fresh clone the programs run after `npm ci`, without a build, as README states. */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdtempSync, readdirSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -12,7 +12,7 @@
 
 const RootManifest = z.object({ scripts: z.object({ prepare: z.string() }) });
 
-/** The files that the start scripts of a package's programs import, by their paths below the package's folder. */
+/** The files that the start scripts of a package import, relative to the package folder. */
 const importedByPrograms = (packageFolder: string): readonly string[] => {
   const binFolder = join(packageFolder, 'bin');
   if (!existsSync(binFolder)) return [];
@@ -22,7 +22,7 @@
   });
 };
 
-freshClone('npm ci transpiles whatever the start scripts of the programs import', () => {
+freshClone('npm ci transpiles every file that the start scripts of the programs import', () => {
   const manifest = RootManifest.parse(
     JSON.parse(readFileSync(join(repositoryRoot, 'package.json'), 'utf8')),
   );
--- a/tests/src/repository/guards.test.ts
+++ b/tests/src/repository/guards.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Checks the guards in tests/guards: each replaces a text that occurs once in a source file, and names an existing
+ * test.
+ */
 import { readdir, readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { suite } from 'uvu';
@@ -22,26 +26,26 @@
   return texts.flatMap((text) => z.array(Guard).parse(JSON.parse(text)));
 };
 
-guards('the text of each guard stands once in its file', async () => {
+guards('the text of each guard occurs exactly once in its file', async () => {
   const sources = await readSources();
-  const wrong = (await readGuards()).filter(
+  const invalidGuards = (await readGuards()).filter(
     (guard) => (sources.get(guard.file) ?? '').split(guard.find).length !== 2,
   );
   assert.equal(
-    wrong.map((guard) => `${guard.file}: ${guard.name}`),
+    invalidGuards.map((guard) => `${guard.file}: ${guard.name}`),
     [],
   );
 });
 
-guards('the test of each guard is there', async () => {
+guards('the test of each guard exists', async () => {
   const tests = [...(await readSources()).keys()]
     .filter((file) => file.endsWith('.test.ts'))
     .map((file) => file.replace(/^tests\/src\//, '').replace(/\.ts$/, '.js'));
-  const wrong = (await readGuards()).filter(
+  const invalidGuards = (await readGuards()).filter(
     (guard) => !tests.some((path) => new RegExp(guard.test).test(path)),
   );
   assert.equal(
-    wrong.map((guard) => `${guard.name}: ${guard.test}`),
+    invalidGuards.map((guard) => `${guard.name}: ${guard.test}`),
     [],
   );
 });
--- a/tests/src/repository/house-rules.test.ts
+++ b/tests/src/repository/house-rules.test.ts
@@ -1,11 +1,15 @@
+/**
+ * Rules of the code that the linter does not check: file size, casts, clocks, processes, names of the outer protocol.
+ */
 import { join } from 'node:path';
 import ts from 'typescript';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { readSources } from '../support/repository.js';
 
-const house = suite('house rules');
-const daemons = [
+const codeRules = suite('rules of the code');
+/** The packages whose code runs in the deployed programs. */
+const daemonPackages = [
   'wire',
   'journal',
   'zen',
@@ -18,27 +22,28 @@
   'settings',
 ];
 
-const hits = (all: ReadonlyMap<string, string>, wrong: RegExp): readonly string[] =>
-  [...all].flatMap(([f, text]) =>
+/** The lines that match a pattern, each with its file and line number. */
+const linesMatching = (sources: ReadonlyMap<string, string>, pattern: RegExp): readonly string[] =>
+  [...sources].flatMap(([file, text]) =>
     text
       .split('\n')
-      .flatMap((line, i) => (wrong.test(line) ? [`${f}:${i + 1}: ${line.trim()}`] : [])),
+      .flatMap((line, i) => (pattern.test(line) ? [`${file}:${i + 1}: ${line.trim()}`] : [])),
   );
 
-house('no file is over 400 lines', async () => {
-  const long = [...(await readSources())]
-    .filter(([, t]) => t.trimEnd().split('\n').length > 400)
-    .map(([f]) => f);
-  assert.equal(long, []);
+codeRules('no file is over 400 lines', async () => {
+  const longFiles = [...(await readSources())]
+    .filter(([, text]) => text.trimEnd().split('\n').length > 400)
+    .map(([file]) => file);
+  assert.equal(longFiles, []);
 });
 
-/** Whether a node is a cast (`as const` is none) or the type `any`. */
+/** Whether a node is the type `any` or a cast other than `as const`. */
 const isAnyOrCast = (node: ts.Node): boolean =>
   node.kind === ts.SyntaxKind.AnyKeyword ||
   ts.isTypeAssertionExpression(node) ||
   (ts.isAsExpression(node) && !ts.isConstTypeReference(node.type));
 
-/** Looks at the syntax, so that the word `as` in a comment or a text is no cast. */
+/** Finds uses of `any` and casts in the syntax tree, so that the word `as` in a comment or a string is not reported. */
 const anysAndCastsIn = (file: string, text: string): readonly string[] => {
   const source = ts.createSourceFile(file, text, ts.ScriptTarget.Latest);
   const found: string[] = [];
@@ -53,11 +58,11 @@
   return found;
 };
 
-house('no any, no casts', async () => {
-  const all = await readSources();
-  assert.ok(all.size > 50);
+codeRules('there are no any and no casts', async () => {
+  const sources = await readSources();
+  assert.ok(sources.size > 50);
   assert.equal(
-    [...all].flatMap(([file, text]) => anysAndCastsIn(file, text)),
+    [...sources].flatMap(([file, text]) => anysAndCastsIn(file, text)),
     [],
   );
   for (const text of ['const a: any = 1;', 'f(x as string);', 'f(<T>x);', 'const b = [y as any];'])
@@ -66,32 +71,32 @@
     assert.equal(anysAndCastsIn('a.ts', text), []);
 });
 
-house('no daemon reads the wall clock, so a jump of it changes nothing', async () => {
-  const own = new Map(
-    [...(await readSources())].filter(([f]) =>
-      daemons.some((d) => f.startsWith(join('packages', d))),
+codeRules('no daemon reads the wall clock, so clock changes have no effect on them', async () => {
+  const daemonSources = new Map(
+    [...(await readSources())].filter(([file]) =>
+      daemonPackages.some((name) => file.startsWith(join('packages', name))),
     ),
   );
-  assert.ok(own.size > 30);
-  assert.equal(hits(own, /Date\.now|new Date|toISOString/), []);
+  assert.ok(daemonSources.size > 30);
+  assert.equal(linesMatching(daemonSources, /Date\.now|new Date|toISOString/), []);
 });
 
-house('no daemon starts a process', async () => {
-  const own = new Map(
-    [...(await readSources())].filter(([f]) =>
-      daemons.some((d) => f.startsWith(join('packages', d))),
+codeRules('no daemon starts a process', async () => {
+  const daemonSources = new Map(
+    [...(await readSources())].filter(([file]) =>
+      daemonPackages.some((name) => file.startsWith(join('packages', name))),
     ),
   );
-  assert.equal(hits(own, /child_process|worker_threads|node:cluster/), []);
+  assert.equal(linesMatching(daemonSources, /child_process|worker_threads|node:cluster/), []);
 });
 
-house('no test waits for time to pass', async () => {
+codeRules('no test waits for a fixed time', async () => {
   const tests = new Map(
     [...(await readSources())].filter(
-      ([f]) => f.startsWith('tests') && !f.endsWith('house-rules.test.ts'),
+      ([file]) => file.startsWith('tests') && !file.endsWith('house-rules.test.ts'),
     ),
   );
-  assert.equal(hits(tests, /setTimeout|sleep/), []);
+  assert.equal(linesMatching(tests, /setTimeout|sleep/), []);
 });
 
 const platformHeaders = [
@@ -147,29 +152,40 @@
   'editions?',
 ];
 const platformWords = new RegExp(
-  `(?<!x-)\\b(${platformHeaders.flatMap((h) => [h, h.toLowerCase()]).join('|')})\\b|\\b(${platformNames.join('|')})(?![A-Za-z])`,
+  `(?<!x-)\\b(${platformHeaders.flatMap((header) => [header, header.toLowerCase()]).join('|')})\\b|\\b(${platformNames.join('|')})(?![A-Za-z])`,
 );
 
-house('words of the platform stand in platform/ alone', async () => {
-  const all = await readSources();
-  const others = new Map([...all].filter(([f]) => f.startsWith('packages')));
-  assert.equal(hits(others, platformWords), []);
+codeRules('names of the outer protocol occur only in platform/', async () => {
+  const sources = await readSources();
+  const packageSources = new Map([...sources].filter(([file]) => file.startsWith('packages')));
+  assert.equal(linesMatching(packageSources, platformWords), []);
   assert.ok(
-    hits(new Map([...all].filter(([f]) => f.startsWith('platform'))), platformWords).length > 20,
+    linesMatching(
+      new Map([...sources].filter(([file]) => file.startsWith('platform'))),
+      platformWords,
+    ).length > 20,
   );
 });
 
-house("platform/ keeps to the packages' front doors", async () => {
-  const own = new Map([...(await readSources())].filter(([f]) => f.startsWith('platform')));
-  assert.ok(own.size > 5);
-  assert.equal(
-    hits(own, /Date\.now|new Date|toISOString|child_process|worker_threads|node:cluster/),
-    [],
-  );
-  assert.equal(hits(own, /from '(\.\.\/|@tillerstair\/[a-z-]+\/)/), []);
-});
+codeRules(
+  'platform/ imports packages only by their index, and follows the rules of daemons',
+  async () => {
+    const platformSources = new Map(
+      [...(await readSources())].filter(([file]) => file.startsWith('platform')),
+    );
+    assert.ok(platformSources.size > 5);
+    assert.equal(
+      linesMatching(
+        platformSources,
+        /Date\.now|new Date|toISOString|child_process|worker_threads|node:cluster/,
+      ),
+      [],
+    );
+    assert.equal(linesMatching(platformSources, /from '(\.\.\/|@tillerstair\/[a-z-]+\/)/), []);
+  },
+);
 
-/** Words of the earlier house style, withdrawn by the users; docs/glossary.md has the names that took their place. */
+/** Terms that the users have withdrawn from the code; docs/glossary.md lists their replacements. */
 const withdrawnWords = [
   'circuits?',
   'inquir(y|ies)',
@@ -210,29 +226,33 @@
   [join('packages', 'state', 'src', 'config', 'check.ts'), /renamedKeys/],
 ]);
 
-house('withdrawn words stand in no name, file or text of the code', async () => {
-  const camel = withdrawnWords.map((w) => w[0].toUpperCase() + w.slice(1));
-  const wrong = new RegExp(
-    `(?<![A-Za-z])(${withdrawnWords.join('|')})(?![a-z])|(?<![A-Z])(${camel.join('|')})(?![a-z])|\\b(${withdrawnNames.join('|')})\\b`,
+codeRules('withdrawn terms occur in no name, file name or text of the code', async () => {
+  const capitalized = withdrawnWords.map((word) => word[0].toUpperCase() + word.slice(1));
+  const withdrawn = new RegExp(
+    `(?<![A-Za-z])(${withdrawnWords.join('|')})(?![a-z])|(?<![A-Z])(${capitalized.join('|')})(?![a-z])|\\b(${withdrawnNames.join('|')})\\b`,
   );
-  const all = await readSources();
-  const others = new Map([...all].filter(([f]) => !f.endsWith('house-rules.test.ts')));
-  const lines = [...others].flatMap(([f, text]) =>
+  const sources = await readSources();
+  const others = new Map([...sources].filter(([file]) => !file.endsWith('house-rules.test.ts')));
+  const lines = [...others].flatMap(([file, text]) =>
     text
       .split('\n')
       .flatMap((line, i) =>
-        wrong.test(line) && !allowedMentions.get(f)?.test(line)
-          ? [`${f}:${i + 1}: ${line.trim()}`]
+        withdrawn.test(line) && !allowedMentions.get(file)?.test(line)
+          ? [`${file}:${i + 1}: ${line.trim()}`]
           : [],
       ),
   );
   assert.equal(lines, []);
   assert.equal(
-    [...others.keys()].filter((f) => wrong.test(f)),
+    [...others.keys()].filter((file) => withdrawn.test(file)),
     [],
   );
-  assert.ok(['laneOf', 'theMate', 'a steward', 'freshAt', 'verdicts'].every((x) => wrong.test(x)));
-  assert.not.ok(['HTTPRoute', 'estimate', 'planes', 'routeOf'].some((x) => wrong.test(x)));
+  assert.ok(
+    ['laneOf', 'theMate', 'a steward', 'freshAt', 'verdicts'].every((name) => withdrawn.test(name)),
+  );
+  assert.not.ok(
+    ['HTTPRoute', 'estimate', 'planes', 'routeOf'].some((name) => withdrawn.test(name)),
+  );
 });
 
-house.run();
+codeRules.run();
--- a/tests/src/repository/lint-suppressions.test.ts
+++ b/tests/src/repository/lint-suppressions.test.ts
@@ -1,3 +1,4 @@
+/** Limits the number of suppressed lint violations. */
 import { readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { suite } from 'uvu';
@@ -8,16 +9,16 @@
 const lint = suite('lint suppressions');
 const Suppressions = z.record(z.string(), z.record(z.string(), z.object({ count: z.number() })));
 
-/** Lowered with every mend, never raised. */
-const most = 1;
+/** Maximum number of suppressed violations; lowered with every fix, never raised. */
+const maxSuppressed = 1;
 
-lint('the counts of suppressed violations only shrink', async () => {
+lint('the number of suppressed violations does not grow', async () => {
   const text = await readFile(join(repositoryRoot, 'eslint-suppressions.json'), 'utf8');
   const counts = Object.values(Suppressions.parse(JSON.parse(text))).flatMap((rules) =>
-    Object.values(rules).map((r) => r.count),
+    Object.values(rules).map((rule) => rule.count),
   );
-  const sum = counts.reduce((n, c) => n + c, 0);
-  assert.ok(sum <= most, `${sum} suppressed, at most ${most} are allowed`);
+  const total = counts.reduce((sum, count) => sum + count, 0);
+  assert.ok(total <= maxSuppressed, `${total} suppressed, at most ${maxSuppressed} are allowed`);
 });
 
 lint.run();
--- a/tests/src/repository/recorded-conversation.test.ts
+++ b/tests/src/repository/recorded-conversation.test.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes of earlier versions are understood by this one, and answered in the same form. */
+/** Node-to-node messages of earlier versions are understood by this version and answered in the same format. */
 import { inflateSync } from 'node:zlib';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -68,39 +68,39 @@
 import { callOwner, callRaw } from '../support/raw-connection.js';
 import { startStoredCluster, type StoredCluster } from '../support/stored-cluster.js';
 
-const conversation = suite('recorded conversation of earlier versions');
+const conversation = suite('recorded messages of earlier versions');
 
-interface MessageForm {
+interface MessageSchemas {
   readonly request: z.ZodType;
   readonly response: z.ZodType;
 }
 
-const Nothing = z.strictObject({});
+const EmptyMessage = z.strictObject({});
 
-/** The forms of both messages of each kind; kinds that no package exports a form of are held by their handlers. */
-const messageForms: ReadonlyMap<string, MessageForm> = new Map([
+/** The request and response schemas of each kind; schemas that no package exports are checked by the handlers. */
+const messageSchemas: ReadonlyMap<string, MessageSchemas> = new Map([
   ['zen/ping', { request: Ping, response: PingResponse }],
   ['zen/join', { request: Join, response: z.object({ term: z.number() }) }],
   ['zen/validate', { request: Validate, response: ValidateResponse }],
   ['zen/publish', { request: Publish, response: PublishResponse }],
-  ['zen/commit', { request: Commit, response: Nothing }],
+  ['zen/commit', { request: Commit, response: EmptyMessage }],
   ['zen/node-ping', { request: NodePing, response: NodePingResponse }],
   ['zen/master-ping', { request: MasterPing, response: MasterPingResponse }],
   ['zen/bootstrap', { request: BootstrapVote, response: BootstrapVoteResponse }],
-  ['zen/leave', { request: Leave, response: Nothing }],
-  ['store/put', { request: PutRequest, response: Nothing }],
+  ['zen/leave', { request: Leave, response: EmptyMessage }],
+  ['store/put', { request: PutRequest, response: EmptyMessage }],
   ['store/fence', { request: FenceRequest, response: ItemPage }],
   ['store/pull', { request: FenceRequest, response: ItemPage }],
   ['store/read', { request: ReadRequest, response: ReadResponse }],
   ['store/find', { request: FindTurnRequest, response: FindTurnResponse }],
-  ['store/hint', { request: HintRequest, response: Nothing }],
-  ['store/hand', { request: HandoffRequest, response: Nothing }],
+  ['store/hint', { request: HintRequest, response: EmptyMessage }],
+  ['store/hand', { request: HandoffRequest, response: EmptyMessage }],
   ['control/operate', { request: OperatorRequest, response: OperatorResponse }],
-  ['control/list', { request: Nothing, response: ServerListReply }],
-  ['control/depart', { request: DepartureNotice, response: Nothing }],
-  ['control/filled', { request: FilledNotice, response: Nothing }],
+  ['control/list', { request: EmptyMessage, response: ServerListReply }],
+  ['control/depart', { request: DepartureNotice, response: EmptyMessage }],
+  ['control/filled', { request: FilledNotice, response: EmptyMessage }],
   ['front/feed', { request: Feed, response: FeedResponse }],
-  ['front/hello', { request: Nothing, response: z.object({ id: z.string() }).loose() }],
+  ['front/hello', { request: EmptyMessage, response: z.object({ id: z.string() }).loose() }],
   ['front/program', { request: ProgramRequest, response: CallOutcome }],
   ['front/turn', { request: TurnRequest, response: CallOutcome }],
   ['front/history', { request: HistoryRequest, response: CallOutcome }],
@@ -109,30 +109,33 @@
   ['front/stream', { request: PassRequest, response: CallOutcome }],
 ]);
 
-const Addressed = z.object({ to: z.string().optional() }).loose();
+const AddressedBody = z.object({ to: z.string().optional() }).loose();
 
-/** A request without its addressee, which is parsed apart from the request itself. */
+/** A request body without its field `to`, which is parsed separately, unless the body belongs to a slot. */
 const withoutAddressee = (body: unknown): unknown => {
-  const { to, ...rest } = Addressed.parse(body);
+  const { to, ...rest } = AddressedBody.parse(body);
   return to === undefined || 'slot' in rest ? body : rest;
 };
 
-conversation('no field of a request or a response is unknown or missing now', async () => {
-  const calls = await readConversation();
-  const seen = new Set<string>();
-  for (const { kind, body, end } of calls) {
-    const form = messageForms.get(kind);
-    assert.ok(form, kind);
-    seen.add(kind);
-    assert.equal(form.request.parse(body), withoutAddressee(body), kind);
-    if (end?.response === undefined) continue;
-    assert.equal(form.response.parse(end.response), end.response, kind);
-  }
-  assert.equal([...seen].sort(), [...messageForms.keys()].sort());
-});
+conversation(
+  'every field of a recorded request or response is known, and none is missing',
+  async () => {
+    const calls = await readConversation();
+    const kinds = new Set<string>();
+    for (const { kind, body, end } of calls) {
+      const schemas = messageSchemas.get(kind);
+      assert.ok(schemas, kind);
+      kinds.add(kind);
+      assert.equal(schemas.request.parse(body), withoutAddressee(body), kind);
+      if (end?.response === undefined) continue;
+      assert.equal(schemas.response.parse(end.response), end.response, kind);
+    }
+    assert.equal([...kinds].sort(), [...messageSchemas.keys()].sort());
+  },
+);
 
 conversation('a published state or diff is decoded without loss', async () => {
-  let states = 0;
+  let stateCount = 0;
   for (const { kind, body } of await readConversation()) {
     if (kind !== 'zen/publish') continue;
     const { packed } = Publish.parse(body);
@@ -140,14 +143,14 @@
     const payload = PublishPayload.parse(JSON.parse(text));
     assert.equal(payload, JSON.parse(text));
     if (!('full' in payload)) continue;
-    states++;
+    stateCount++;
     const table = new Map(payload.full);
     assert.equal([...encodeState(decodeState(table))].sort(), [...table].sort());
   }
-  assert.ok(states > 0);
+  assert.ok(stateCount > 0);
 });
 
-/** The address that a node had when it was recorded. */
+/** The address of a node at the time of the recording. */
 const addressOf = (expected: Expected, name: string): string => {
   const { id, accepted } = new Map(Object.entries(expected.nodes)).get(name)?.election ?? {
     id: '',
@@ -157,7 +160,7 @@
   return entry === undefined ? '' : Member.parse(JSON.parse(entry[1])).addr;
 };
 
-/** A store with an empty disk that no other node knows. */
+/** Opens a store with an empty data folder that is in no cluster. */
 const openEmptyStore = async (folder: string, address: string): Promise<StoreNode> => {
   const { replicaStore } = await openStoreDisk({
     disk: await FolderDisk.acquire(folder),
@@ -184,18 +187,22 @@
   });
 };
 
-conversation('a store answers each request of owners and stores just as it did', () =>
+conversation('a store answers each recorded request of owners and stores as it did then', () =>
   withStoredData(async (folderOf) => {
     const expected = await readExpected();
     const calls = await readConversation();
     for (const name of ['store-0', 'store-1']) {
       const address = addressOf(expected, name);
       const node = await openEmptyStore(folderOf(`replayed-${name}`), address);
-      const requests = calls.filter((c) => c.to === address && c.kind.startsWith('store/'));
+      const requests = calls.filter(
+        (call) => call.to === address && call.kind.startsWith('store/'),
+      );
       assert.ok(requests.length > 100, `${requests.length} requests`);
       for (const { from, kind, body, end } of requests) {
         if (end === undefined) continue;
-        const answer: unknown = await node.handle({ from, kind, body }).catch((e: unknown) => e);
+        const answer: unknown = await node
+          .handle({ from, kind, body })
+          .catch((error: unknown) => error);
         if (end.error !== undefined) {
           assert.instance(answer, RpcError);
           assert.is(answer instanceof RpcError && answer.code, end.error.code);
@@ -211,11 +218,14 @@
   body: z.object({ program: z.string() }),
 });
 
-/** The answer to the making of a helper; made again it names the budget of its program, which the first answer did not. */
+/**
+ * Parses the answer to the creation of a program. The answer to a repeated request also has the program's budget, which
+ * the first answer did not have.
+ */
 const programOf = (response: unknown): z.infer<typeof ProgramOutcome> =>
   ProgramOutcome.parse(response);
 
-/** Answered from what is stored: the outcome, and all that was streamed, is the same again. */
+/** Kinds that are answered from stored data: the outcome and the streamed text are the same as recorded. */
 const storedKinds: ReadonlySet<string> = new Set([
   'front/call',
   'front/history',
@@ -223,10 +233,10 @@
   'front/turn',
 ]);
 
-/** What a node says of itself differs, its form does not. */
+/** Kinds whose response describes the node: its values differ from the recording, its fields do not. */
 const statusKinds: ReadonlySet<string> = new Set(['front/hello', 'zen/ping', 'zen/node-ping']);
 
-/** Rest on a state that has gone; they may be refused, but not misunderstood. */
+/** Kinds that refer to an outdated cluster state: they may be rejected, but must be understood. */
 const outdatedKinds: ReadonlySet<string> = new Set([
   'zen/bootstrap',
   'zen/commit',
@@ -237,19 +247,21 @@
   'control/operate',
 ]);
 
-const notUnderstood: ReadonlySet<string> = new Set(['internal', 'unknown-kind']);
+/** Error codes of a message that was not understood. */
+const notUnderstoodCodes: ReadonlySet<string> = new Set(['internal', 'unknown-kind']);
 
 const uniqueBodies = (calls: readonly RecordedCall[]): readonly RecordedCall[] => [
-  ...new Map(calls.map((c) => [`${c.kind} ${JSON.stringify(c.body)}`, c])).values(),
+  ...new Map(calls.map((call) => [`${call.kind} ${JSON.stringify(call.body)}`, call])).values(),
 ];
 
-type Select = (kinds: ReadonlySet<string>) => readonly RecordedCall[];
+/** Selects the recorded requests of the given kinds that were answered. */
+type SelectCalls = (kinds: ReadonlySet<string>) => readonly RecordedCall[];
 
-/** The text of all chunks, which need not be divided as they were when the server made them. */
+/** The text of all chunks together; the division into chunks may differ from that of the original stream. */
 const streamedText = (chunks: readonly unknown[]): string =>
   chunks.map((chunk) => z.object({ text: z.string() }).parse(chunk).text).join('');
 
-const assertStoredAnswers = async (cluster: StoredCluster, select: Select): Promise<void> => {
+const assertStoredAnswers = async (cluster: StoredCluster, select: SelectCalls): Promise<void> => {
   for (const call of select(storedKinds)) {
     const answer = await callOwner(cluster.proxies, call);
     assert.equal(answer.end.response, call.end?.response, call.line);
@@ -261,15 +273,15 @@
   }
 };
 
-const Table = z.record(z.string(), z.unknown());
-const keysOf = (value: unknown): readonly string[] => Object.keys(Table.parse(value)).sort();
+const JsonObject = z.record(z.string(), z.unknown());
+const keysOf = (value: unknown): readonly string[] => Object.keys(JsonObject.parse(value)).sort();
 
 const assertUnderstood = (call: RecordedCall, end: Message): void => {
   const { code = '', text = '' } = end.error ?? {};
-  assert.not(notUnderstood.has(code), `${call.kind}: ${code}: ${text}`);
+  assert.not(notUnderstoodCodes.has(code), `${call.kind}: ${code}: ${text}`);
 };
 
-const assertStatusAnswers = async (cluster: StoredCluster, select: Select): Promise<void> => {
+const assertStatusAnswers = async (cluster: StoredCluster, select: SelectCalls): Promise<void> => {
   for (const call of select(statusKinds)) {
     const addresses = call.kind === 'front/hello' ? cluster.feeds : cluster.controls;
     for (const address of addresses) {
@@ -283,20 +295,23 @@
   }
 };
 
-const assertOutdatedAnswers = async (cluster: StoredCluster, select: Select): Promise<void> => {
+const assertOutdatedAnswers = async (
+  cluster: StoredCluster,
+  select: SelectCalls,
+): Promise<void> => {
   for (const call of select(outdatedKinds))
     for (const address of cluster.controls) {
       const { end } = await callRaw(address, call);
       assertUnderstood(call, end);
-      if (end.error === undefined) messageForms.get(call.kind)?.response.parse(end.response);
+      if (end.error === undefined) messageSchemas.get(call.kind)?.response.parse(end.response);
     }
 };
 
-conversation('programs on the stored folders answer the recorded lines in the same form', () =>
+conversation('programs on the stored folders answer the recorded requests in the same format', () =>
   withStoredData(async (folderOf) => {
     const calls = await readConversation();
-    const select: Select = (kinds) =>
-      uniqueBodies(calls.filter((c) => kinds.has(c.kind) && c.end !== undefined));
+    const select: SelectCalls = (kinds) =>
+      uniqueBodies(calls.filter((call) => kinds.has(call.kind) && call.end !== undefined));
     const cluster = await startStoredCluster(folderOf);
     try {
       await assertStoredAnswers(cluster, select);
--- a/tests/src/repository/stored-data.test.ts
+++ b/tests/src/repository/stored-data.test.ts
@@ -1,4 +1,4 @@
-/** Data folders of earlier versions are read by this one: votes, state, turns, budgets, operation keys. */
+/** Data folders of earlier versions are readable by this version: votes, state, turns, budgets, operation keys. */
 import { readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { suite } from 'uvu';
@@ -17,10 +17,11 @@
 
 const stored = suite('stored data of earlier versions');
 
-const longAt = 1 << 30;
-const storeBounds = { rewriteMinBytes: longAt, retentionMs: 3600000, maxHints: 1000 };
+/** Large enough that no log is rewritten. */
+const rewriteMinBytes = 1 << 30;
+const storeLimits = { rewriteMinBytes, retentionMs: 3600000, maxHints: 1000 };
 const noFreshId = (): string => {
-  throw new Error('stored data must not be taken for a new member');
+  throw new Error('a node with stored data must not get a new id');
 };
 
 type ExpectedNode = Expected['nodes'][string];
@@ -44,7 +45,7 @@
   Object.entries(expected.nodes).filter(([name]) => name.startsWith(kind));
 
 stored(
-  'a control reads its id, its votes and the accepted state, and leaves its log as it was',
+  'a control reads its id, its votes and the accepted state, and does not change its log',
   () =>
     withStoredData(async (folderOf) => {
       const controls = nodesOf(await readExpected(), 'control');
@@ -53,7 +54,7 @@
         const log = join(folderOf(name), 'zen.log');
         const before = await readFile(log);
         const disk = await FolderDisk.acquire(folderOf(name));
-        const electionStore = await DiskElectionStore.open(disk, noFreshId, longAt);
+        const electionStore = await DiskElectionStore.open(disk, noFreshId, rewriteMinBytes);
         assertElection(electionStore.persisted, expected);
         await disk.release();
         assert.equal(await readFile(log), before);
@@ -61,7 +62,7 @@
     }),
 );
 
-stored('a store reads all items, fences and hints, and leaves its logs as they were', () =>
+stored('a store reads all items, fences and hints, and does not change its logs', () =>
   withStoredData(async (folderOf) => {
     const stores = nodesOf(await readExpected(), 'store');
     assert.is(stores.length, 3);
@@ -73,9 +74,9 @@
         disk,
         clock: hostClock,
         timings: defaultTimings,
-        limits: storeBounds,
+        limits: storeLimits,
         freshId: noFreshId,
-        rewriteMinBytes: longAt,
+        rewriteMinBytes,
       });
       assertElection(electionStore.persisted, expected);
       const { fences, items, hints } = expected.replicas ?? { fences: [], items: [], hints: [] };
@@ -83,22 +84,26 @@
       for (const [slot, epoch] of fences) {
         assert.throws(
           () => replicaStore.pull(slot, epoch + 1, ''),
-          (e: unknown) => e instanceof Error && 'code' in e && e.code === 'not-fenced',
+          (error: unknown) =>
+            error instanceof Error && 'code' in error && error.code === 'not-fenced',
         );
         const page = replicaStore.pull(slot, epoch, '');
         assert.is(page.next, '');
-        const inSlot = items.filter((i) => i.slot === slot).map((i) => i.item);
+        const inSlot = items.filter((entry) => entry.slot === slot).map((entry) => entry.item);
         const byKey = (a: { key: string }, b: { key: string }): number => (a.key < b.key ? -1 : 1);
         assert.equal([...page.items].sort(byKey), inSlot.sort(byKey));
         assert.throws(
           () => replicaStore.read(slot, epoch - 1, 'none'),
-          (e: unknown) => e instanceof Error && 'code' in e && e.code === 'stale-epoch',
+          (error: unknown) =>
+            error instanceof Error && 'code' in error && error.code === 'stale-epoch',
         );
       }
-      const read = [...replicaStore.hintTargets()].flatMap((to) => replicaStore.hintsFor(to));
+      const storedHints = [...replicaStore.hintTargets()].flatMap((to) =>
+        replicaStore.hintsFor(to),
+      );
       const byNumber = (a: { n: number }, b: { n: number }): number => a.n - b.n;
       assert.equal(
-        read
+        storedHints
           .map(({ n, to, slot, items: hinted }) => ({ n, to, slot, items: hinted }))
           .sort(byNumber),
         hints.sort(byNumber),
@@ -106,15 +111,15 @@
       await disk.release();
       assert.equal(await readFile(join(folder, 'store.log')), before);
     }
-    assert.ok(stores.some(([, s]) => (s.replicas?.hints.length ?? 0) > 0));
+    assert.ok(stores.some(([, store]) => (store.replicas?.hints.length ?? 0) > 0));
   }),
 );
 
 const History = z.object({ turns: z.array(z.object({ turn: z.string() }).loose()) }).loose();
 
 /**
- * A program's history, its turns by name: an owner lists them in the order in which its replicas got them, and the stored
- * ones differ in that, since hints of one program were kept by two stores.
+ * Parses a program's history and sorts its turns by name. An owner lists them in the order in which its replicas
+ * received them; that order differs between the stored replicas, since hints of one program were stored on two stores.
  */
 const historyOf = (body: unknown): z.infer<typeof History> => {
   const history = History.parse(body);
@@ -137,7 +142,7 @@
 };
 
 stored(
-  'programs started on the folders serve the configuration, turns, budgets and keys in them',
+  'programs started on the stored folders serve the configuration, turns, budgets and keys in them',
   () =>
     withStoredData(async (folderOf) => {
       const { config, answers, tenant } = await readExpected();
@@ -145,12 +150,12 @@
       try {
         const [operator = ''] = cluster.operators;
         const [first = '', second = ''] = cluster.callers;
-        const got = await ask('GET', `http://${operator}/v1/config`);
-        assert.is(got.status, 200);
-        assert.equal(got.body, config);
+        const current = await ask('GET', `http://${operator}/v1/config`);
+        assert.is(current.status, 200);
+        assert.equal(current.body, config);
         const caller = new Caller(tenant, () => undefined);
         const firstProgram = answers.programs[0]?.program ?? '';
-        await until('the slots', 20000, async () => {
+        await until('the slots are served', 20000, async () => {
           const page = `http://${first}/v1/programs/${firstProgram}`;
           const reply = await request(page, { headers: { 'x-tenant': tenant } });
           await reply.body.dump();
@@ -163,13 +168,13 @@
         }
         for (const { program, after, turn, key, text, sent } of answers.turns) {
           assert.is((await caller.fetch(first, program, turn)).text, text);
-          const again = await caller.turn(second, { program, after, words: sent, key });
-          assert.equal([again.reported, again.turn, again.text], ['done', turn, text]);
+          const retry = await caller.turn(second, { program, after, words: sent, key });
+          assert.equal([retry.reported, retry.turn, retry.text], ['done', turn, text]);
         }
         for (const { key, body, text } of answers.calls) {
           assert.is((await caller.call(first, '/shop/stock/hold', body, key)).text, text);
-          const other = await caller.call(first, '/shop/stock/hold', { item: 'another' }, key);
-          assert.is(other.status, 422);
+          const reusedKey = await caller.call(first, '/shop/stock/hold', { item: 'another' }, key);
+          assert.is(reusedKey.status, 422);
         }
         for (const { path, key, body } of answers.keyed)
           assert.is(await sendKeyed(first, path, key), `200 ${body}`);
--- a/tests/src/wire/tcp-transport.test.ts
+++ b/tests/src/wire/tcp-transport.test.ts
@@ -53,10 +53,10 @@
         timeoutMs: 2000,
         onChunk: (chunk) => chunks.push(chunk),
       });
-      return { response, chunks };
+      return { v: response, chunks };
     }),
   );
-  responses.forEach(({ response, chunks }, i) => {
+  responses.forEach(({ v: response, chunks }, i) => {
     assert.equal(response, { from: a.self, of: i });
     assert.equal(
       chunks,
