--- a/tests/src/platform/interface.test.ts
+++ b/tests/src/platform/interface.test.ts
@@ -239,7 +239,7 @@
   },
 );
 
-protocol('the time left that a server is told is limited by `deadlineMs` too', async () => {
+protocol('Time-Left-Ms of a forwarded request is limited by `deadlineMs` too', async () => {
   const before = Date.now();
   const response = await send('/quick/silent', 'try-quick');
   assert.ok(Date.now() - before < 3000);
