--- a/tests/src/platform/interface.test.ts
+++ b/tests/src/platform/interface.test.ts
@@ -7,21 +7,26 @@
 import * as assert from 'uvu/assert';
 import { until } from '@tillerstair/fleet';
 import { passHost } from '@tillerstair/sim';
-import { serverUp, type Asked, type Heard, type Up } from '../support/http-server.js';
+import {
+  startServer,
+  type ReceivedRequest,
+  type ReceivedResponse,
+  type TestServer,
+} from '../support/http-server.js';
 import { call, headerOf, jsonOf } from '../support/interface-calls.js';
 import { configuration, respondByPath, tryIdOf, buildWay } from '../support/platform-servers.js';
 import { startServerList, startSystem, type ListEntry } from '../support/platform-system.js';
 
 const protocol = suite('the outer protocol: settings, configuration requests, headers, statuses');
 
-const requestOf = (server: Up, attempt: string): Asked => {
+const requestOf = (server: TestServer, attempt: string): ReceivedRequest => {
   const request = server.seen.find((candidate) => tryIdOf(candidate) === attempt);
   if (!request) throw new Error(`the server received no request with try id ${attempt}`);
   return request;
 };
-let engine: Up;
-let tool: Up;
-let spare: Up;
+let engine: TestServer;
+let tool: TestServer;
+let spare: TestServer;
 let entries: readonly ListEntry[] = [];
 let list: Awaited<ReturnType<typeof startServerList>>;
 let system: Awaited<ReturnType<typeof startSystem>>;
@@ -31,7 +36,7 @@
   method: string,
   base: number | undefined,
   body: object | string,
-): Promise<Heard> =>
+): Promise<ReceivedResponse> =>
   call(
     system.ports.control,
     method,
@@ -46,7 +51,7 @@
   attempt: string,
   headers: readonly string[] = [],
   body = 'x',
-): Promise<Heard> =>
+): Promise<ReceivedResponse> =>
   call(
     system.ports.front,
     'POST',
@@ -67,9 +72,9 @@
 ) => ({ serverId, depot, address: `127.0.0.1:${port}`, state });
 
 protocol.before(async () => {
-  engine = await serverUp(respondByPath);
-  tool = await serverUp(respondByPath);
-  spare = await serverUp(respondByPath);
+  engine = await startServer(respondByPath);
+  tool = await startServer(respondByPath);
+  spare = await startServer(respondByPath);
   entries = [
     entry('i-engine', 'engines', engine.port),
     entry('i-tool', 'tools', tool.port),
@@ -267,8 +272,11 @@
 });
 
 protocol('a front rejects invalid requests itself: 400, 404, 413, 431', async () => {
-  const sendPlain = (path: string, headers: readonly string[], body = ''): Promise<Heard> =>
-    call(system.ports.front, 'POST', path, headers, body);
+  const sendPlain = (
+    path: string,
+    headers: readonly string[],
+    body = '',
+  ): Promise<ReceivedResponse> => call(system.ports.front, 'POST', path, headers, body);
   assert.is((await sendPlain('/again/x', [])).status, 400);
   assert.is((await sendPlain('/nowhere/x', ['Try-Id', 'n'])).status, 404);
   assert.is((await sendPlain('/again/x', ['Try-Id', 'b'], 'y'.repeat(5001))).status, 413);
@@ -311,7 +319,12 @@
 const events = 'id: 1\ndata: one\n\nid: 2\ndata: two\n\n';
 
 protocol('turns: Previous-Turn, Program, Token-Budget, Token-Count and Prompt-Prefix', async () => {
-  const turn = (attempt: string, previous: string, body: string, budget = 1000): Promise<Heard> =>
+  const turn = (
+    attempt: string,
+    previous: string,
+    body: string,
+    budget = 1000,
+  ): Promise<ReceivedResponse> =>
     send(
       '/turn/x',
       attempt,
@@ -347,7 +360,7 @@
 protocol(
   'POST and GET /retire/NODE: 409 if too few nodes would remain, 404 for an unknown node',
   async () => {
-    const retire = (method: string, node: string): Promise<Heard> =>
+    const retire = (method: string, node: string): Promise<ReceivedResponse> =>
       call(
         system.ports.control,
         method,
--- a/tests/src/platform/stopping-front.test.ts
+++ b/tests/src/platform/stopping-front.test.ts
@@ -6,7 +6,7 @@
 import { passHost } from '@tillerstair/sim';
 import { KeptConnection, type KeptAnswer } from '@tillerstair/stand-ins';
 import { delay, hostClock } from '@tillerstair/wire';
-import { serverUp, type Up } from '../support/http-server.js';
+import { startServer, type TestServer } from '../support/http-server.js';
 import { call } from '../support/interface-calls.js';
 import { configuration, respondByPath, tryIdOf } from '../support/platform-servers.js';
 import { graceMs, startServerList, startSystem } from '../support/platform-system.js';
@@ -27,7 +27,7 @@
  */
 const lossSlackMs = 200;
 
-let engine: Up;
+let engine: TestServer;
 let list: Awaited<ReturnType<typeof startServerList>>;
 let system: Awaited<ReturnType<typeof startSystem>>;
 
@@ -71,7 +71,7 @@
   KeptConnection.open(`127.0.0.1:${system.ports.front}`);
 
 const startAll = async (): Promise<void> => {
-  engine = await serverUp(respondSlowly);
+  engine = await startServer(respondSlowly);
   list = await startServerList(() => [
     {
       serverId: 'i-engine',
--- a/tests/src/support/platform-servers.ts
+++ b/tests/src/support/platform-servers.ts
@@ -1,6 +1,6 @@
 /** A configuration and a server that use the names of the users' platform, for tests of the outer protocol. */
 import { passHost } from '@tillerstair/sim';
-import type { Asked, Play } from './http-server.js';
+import type { ReceivedRequest, ServerBehavior } from './http-server.js';
 import { headerOf } from './interface-calls.js';
 
 /** Builds a route (`way`) of a configuration; `overrides` replaces or adds fields. */
@@ -51,10 +51,10 @@
 });
 
 /** The `Try-Id` header of a request that a server received. */
-export const tryIdOf = (request: Asked): string => headerOf(request.headers, 'try-id');
+export const tryIdOf = (request: ReceivedRequest): string => headerOf(request.headers, 'try-id');
 
 /** A server of the platform; the second segment of the path selects its response. */
-export const respondByPath: Play = (request, res) => {
+export const respondByPath: ServerBehavior = (request, res) => {
   const [, , behavior = ''] = request.path.split('/');
   const answer = (status: number, body: string, ...headers: readonly string[]): void => {
     res.writeHead(status, [
