--- a/packages/wire/src/log.ts
+++ b/packages/wire/src/log.ts
@@ -30,6 +30,7 @@
   return { debug: logAt('debug'), info: logAt('info'), warn: logAt('warn'), error: logAt('error') };
 };
 
+/** Drops a message. */
 const ignore = (): void => undefined;
 
 /** A logger that drops all messages. */
--- a/tests/src/support/stored-cluster.ts
+++ b/tests/src/support/stored-cluster.ts
@@ -47,42 +47,33 @@
 ): Promise<StoredCluster> => {
   const ports = [...(await freePorts(portCount))];
   const nextAddress = (): string => `127.0.0.1:${ports.shift() ?? 0}`;
-  const addressPair = (): { addr: string; http: string } => ({
-    addr: nextAddress(),
-    http: nextAddress(),
-  });
-  const controls = memberIndexes.map(addressPair);
+  const pair = (): { addr: string; http: string } => ({ addr: nextAddress(), http: nextAddress() });
+  const controls = memberIndexes.map(pair);
   const seeds = controls.map((control) => control.addr);
-  const memberSettings = (kind: string, index: number) => ({
+  const member = (kind: string, i: number) => ({
     ...common,
     seeds,
-    zone: `zone-${index}`,
-    name: `${kind}-${index}`,
-    data: folderOf(`${kind}-${index}`),
+    zone: `zone-${i}`,
+    name: `${kind}-${i}`,
+    data: folderOf(`${kind}-${i}`),
   });
   const fronts = frontIndexes.map(() => ({
-    proxy: { ...addressPair(), feed: nextAddress() },
-    agent: addressPair(),
+    proxy: { ...pair(), feed: nextAddress() },
+    agent: pair(),
   }));
   const started: StartedProgram[] = [];
   const stop = async (): Promise<void> => {
     await Promise.all(started.map((program) => program.stop()));
   };
   const startAll = async (): Promise<void> => {
-    for (const [index, addresses] of controls.entries())
-      started.unshift(
-        await startControl(
-          ControlSettings.parse({ ...memberSettings('control', index), ...addresses }),
-        ),
-      );
-    for (const index of memberIndexes)
+    for (const [i, addresses] of controls.entries())
       started.unshift(
-        await startStore(
-          StoreSettings.parse({ ...memberSettings('store', index), ...addressPair() }),
-        ),
+        await startControl(ControlSettings.parse({ ...member('control', i), ...addresses })),
       );
-    for (const [index, { proxy, agent }] of fronts.entries()) {
-      const shared = { ...common, zone: `zone-${index}` };
+    for (const i of memberIndexes)
+      started.unshift(await startStore(StoreSettings.parse({ ...member('store', i), ...pair() })));
+    for (const [i, { proxy, agent }] of fronts.entries()) {
+      const shared = { ...common, zone: `zone-${i}` };
       started.unshift(await startProxy(ProxySettings.parse({ ...shared, ...proxy })));
       started.unshift(
         await startAgent(AgentSettings.parse({ ...shared, ...agent, proxy: proxy.feed, seeds })),
