--- a/packages/agent/src/daemon.ts
+++ b/packages/agent/src/daemon.ts
@@ -4,7 +4,7 @@
 
 void runDaemon({
   name: 'front-agent',
-  about: 'Maintains the control link of the local front-proxy and feeds it over loopback.',
+  description: 'Maintains the control link of the local front-proxy and feeds it over loopback.',
   schema: AgentSettings,
   flags: [
     ['addr', 'Address of this agent for other nodes, IP:PORT'],
--- a/packages/proxy/src/daemon.ts
+++ b/packages/proxy/src/daemon.ts
@@ -4,7 +4,7 @@
 
 void runDaemon({
   name: 'front-proxy',
-  about:
+  description:
     'Serves callers, places turns and enforces budgets. Receives the cluster state from its local front-agent.',
   schema: ProxySettings,
   flags: [
--- a/packages/proxy/src/front.ts
+++ b/packages/proxy/src/front.ts
@@ -57,7 +57,7 @@
 /** Connections of callers that a stopping front drains; `DrainableServer` implements it. */
 export interface CallerConnections {
   /** Number of requests without a complete response. */
-  readonly unansweredRequests: number;
+  readonly pendingRequests: number;
   /** Makes each connection close after its next response; requests are still accepted. */
   announceClose(): void;
   /** Stops accepting connections and requests. */
@@ -65,7 +65,7 @@
 }
 
 const countUnanswered = (callers: readonly CallerConnections[]): number =>
-  callers.reduce((total, { unansweredRequests }) => total + unansweredRequests, 0);
+  callers.reduce((total, { pendingRequests }) => total + pendingRequests, 0);
 
 /** A front of the cluster: one node that owns slots and serves callers. */
 export class Front {
