--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -21,9 +21,15 @@
 import { hostClock, silentLogger, type Transport } from '@tillerstair/wire';
 import { zenBounds } from '@tillerstair/zen';
 import type { Sweep, Values } from './capacity.js';
-import { closing, cpuMs, cpuMsOf, retainedMb } from './capacity-meter.js';
-import { configOf, serversOf } from './capacity-rig.js';
-import { configured, grownState, plainState, stateOf, type StateSizes } from './capacity-state.js';
+import { trackOpenFiles, meanCpuMs, cpuMsOnce, retainedMb } from './capacity-meter.js';
+import { configText, testServers } from './capacity-deployment.js';
+import {
+  withConfig,
+  grownSizes,
+  typicalSizes,
+  stateOf,
+  type StateSizes,
+} from './capacity-state.js';
 
 const bounds = zenBounds({
   serveWithin: 12000,
@@ -54,18 +60,18 @@
     ['state packed, bytes', wire.length],
     ['diff packed, bytes', packed({ diff }).length],
     ['state kept, MB', mb],
-    ['master: diff and pack, ms', cpuMs(() => packed({ diff: diffStates(s, t) }))],
-    ['master: pack whole, ms', cpuMs(() => packed({ full: [...encodeState(s)] }))],
-    ['node: take a diff, ms', cpuMs(() => applyDiff(s, diff))],
+    ['master: diff and pack, ms', meanCpuMs(() => packed({ diff: diffStates(s, t) }))],
+    ['master: pack whole, ms', meanCpuMs(() => packed({ full: [...encodeState(s)] }))],
+    ['node: take a diff, ms', meanCpuMs(() => applyDiff(s, diff))],
     [
       'node: take whole, ms',
-      cpuMs(() => JSON.parse(inflateSync(Buffer.from(wire, 'base64')).toString())) +
-        cpuMs(() => decodeState(new Map(full))),
+      meanCpuMs(() => JSON.parse(inflateSync(Buffer.from(wire, 'base64')).toString())) +
+        meanCpuMs(() => decodeState(new Map(full))),
     ],
     [
       'front: agent feeds its proxy, ms',
-      cpuMs(() => JSON.parse(JSON.stringify([...encodeState(t)]))) +
-        cpuMs(() => decodeState(new Map(full))),
+      meanCpuMs(() => JSON.parse(JSON.stringify([...encodeState(t)]))) +
+        meanCpuMs(() => decodeState(new Map(full))),
     ],
   ]);
 };
@@ -73,22 +79,22 @@
 const part = (percent: number): StateSizes => {
   const of = (n: number): number => Math.max(1, Math.round((n * percent) / 100));
   return {
-    fronts: of(grownState.fronts),
-    servers: of(grownState.servers),
-    slots: of(grownState.slots),
-    routes: of(grownState.routes),
+    fronts: of(grownSizes.fronts),
+    servers: of(grownSizes.servers),
+    slots: of(grownSizes.slots),
+    routes: of(grownSizes.routes),
   };
 };
 
 const reportOf = (servers: number): unknown => ({
-  seen: serversOf(servers).map((v) => ({ id: v.id, url: v.url, ok: true, pace: 12.345678 })),
+  seen: testServers(servers).map((v) => ({ id: v.id, url: v.url, ok: true, pace: 12.345678 })),
   released: [],
 });
 
 const fronts = 40;
 
 const reportCost = async (servers: number): Promise<Values> => {
-  const s = stateOf({ ...plainState, servers });
+  const s = stateOf({ ...typicalSizes, servers });
   const report = reportOf(servers);
   const text = JSON.stringify(report);
   const [allocationController, mb] = await retainedMb(() => {
@@ -98,23 +104,23 @@
   });
   return new Map([
     ['report bytes', text.length],
-    ['agent: make and send a report, ms', cpuMs(() => JSON.stringify(reportOf(servers)))],
+    ['agent: make and send a report, ms', meanCpuMs(() => JSON.stringify(reportOf(servers)))],
     [
       'master: take a report, ms',
-      cpuMs(() => allocationController.onReport('f-0', JSON.parse(text))),
+      meanCpuMs(() => allocationController.onReport('f-0', JSON.parse(text))),
     ],
     ['master: standing kept a front, MB', mb / fronts],
     [
       'master: a tuning round a front, ms',
-      cpuMs(() => allocationController.throughputs(s)) / fronts,
+      meanCpuMs(() => allocationController.throughputs(s)) / fronts,
     ],
   ]);
 };
 
 const routeCost = (routes: number): Values => {
-  const text = configOf(1, routes);
-  const s = stateOf({ ...plainState, routes });
-  const t = next(configured(s, routes + 1));
+  const text = configText(1, routes);
+  const s = stateOf({ ...typicalSizes, routes });
+  const t = next(withConfig(s, routes + 1));
   const diff = diffStates(s, t);
   const u = applyDiff(s, diff);
   const take = (): void => {
@@ -127,8 +133,8 @@
     ['file bytes', text.length],
     ['diff of one route, bytes', JSON.stringify(diff).length],
     ['diff of one route packed, bytes', packed({ diff }).length],
-    ['control: check the file, ms', cpuMs(() => checkConfig(text))],
-    ['front: take the version, ms', cpuMs(take)],
+    ['control: check the file, ms', meanCpuMs(() => checkConfig(text))],
+    ['front: take the version, ms', meanCpuMs(take)],
   ]);
 };
 
@@ -164,8 +170,8 @@
     ['history kept, bytes', JSON.stringify(kept).length],
     ['history held by an owner, MB', mb],
     ['bytes to the server for the last turn', JSON.stringify(messages).length],
-    ['owner: prefixes of the last turn, ms', cpuMs(() => prefixBlocksOfMessages(messages))],
-    ['owner: the last turn written out, ms', cpuMs(() => JSON.stringify(messages))],
+    ['owner: prefixes of the last turn, ms', meanCpuMs(() => prefixBlocksOfMessages(messages))],
+    ['owner: the last turn written out, ms', meanCpuMs(() => JSON.stringify(messages))],
   ]);
 };
 
@@ -178,7 +184,7 @@
 });
 
 const replicatorOf = async (): Promise<SlotReplicator> => {
-  const state = stateOf(plainState);
+  const state = stateOf(typicalSizes);
   const config = compiledConfig(state.config);
   const table = { state, config, routes: config ? buildRouteTable(config) : new Map() };
   const k = new SlotReplicator(0, 0, {
@@ -203,7 +209,7 @@
   const k = await replicatorOf();
   let put = 0;
   const [, mb] = await retainedMb(async () => {
-    put = await cpuMsOf(async () => {
+    put = await cpuMsOnce(async () => {
       for (let n = 0; n < programs; n++) {
         await k.put(`p/p${n}`, {
           t: 'program',
@@ -229,14 +235,14 @@
     ['items held', k.size],
     ['held by the owner, MB', mb],
     ['a put, ms', put / programs / 2],
-    ['a round of ageing, ms', cpuMs(() => k.expire())],
+    ['a round of ageing, ms', meanCpuMs(() => k.expire())],
   ]);
 };
 
 const replicaStoreCost = async (count: number): Promise<Values> => {
   const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
   const disk = await FolderDisk.acquire(dir);
-  const watched = closing(disk);
+  const watched = trackOpenFiles(disk);
   try {
     const open = (): Promise<ReplicaStore> =>
       ReplicaStore.open(watched.disk, hostClock, {
@@ -268,11 +274,11 @@
     let put = 0;
     const [replicaStore, mb] = await retainedMb(async () => {
       const made = await open();
-      put = await cpuMsOf(() => fill(made));
+      put = await cpuMsOnce(() => fill(made));
       return made;
     });
     let ms = 0;
-    for (let n = 0; n < 5; n++) ms += await cpuMsOf(() => replicaStore.dropExpired());
+    for (let n = 0; n < 5; n++) ms += await cpuMsOnce(() => replicaStore.dropExpired());
     const { bytes } = replicaStore.counts();
     return new Map([
       ['held by the store, MB', mb],
@@ -297,7 +303,7 @@
       sizes: [50, 100, 200, 400],
       small: [4, 8, 12, 16],
       grown: 410,
-      run: (n) => applyCost({ ...plainState, fronts: n }),
+      run: (n) => applyCost({ ...typicalSizes, fronts: n }),
     },
   ],
   [
@@ -309,7 +315,7 @@
       sizes: [425, 850, 1700, 3400],
       small: [8, 16, 24, 32],
       grown: 3400,
-      run: (n) => applyCost({ ...plainState, servers: n }),
+      run: (n) => applyCost({ ...typicalSizes, servers: n }),
     },
   ],
   [
@@ -321,7 +327,7 @@
       sizes: [64, 512, 2048, 4096],
       small: [8, 16, 32, 64],
       grown: 8200,
-      run: (n) => applyCost({ ...plainState, slots: n }),
+      run: (n) => applyCost({ ...typicalSizes, slots: n }),
     },
   ],
   [
--- a/packages/fleet/src/capacity-rig.ts
+++ b/packages/fleet/src/capacity-deployment.ts
@@ -16,7 +16,7 @@
 };
 
 /** So many servers, seven of eight in the pool of models. */
-export const serversOf = (count: number): readonly Server[] =>
+export const testServers = (count: number): readonly Server[] =>
   Array.from({ length: count }, (_, n) =>
     Server.parse({
       id: `server-${String(n).padStart(4, '0')}`,
@@ -28,44 +28,44 @@
   );
 
 /** A configuration on a version, with so many routes more than the usual ones. */
-export const configOf = (base: number, routes: number): string =>
+export const configText = (base: number, routes: number): string =>
   stormConfig({ base, turnPools: ['models'], callPool: 'shop', extra: routes });
 
 /** The machines of a sweep, unless it changes their number. */
-export const rigSizes: WorldSizes = { controls: 5, stores: 3, fronts: 6, slots: 64 };
+export const defaultSizes: WorldSizes = { controls: 5, stores: 3, fronts: 6, slots: 64 };
 
 /** A whole hollow fleet on the simulator's clock: real membership, publish, feed and sync code, no traffic of its own. */
-export class Rig {
+export class SimulatedDeployment {
   private version = 1;
 
   private constructor(
-    readonly w: World,
+    readonly simulation: World,
     private routes: number,
   ) {}
 
-  static async raise(sizes: WorldSizes, servers: number, routes = 3): Promise<Rig> {
+  static async start(sizes: WorldSizes, servers: number, routes = 3): Promise<SimulatedDeployment> {
     const w = new World(1, sizes);
-    await w.bringUp((base) => configOf(base, routes), []);
-    const rig = new Rig(w, routes);
+    await w.bringUp((base) => configText(base, routes), []);
+    const rig = new SimulatedDeployment(w, routes);
     const lead = w.master?.control?.zen.leading;
     if (!lead) throw new Error('no master');
     const c = await w.clock.finish(
       'servers',
       lead.submit((s) =>
-        serversOf(servers).reduce((t, server) => reduceState(t, { kind: 'server', server }), s),
+        testServers(servers).reduce((t, server) => reduceState(t, { kind: 'server', server }), s),
       ),
       20000,
     );
     await w.clock.finish('servers in force', lead.waitUntilInForce(c), 20000);
-    await rig.quiet();
+    await rig.waitUntilIdle();
     return rig;
   }
 
   /** Runs until no state was committed for five seconds. */
-  async quiet(): Promise<void> {
-    for (let was = -1; was !== this.w.committed?.version;) {
-      was = this.w.committed?.version ?? 0;
-      await this.w.clock.run(5000);
+  async waitUntilIdle(): Promise<void> {
+    for (let was = -1; was !== this.simulation.committed?.version;) {
+      was = this.simulation.committed?.version ?? 0;
+      await this.simulation.clock.run(5000);
     }
   }
 
@@ -74,7 +74,7 @@
     if (addr.endsWith('/data')) return 'proxy';
     if (addr.startsWith('store')) return 'store';
     if (addr.startsWith('front')) return 'agent';
-    return addr === this.w.master?.addr ? 'master' : 'control';
+    return addr === this.simulation.master?.addr ? 'master' : 'control';
   }
 
   /** What each role sent and received, under `role` and `role kind`, while `work` ran. */
@@ -87,7 +87,7 @@
         add(bytes, k, m.bytes);
       }
     };
-    this.w.net.onMessage = (m) => {
+    this.simulation.net.onMessage = (m) => {
       const from = this.roleOf(m.from);
       const to = this.roleOf(m.to);
       count(from, m);
@@ -96,22 +96,22 @@
       add(bytes, `kind ${m.kind}`, m.bytes);
     };
     await work();
-    this.w.net.onMessage = undefined;
+    this.simulation.net.onMessage = undefined;
     return { messages, bytes };
   }
 
-  rest(ms: number): Promise<Tally> {
-    return this.tally(() => this.w.clock.run(ms));
+  tallyIdle(ms: number): Promise<Tally> {
+    return this.tally(() => this.simulation.clock.run(ms));
   }
 
   /** Hands in a configuration with one route more; the time until it is told in force, in ms. */
   async reconfigure(): Promise<number> {
-    const { w } = this;
+    const { simulation: w } = this;
     const t0 = w.clock.now();
     const put = await w.operate(
       'PUT',
       '/v1/config',
-      configOf(this.version, ++this.routes),
+      configText(this.version, ++this.routes),
       w.master,
     );
     if (put.status !== 200) throw new Error(`config: ${JSON.stringify(put)}`);
@@ -119,16 +119,16 @@
     return w.clock.now() - t0;
   }
 
-  async mark(n: number): Promise<void> {
-    const r = await this.w.operate(
+  async markDraining(n: number): Promise<void> {
+    const r = await this.simulation.operate(
       'POST',
       `/v1/servers/server-${String(n).padStart(4, '0')}/draining`,
       '',
-      this.w.master,
+      this.simulation.master,
     );
     if (r.status !== 200) throw new Error(`draining: ${JSON.stringify(r)}`);
   }
 }
 
 /** The value of a key; 0 where there is none. */
-export const of = (m: ReadonlyMap<string, number>, k: string): number => m.get(k) ?? 0;
+export const countOf = (m: ReadonlyMap<string, number>, k: string): number => m.get(k) ?? 0;
--- a/packages/fleet/src/capacity-meter.ts
+++ b/packages/fleet/src/capacity-meter.ts
@@ -22,13 +22,13 @@
 };
 
 /** Processor milliseconds of one run of `work`: the mean of runs that last 300 ms or more, after 100 ms that are not counted. */
-export const cpuMs = (work: () => unknown): number => {
+export const meanCpuMs = (work: () => unknown): number => {
   repeat(work, warmMs);
   return repeat(work, leastMs);
 };
 
 /** Processor milliseconds of one run of `work`. */
-export const cpuMsOf = async (work: () => Promise<unknown>): Promise<number> => {
+export const cpuMsOnce = async (work: () => Promise<unknown>): Promise<number> => {
   const t0 = process.cpuUsage();
   await work();
   return spent(t0);
@@ -54,7 +54,7 @@
 };
 
 /** A disk that knows the files opened on it, so that they can be closed when no owner does it. */
-export const closing = (disk: Disk): { disk: Disk; close: () => Promise<void> } => {
+export const trackOpenFiles = (disk: Disk): { disk: Disk; close: () => Promise<void> } => {
   const files: DiskFile[] = [];
   const open = async (name: string): Promise<DiskFile> => {
     const f = await disk.open(name);
--- a/packages/fleet/src/capacity-plot.ts
+++ b/packages/fleet/src/capacity-plot.ts
@@ -1,8 +1,8 @@
 /** Draws sweeps. */
 import type { Spec } from 'vega';
-import type { Fit, Swept } from './capacity.js';
+import type { Fit, SweepResult } from './capacity.js';
 
-const panel = (s: Swept, fit: Fit): NonNullable<Spec['marks']>[number] => {
+const panel = (s: SweepResult, fit: Fit): NonNullable<Spec['marks']>[number] => {
   const points = s.points.flatMap((p) => {
     const y = p.values.get(fit.measure);
     return y === undefined ? [] : [{ x: p.size, y }];
@@ -63,7 +63,7 @@
 };
 
 /** The points of a sweep with their fitted lines, as an SVG with a panel for each measure. */
-export const svgOf = async (s: Swept): Promise<string> => {
+export const svgOf = async (s: SweepResult): Promise<string> => {
   const { parse, View } = await import('vega');
   const spec: Spec = {
     padding: 5,
--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -13,8 +13,8 @@
 import { reduceState } from '@tillerstair/state';
 import { z } from 'zod';
 import type { Sweep, Values } from './capacity.js';
-import { closing, heapMb } from './capacity-meter.js';
-import { configOf, serversOf } from './capacity-rig.js';
+import { trackOpenFiles, heapMb } from './capacity-meter.js';
+import { configText, testServers } from './capacity-deployment.js';
 import { freePorts } from './layout.js';
 
 const bounds = zenBounds({
@@ -140,7 +140,7 @@
 const startControl = async (): Promise<RunningControl> => {
   const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
   const disk = await FolderDisk.acquire(dir);
-  const watched = closing(disk);
+  const watched = trackOpenFiles(disk);
   const [port = 0] = await freePorts(1);
   const addr = `127.0.0.1:${port}`;
   const electionStore = await DiskElectionStore.open(watched.disk, () => 'c-0', 4 << 20);
@@ -210,10 +210,10 @@
 /** Brings a control to lead so many hollow fronts, with servers and a configuration. */
 const fill = async (node: ControlNode, servers: number, fronts: number): Promise<void> => {
   await until('a master', () => node.zen.leading?.committed !== undefined);
-  const put = await node.operate({ method: 'PUT', path: '/v1/config', body: configOf(0, 20) });
+  const put = await node.operate({ method: 'PUT', path: '/v1/config', body: configText(0, 20) });
   if (put.status !== 200) throw new Error(JSON.stringify(put));
   await node.zen.leading?.submit((state) =>
-    serversOf(servers).reduce(
+    testServers(servers).reduce(
       (next, server) => reduceState(next, { kind: 'server', server }),
       state,
     ),
--- a/packages/fleet/src/capacity-state.ts
+++ b/packages/fleet/src/capacity-state.ts
@@ -10,7 +10,7 @@
   type Member,
   type State,
 } from '@tillerstair/state';
-import { configOf, serversOf } from './capacity-rig.js';
+import { configText, testServers } from './capacity-deployment.js';
 
 /** What the size of a cluster state depends on. */
 export interface StateSizes {
@@ -21,9 +21,9 @@
 }
 
 /** The two-year size, with 20 slots a front held to the most a bootstrap takes, and a route for each tenant and model. */
-export const grownState: StateSizes = { fronts: 410, servers: 3400, slots: 4096, routes: 8400 };
+export const grownSizes: StateSizes = { fronts: 410, servers: 3400, slots: 4096, routes: 8400 };
 /** A deployment of today's size. */
-export const plainState: StateSizes = { fronts: 40, servers: 100, slots: 64, routes: 20 };
+export const typicalSizes: StateSizes = { fronts: 40, servers: 100, slots: 64, routes: 20 };
 
 const peers = (kind: Member['kind'], net: number, count: number): readonly Member[] =>
   Array.from({ length: count }, (_, n) => ({
@@ -37,8 +37,8 @@
   }));
 
 /** The state with a configuration more. */
-export const configured = (s: State, routes: number): State => {
-  const text = configOf(s.config?.version ?? 0, routes);
+export const withConfig = (s: State, routes: number): State => {
+  const text = configText(s.config?.version ?? 0, routes);
   const { config } = checkConfig(text);
   if (!config) throw new Error('the configuration is refused');
   const record = ConfigRecord.parse({
@@ -62,8 +62,8 @@
     maxFills: z.slots,
     unresponsiveStores: new Set(),
   });
-  const servers = serversOf(z.servers);
+  const servers = testServers(z.servers);
   const served = { ...allotted, servers: new Map(servers.map((v) => [v.id, v])) };
   const weights = new Map(servers.map((v) => [weightKey(v.pool, v.id), 0.98]));
-  return configured(reduceState(served, { kind: 'weights', weights }), z.routes);
+  return withConfig(reduceState(served, { kind: 'weights', weights }), z.routes);
 };
--- a/packages/fleet/src/capacity-world.ts
+++ b/packages/fleet/src/capacity-traffic.ts
@@ -1,30 +1,36 @@
 /** Sweeps on what a simulated deployment sends, at rest and at changes. */
 import { encodeState } from '@tillerstair/state';
 import type { Sweep, Values } from './capacity.js';
-import { of, Rig, rigSizes, type Role, type Tally } from './capacity-rig.js';
+import {
+  countOf,
+  SimulatedDeployment,
+  defaultSizes,
+  type Role,
+  type Tally,
+} from './capacity-deployment.js';
 
 const idleMs = 10000;
 
-const stateBytes = (rig: Rig): number =>
-  JSON.stringify([...encodeState(rig.w.committed ?? fail())]).length;
+const stateBytes = (rig: SimulatedDeployment): number =>
+  JSON.stringify([...encodeState(rig.simulation.committed ?? fail())]).length;
 const fail = (): never => {
   throw new Error('nothing is committed');
 };
 
 const both = (t: Tally, kinds: readonly string[], what: 'messages' | 'bytes'): number =>
-  kinds.reduce((n, k) => n + of(t[what], `kind ${k}`), 0);
+  kinds.reduce((n, k) => n + countOf(t[what], `kind ${k}`), 0);
 
 const rounds = 'zen/ping';
 
 /** What a role sent and received, but for ping rounds. */
 const without = (t: Tally, what: 'messages' | 'bytes', role: Role): number =>
-  of(t[what], role) - of(t[what], `${role} ${rounds}`);
+  countOf(t[what], role) - countOf(t[what], `${role} ${rounds}`);
 
 const resting = async (
-  rig: Rig,
+  rig: SimulatedDeployment,
   fronts: number,
 ): Promise<readonly (readonly [string, number])[]> => {
-  const t = await rig.rest(idleMs);
+  const t = await rig.tallyIdle(idleMs);
   const each = idleMs / 1000;
   const a = (what: 'messages' | 'bytes', role: Role, nodes: number): number =>
     without(t, what, role) / each / nodes;
@@ -33,20 +39,25 @@
     ['master bytes a second', a('bytes', 'master', 1)],
     ['agent messages a second', a('messages', 'agent', fronts)],
     ['agent bytes a second', a('bytes', 'agent', fronts)],
-    ['store messages a second', a('messages', 'store', rig.w.of('store').length)],
-    ['store bytes a second', a('bytes', 'store', rig.w.of('store').length)],
-    ['other control bytes a second', a('bytes', 'control', rig.w.of('control').length - 1)],
+    ['store messages a second', a('messages', 'store', rig.simulation.of('store').length)],
+    ['store bytes a second', a('bytes', 'store', rig.simulation.of('store').length)],
+    [
+      'other control bytes a second',
+      a('bytes', 'control', rig.simulation.of('control').length - 1),
+    ],
     ['loopback bytes a second a front', a('bytes', 'loop', fronts)],
-    ['messages of freshness rounds a second, all', of(t.messages, `kind ${rounds}`) / each],
+    ['messages of freshness rounds a second, all', countOf(t.messages, `kind ${rounds}`) / each],
     [
       'freshness rounds a second, all',
-      of(t.messages, `kind ${rounds}`) / each / 2 / (rig.w.machines.length - 1),
+      countOf(t.messages, `kind ${rounds}`) / each / 2 / (rig.simulation.machines.length - 1),
     ],
   ];
 };
 
-const otherMaster = async (rig: Rig): Promise<readonly (readonly [string, number])[]> => {
-  const { w } = rig;
+const otherMaster = async (
+  rig: SimulatedDeployment,
+): Promise<readonly (readonly [string, number])[]> => {
+  const { simulation: w } = rig;
   const old = w.master;
   const t0 = w.clock.now();
   let ms = 0;
@@ -68,10 +79,10 @@
       'change of master, bytes',
       [...t.bytes].reduce((n, [k, v]) => (k.startsWith('kind zen/') ? n + v : n), 0),
     ],
-    ['change of master, messages of rounds', of(t.messages, `kind ${rounds}`)],
+    ['change of master, messages of rounds', countOf(t.messages, `kind ${rounds}`)],
     [
       'change of master, messages of rounds a pair',
-      of(t.messages, `kind ${rounds}`) / w.machines.length ** 2,
+      countOf(t.messages, `kind ${rounds}`) / w.machines.length ** 2,
     ],
     ['change of master, ms', ms],
   ];
@@ -79,13 +90,15 @@
 
 const published = ['zen/publish', 'zen/commit'] as const;
 
-const changing = async (rig: Rig): Promise<readonly (readonly [string, number])[]> => {
+const changing = async (
+  rig: SimulatedDeployment,
+): Promise<readonly (readonly [string, number])[]> => {
   let ms = 0;
   const t = await rig.tally(async () => {
     ms = await rig.reconfigure();
-    await rig.w.clock.run(1000);
+    await rig.simulation.clock.run(1000);
   });
-  const targets = rig.w.machines.length - 1;
+  const targets = rig.simulation.machines.length - 1;
   return [
     ['messages of one change', both(t, published, 'messages')],
     ['bytes of one change', both(t, published, 'bytes')],
@@ -95,7 +108,7 @@
 };
 
 const nodes = async (fronts: number): Promise<Values> => {
-  const rig = await Rig.raise({ ...rigSizes, fronts }, 16);
+  const rig = await SimulatedDeployment.start({ ...defaultSizes, fronts }, 16);
   return new Map([
     ['state bytes', stateBytes(rig)],
     ...(await resting(rig, fronts)),
@@ -105,13 +118,13 @@
 };
 
 const servers = async (count: number): Promise<Values> => {
-  const rig = await Rig.raise(rigSizes, count);
-  const { fronts } = rigSizes;
-  const polls = rig.w.servers.polls;
+  const rig = await SimulatedDeployment.start(defaultSizes, count);
+  const { fronts } = defaultSizes;
+  const polls = rig.simulation.servers.polls;
   const rest = await resting(rig, fronts);
-  const polled = rig.w.servers.polls - polls;
-  const marked = await rig.tally(() => rig.mark(0));
-  const targets = rig.w.machines.length - 1;
+  const polled = rig.simulation.servers.polls - polls;
+  const marked = await rig.tally(() => rig.markDraining(0));
+  const targets = rig.simulation.machines.length - 1;
   return new Map([
     ['state bytes', stateBytes(rig)],
     ['polls a second a front', polled / (idleMs / 1000) / fronts],
@@ -121,26 +134,26 @@
 };
 
 const routes = async (count: number): Promise<Values> => {
-  const rig = await Rig.raise(rigSizes, 16, count);
+  const rig = await SimulatedDeployment.start(defaultSizes, 16, count);
   return new Map([['state bytes', stateBytes(rig)], ...(await changing(rig))]);
 };
 
 const slots = async (count: number): Promise<Values> => {
-  const rig = await Rig.raise({ ...rigSizes, slots: count }, 16);
+  const rig = await SimulatedDeployment.start({ ...defaultSizes, slots: count }, 16);
   const state = stateBytes(rig);
-  const front = rig.w.of('front').at(0);
-  const versions = rig.w.committed?.version ?? 0;
-  const t0 = rig.w.clock.now();
+  const front = rig.simulation.of('front').at(0);
+  const versions = rig.simulation.committed?.version ?? 0;
+  const t0 = rig.simulation.clock.now();
   let ms = 0;
   const t = await rig.tally(async () => {
     front?.kill();
-    await rig.w.clock.until(
+    await rig.simulation.clock.until(
       'another owner',
-      () => (rig.w.committed?.version ?? 0) > versions && rig.w.slotsServed(),
+      () => (rig.simulation.committed?.version ?? 0) > versions && rig.simulation.slotsServed(),
       20000,
     );
-    ms = rig.w.clock.now() - t0;
-    await rig.w.clock.run(2000);
+    ms = rig.simulation.clock.now() - t0;
+    await rig.simulation.clock.run(2000);
   });
   return new Map([
     ['state bytes', state],
@@ -151,13 +164,15 @@
 };
 
 const changes = async (inTen: number): Promise<Values> => {
-  const rig = await Rig.raise({ ...rigSizes, fronts: 16 }, 16);
+  const rig = await SimulatedDeployment.start({ ...defaultSizes, fronts: 16 }, 16);
   const took: number[] = [];
   const t = await rig.tally(async () => {
     for (let n = 0; n < inTen; n++) {
-      const at = rig.w.clock.now();
+      const at = rig.simulation.clock.now();
       took.push(await rig.reconfigure());
-      await rig.w.clock.run(Math.max(0, idleMs / inTen - (rig.w.clock.now() - at)));
+      await rig.simulation.clock.run(
+        Math.max(0, idleMs / inTen - (rig.simulation.clock.now() - at)),
+      );
     }
   });
   return new Map([
@@ -172,8 +187,8 @@
 const regionOf = (addr: string): number => Number(/-(\d+)/.exec(addr)?.[1] ?? 0) % 3;
 
 const regions = async (oneWay: number): Promise<Values> => {
-  const rig = await Rig.raise({ ...rigSizes, fronts: 9 }, 16);
-  const { w } = rig;
+  const rig = await SimulatedDeployment.start({ ...defaultSizes, fronts: 9 }, 16);
+  const { simulation: w } = rig;
   w.net.extraLatency = (a, b) => (regionOf(a) === regionOf(b) ? 0 : oneWay);
   await w.clock.run(5000);
   const inForce = await rig.reconfigure();
@@ -203,7 +218,7 @@
   ]);
 };
 
-export const worldSweeps: ReadonlyMap<string, Sweep> = new Map<string, Sweep>([
+export const deploymentSweeps: ReadonlyMap<string, Sweep> = new Map<string, Sweep>([
   [
     'nodes',
     {
--- a/packages/fleet/src/capacity-work.ts
+++ b/packages/fleet/src/capacity-work.ts
@@ -1,30 +1,30 @@
 /** Sweeps on what programs, turns and calls cost in messages, bytes and items. */
 import type { Sweep, Values } from './capacity.js';
 import type { ReplyRecord } from '@tillerstair/checker';
-import { of, Rig, rigSizes } from './capacity-rig.js';
+import { countOf, SimulatedDeployment, defaultSizes } from './capacity-deployment.js';
 
-const itemsOf = (rig: Rig): number =>
-  rig.w.of('store').reduce((n, m) => n + (m.replicaStore?.counts().items ?? 0), 0);
-const diskOf = (rig: Rig): number =>
-  rig.w.of('store').reduce((n, m) => n + (m.replicaStore?.counts().bytes ?? 0), 0);
-const heldBy = (rig: Rig): number =>
-  rig.w.of('front').reduce((n, m) => n + (m.front?.owner.sizes().items ?? 0), 0);
+const itemsOf = (rig: SimulatedDeployment): number =>
+  rig.simulation.of('store').reduce((n, m) => n + (m.replicaStore?.counts().items ?? 0), 0);
+const diskOf = (rig: SimulatedDeployment): number =>
+  rig.simulation.of('store').reduce((n, m) => n + (m.replicaStore?.counts().bytes ?? 0), 0);
+const heldBy = (rig: SimulatedDeployment): number =>
+  rig.simulation.of('front').reduce((n, m) => n + (m.front?.owner.sizes().items ?? 0), 0);
 
-const counted = async (rig: Rig, work: () => Promise<void>): Promise<Values> => {
+const counted = async (rig: SimulatedDeployment, work: () => Promise<void>): Promise<Values> => {
   const items = itemsOf(rig);
   const disk = diskOf(rig);
   const held = heldBy(rig);
   const t = await rig.tally(async () => {
     await work();
-    await rig.w.clock.run(500);
+    await rig.simulation.clock.run(500);
   });
   return new Map([
-    ['store/put messages', of(t.messages, 'kind store/put')],
-    ['store/put bytes', of(t.bytes, 'kind store/put')],
+    ['store/put messages', countOf(t.messages, 'kind store/put')],
+    ['store/put bytes', countOf(t.bytes, 'kind store/put')],
     [
       'bytes between fronts',
       ['program', 'turn', 'turn chunk', 'history', 'call'].reduce(
-        (n, k) => n + of(t.bytes, `kind front/${k}`),
+        (n, k) => n + countOf(t.bytes, `kind front/${k}`),
         0,
       ),
     ],
@@ -34,7 +34,8 @@
   ]);
 };
 
-const raise = (): Promise<Rig> => Rig.raise({ ...rigSizes, fronts: 4, slots: 16 }, 16);
+const raise = (): Promise<SimulatedDeployment> =>
+  SimulatedDeployment.start({ ...defaultSizes, fronts: 4, slots: 16 }, 16);
 const check = (reported: string): void => {
   if (reported !== 'done') throw new Error(`reported ${reported}`);
 };
@@ -43,13 +44,13 @@
   const rig = await raise();
   return counted(rig, async () => {
     for (let n = 0; n < count; n++) {
-      const p = await rig.w.clock.finish('program', rig.w.program(1000), 20000);
+      const p = await rig.simulation.clock.finish('program', rig.simulation.program(1000), 20000);
       check(p.reported);
       check(
         (
-          await rig.w.clock.finish(
+          await rig.simulation.clock.finish(
             'turn',
-            rig.w.turn(p.program, null, `words ${n}`, `k${n}`),
+            rig.simulation.turn(p.program, null, `words ${n}`, `k${n}`),
             20000,
           )
         ).reported,
@@ -61,14 +62,14 @@
 const history = async (turns: number): Promise<Values> => {
   const rig = await raise();
   return counted(rig, async () => {
-    const p = await rig.w.clock.finish('program', rig.w.program(100000), 20000);
+    const p = await rig.simulation.clock.finish('program', rig.simulation.program(100000), 20000);
     check(p.reported);
     let after: string | null = null;
     for (let n = 0; n < turns; n++) {
       const prior: string | null = after;
-      const t: ReplyRecord = await rig.w.clock.finish(
+      const t: ReplyRecord = await rig.simulation.clock.finish(
         'turn',
-        rig.w.turn(p.program, prior, `words ${n}`, `k${n}`),
+        rig.simulation.turn(p.program, prior, `words ${n}`, `k${n}`),
         20000,
       );
       check(t.reported);
@@ -82,7 +83,13 @@
   return counted(rig, async () => {
     for (let n = 0; n < count; n++)
       check(
-        (await rig.w.clock.finish('call', rig.w.call(`key-${n}`, '/hold', { n }), 20000)).reported,
+        (
+          await rig.simulation.clock.finish(
+            'call',
+            rig.simulation.call(`key-${n}`, '/hold', { n }),
+            20000,
+          )
+        ).reported,
       );
   });
 };
--- a/packages/fleet/src/capacity.ts
+++ b/packages/fleet/src/capacity.ts
@@ -29,7 +29,7 @@
 }
 
 /** A sweep that was run. */
-export interface Swept {
+export interface SweepResult {
   readonly sweep: string;
   readonly by: string;
   readonly how: Sweep['how'];
@@ -82,12 +82,12 @@
 };
 
 /** Runs a sweep at each size, one after another. */
-export const sweepThrough = async (
+export const measureSizes = async (
   name: string,
   s: Sweep,
   sizes: readonly number[],
   say: (line: string) => void,
-): Promise<Swept> => {
+): Promise<SweepResult> => {
   const points: Point[] = [];
   for (const size of sizes) {
     const point = { size, values: await s.run(size) };
@@ -113,7 +113,7 @@
 const round = (v: number): number => Number(v.toPrecision(5));
 
 /** The sweep as it is kept in a file. */
-export const jsonOf = (s: Swept): string => {
+export const jsonOf = (s: SweepResult): string => {
   const points = s.points.map((p) => ({
     size: p.size,
     values: [...p.values].map(([k, v]) => [k, round(v)]),
@@ -133,7 +133,7 @@
 };
 
 /** A line for each measure, for people. */
-export const tableOfFits = (s: Swept): readonly string[] =>
+export const tableOfFits = (s: SweepResult): readonly string[] =>
   s.fits.map(
     (f) =>
       `${f.measure.padEnd(44)} ${round(f.base)} + ${round(f.slope)} (± ${round(f.slopeSpread)}) a ${s.by}; residuals ${round(f.spread)}; at ${s.grown}: ${round(f.grown)}`,
--- a/packages/fleet/src/configs.ts
+++ b/packages/fleet/src/configs.ts
@@ -1,5 +1,5 @@
 /** The configurations that the operators of a fleet submit. */
-import type { House } from './layout.js';
+import type { Site } from './layout.js';
 
 /** What a configuration of a fleet is made from. */
 export interface ConfigShape {
@@ -12,7 +12,7 @@
 }
 
 /** The text of a configuration for a house. */
-export const configFor = (house: House, shape: ConfigShape): string => {
+export const configFor = (house: Site, shape: ConfigShape): string => {
   const pools = [
     ...[...new Set([house.modelPool, ...shape.turnPools])].map((name) => ({ name, kind: 'model' })),
     ...[...new Set([house.servicePool, ...shape.callPools])].map((name) => ({
--- a/packages/fleet/src/failure-scenarios.ts
+++ b/packages/fleet/src/failure-scenarios.ts
@@ -1,10 +1,10 @@
 /** Scenarios in which machines and processes are killed, frozen, wiped and cut off. */
 import { until } from './fleet.js';
 import {
-  cutOff,
-  filled,
-  inUse,
-  killEach,
+  isolate,
+  allStoresFilled,
+  usedModelServers,
+  disturbEach,
   markDraining,
   wait,
   type Scenario,
@@ -16,9 +16,9 @@
     'calm',
     {
       about: 'No failure at all',
-      cuts: false,
+      withRelay: false,
       seconds: 10,
-      during: async (run) => {
+      run: async (run) => {
         await wait(3000);
         await run.put(5);
       },
@@ -28,11 +28,11 @@
     'shares',
     {
       about: 'Work is split by the shares while weights are tuned and the master changes',
-      cuts: false,
+      withRelay: false,
       seconds: 16,
-      aims: ['shares'],
-      still: true,
-      during: async (run) => {
+      requiredRules: ['shares'],
+      keepsConfig: true,
+      run: async (run) => {
         await wait(1000);
         const { house } = run.spec;
         const shares = (pool: string): [string, number][] => [
@@ -47,7 +47,7 @@
         await wait(6000);
         run.fleet.start([master]);
         const to = Date.now();
-        const rounding = 4 * run.fleet.of('front').length;
+        const rounding = 4 * run.fleet.machinesOf('front').length;
         run.shares.push(
           { kind: 'generate', from, to, shares: shares(house.modelPool), rounding },
           { kind: 'act', from, to, shares: shares(house.servicePool), rounding },
@@ -59,56 +59,56 @@
     'kill-control',
     {
       about: 'The master and another control are killed and come back',
-      cuts: false,
+      withRelay: false,
       seconds: 18,
-      during: killEach('control', 'kill'),
+      run: disturbEach('control', 'kill'),
     },
   ],
   [
     'freeze-control',
     {
       about: 'The master and another control are frozen and woken',
-      cuts: false,
+      withRelay: false,
       seconds: 22,
-      during: killEach('control', 'freeze'),
+      run: disturbEach('control', 'freeze'),
     },
   ],
   [
     'wipe-control',
     {
       about: 'Controls lose their disks',
-      cuts: false,
+      withRelay: false,
       seconds: 22,
-      during: killEach('control', 'wipe'),
+      run: disturbEach('control', 'wipe'),
     },
   ],
   [
     'kill-store',
     {
       about: 'A store is killed and comes back',
-      cuts: false,
+      withRelay: false,
       seconds: 12,
-      during: killEach('store', 'kill'),
+      run: disturbEach('store', 'kill'),
     },
   ],
   [
     'freeze-store',
     {
       about: 'A store is frozen and woken',
-      cuts: false,
+      withRelay: false,
       seconds: 14,
-      during: killEach('store', 'freeze'),
+      run: disturbEach('store', 'freeze'),
     },
   ],
   [
     'wipe-store',
     {
       about: 'A store loses its disk and is refilled',
-      cuts: false,
+      withRelay: false,
       seconds: 25,
-      during: async (run) => {
-        await killEach('store', 'wipe')(run);
-        run.note(`refilled after ${await until('refill', 40000, () => filled(run))} ms`);
+      run: async (run) => {
+        await disturbEach('store', 'wipe')(run);
+        run.note(`refilled after ${await until('refill', 40000, () => allStoresFilled(run))} ms`);
       },
     },
   ],
@@ -116,30 +116,30 @@
     'kill-front',
     {
       about: 'A front machine is killed and comes back',
-      cuts: false,
+      withRelay: false,
       seconds: 12,
-      during: killEach('front', 'kill'),
+      run: disturbEach('front', 'kill'),
     },
   ],
   [
     'freeze-front',
     {
       about: 'A front machine is frozen and woken',
-      cuts: false,
+      withRelay: false,
       seconds: 14,
-      during: killEach('front', 'freeze'),
+      run: disturbEach('front', 'freeze'),
     },
   ],
   [
     'kill-proxy',
     {
       about: 'A proxy and later an agent are killed apart from each other',
-      cuts: false,
+      withRelay: false,
       seconds: 16,
-      during: async (run) => {
+      run: async (run) => {
         await wait(1500);
-        const m = run.pick(run.fleet.of('front'));
-        for (const p of m.procs) {
+        const m = run.pick(run.fleet.machinesOf('front'));
+        for (const p of m.processes) {
           run.note(`kill ${p.name}`);
           await p.end();
           await wait(2500);
@@ -153,14 +153,14 @@
     'freeze-proxy',
     {
       about: 'A proxy is frozen and woken while its agent goes on',
-      cuts: false,
+      withRelay: false,
       seconds: 14,
-      during: async (run) => {
+      run: async (run) => {
         await wait(1500);
-        const p = run.pick(run.fleet.of('front')).procs.at(0);
+        const p = run.pick(run.fleet.machinesOf('front')).processes.at(0);
         p?.freeze();
         await wait(5000);
-        p?.wake();
+        p?.resume();
         await wait(3000);
       },
     },
@@ -169,21 +169,20 @@
     'split-controls',
     {
       about: 'The control group is cut two to three',
-      cuts: true,
+      withRelay: true,
       seconds: 18,
-      during: async (run) => {
+      run: async (run) => {
         await wait(1500);
         const master = await run.fleet.master();
-        const side = [...new Set([...(master ? [master] : []), ...run.fleet.of('control')])].slice(
-          0,
-          2,
-        );
-        const cut = cutOff(run, side, 7000);
+        const side = [
+          ...new Set([...(master ? [master] : []), ...run.fleet.machinesOf('control')]),
+        ].slice(0, 2);
+        const cut = isolate(run, side, 7000);
         await wait(500);
         const inside = side.at(0);
         if (inside) await run.put(1, inside.http);
         await wait(4500);
-        await run.resync();
+        await run.readConfigVersion();
         await run.put(1);
         await cut;
       },
@@ -193,11 +192,11 @@
     'cut-controls',
     {
       about: 'The whole control group is cut off from everything else',
-      cuts: true,
+      withRelay: true,
       seconds: 18,
-      during: async (run) => {
+      run: async (run) => {
         await wait(1500);
-        await cutOff(run, run.fleet.of('control'), 6000);
+        await isolate(run, run.fleet.machinesOf('control'), 6000);
       },
     },
   ],
@@ -205,11 +204,11 @@
     'cut-store',
     {
       about: 'A single store is isolated',
-      cuts: true,
+      withRelay: true,
       seconds: 15,
-      during: async (run) => {
+      run: async (run) => {
         await wait(1500);
-        await cutOff(run, [run.pick(run.fleet.of('store'))], 6000);
+        await isolate(run, [run.pick(run.fleet.machinesOf('store'))], 6000);
       },
     },
   ],
@@ -217,13 +216,13 @@
     'cut-front',
     {
       about: 'A single front is isolated, servers are marked draining meanwhile',
-      cuts: true,
+      withRelay: true,
       seconds: 16,
-      aims: ['draining', 'in force'],
-      during: async (run) => {
+      requiredRules: ['draining', 'in force'],
+      run: async (run) => {
         await wait(1500);
-        const s = run.pick(inUse(run));
-        const cut = cutOff(run, [run.pick(run.fleet.of('front'))], 7000);
+        const s = run.pick(usedModelServers(run));
+        const cut = isolate(run, [run.pick(run.fleet.machinesOf('front'))], 7000);
         await wait(300);
         const at = await markDraining(run, s.options.id);
         await cut;
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -2,9 +2,9 @@
 import { mkdirSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { ExecutionLog, ModelServer, ServiceServer } from '@tillerstair/stand-ins';
-import { freePorts, poolOf, zoneOf, type House, type Sizes } from './layout.js';
+import { freePorts, poolOf, zoneOf, type Site, type FleetSizes } from './layout.js';
 import { ask, Operator } from './operator.js';
-import { Proc, type ProcExit } from './proc.js';
+import { FleetProcess, type ProcessExitListener } from './proc.js';
 import { Relay } from './relay.js';
 
 /** A machine of the fleet: its addresses and its processes. */
@@ -13,25 +13,25 @@
   readonly n: number;
   readonly addr: string;
   readonly http: string;
-  readonly extra: readonly string[];
-  readonly procs: readonly Proc[];
+  readonly extraAddrs: readonly string[];
+  readonly processes: readonly FleetProcess[];
 }
 
 /** How a fleet is set up. */
 export interface FleetSpec {
   readonly dir: string;
-  readonly sizes: Sizes;
-  readonly house: House;
-  readonly cuts: boolean;
+  readonly sizes: FleetSizes;
+  readonly house: Site;
+  readonly withRelay: boolean;
   readonly affinity: boolean;
   readonly tuning?: boolean;
   readonly log: 'debug' | 'info' | 'warn' | 'error';
   /** Further settings of all programs. */
-  readonly more?: object;
+  readonly extraSettings?: object;
   /** Further settings of front-proxies and front-agents. */
-  readonly moreFront?: object;
+  readonly extraFrontSettings?: object;
   /** Called for each process that ended, for whatever reason. */
-  readonly onExit?: ProcExit;
+  readonly onExit?: ProcessExitListener;
 }
 
 const portsPerMachine = 7;
@@ -56,19 +56,19 @@
   readonly relay = new Relay();
   readonly models: ModelServer[] = [];
   readonly services: ServiceServer[] = [];
-  private readonly made: Machine[] = [];
+  private readonly machines: Machine[] = [];
   private readonly removed = new Set<Machine>();
   private seeds: readonly string[] = [];
-  readonly operator = new Operator(() => this.of('control').map((m) => m.http));
+  readonly operator = new Operator(() => this.machinesOf('control').map((m) => m.http));
 
   constructor(readonly spec: FleetSpec) {}
 
-  of(kind: Machine['kind']): readonly Machine[] {
-    return this.made.filter((m) => m.kind === kind && !this.removed.has(m));
+  machinesOf(kind: Machine['kind']): readonly Machine[] {
+    return this.machines.filter((m) => m.kind === kind && !this.removed.has(m));
   }
 
   get fronts(): readonly string[] {
-    return this.of('front').map((m) => m.http);
+    return this.machinesOf('front').map((m) => m.http);
   }
 
   async build(): Promise<void> {
@@ -114,25 +114,25 @@
 
   /** Adds a machine, which is not started; `port` is the one of its inner address. */
   async add(kind: Machine['kind'], port?: number): Promise<Machine> {
-    const index = this.made.filter((machine) => machine.kind === kind).length;
+    const index = this.machines.filter((machine) => machine.kind === kind).length;
     const ports = await freePorts(portsPerMachine);
     const [inner, ...others] = ports.map((free) => `127.0.0.1:${free}`);
     const addr = port === undefined ? inner : `127.0.0.1:${port}`;
     const machine = await (kind === 'front'
       ? this.makeFront(index, addr, others)
       : this.makeNode(kind, index, addr, others));
-    this.made.push(machine);
+    this.machines.push(machine);
     return machine;
   }
 
   /** What all processes of the n-th machine are started with. */
   private commonSettings(index: number): object {
-    return { zone: zoneOf(index), log: this.spec.log, ...this.spec.more };
+    return { zone: zoneOf(index), log: this.spec.log, ...this.spec.extraSettings };
   }
 
   /** Where a process listens, if a relay stands between it and its advertised address. */
   private async relayed(addr: string, listen: string): Promise<object> {
-    if (!this.spec.cuts) return {};
+    if (!this.spec.withRelay) return {};
     await this.relay.serve(addr, listen);
     return { listen };
   }
@@ -153,8 +153,8 @@
       seeds: this.seeds,
       data: join(dir, 'data'),
     };
-    const procs = [new Proc(name, `${kind}-node`, settings, dir, this.spec.onExit)];
-    return { kind, n: index, addr, http, extra: [], procs };
+    const procs = [new FleetProcess(name, `${kind}-node`, settings, dir, this.spec.onExit)];
+    return { kind, n: index, addr, http, extraAddrs: [], processes: procs };
   }
 
   private async makeFront(
@@ -164,7 +164,7 @@
   ): Promise<Machine> {
     const name = `front-${index}`;
     const dir = join(this.spec.dir, name);
-    const common = { ...this.commonSettings(index), ...this.spec.moreFront };
+    const common = { ...this.commonSettings(index), ...this.spec.extraFrontSettings };
     const agent = {
       ...common,
       ...(await this.relayed(addr, listen)),
@@ -182,21 +182,21 @@
       affinity: this.spec.affinity,
     };
     const procs = [
-      new Proc(`${name}-proxy`, 'front-proxy', proxy, join(dir, 'proxy'), this.spec.onExit),
-      new Proc(`${name}-agent`, 'front-agent', agent, join(dir, 'agent'), this.spec.onExit),
+      new FleetProcess(`${name}-proxy`, 'front-proxy', proxy, join(dir, 'proxy'), this.spec.onExit),
+      new FleetProcess(`${name}-agent`, 'front-agent', agent, join(dir, 'agent'), this.spec.onExit),
     ];
-    return { kind: 'front', n: index, addr, http, extra: [data], procs };
+    return { kind: 'front', n: index, addr, http, extraAddrs: [data], processes: procs };
   }
 
-  start(machines: readonly Machine[] = this.made): void {
-    for (const m of machines) for (const p of m.procs) p.start();
+  start(machines: readonly Machine[] = this.machines): void {
+    for (const m of machines) for (const p of m.processes) p.start();
   }
 
   async stop(
-    machines: readonly Machine[] = this.made,
+    machines: readonly Machine[] = this.machines,
     how: NodeJS.Signals = 'SIGKILL',
   ): Promise<void> {
-    await Promise.all(machines.flatMap((m) => m.procs.map((p) => p.end(how))));
+    await Promise.all(machines.flatMap((m) => m.processes.map((p) => p.end(how))));
   }
 
   async remove(m: Machine): Promise<void> {
@@ -211,7 +211,7 @@
 
   async registerOne(id: string, pool: string, addr: string): Promise<void> {
     await until(`registering ${id}`, 15000, async () => {
-      const r = await this.operator.any(
+      const r = await this.operator.request(
         'PUT',
         `/v1/servers/${id}`,
         JSON.stringify({ pool, url: `http://${addr}` }),
@@ -221,24 +221,24 @@
   }
 
   async master(): Promise<Machine | undefined> {
-    for (const m of this.of('control')) {
+    for (const m of this.machinesOf('control')) {
       const r = await ask('GET', `http://${m.http}/ready`, '', 500);
       const text = JSON.stringify(r.body);
-      const found = this.of('control').find((x) => text.includes(`master ${x.addr}"`));
-      if (found && found.procs.every((p) => p.running)) return found;
+      const found = this.machinesOf('control').find((x) => text.includes(`master ${x.addr}"`));
+      if (found && found.processes.every((p) => p.running)) return found;
     }
     return undefined;
   }
 
   async ready(kind: Machine['kind']): Promise<boolean> {
     const all = await Promise.all(
-      this.of(kind).map((m) => ask('GET', `http://${m.http}/ready`, '', 500)),
+      this.machinesOf(kind).map((m) => ask('GET', `http://${m.http}/ready`, '', 500)),
     );
     return all.every((r) => r.status === 200);
   }
 
   async close(): Promise<void> {
-    for (const m of this.made) for (const p of m.procs) p.wake();
+    for (const m of this.machines) for (const p of m.processes) p.resume();
     await this.stop();
     await Promise.all([...this.models, ...this.services].map((s) => s.stop()));
     await this.relay.close();
--- a/packages/fleet/src/layout.ts
+++ b/packages/fleet/src/layout.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:net';
 
 /** One of the users' houses: its pools, servers and paths. */
-export interface House {
+export interface Site {
   readonly name: string;
   readonly modelPool: string;
   readonly servicePool: string;
@@ -13,7 +13,7 @@
 }
 
 /** The house in Seoul. */
-export const seoul: House = {
+export const seoul: Site = {
   name: 'seoul',
   modelPool: 'seoul-models',
   servicePool: 'shop',
@@ -24,7 +24,7 @@
 };
 
 /** The house in Norway. */
-export const norway: House = {
+export const norway: Site = {
   name: 'norway',
   modelPool: 'norway-models',
   servicePool: 'notices',
@@ -38,16 +38,16 @@
 export const poolOf = (pool: string, n: number): string => (n % 2 === 0 ? pool : `${pool}-b`);
 
 /** How many machines of each kind. */
-export interface Sizes {
+export interface FleetSizes {
   readonly controls: number;
   readonly stores: number;
   readonly fronts: number;
 }
 
 /** The sizes of the full fleet. */
-export const fullSizes: Sizes = { controls: 5, stores: 3, fronts: 8 };
+export const fullSizes: FleetSizes = { controls: 5, stores: 3, fronts: 8 };
 /** The sizes of the small fleet. */
-export const smallSizes: Sizes = { controls: 3, stores: 3, fronts: 2 };
+export const smallSizes: FleetSizes = { controls: 3, stores: 3, fronts: 2 };
 
 const zones = ['zone-a', 'zone-b', 'zone-c'] as const;
 /** The zone of the n-th machine of a kind. */
@@ -75,7 +75,7 @@
 };
 
 /** Numbers from 0 up to 1, the same ones for the same seed. */
-export const seeded = (seed: number): (() => number) => {
+export const seededRandom = (seed: number): (() => number) => {
   let a = (seed ^ 0x9e3779b9) >>> 0;
   return () => {
     a = (a + 0x6d2b79f5) >>> 0;
--- a/packages/fleet/src/main.ts
+++ b/packages/fleet/src/main.ts
@@ -5,9 +5,9 @@
 import { join } from 'node:path';
 import cac from 'cac';
 import { countRefusals } from '@tillerstair/checker';
-import { closeAsking } from './operator.js';
-import { fullSizes, norway, seoul, smallSizes, type House, type Sizes } from './layout.js';
-import { Run, type RunResult } from './run.js';
+import { closeHttpConnections } from './operator.js';
+import { fullSizes, norway, seoul, smallSizes, type Site, type FleetSizes } from './layout.js';
+import { ScenarioRun, type RunResult } from './run.js';
 import { scenarios } from './scenarios.js';
 import { listSweeps, runSweep, sweeps } from './capacity-run.js';
 import { hollowFronts } from './capacity-sockets.js';
@@ -17,8 +17,8 @@
 import { stormSeeds, stormsInParallel } from './storms.js';
 
 interface Choices {
-  readonly house: House;
-  readonly sizes: Sizes;
+  readonly house: Site;
+  readonly sizes: FleetSizes;
   readonly seed: number;
   readonly seconds: number;
   readonly dir: string;
@@ -109,18 +109,18 @@
 const runOne = async (name: string, c: Choices, json: unknown): Promise<boolean> => {
   const s = scenarios.get(name);
   if (!s) throw new BadChoice(`no scenario ${name}; see fleet list`);
-  const run = new Run({
+  const run = new ScenarioRun({
     ...c,
-    cuts: s.cuts,
+    withRelay: s.withRelay,
     log: 'info',
     chatsPerSecond: c.rate,
-    operator: s.still !== true && name !== 'calm',
+    operator: s.keepsConfig !== true && name !== 'calm',
   });
   console.log(`${name}, ${c.house.name}, seed ${c.seed}: ${s.about}`);
-  const result = await run.go((r) => s.during(r));
+  const result = await run.execute((r) => s.run(r));
   if (typeof json === 'string')
     writeFileSync(json, JSON.stringify({ ...result, counts: [...result.counts] }));
-  return print(result, s.aims ?? []);
+  return print(result, s.requiredRules ?? []);
 };
 
 const cli = cac('fleet');
@@ -142,7 +142,7 @@
     process.stderr.write(`fleet: ${e instanceof Error ? e.message : String(e)}\n`);
     process.exitCode = e instanceof BadChoice ? 2 : 1;
   }
-  await closeAsking();
+  await closeHttpConnections();
   process.exit();
 };
 
@@ -298,11 +298,12 @@
 shared(cli.command('up', 'Start a fleet and keep it until interrupted')).action((o: object) =>
   guarded(async () => {
     const c = choicesOf(opts(o), 0);
-    const run = new Run({ ...c, cuts: false, log: 'info', chatsPerSecond: 1 });
-    const ms = await run.bringUp();
+    const run = new ScenarioRun({ ...c, withRelay: false, log: 'info', chatsPerSecond: 1 });
+    const ms = await run.startFleet();
     console.log(`serving after ${ms} ms`);
     for (const kind of ['control', 'store', 'front'] as const)
-      for (const m of run.fleet.of(kind)) console.log(`${kind}-${m.n} ${m.addr} http ${m.http}`);
+      for (const m of run.fleet.machinesOf(kind))
+        console.log(`${kind}-${m.n} ${m.addr} http ${m.http}`);
     console.log('ready');
     await new Promise<void>((done) => {
       process.once('SIGINT', done);
--- a/packages/fleet/src/operator.ts
+++ b/packages/fleet/src/operator.ts
@@ -33,7 +33,7 @@
 };
 
 /** Closes the connections that `ask` uses. */
-export const closeAsking = (): Promise<void> => agent.destroy();
+export const closeHttpConnections = (): Promise<void> => agent.destroy();
 
 const ConfigBack = z.object({ version: z.number(), text: z.string(), digest: z.string() });
 
@@ -41,7 +41,11 @@
 export class Operator {
   constructor(private readonly https: () => readonly string[]) {}
 
-  async any(method: 'GET' | 'PUT' | 'POST' | 'DELETE', path: string, body = ''): Promise<Reply> {
+  async request(
+    method: 'GET' | 'PUT' | 'POST' | 'DELETE',
+    path: string,
+    body = '',
+  ): Promise<Reply> {
     let last: Reply = { status: 0, body: null };
     for (const http of this.https()) {
       last = await ask(method, `http://${http}${path}`, body);
@@ -51,7 +55,7 @@
   }
 
   async config(): Promise<z.infer<typeof ConfigBack> | undefined> {
-    const got = await this.any('GET', '/v1/config');
+    const got = await this.request('GET', '/v1/config');
     const parsed = ConfigBack.safeParse(got.body);
     return got.status === 200 && parsed.success ? parsed.data : undefined;
   }
--- a/packages/fleet/src/proc.ts
+++ b/packages/fleet/src/proc.ts
@@ -19,10 +19,14 @@
 );
 
 /** Hears that a process ended: its name, the signal that ended it, and how long it had run, in ms. */
-export type ProcExit = (name: string, signal: NodeJS.Signals | null, ranMs: number) => void;
+export type ProcessExitListener = (
+  name: string,
+  signal: NodeJS.Signals | null,
+  ranMs: number,
+) => void;
 
 /** One process of a fleet: started, killed, frozen and woken. */
-export class Proc {
+export class FleetProcess {
   private child: ChildProcess | undefined;
   private frozen = false;
 
@@ -31,7 +35,7 @@
     readonly program: string,
     readonly settings: object,
     readonly dir: string,
-    private readonly onExit: ProcExit = () => undefined,
+    private readonly onExit: ProcessExitListener = () => undefined,
   ) {}
 
   get running(): boolean {
@@ -71,7 +75,7 @@
     this.signal('SIGSTOP');
   }
 
-  wake(): void {
+  resume(): void {
     this.frozen = false;
     this.signal('SIGCONT');
   }
--- a/packages/fleet/src/relay.ts
+++ b/packages/fleet/src/relay.ts
@@ -28,7 +28,7 @@
     this.cut(b, a);
   }
 
-  mend(): void {
+  removeCuts(): void {
     this.cuts.clear();
     for (const p of this.pairs) {
       p.near.destroy();
@@ -82,7 +82,7 @@
   }
 
   async close(): Promise<void> {
-    this.mend();
+    this.removeCuts();
     await Promise.all(this.servers.map((s) => new Promise<void>((done) => s.close(() => done()))));
   }
 }
--- a/packages/fleet/src/run.ts
+++ b/packages/fleet/src/run.ts
@@ -13,7 +13,7 @@
 import { z } from 'zod';
 import { configFor } from './configs.js';
 import { Fleet, until, type FleetSpec } from './fleet.js';
-import { poolOf, seeded } from './layout.js';
+import { poolOf, seededRandom } from './layout.js';
 import { ask } from './operator.js';
 import { Traffic } from './traffic.js';
 
@@ -40,7 +40,7 @@
 const Versioned = z.object({ version: z.number() });
 
 /** One run of a scenario on a fleet of its own. */
-export class Run {
+export class ScenarioRun {
   readonly fleet: Fleet;
   readonly traffic: Traffic;
   readonly rng;
@@ -50,11 +50,11 @@
   readonly shares: SharesRecord[] = [];
   readonly notes: string[] = [];
   version = 0;
-  private extra = 0;
+  private extraRoutes = 0;
 
   constructor(readonly spec: RunSpec) {
     this.fleet = new Fleet(spec);
-    this.rng = seeded(spec.seed);
+    this.rng = seededRandom(spec.seed);
     this.traffic = new Traffic({
       house: spec.house,
       seed: spec.seed,
@@ -76,7 +76,7 @@
 
   async put(grow: number, at?: string): Promise<number> {
     const { house } = this.spec;
-    this.extra += grow;
+    this.extraRoutes += grow;
     const base = this.version;
     const both = (pool: string): readonly string[] => [poolOf(pool, 0), poolOf(pool, 1)];
     const [a = '', b = ''] = both(house.modelPool);
@@ -86,7 +86,7 @@
       base,
       turnPools,
       callPools,
-      extraRoutes: this.extra,
+      extraRoutes: this.extraRoutes,
       note: `version ${base + 1} by ${this.rng()}`,
       tuning: this.spec.tuning ?? true,
     });
@@ -102,7 +102,7 @@
     const n = this.configs.push(row) - 1;
     const r =
       at === undefined
-        ? await this.fleet.operator.any('PUT', '/v1/config', text)
+        ? await this.fleet.operator.request('PUT', '/v1/config', text)
         : await ask('PUT', `http://${at}/v1/config`, text);
     const reported =
       r.status === 200 ? 'done' : r.status === 0 || r.status === 504 ? 'unknown' : 'refused';
@@ -114,7 +114,7 @@
     return r.status;
   }
 
-  private async operate(load: Promise<void>): Promise<void> {
+  private async changeConfigUntil(load: Promise<void>): Promise<void> {
     const state = { loadEnded: false };
     void load.then(() => {
       state.loadEnded = true;
@@ -123,11 +123,11 @@
       await Promise.race([load, new Promise((done) => setTimeout(done, 3000))]);
       if (state.loadEnded) return;
       await this.put(1);
-      await this.resync();
+      await this.readConfigVersion();
     }
   }
 
-  async resync(): Promise<void> {
+  async readConfigVersion(): Promise<void> {
     const got = Versioned.safeParse(await this.fleet.operator.config());
     if (got.success) this.version = Math.max(this.version, got.data.version);
   }
@@ -137,24 +137,24 @@
     return until(
       'serving',
       within,
-      async () => (await fleet.ready('front')) && (await this.probe()),
+      async () => (await fleet.ready('front')) && (await this.canCreateProgram()),
     );
   }
 
-  private async probe(): Promise<boolean> {
+  private async canCreateProgram(): Promise<boolean> {
     const front = this.fleet.fronts[0] ?? '';
     const r = await ask('POST', `http://${front}/v1/programs`, '{"budget":1}', 1000);
     return r.status === 201;
   }
 
-  async bringUp(): Promise<number> {
+  async startFleet(): Promise<number> {
     const t0 = Date.now();
     await this.fleet.build();
     this.fleet.start();
     await until(
       'a master',
       30000,
-      async () => (await this.fleet.operator.any('GET', '/v1/status')).status === 200,
+      async () => (await this.fleet.operator.request('GET', '/v1/status')).status === 200,
     );
     await until('the first configuration', 20000, async () => (await this.put(0)) === 200);
     await this.fleet.register();
@@ -162,12 +162,13 @@
     return Date.now() - t0;
   }
 
-  async go(during: (run: Run) => Promise<void>): Promise<RunResult> {
+  async execute(during: (run: ScenarioRun) => Promise<void>): Promise<RunResult> {
     try {
-      const servingAfterMs = await this.bringUp();
+      const servingAfterMs = await this.startFleet();
       this.note(`serving after ${servingAfterMs} ms`);
       const load = this.traffic.run(this.spec.seconds * 1000);
-      const operator = this.spec.operator === false ? Promise.resolve() : this.operate(load);
+      const operator =
+        this.spec.operator === false ? Promise.resolve() : this.changeConfigUntil(load);
       await during(this);
       await load;
       await operator;
--- a/packages/fleet/src/soak/soak-clients.ts
+++ b/packages/fleet/src/soak/soak-clients.ts
@@ -4,7 +4,7 @@
 import { passHost } from '@tillerstair/sim';
 import { KeptConnection, type KeptAnswer } from '@tillerstair/stand-ins';
 import { delay, hostClock } from '@tillerstair/wire';
-import { seeded } from '../layout.js';
+import { seededRandom } from '../layout.js';
 
 /** A request of a client, with the front that took it. Times are in ms of the steady clock. */
 export interface ClientRequest {
@@ -89,7 +89,7 @@
     private readonly fronts: readonly string[],
     private readonly record: (request: ClientRequest) => void,
   ) {
-    this.draw = seeded(seed);
+    this.draw = seededRandom(seed);
   }
 
   async run(until: number): Promise<void> {
--- a/packages/fleet/src/soak/soak-operators.ts
+++ b/packages/fleet/src/soak/soak-operators.ts
@@ -2,7 +2,7 @@
 import { ConfigCalls, passRoutes } from '@tillerstair/sim';
 import { delay, hostClock } from '@tillerstair/wire';
 import { z } from 'zod';
-import { seeded } from '../layout.js';
+import { seededRandom } from '../layout.js';
 import { ask } from '../operator.js';
 
 /** One order from its first send to its clear answer. Times are in ms of the steady clock. */
@@ -45,7 +45,7 @@
   private changes = 0;
 
   constructor(private readonly options: SoakOperatorsOptions) {
-    this.draw = seeded(options.seed);
+    this.draw = seededRandom(options.seed);
   }
 
   /** Puts the first configuration in force; false if no control took it in time. */
--- a/packages/fleet/src/soak/soak-plan.ts
+++ b/packages/fleet/src/soak/soak-plan.ts
@@ -1,5 +1,5 @@
 /** What a soak does to its fleet, and when: drawn from its seed alone, so that the same seed plays the same plan again. */
-import { seeded } from '../layout.js';
+import { seededRandom } from '../layout.js';
 
 /** A step that works on one machine. `planned` ones stop or reload it in order; the others are faults. */
 type SoakStep =
@@ -112,7 +112,7 @@
 
 /** Draws the plan of a seed: fronts always roll; reloads, stores, controls and a fault come in a part of the seeds. */
 export const soakPlan = (seed: number, sizes: SoakSizes): SoakPlan => {
-  const draw = seeded(seed);
+  const draw = seededRandom(seed);
   const endMs = sizes.trafficMs * (1 - quietShare);
   const { fronts, stores, controls } = sizes;
   const steps = [
--- a/packages/fleet/src/soak/soak-rules.ts
+++ b/packages/fleet/src/soak/soak-rules.ts
@@ -34,7 +34,7 @@
   /** Processes are killed this long after SIGTERM. */
   readonly graceMs: number;
   /** How long trouble has to be over for the bounds to hold. */
-  readonly calmMs: number;
+  readonly settleMs: number;
   readonly lossSlackMs: number;
   readonly ackWithinMs: number;
 }
@@ -63,7 +63,7 @@
 
 const touchesFault = (
   { events }: SoakRecords,
-  { calmMs }: SoakBounds,
+  { settleMs: calmMs }: SoakBounds,
   from: number,
   to: number,
 ): boolean =>
@@ -112,7 +112,8 @@
 const ordersAreAcknowledged = (records: SoakRecords, bounds: SoakBounds): RuleResult => {
   const isCoreCalm = ({ sentAt, answeredAt }: SoakOrder): boolean =>
     !records.events.some(
-      ({ machine, at }) => machine !== 'front' && at >= sentAt - bounds.calmMs && at <= answeredAt,
+      ({ machine, at }) =>
+        machine !== 'front' && at >= sentAt - bounds.settleMs && at <= answeredAt,
     );
   const judged = records.orders.filter(isCoreCalm);
   const late = judged.filter(({ sentAt, answeredAt }) => answeredAt - sentAt > bounds.ackWithinMs);
@@ -141,7 +142,7 @@
 });
 
 /** The results of all rules that a soak can see. */
-export const judgeSoak = (records: SoakRecords, bounds: SoakBounds): readonly RuleResult[] => {
+export const checkSoak = (records: SoakRecords, bounds: SoakBounds): readonly RuleResult[] => {
   const passes = records.requests.map(({ pass }) => pass);
   return [
     nothingIsLost(records, bounds),
--- a/packages/fleet/src/soak/soak.ts
+++ b/packages/fleet/src/soak/soak.ts
@@ -10,7 +10,7 @@
 import { runSoakClients } from './soak-clients.js';
 import { SoakOperators } from './soak-operators.js';
 import { soakPlan, type SoakPlan, type SoakSizes, type TimedStep } from './soak-plan.js';
-import { judgeSoak, type SoakBounds, type SoakEvent, type SoakRecords } from './soak-rules.js';
+import { checkSoak, type SoakBounds, type SoakEvent, type SoakRecords } from './soak-rules.js';
 import type { RuleResult } from '@tillerstair/checker';
 
 /** What decides a soak. */
@@ -31,7 +31,7 @@
 /** The bounds of the users' small sites, with a shorter grace. */
 const soakBounds: SoakBounds = {
   graceMs: 6000,
-  calmMs: 3000,
+  settleMs: 3000,
   lossSlackMs: 200,
   ackWithinMs: 4000,
 };
@@ -71,11 +71,11 @@
       dir: join(dir, `seed-${seed}`),
       sizes,
       house: { ...seoul, models: 0, services: 0 },
-      cuts: false,
+      withRelay: false,
       affinity: true,
       log: 'info',
-      more: { bounds },
-      moreFront: { stopWithin },
+      extraSettings: { bounds },
+      extraFrontSettings: { stopWithin },
       onExit: (name, signal, ranMs) => this.noteExit(name, signal, ranMs),
     });
   }
@@ -101,7 +101,7 @@
         configCalls: operators.calls.calls,
         configReadBack,
       };
-      return { results: judgeSoak(records, soakBounds), records, plan: this.plan };
+      return { results: checkSoak(records, soakBounds), records, plan: this.plan };
     } finally {
       this.closing = true;
       await this.fleet.close();
@@ -115,7 +115,7 @@
     fleet.start();
     const operators = new SoakOperators({
       seed: this.options.seed,
-      controls: fleet.of('control').map(({ http }) => http),
+      controls: fleet.machinesOf('control').map(({ http }) => http),
       pool,
       operators: plan.operators,
       changeEveryMs: plan.changeEveryMs,
@@ -151,7 +151,7 @@
     await Promise.all(
       this.plan.steps.map(async (timed) => {
         await delay(hostClock, startedAt + timed.at - hostClock.now());
-        const machine = this.fleet.of(timed.machine).at(timed.index);
+        const machine = this.fleet.machinesOf(timed.machine).at(timed.index);
         if (machine) await this.doStep(machine, timed);
       }),
     );
@@ -160,7 +160,7 @@
   private async doStep(machine: Machine, { step }: TimedStep): Promise<void> {
     if (step.kind === 'reload') {
       this.note(machine, 'reload');
-      for (const proc of machine.procs) proc.signal('SIGHUP');
+      for (const proc of machine.processes) proc.signal('SIGHUP');
       return;
     }
     // A machine that is stopped or frozen already is left alone: the platform stops it once.
@@ -176,11 +176,11 @@
     this.note(machine, 'term');
     if (again)
       void delay(hostClock, secondSignalMs).then(() => {
-        for (const proc of machine.procs) proc.signal('SIGTERM');
+        for (const proc of machine.processes) proc.signal('SIGTERM');
       });
     const { graceMs } = soakBounds;
-    const killed = await Promise.all(machine.procs.map((proc) => proc.end('SIGTERM', graceMs)));
-    machine.procs.forEach((proc, n) => {
+    const killed = await Promise.all(machine.processes.map((proc) => proc.end('SIGTERM', graceMs)));
+    machine.processes.forEach((proc, n) => {
       if (killed[n]) this.note(machine, 'overdue', `${proc.name} was killed after its grace`);
     });
     this.note(machine, 'ended');
@@ -195,9 +195,9 @@
 
   private async freeze(machine: Machine, forMs: number): Promise<void> {
     this.note(machine, 'frozen');
-    for (const proc of machine.procs) proc.freeze();
+    for (const proc of machine.processes) proc.freeze();
     await delay(hostClock, forMs);
-    for (const proc of machine.procs) proc.wake();
+    for (const proc of machine.processes) proc.resume();
     this.note(machine, 'frozen', 'woken');
   }
 
@@ -219,10 +219,10 @@
    */
   private noteExit(name: string, signal: NodeJS.Signals | null, ranMs: number): void {
     const machine = [
-      ...this.fleet.of('control'),
-      ...this.fleet.of('store'),
-      ...this.fleet.of('front'),
-    ].find(({ procs }) => procs.some((proc) => proc.name === name));
+      ...this.fleet.machinesOf('control'),
+      ...this.fleet.machinesOf('store'),
+      ...this.fleet.machinesOf('front'),
+    ].find(({ processes: procs }) => procs.some((proc) => proc.name === name));
     if (this.closing || !machine || this.busy.has(machine)) return;
     const isLoading = signal === 'SIGHUP' && ranMs < loadingMs;
     const text = `${name} ended after ${ranMs} ms by ${signal ?? 'itself'}`;
--- a/packages/fleet/src/storms.ts
+++ b/packages/fleet/src/storms.ts
@@ -21,7 +21,7 @@
   readonly breach: string;
   readonly log: readonly string[];
   readonly checked: ReadonlyMap<string, number>;
-  readonly struck: readonly string[];
+  readonly injectedFaults: readonly string[];
 }
 
 const Row = z.object({
@@ -57,7 +57,7 @@
       breach,
       log: storm.log,
       checked: new Map(results.map((v) => [v.rule, v.checked])),
-      struck: [...storm.struck],
+      injectedFaults: [...storm.struck],
     };
   } catch (e) {
     return {
@@ -65,7 +65,7 @@
       breach: e instanceof Error ? e.message : String(e),
       log: storm.log,
       checked: new Map(),
-      struck: [],
+      injectedFaults: [],
     };
   }
 };
@@ -110,7 +110,7 @@
         breach: v.breach,
         log: v.breach === '' ? [] : v.log,
         few: few.map((p) => `${p.index}:${p.fault}`),
-        struck: v.struck,
+        struck: v.injectedFaults,
         checked: [...v.checked],
       }),
     );
--- a/packages/fleet/src/traffic.ts
+++ b/packages/fleet/src/traffic.ts
@@ -1,10 +1,10 @@
 /** The callers of a fleet. */
 import { Caller, type CallerRecord } from '@tillerstair/stand-ins';
-import { seeded, type House } from './layout.js';
+import { seededRandom, type Site } from './layout.js';
 
 /** What decides the traffic on a fleet. */
 export interface TrafficSpec {
-  readonly house: House;
+  readonly house: Site;
   readonly seed: number;
   readonly chatsPerSecond: number;
   readonly longChats: number;
@@ -18,11 +18,11 @@
   readonly reported: CallerRecord[] = [];
   private readonly rng;
   private stopping = false;
-  private readonly going = new Set<Promise<void>>();
-  private made = 0;
+  private readonly activeChats = new Set<Promise<void>>();
+  private chatsStarted = 0;
 
   constructor(private readonly spec: TrafficSpec) {
-    this.rng = seeded(spec.seed);
+    this.rng = seededRandom(spec.seed);
   }
 
   private front(): string {
@@ -96,24 +96,24 @@
       await this.again(() => c.fetch(this.front(), e.program, e.turn), 4);
   }
 
-  begin(turns: number): void {
-    const p = this.chat(this.made++, turns).catch(() => undefined);
-    this.going.add(p);
-    void p.finally(() => this.going.delete(p));
+  startChat(turns: number): void {
+    const p = this.chat(this.chatsStarted++, turns).catch(() => undefined);
+    this.activeChats.add(p);
+    void p.finally(() => this.activeChats.delete(p));
   }
 
   async run(ms: number): Promise<void> {
     const end = Date.now() + ms;
-    for (let i = 0; i < this.spec.longChats; i++) this.begin(12);
+    for (let i = 0; i < this.spec.longChats; i++) this.startChat(12);
     while (Date.now() < end) {
-      this.begin(2 + Math.floor(this.rng() * 4));
+      this.startChat(2 + Math.floor(this.rng() * 4));
       await wait((1000 / this.spec.chatsPerSecond) * (0.5 + this.rng()));
     }
   }
 
   async finish(within: number): Promise<void> {
-    await Promise.race([Promise.all([...this.going]), wait(within)]);
+    await Promise.race([Promise.all([...this.activeChats]), wait(within)]);
     this.stopping = true;
-    await Promise.race([Promise.all([...this.going]), wait(20000)]);
+    await Promise.race([Promise.all([...this.activeChats]), wait(20000)]);
   }
 }
--- a/tests/src/fleet/capacity.test.ts
+++ b/tests/src/fleet/capacity.test.ts
@@ -8,26 +8,26 @@
   jsonOf,
   stateOf,
   sweeps,
-  sweepThrough,
-  type Swept,
+  measureSizes,
+  type SweepResult,
 } from '@tillerstair/fleet';
 
 const capacity = suite('capacity');
 
-const small = async (name: string): Promise<Swept> => {
+const small = async (name: string): Promise<SweepResult> => {
   const s = sweeps.get(name);
   if (!s) throw new Error(`no sweep ${name}`);
-  return sweepThrough(name, s, s.small, () => undefined);
+  return measureSizes(name, s, s.small, () => undefined);
 };
 
-const series = (s: Swept, measure: string): readonly number[] =>
+const series = (s: SweepResult, measure: string): readonly number[] =>
   s.points.map((p) => {
     const v = p.values.get(measure);
     if (v === undefined) throw new Error(`${s.sweep} has no ${measure}`);
     return v;
   });
 
-const slope = (s: Swept, measure: string): number =>
+const slope = (s: SweepResult, measure: string): number =>
   fitOf(
     measure,
     s.points.map((p, i) => [p.size, series(s, measure)[i] ?? 0]),
--- a/tests/src/fleet/soak-rules.test.ts
+++ b/tests/src/fleet/soak-rules.test.ts
@@ -2,11 +2,11 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { ExecutionRecord, PassRecord } from '@tillerstair/checker';
-import { judgeSoak, type SoakBounds, type SoakEvent, type SoakRecords } from '@tillerstair/fleet';
+import { checkSoak, type SoakBounds, type SoakEvent, type SoakRecords } from '@tillerstair/fleet';
 
 const rules = suite('rules of a soak');
 
-const bounds: SoakBounds = { graceMs: 8000, calmMs: 3000, lossSlackMs: 200, ackWithinMs: 4000 };
+const bounds: SoakBounds = { graceMs: 8000, settleMs: 3000, lossSlackMs: 200, ackWithinMs: 4000 };
 const front = '127.0.0.1:1';
 
 const passOf = (attempt: string, from: number, to: number): PassRecord => ({
@@ -69,7 +69,7 @@
 };
 
 const breachesOf = (records: Partial<SoakRecords>, named: string): number =>
-  judgeSoak({ ...nothing, ...records }, bounds).find(({ rule }) => rule.includes(named))?.breaches
+  checkSoak({ ...nothing, ...records }, bounds).find(({ rule }) => rule.includes(named))?.breaches
     .length ?? -1;
 
 rules('LOST: a cut request that ran, or was held for longer than the slack', () => {
--- a/tests/src/fleet/whole-path.test.ts
+++ b/tests/src/fleet/whole-path.test.ts
@@ -13,7 +13,7 @@
   dir: join(tmpdir(), `tillerstair-path-${process.pid}`),
   sizes: smallSizes,
   house,
-  cuts: false,
+  withRelay: false,
   affinity: true,
   log: 'info',
 });
@@ -24,7 +24,7 @@
   await until(
     'a master',
     30000,
-    async () => (await fleet.operator.any('GET', '/v1/status')).status === 200,
+    async () => (await fleet.operator.request('GET', '/v1/status')).status === 200,
   );
 });
 
@@ -41,7 +41,7 @@
     note: 'first',
   };
   const text = configFor(house, shape);
-  const put = await fleet.operator.any('PUT', '/v1/config', text);
+  const put = await fleet.operator.request('PUT', '/v1/config', text);
   assert.is(put.status, 200);
   await fleet.register();
   await until('fronts', 30000, () => fleet.ready('front'));
--- a/tests/src/proxy/interface.test.ts
+++ b/tests/src/proxy/interface.test.ts
@@ -22,7 +22,7 @@
   dir: join(tmpdir(), `tillerstair-v1-${process.pid}`),
   sizes: { controls: 3, stores: 3, fronts: 1 },
   house: { ...seoul, models: 0, services: 0 },
-  cuts: false,
+  withRelay: false,
   affinity: true,
   log: 'info',
 });
@@ -38,7 +38,7 @@
   headers: readonly string[] = [],
 ): Promise<Heard> => call(frontPort, method, path, headers, body);
 const operator = (method: 'GET' | 'PUT' | 'POST' | 'DELETE', path: string, body = '') =>
-  fleet.operator.any(method, path, body);
+  fleet.operator.request(method, path, body);
 const refusedWith = (reply: { status: number; body: unknown }, status: number, code: string) => {
   assert.is(reply.status, status, JSON.stringify(reply.body));
   const fields = fieldsOf(reply.body);
@@ -151,10 +151,10 @@
   assertKeys(fieldsOf(margin.body).get('voters'), ['voting', 'live', 'changing', 'margin']);
   assertKeys(fieldsOf(margin.body).get('replication'), ['replicas', 'quorum']);
   const https = [
-    ...fleet.of('control').map((m) => m.http),
-    ...fleet.of('store').map((m) => m.http),
+    ...fleet.machinesOf('control').map((m) => m.http),
+    ...fleet.machinesOf('store').map((m) => m.http),
     ...fleet.fronts,
-    String(fieldsOf(fleet.of('front')[0]?.procs[1]?.settings).get('http')),
+    String(fieldsOf(fleet.machinesOf('front')[0]?.processes[1]?.settings).get('http')),
   ];
   for (const http of https) {
     const view = await ask('GET', `http://${http}/v1/view`);
@@ -163,12 +163,13 @@
     assertKeys(fieldsOf(view.body).get('applied'), ['term', 'version']);
   }
   assert.is((await front('GET', '/v1/sizes')).status, 200);
-  const counts = await ask('GET', `http://${fleet.of('store')[0]?.http}/v1/counts`);
+  const counts = await ask('GET', `http://${fleet.machinesOf('store')[0]?.http}/v1/counts`);
   assert.is(counts.status, 200);
 });
 
 outside('/v1/stores/STORE/empty, /v1/fronts/FRONT/drain and /v1/controls/NODE', async () => {
-  const addr = (kind: 'control' | 'store' | 'front'): string => fleet.of(kind)[0]?.addr ?? '';
+  const addr = (kind: 'control' | 'store' | 'front'): string =>
+    fleet.machinesOf(kind)[0]?.addr ?? '';
   const store = encodeURIComponent(addr('store'));
   const emptying = ['store', 'retiring', 'slotsHeld', 'slotsJoining', 'done'];
   refusedWith(await operator('POST', `/v1/stores/${store}/empty`), 409, 'refused');
@@ -352,7 +353,7 @@
 });
 
 outside('a front that stops says so', async () => {
-  const stopped = fleet.of('front');
+  const stopped = fleet.machinesOf('front');
   const over = fleet.stop(stopped, 'SIGTERM');
   await until('not ready', 5000, async () => (await front('GET', '/ready')).status === 503);
   const heard = await front('POST', '/v1/programs', '{}');
--- a/tests/src/repository/documentation-examples.test.ts
+++ b/tests/src/repository/documentation-examples.test.ts
@@ -13,7 +13,7 @@
   dir: join(tmpdir(), `tillerstair-docs-${process.pid}`),
   sizes: smallSizes,
   house,
-  cuts: false,
+  withRelay: false,
   affinity: true,
   log: 'info',
 });
@@ -38,7 +38,7 @@
   await until(
     'a master',
     30000,
-    async () => (await fleet.operator.any('GET', '/v1/status')).status === 200,
+    async () => (await fleet.operator.request('GET', '/v1/status')).status === 200,
   );
   const shape = {
     base: 0,
@@ -47,7 +47,10 @@
     extraRoutes: 0,
     note: 'first',
   };
-  assert.is((await fleet.operator.any('PUT', '/v1/config', configFor(house, shape))).status, 200);
+  assert.is(
+    (await fleet.operator.request('PUT', '/v1/config', configFor(house, shape))).status,
+    200,
+  );
   await fleet.register();
   await until('fronts', 30000, () => fleet.ready('front'));
 });
@@ -60,7 +63,7 @@
   assert.ok(blocks.length >= 7, `${blocks.length} examples`);
   const [front = '', other = ''] = fleet.fronts;
   const env = new Map([
-    ['TILLERCTL_AT', fleet.of('control')[0]?.http ?? ''],
+    ['TILLERCTL_AT', fleet.machinesOf('control')[0]?.http ?? ''],
     ['FRONT', front],
     ['OTHER', other],
   ]);
--- a/tests/src/repository/recorded-conversation.test.ts
+++ b/tests/src/repository/recorded-conversation.test.ts
@@ -9,7 +9,7 @@
   OperatorRequest,
   OperatorResponse,
 } from '@tillerstair/control';
-import { closeAsking } from '@tillerstair/fleet';
+import { closeHttpConnections } from '@tillerstair/fleet';
 import { defaultTimings, FolderDisk } from '@tillerstair/journal';
 import { Feed, FeedResponse } from '@tillerstair/proxy';
 import {
@@ -308,6 +308,6 @@
   }),
 );
 
-conversation.after(() => closeAsking());
+conversation.after(() => closeHttpConnections());
 
 conversation.run();
--- a/tests/src/repository/stored-data.test.ts
+++ b/tests/src/repository/stored-data.test.ts
@@ -5,7 +5,7 @@
 import * as assert from 'uvu/assert';
 import { request } from 'undici';
 import { z } from 'zod';
-import { ask, closeAsking, until } from '@tillerstair/fleet';
+import { ask, closeHttpConnections, until } from '@tillerstair/fleet';
 import { FolderDisk, defaultTimings } from '@tillerstair/journal';
 import { Caller } from '@tillerstair/stand-ins';
 import { encodeState } from '@tillerstair/state';
@@ -183,7 +183,7 @@
 );
 
 stored.after(async () => {
-  await closeAsking();
+  await closeHttpConnections();
   await Caller.close();
 });
 
