--- a/packages/fleet/src/soak/soak-clients.ts
+++ b/packages/fleet/src/soak/soak-clients.ts
@@ -1,4 +1,4 @@
-/** The clients of a soak: each keeps a connection to some front and uses it until the front has closed it. */
+/** The clients of a soak: each keeps one connection to a random front and reuses it until the front closes it. */
 import type { PassRecord } from '@tillerstair/checker';
 import { productDialect } from '@tillerstair/proxy';
 import { passHost } from '@tillerstair/sim';
@@ -6,7 +6,7 @@
 import { delay, hostClock } from '@tillerstair/wire';
 import { seededRandom } from '../layout.js';
 
-/** A request of a client, with the front that took it. Times are in ms of the steady clock. */
+/** A client's request, the front it was sent to, and the answer. Times are in ms of the steady clock. */
 export interface ClientRequest {
   readonly pass: PassRecord;
   /** The address of the front. */
@@ -14,18 +14,20 @@
   readonly answer: KeptAnswer;
 }
 
-/** What decides the clients of a soak. */
+/** The options of a soak's clients. */
 export interface SoakClientsOptions {
   readonly seed: number;
   readonly clients: number;
-  /** The addresses of all fronts, whether they run or not. */
+  /** The addresses of all fronts, running or stopped. */
   readonly fronts: readonly string[];
 }
 
+/** A kind of request; also the first part of its path. */
 type Manner = 'turn' | 'flow' | 'once' | 'again' | 'keyed';
 
-/** Three of five requests are turns; they are the ones that other fronts own. */
+/** Turns are listed three times to be the most frequent kind: their program is often owned by another front. */
 const manners: readonly Manner[] = ['turn', 'turn', 'turn', 'flow', 'once', 'again', 'keyed'];
+/** The kind under which the checker knows each kind of request. */
 const checkedManner: Readonly<Record<Manner, PassRecord['manner']>> = {
   turn: 'stream',
   flow: 'stream',
@@ -34,23 +36,25 @@
   keyed: 'keyed',
 };
 
-const timeLeftMs = 4000;
-const mostTokens = 100;
-const longestPauseMs = 400;
-/** How long a client waits after a connection that could not be opened. */
-const reconnectMs = 20;
+const requestTimeoutMs = 4000;
+const maxTokens = 100;
+const maxPauseMs = 400;
+/** Delay after a failed connection attempt. */
+const reconnectDelayMs = 20;
 const repeatedKeyShare = 0.3;
 const continuedTurnShare = 0.6;
-const promises: ReadonlySet<number> = new Set([402, 408, 409, 421, 429, 503]);
+/** Statuses by which a front states that the request was not executed. */
+const refusalStatuses: ReadonlySet<number> = new Set([402, 408, 409, 421, 429, 503]);
 const success = 200;
 const firstServerError = 500;
 
 const reportedOf = ({ complete, status, body }: KeptAnswer): PassRecord['reported'] => {
   if (complete && status === success) return 'done';
-  if (complete && (promises.has(status) || status < firstServerError)) return 'refused';
+  if (complete && (refusalStatuses.has(status) || status < firstServerError)) return 'refused';
   return body === '' || status !== success ? 'unknown' : 'partial';
 };
 
+/** The contents of one request; `key`, `program` and `after` are empty if the request has none. */
 interface Operation {
   readonly manner: Manner;
   readonly attempt: string;
@@ -63,24 +67,25 @@
 const headersOf = ({ manner, attempt, key, program, after }: Operation): readonly string[] => [
   `Host: ${passHost}`,
   `${productDialect.attempt}: ${attempt}`,
-  `${productDialect.remainingTime}: ${timeLeftMs}`,
+  `${productDialect.remainingTime}: ${requestTimeoutMs}`,
   ...(key === '' ? [] : [`${productDialect.key}: ${key}`]),
   ...(program === '' ? [] : [`${productDialect.program}: ${program}`]),
   ...(after === '' ? [] : [`${productDialect.after}: ${after}`]),
-  ...(checkedManner[manner] === 'stream' ? [`${productDialect.tokens}: 10,${mostTokens}`] : []),
+  ...(checkedManner[manner] === 'stream' ? [`${productDialect.tokens}: 10,${maxTokens}`] : []),
 ];
 
-/** One client. */
+/** One client: sends one request at a time and records each answer. */
 class SoakClient {
-  private readonly draw: () => number;
+  private readonly random: () => number;
   private connection: KeptConnection | undefined;
   private front = '';
   private sent = 0;
   private programs = 0;
-  /** The program of the next turn, and the turn that it goes on from. */
+  /** The program of the next turn, empty to begin a new one. */
   private program = '';
+  /** The last turn of that program, which the next one continues; empty for the first. */
   private after = '';
-  /** The newest operation key and its body. */
+  /** The last operation key sent and its body, which may be repeated. */
   private lastKeyed: Pick<Operation, 'key' | 'input'> | undefined;
 
   constructor(
@@ -89,13 +94,13 @@
     private readonly fronts: readonly string[],
     private readonly record: (request: ClientRequest) => void,
   ) {
-    this.draw = seededRandom(seed);
+    this.random = seededRandom(seed);
   }
 
   async run(until: number): Promise<void> {
     while (hostClock.now() < until) {
       await this.sendOne(until);
-      await delay(hostClock, this.draw() * longestPauseMs);
+      await delay(hostClock, this.random() * maxPauseMs);
     }
     this.connection?.close();
   }
@@ -109,36 +114,36 @@
     const answer = await connection.send({ path, headers: headersOf(operation), body: input });
     const pass = this.passOf(operation, path, answer);
     this.record({ pass, front: this.front, answer });
-    this.follow(operation, pass);
+    this.updateProgram(operation, pass);
   }
 
   private async openConnection(until: number): Promise<KeptConnection | undefined> {
     while (!this.connection || this.connection.closed) {
-      this.front = this.fronts[Math.floor(this.draw() * this.fronts.length)] ?? '';
+      this.front = this.fronts[Math.floor(this.random() * this.fronts.length)] ?? '';
       this.connection = await KeptConnection.open(this.front).catch(() => undefined);
       if (this.connection) break;
       if (hostClock.now() >= until) return undefined;
-      await delay(hostClock, reconnectMs);
+      await delay(hostClock, reconnectDelayMs);
     }
     return this.connection;
   }
 
   private nextOperation(): Operation {
-    const manner = manners[Math.floor(this.draw() * manners.length)] ?? 'turn';
+    const manner = manners[Math.floor(this.random() * manners.length)] ?? 'turn';
     const attempt = `${this.name}-${++this.sent}`;
-    const plain = { manner, attempt, key: '', program: '', after: '', input: `in ${attempt}` };
-    if (manner === 'keyed') return { ...plain, ...this.nextKey(attempt) };
-    if (manner === 'flow') return { ...plain, program: `flow-${attempt}` };
-    if (manner !== 'turn') return plain;
-    if (this.program === '' || this.draw() > continuedTurnShare) {
+    const base = { manner, attempt, key: '', program: '', after: '', input: `in ${attempt}` };
+    if (manner === 'keyed') return { ...base, ...this.nextKey(attempt) };
+    if (manner === 'flow') return { ...base, program: `flow-${attempt}` };
+    if (manner !== 'turn') return base;
+    if (this.program === '' || this.random() > continuedTurnShare) {
       this.program = `${this.name}-p${++this.programs}`;
       this.after = '';
     }
-    return { ...plain, program: this.program, after: this.after };
+    return { ...base, program: this.program, after: this.after };
   }
 
   private nextKey(attempt: string): Pick<Operation, 'key' | 'input'> {
-    if (!this.lastKeyed || this.draw() > repeatedKeyShare)
+    if (!this.lastKeyed || this.random() > repeatedKeyShare)
       this.lastKeyed = { key: `key-${attempt}`, input: `in ${attempt}` };
     return this.lastKeyed;
   }
@@ -153,7 +158,7 @@
       attempt,
       program,
       budget: null,
-      most: mostTokens,
+      most: maxTokens,
       after,
       input,
       from: answer.sentAt,
@@ -166,14 +171,14 @@
     };
   }
 
-  private follow({ manner, attempt }: Operation, { reported }: PassRecord): void {
+  private updateProgram({ manner, attempt }: Operation, { reported }: PassRecord): void {
     if (manner !== 'turn') return;
     if (reported === 'done') this.after = attempt;
     else this.program = '';
   }
 }
 
-/** Runs all clients of a soak until a time of the steady clock; resolves once each has its last answer. */
+/** Runs all clients of a soak until `until` (ms of the steady clock); resolves once each has its last answer. */
 export const runSoakClients = async (
   { seed, clients, fronts }: SoakClientsOptions,
   until: number,
--- a/packages/fleet/src/soak/soak-plan.ts
+++ b/packages/fleet/src/soak/soak-plan.ts
@@ -1,9 +1,9 @@
-/** What a soak does to its fleet, and when: drawn from its seed alone, so that the same seed plays the same plan again. */
+/** The plan of a soak: which machines it disturbs, and when. It depends on the seed and sizes alone, so a seed is repeatable. */
 import { seededRandom } from '../layout.js';
 
-/** A step that works on one machine. `planned` ones stop or reload it in order; the others are faults. */
+/** A disturbance of one machine: `roll` and `reload` are planned operations, `kill` and `freeze` are frontFaults. */
 type SoakStep =
-  /** SIGTERM to all processes; `again` sends a second one soon after. They are started again when they have ended. */
+  /** SIGTERM to all processes; `again` sends a second one soon after. The processes are restarted once all have exited. */
   | { readonly kind: 'roll'; readonly again: boolean }
   /** SIGHUP to all processes. */
   | { readonly kind: 'reload' }
@@ -12,119 +12,122 @@
   /** SIGSTOP, and SIGCONT after `forMs`. */
   | { readonly kind: 'freeze'; readonly forMs: number };
 
-/** A step, the machine it works on, and when, in ms from the start of the traffic. */
+/** A step, its machine, and its time in ms from the start of the traffic. */
 export interface TimedStep {
   readonly at: number;
   readonly machine: 'front' | 'store' | 'control';
-  /** Which of the machines of that kind. */
+  /** Index among the machines of that kind. */
   readonly index: number;
   readonly step: SoakStep;
 }
 
-/** How large a soak is, and how long it lasts. */
+/** Machine and client counts of a soak, and its duration. */
 export interface SoakSizes {
   readonly controls: number;
   readonly stores: number;
   readonly fronts: number;
   readonly clients: number;
-  /** For how long clients begin requests, in ms. */
+  /** Time during which clients send new requests, in ms. */
   readonly trafficMs: number;
 }
 
 /** The plan of one seed. */
 export interface SoakPlan {
   readonly steps: readonly TimedStep[];
-  /** Between two changes of the configuration by one operator, in ms. */
+  /** Longest pause of an operator between two configuration changes, in ms. */
   readonly changeEveryMs: number;
-  /** Operators that change the configuration at once. */
+  /** Number of operators that change the configuration concurrently. */
   readonly operators: number;
 }
 
 const firstStepMs = 500;
-/** No step begins in the last part of the traffic, so that its consequences are seen. */
-const quietShare = 0.25;
-const gapsMs = [250, 500, 1000, 1500] as const;
+/** No step begins in this last share of the traffic, so that the effects of the last step are recorded. */
+const undisturbedShare = 0.25;
+const rollGapsMs = [250, 500, 1000, 1500] as const;
 const changeGapsMs = [150, 400, 1000] as const;
-const mostOperators = 3;
+const maxOperators = 3;
 const doubleSignalShare = 0.2;
 const reloadShare = 0.3;
-const faultyShare = 0.3;
+const faultShare = 0.3;
 const storesShare = 0.5;
 const controlsShare = 0.5;
-/** Stores and controls are stopped one after the other, so that a majority and each quorum stays. */
+/** Time between stops of two stores or two controls, so that a majority and every quorum stay available. */
 const quorumGapMs = 5000;
-const frozenMs = 800;
+const minFreezeMs = 800;
 
-type Draw = () => number;
+/** Returns the next pseudo-random number from 0 up to 1. */
+type Random = () => number;
 
-const pick = <T>(draw: Draw, from: readonly [T, ...T[]]): T =>
-  from[Math.floor(draw() * from.length)] ?? from[0];
+const pick = <T>(random: Random, from: readonly [T, ...T[]]): T =>
+  from[Math.floor(random() * from.length)] ?? from[0];
 
-const shuffled = (draw: Draw, count: number): readonly number[] =>
-  Array.from({ length: count }, (_, n) => ({ n, order: draw() }))
+const shuffled = (random: Random, count: number): readonly number[] =>
+  Array.from({ length: count }, (_, n) => ({ n, order: random() }))
     .sort((a, b) => a.order - b.order)
     .map(({ n }) => n);
 
-/** Rounds in which every front is stopped in turn, again and again; a round may begin before the last one has ended. */
-const frontRolls = (draw: Draw, fronts: number, endMs: number): readonly TimedStep[] => {
-  const gapMs = pick(draw, gapsMs);
+/** Repeated rolling restarts of all fronts, in random order; a round may begin before the previous one has finished. */
+const frontRolls = (random: Random, fronts: number, endMs: number): readonly TimedStep[] => {
+  const gapMs = pick(random, rollGapsMs);
   const steps: TimedStep[] = [];
   for (let at = firstStepMs; at < endMs;) {
-    for (const index of shuffled(draw, fronts)) {
-      const step = { kind: 'roll', again: draw() < doubleSignalShare } as const;
+    for (const index of shuffled(random, fronts)) {
+      const step = { kind: 'roll', again: random() < doubleSignalShare } as const;
       if (at < endMs) steps.push({ at, machine: 'front', index, step });
       at += gapMs;
     }
-    at += draw() * gapMs * fronts;
+    at += random() * gapMs * fronts;
   }
   return steps;
 };
 
-const reloads = (draw: Draw, fronts: number, endMs: number): readonly TimedStep[] =>
+/** One reload of each front at a random time. */
+const reloads = (random: Random, fronts: number, endMs: number): readonly TimedStep[] =>
   Array.from({ length: fronts }, (_, index) => ({
-    at: firstStepMs + draw() * (endMs - firstStepMs),
+    at: firstStepMs + random() * (endMs - firstStepMs),
     machine: 'front' as const,
     index,
     step: { kind: 'reload' } as const,
   }));
 
+/** One restart of each store or control that fits before `endMs`, `quorumGapMs` apart. */
 const quorumRolls = (
-  draw: Draw,
+  random: Random,
   machine: 'store' | 'control',
   count: number,
   endMs: number,
 ): readonly TimedStep[] =>
-  shuffled(draw, count)
+  shuffled(random, count)
     .map((index, n) => ({
-      at: firstStepMs + n * quorumGapMs + draw() * firstStepMs,
+      at: firstStepMs + n * quorumGapMs + random() * firstStepMs,
       machine,
       index,
       step: { kind: 'roll', again: false } as const,
     }))
     .filter(({ at }) => at < endMs);
 
-/** One fault of a front in the middle of the run. */
-const faults = (draw: Draw, fronts: number, endMs: number): readonly TimedStep[] => {
+/** Kills or freezes one random front in the middle of the disturbed time. */
+const frontFaults = (random: Random, fronts: number, endMs: number): readonly TimedStep[] => {
   const step: SoakStep =
-    draw() < 1 / 2 ? { kind: 'kill' } : { kind: 'freeze', forMs: frozenMs * (1 + draw()) };
-  return [{ at: endMs / 2, machine: 'front', index: Math.floor(draw() * fronts), step }];
+    random() < 1 / 2 ? { kind: 'kill' } : { kind: 'freeze', forMs: minFreezeMs * (1 + random()) };
+  return [{ at: endMs / 2, machine: 'front', index: Math.floor(random() * fronts), step }];
 };
 
-/** Draws the plan of a seed: fronts always roll; reloads, stores, controls and a fault come in a part of the seeds. */
+/** Draws the plan of a seed: fronts are always restarted; only a share of the seeds has reloads, store or control restarts, or a fault. */
 export const soakPlan = (seed: number, sizes: SoakSizes): SoakPlan => {
-  const draw = seededRandom(seed);
-  const endMs = sizes.trafficMs * (1 - quietShare);
+  const random = seededRandom(seed);
+  const endMs = sizes.trafficMs * (1 - undisturbedShare);
   const { fronts, stores, controls } = sizes;
   const steps = [
-    ...frontRolls(draw, fronts, endMs),
-    ...(draw() < reloadShare ? reloads(draw, fronts, endMs) : []),
-    ...(draw() < storesShare ? quorumRolls(draw, 'store', stores, endMs) : []),
-    ...(draw() < controlsShare ? quorumRolls(draw, 'control', controls, endMs) : []),
-    ...(draw() < faultyShare ? faults(draw, fronts, endMs) : []),
+    ...frontRolls(random, fronts, endMs),
+    ...(random() < reloadShare ? reloads(random, fronts, endMs) : []),
+    ...(random() < storesShare ? quorumRolls(random, 'store', stores, endMs) : []),
+    ...(random() < controlsShare ? quorumRolls(random, 'control', controls, endMs) : []),
+    ...(random() < faultShare ? frontFaults(random, fronts, endMs) : []),
   ];
   return {
     steps: [...steps].sort((a, b) => a.at - b.at),
-    changeEveryMs: pick(draw, changeGapsMs),
-    operators: 1 + Math.floor(draw() * mostOperators),
+    changeEveryMs: pick(random, changeGapsMs),
+    operators: 1 + Math.floor(random() * maxOperators),
   };
 };
--- a/packages/fleet/src/soak/soak-rules.ts
+++ b/packages/fleet/src/soak/soak-rules.ts
@@ -1,4 +1,4 @@
-/** What a soak is judged by, from what its clients, servers and operators saw and from how its processes ended. */
+/** The rules of a soak, checked on the records of its clients, servers and operators and on the exits of its processes. */
 import {
   configHistory,
   defaultTolerances,
@@ -10,11 +10,11 @@
 import type { ClientRequest } from './soak-clients.js';
 import type { SoakOrder } from './soak-operators.js';
 
-/** Something that was done to a machine, or that one of its processes did. Times are in ms of the steady clock. */
+/** A signal sent to a machine, or a start or exit of one of its processes. Times are in ms of the steady clock. */
 export interface SoakEvent {
   readonly at: number;
   readonly machine: 'front' | 'store' | 'control';
-  /** The address at which a front serves clients; else that of its pages. */
+  /** The HTTP address: a front serves clients there, other machines their status pages. */
   readonly address: string;
   readonly kind:
     | 'term'
@@ -26,32 +26,36 @@
     | 'overdue'
     | 'exited'
     | 'reloadedWhileLoading';
+  /** Details for the report of a broken rule; may be empty. */
   readonly text: string;
 }
 
-/** The bounds that a soak is judged by, in ms. */
+/** The time limits that a soak is checked against, in ms. */
 export interface SoakBounds {
-  /** Processes are killed this long after SIGTERM. */
+  /** Time from SIGTERM until a process that still runs is killed. */
   readonly graceMs: number;
-  /** How long trouble has to be over for the bounds to hold. */
+  /** Time after a fault (for orders: after any event of a store or control) in which requests and orders are not checked. */
   readonly settleMs: number;
+  /** A connection that a front closes within this time of the request counts as not accepted. */
   readonly lossSlackMs: number;
+  /** Limit for the answer to an order, from its first attempt. */
   readonly ackWithinMs: number;
 }
 
-/** All that a soak recorded. */
+/** All records of a soak. */
 export interface SoakRecords {
   readonly requests: readonly ClientRequest[];
   readonly executed: readonly ExecutionRecord[];
   readonly events: readonly SoakEvent[];
   readonly orders: readonly SoakOrder[];
   readonly configCalls: readonly ConfigCall[];
+  /** Whether a control returned the configuration after the traffic had ended. */
   readonly configReadBack: boolean;
 }
 
-/** Requests that came in this share of the grace may be cut in its last sixth, as the users' pages say. */
+/** Requests sent within this share of the grace period may be cut in its last sixth, as the users' pages specify. */
 const earlyShare = 3 / 8;
-const lastCutsShare = 5 / 6;
+const cutsAllowedFromShare = 5 / 6;
 
 const faultKinds: ReadonlySet<SoakEvent['kind']> = new Set([
   'killed',
@@ -61,7 +65,7 @@
   'reloadedWhileLoading',
 ]);
 
-const touchesFault = (
+const overlapsFault = (
   { events }: SoakRecords,
   { settleMs: calmMs }: SoakBounds,
   from: number,
@@ -79,76 +83,76 @@
       kind === 'term' &&
       address === front &&
       answer.sentAt <= at + graceMs * earlyShare &&
-      answer.endedAt >= at + graceMs * lastCutsShare,
+      answer.endedAt >= at + graceMs * cutsAllowedFromShare,
   );
 
-const describe = ({ events }: SoakRecords, { pass, front, answer }: ClientRequest): string => {
+const describeLoss = ({ events }: SoakRecords, { pass, front, answer }: ClientRequest): string => {
   const signal = events.findLast(
     ({ kind, address, at }) => kind === 'term' && address === front && at <= answer.endedAt,
   );
   const sinceSignal = signal ? `${Math.round(answer.sentAt - signal.at)} ms after SIGTERM` : '';
-  const lastedMs = Math.round(answer.endedAt - answer.sentAt);
-  return `${pass.attempt} ${pass.path} at ${front} ${sinceSignal} ended with ${answer.status} after ${lastedMs} ms`;
+  const durationMs = Math.round(answer.endedAt - answer.sentAt);
+  return `${pass.attempt} ${pass.path} at ${front} ${sinceSignal} ended with ${answer.status} after ${durationMs} ms`;
 };
 
-const nothingIsLost = (records: SoakRecords, bounds: SoakBounds): RuleResult => {
+const acceptedRequestsComplete = (records: SoakRecords, bounds: SoakBounds): RuleResult => {
   const executed = new Set(records.executed.map(({ attempt }) => attempt));
-  const judged = records.requests.filter(
-    ({ answer }) => !touchesFault(records, bounds, answer.sentAt, answer.endedAt),
+  const checked = records.requests.filter(
+    ({ answer }) => !overlapsFault(records, bounds, answer.sentAt, answer.endedAt),
   );
-  const lost = judged.filter((request) => {
+  const lost = checked.filter((request) => {
     const { pass, answer } = request;
-    const heldMs = answer.endedAt - answer.sentAt;
-    const taken = executed.has(pass.attempt) || heldMs > bounds.lossSlackMs;
-    return !answer.complete && taken && !isExcusedCut(records, bounds, request);
+    const durationMs = answer.endedAt - answer.sentAt;
+    const accepted = executed.has(pass.attempt) || durationMs > bounds.lossSlackMs;
+    return !answer.complete && accepted && !isExcusedCut(records, bounds, request);
   });
   return {
-    rule: 'a request that was taken has a complete answer (LOST)',
-    checked: judged.length,
-    breaches: lost.map((request) => describe(records, request)),
+    rule: 'a request that was accepted has a complete answer (LOST)',
+    checked: checked.length,
+    breaches: lost.map((request) => describeLoss(records, request)),
   };
 };
 
-const ordersAreAcknowledged = (records: SoakRecords, bounds: SoakBounds): RuleResult => {
-  const isCoreCalm = ({ sentAt, answeredAt }: SoakOrder): boolean =>
+const ordersAnsweredInTime = (records: SoakRecords, bounds: SoakBounds): RuleResult => {
+  const isUndisturbed = ({ sentAt, answeredAt }: SoakOrder): boolean =>
     !records.events.some(
       ({ machine, at }) =>
         machine !== 'front' && at >= sentAt - bounds.settleMs && at <= answeredAt,
     );
-  const judged = records.orders.filter(isCoreCalm);
-  const late = judged.filter(({ sentAt, answeredAt }) => answeredAt - sentAt > bounds.ackWithinMs);
+  const checked = records.orders.filter(isUndisturbed);
+  const late = checked.filter(({ sentAt, answeredAt }) => answeredAt - sentAt > bounds.ackWithinMs);
   return {
-    rule: 'an order has a clear answer in its time while the core is calm (acks)',
-    checked: judged.length,
+    rule: 'an order is accepted or rejected in time while no store or control is disturbed (acks)',
+    checked: checked.length,
     breaches: late.map(
       ({ sentAt, answeredAt, status, attempts }) =>
-        `an order took ${Math.round(answeredAt - sentAt)} ms, ${attempts} attempts, last ${status}`,
+        `an order took ${Math.round(answeredAt - sentAt)} ms in ${attempts} attempts, last status ${status}`,
     ),
   };
 };
 
-const processesEndInOrder = ({ events }: SoakRecords): RuleResult => ({
-  rule: 'a process ends only when it is told to, and then within its grace',
+const processesExitInTime = ({ events }: SoakRecords): RuleResult => ({
+  rule: 'a process exits only when it is signalled, and then within its grace period',
   checked: events.filter(({ kind }) => kind === 'term').length,
   breaches: events
     .filter(({ kind }) => kind === 'overdue' || kind === 'exited')
     .map(({ kind, text }) => `${kind}: ${text}`),
 });
 
-const configIsReadBack = ({ configReadBack }: SoakRecords): RuleResult => ({
+const configWasReadBack = ({ configReadBack }: SoakRecords): RuleResult => ({
   rule: 'the configuration is read back at the end',
   checked: 1,
-  breaches: configReadBack ? [] : ['no control told it'],
+  breaches: configReadBack ? [] : ['no control returned the configuration'],
 });
 
-/** The results of all rules that a soak can see. */
+/** Checks every rule that the records of a soak can break. */
 export const checkSoak = (records: SoakRecords, bounds: SoakBounds): readonly RuleResult[] => {
   const passes = records.requests.map(({ pass }) => pass);
   return [
-    nothingIsLost(records, bounds),
-    ordersAreAcknowledged(records, bounds),
-    processesEndInOrder(records),
-    configIsReadBack(records),
+    acceptedRequestsComplete(records, bounds),
+    ordersAnsweredInTime(records, bounds),
+    processesExitInTime(records),
+    configWasReadBack(records),
     configHistory(records.configCalls),
     ...passRules({ ...noRecords, passes, executed: records.executed }, defaultTolerances),
   ];
--- a/packages/fleet/src/soak/soak-seeds.ts
+++ b/packages/fleet/src/soak/soak-seeds.ts
@@ -1,26 +1,27 @@
-/** Runs soaks of several seeds, one after the other, and reports what broke and how requests and orders fared. */
+/** Runs the soaks of several seeds one after the other, and reports broken rules, request counts and order latencies. */
 import { runSoak, type SoakResult } from './soak.js';
 import type { SoakSizes } from './soak-plan.js';
 
-/** Which soaks are run. */
+/** The seeds, sizes and folder of a series of soaks. */
 export interface SoakChoice {
   /** The first seed. */
   readonly seed: number;
   readonly count: number;
   readonly sizes: SoakSizes;
+  /** The folder for settings, logs and data. */
   readonly dir: string;
 }
 
 const millisecondsPerSecond = 1000;
 const clientsPerFront = 6;
-/** From this number of fronts on there are as many controls and stores as for two losses. */
-const largeFronts = 10;
-const small = { controls: 3, stores: 3 };
-const large = { controls: 5, stores: 5 };
+/** From this number of fronts on there are five controls and five stores, which tolerate two failures each. */
+const largeClusterFromFronts = 10;
+const smallCluster = { controls: 3, stores: 3 };
+const largeCluster = { controls: 5, stores: 5 };
 
-/** The sizes of a soak with so many fronts, whose clients send requests for so many seconds. */
+/** The sizes of a soak with `fronts` fronts whose clients send requests for `seconds` seconds. */
 export const soakSizesOf = (fronts: number, seconds: number): SoakSizes => ({
-  ...(fronts < largeFronts ? small : large),
+  ...(fronts < largeClusterFromFronts ? smallCluster : largeCluster),
   fronts,
   clients: fronts * clientsPerFront,
   trafficMs: seconds * millisecondsPerSecond,
@@ -29,7 +30,7 @@
 const percentile = (sorted: readonly number[], share: number): number =>
   sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 
-const countsOf = ({ records }: SoakResult): string => {
+const outcomeCounts = ({ records }: SoakResult): string => {
   const counts = new Map<string, number>();
   for (const { pass } of records.requests) {
     const name = pass.reported === 'done' ? 'done' : `${pass.reported} ${pass.errorCode}`;
@@ -41,7 +42,7 @@
     .join(', ');
 };
 
-const ackTimes = ({ records }: SoakResult): string => {
+const latencySummary = ({ records }: SoakResult): string => {
   const times = records.orders
     .map(({ sentAt, answeredAt }) => answeredAt - sentAt)
     .sort((a, b) => a - b);
@@ -57,12 +58,12 @@
   );
   const outcome = lines.length === 0 ? 'kept' : `${lines.length} breaches`;
   return [
-    `seed ${seed}: ${outcome}; ${result.plan.steps.length} steps; ${countsOf(result)}; ${ackTimes(result)}`,
+    `seed ${seed}: ${outcome}; ${result.plan.steps.length} steps; ${outcomeCounts(result)}; ${latencySummary(result)}`,
     ...lines,
   ];
 };
 
-/** Runs the soaks; resolves with whether all of them kept every rule. A fleet that does not come up counts as broken. */
+/** Runs the soaks; resolves with whether all of them kept every rule. A soak whose fleet does not start counts as broken. */
 export const soakSeeds = async (
   { seed: first, count, sizes, dir }: SoakChoice,
   report: (line: string) => void,
--- a/packages/fleet/src/soak/soak.ts
+++ b/packages/fleet/src/soak/soak.ts
@@ -1,6 +1,7 @@
 /**
- * A soak of real processes: clients that keep using open connections, operators that race, and machines that are told to
- * stop, reload or are killed in series that overlap. All of it follows from a seed; how processes run does not.
+ * A soak test on real processes: clients reuse open connections, operators change the configuration concurrently, and
+ * machines are stopped, reloaded, killed and frozen in overlapping series. The plan is drawn from a seed; the scheduling
+ * of the processes is not repeatable.
  */
 import { join } from 'node:path';
 import { ExecutionLog, PassServer } from '@tillerstair/stand-ins';
@@ -13,22 +14,22 @@
 import { checkSoak, type SoakBounds, type SoakEvent, type SoakRecords } from './soak-rules.js';
 import type { RuleResult } from '@tillerstair/checker';
 
-/** What decides a soak. */
+/** The options of a soak. */
 export interface SoakOptions {
   readonly seed: number;
   readonly sizes: SoakSizes;
-  /** Where settings, logs and data go. */
+  /** The folder for settings, logs and data; each seed has a subfolder. */
   readonly dir: string;
 }
 
-/** What came of a soak. */
+/** The outcome of a soak: rule results, the records they were checked on, and the plan. */
 export interface SoakResult {
   readonly results: readonly RuleResult[];
   readonly records: SoakRecords;
   readonly plan: SoakPlan;
 }
 
-/** The bounds of the users' small sites, with a shorter grace. */
+/** The time limits of the users' small sites, with a shorter grace period. */
 const soakBounds: SoakBounds = {
   graceMs: 6000,
   settleMs: 3000,
@@ -43,23 +44,24 @@
   failureTimeout: 1800,
 };
 const stopWithin = soakBounds.graceMs * 0.9;
-const secondSignalMs = 100;
-/** A process that is ended by SIGHUP within this time of its start had not loaded yet, in ms. */
-const loadingMs = 1000;
-/** A process that ended is started again after so long, in ms. */
-const restartMs = 500;
+const secondSignalDelayMs = 100;
+/** A process that SIGHUP ends within this time of its start is taken to be still loading, in ms. */
+const loadTimeMs = 1000;
+/** Delay before a machine whose processes exited is started again, in ms. */
+const restartDelayMs = 500;
 const readyTimeoutMs = 30000;
 const readBackTimeoutMs = 15000;
 const pool = { streams: 'models', bodies: 'shop' };
-const streamServers = 4;
-const bodyServers = 2;
+const streamServerCount = 4;
+const bodyServerCount = 2;
 
-/** One soak on a fleet of its own. */
+/** One soak; it starts its own fleet and closes it at the end. */
 class Soak {
   private readonly fleet: Fleet;
   private readonly executions = new ExecutionLog();
   private readonly events: SoakEvent[] = [];
   private readonly servers: PassServer[] = [];
+  /** Machines that a step has stopped or frozen. */
   private readonly busy = new Set<Machine>();
   private readonly plan: SoakPlan;
   private closing = false;
@@ -76,13 +78,13 @@
       log: 'info',
       extraSettings: { bounds },
       extraFrontSettings: { stopWithin },
-      onExit: (name, signal, ranMs) => this.noteExit(name, signal, ranMs),
+      onExit: (name, signal, ranMs) => this.recordExit(name, signal, ranMs),
     });
   }
 
   async run(): Promise<SoakResult> {
     try {
-      const operators = await this.bringUp();
+      const operators = await this.startFleet();
       const startedAt = hostClock.now();
       const endsAt = startedAt + this.options.sizes.trafficMs;
       const { seed, sizes } = this.options;
@@ -90,7 +92,7 @@
       const [requests] = await Promise.all([
         runSoakClients(clients, endsAt),
         operators.run(endsAt),
-        this.carryOut(startedAt),
+        this.runPlan(startedAt),
       ]);
       const configReadBack = await this.readBack(operators);
       const records = {
@@ -109,7 +111,7 @@
     }
   }
 
-  private async bringUp(): Promise<SoakOperators> {
+  private async startFleet(): Promise<SoakOperators> {
     const { fleet, plan } = this;
     await fleet.build();
     fleet.start();
@@ -120,19 +122,21 @@
       operators: plan.operators,
       changeEveryMs: plan.changeEveryMs,
     });
-    await until('the first configuration', readyTimeoutMs, () => operators.putFirst());
+    await until('the first configuration to be accepted', readyTimeoutMs, () =>
+      operators.putFirst(),
+    );
     operators.orders.length = 0;
     await this.startServers();
-    await until('all fronts', readyTimeoutMs, () => fleet.ready('front'));
+    await until('all fronts to be ready', readyTimeoutMs, () => fleet.ready('front'));
     return operators;
   }
 
   private async startServers(): Promise<void> {
-    const ports = await freePorts(streamServers + bodyServers);
+    const ports = await freePorts(streamServerCount + bodyServerCount);
     for (const [n, port] of ports.entries()) {
       const options = {
         id: `server-${n}`,
-        pool: n < streamServers ? pool.streams : pool.bodies,
+        pool: n < streamServerCount ? pool.streams : pool.bodies,
         addr: `127.0.0.1:${port}`,
         bodyMs: 20,
         eventMs: 60,
@@ -146,24 +150,24 @@
     }
   }
 
-  /** Does each step of the plan at its time; resolves once all machines that were stopped run again. */
-  private async carryOut(startedAt: number): Promise<void> {
+  /** Applies each step of the plan at its time; resolves once all stopped machines have been started again. */
+  private async runPlan(startedAt: number): Promise<void> {
     await Promise.all(
       this.plan.steps.map(async (timed) => {
         await delay(hostClock, startedAt + timed.at - hostClock.now());
         const machine = this.fleet.machinesOf(timed.machine).at(timed.index);
-        if (machine) await this.doStep(machine, timed);
+        if (machine) await this.applyStep(machine, timed);
       }),
     );
   }
 
-  private async doStep(machine: Machine, { step }: TimedStep): Promise<void> {
+  private async applyStep(machine: Machine, { step }: TimedStep): Promise<void> {
     if (step.kind === 'reload') {
-      this.note(machine, 'reload');
-      for (const proc of machine.processes) proc.signal('SIGHUP');
+      this.recordEvent(machine, 'reload');
+      for (const process of machine.processes) process.signal('SIGHUP');
       return;
     }
-    // A machine that is stopped or frozen already is left alone: the platform stops it once.
+    // A machine that is already stopped or frozen is skipped: the platform does not stop a machine twice at once.
     if (this.busy.has(machine)) return;
     this.busy.add(machine);
     if (step.kind === 'roll') await this.roll(machine, step.again);
@@ -173,70 +177,76 @@
   }
 
   private async roll(machine: Machine, again: boolean): Promise<void> {
-    this.note(machine, 'term');
+    this.recordEvent(machine, 'term');
     if (again)
-      void delay(hostClock, secondSignalMs).then(() => {
-        for (const proc of machine.processes) proc.signal('SIGTERM');
+      void delay(hostClock, secondSignalDelayMs).then(() => {
+        for (const process of machine.processes) process.signal('SIGTERM');
       });
     const { graceMs } = soakBounds;
-    const killed = await Promise.all(machine.processes.map((proc) => proc.end('SIGTERM', graceMs)));
-    machine.processes.forEach((proc, n) => {
-      if (killed[n]) this.note(machine, 'overdue', `${proc.name} was killed after its grace`);
+    const killed = await Promise.all(
+      machine.processes.map((process) => process.end('SIGTERM', graceMs)),
+    );
+    machine.processes.forEach((process, n) => {
+      if (killed[n])
+        this.recordEvent(machine, 'overdue', `${process.name} was killed after its grace period`);
     });
-    this.note(machine, 'ended');
-    await this.startAgain(machine);
+    this.recordEvent(machine, 'ended');
+    await this.restartAfterDelay(machine);
   }
 
   private async kill(machine: Machine): Promise<void> {
-    this.note(machine, 'killed');
+    this.recordEvent(machine, 'killed');
     await this.fleet.stop([machine]);
-    await this.startAgain(machine);
+    await this.restartAfterDelay(machine);
   }
 
   private async freeze(machine: Machine, forMs: number): Promise<void> {
-    this.note(machine, 'frozen');
-    for (const proc of machine.processes) proc.freeze();
+    this.recordEvent(machine, 'frozen');
+    for (const process of machine.processes) process.freeze();
     await delay(hostClock, forMs);
-    for (const proc of machine.processes) proc.resume();
-    this.note(machine, 'frozen', 'woken');
+    for (const process of machine.processes) process.resume();
+    this.recordEvent(machine, 'frozen', 'woken');
   }
 
-  private async startAgain(machine: Machine): Promise<void> {
-    await delay(hostClock, restartMs);
+  private async restartAfterDelay(machine: Machine): Promise<void> {
+    await delay(hostClock, restartDelayMs);
     if (this.closing) return;
     this.fleet.start([machine]);
-    this.note(machine, 'started');
+    this.recordEvent(machine, 'started');
   }
 
-  private note(machine: Machine, kind: SoakEvent['kind'], text = ''): void {
+  private recordEvent(machine: Machine, kind: SoakEvent['kind'], text = ''): void {
     const { http: address } = machine;
     this.events.push({ at: hostClock.now(), machine: machine.kind, address, kind, text });
   }
 
   /**
-   * A SIGHUP ends a process whose first line has not run yet; nothing in it can prevent that. The users' pages allow for
-   * a second after a start (RULES, "Own ends"), so it is noted, and only a later end, or one by itself, is judged.
+   * Records an exit that the soak did not order. SIGHUP ends a process whose first line has not run yet, and the process
+   * cannot prevent that. The users' pages allow for it during one second after a start (RULES, "Own ends"), so such an
+   * exit is only recorded and the machine restarted; a later exit by SIGHUP, or any other exit, breaks a rule.
    */
-  private noteExit(name: string, signal: NodeJS.Signals | null, ranMs: number): void {
+  private recordExit(name: string, signal: NodeJS.Signals | null, ranMs: number): void {
     const machine = [
       ...this.fleet.machinesOf('control'),
       ...this.fleet.machinesOf('store'),
       ...this.fleet.machinesOf('front'),
-    ].find(({ processes: procs }) => procs.some((proc) => proc.name === name));
+    ].find(({ processes }) => processes.some((process) => process.name === name));
     if (this.closing || !machine || this.busy.has(machine)) return;
-    const isLoading = signal === 'SIGHUP' && ranMs < loadingMs;
-    const text = `${name} ended after ${ranMs} ms by ${signal ?? 'itself'}`;
-    this.note(machine, isLoading ? 'reloadedWhileLoading' : 'exited', text);
-    if (isLoading) void this.startAgain(machine);
+    const isLoading = signal === 'SIGHUP' && ranMs < loadTimeMs;
+    const text = `${name} exited after ${ranMs} ms by ${signal ?? 'itself'}`;
+    this.recordEvent(machine, isLoading ? 'reloadedWhileLoading' : 'exited', text);
+    if (isLoading) void this.restartAfterDelay(machine);
   }
 
   private async readBack(operators: SoakOperators): Promise<boolean> {
-    return until('a read-back', readBackTimeoutMs, () => operators.read()).then(
+    return until('a control to return the configuration', readBackTimeoutMs, () =>
+      operators.read(),
+    ).then(
       () => true,
       () => false,
     );
   }
 }
 
-/** Runs one soak; rejects where the fleet does not come up. */
+/** Runs one soak; rejects if the fleet does not become ready. */
 export const runSoak = (options: SoakOptions): Promise<SoakResult> => new Soak(options).run();
