--- a/packages/fleet/src/configs.ts
+++ b/packages/fleet/src/configs.ts
@@ -1,17 +1,23 @@
-/** The configurations that the operators of a fleet submit. */
+/** Generates the configurations that a fleet's operators submit. */
 import type { Site } from './layout.js';
 
-/** What a configuration of a fleet is made from. */
+/** The variable parts of a generated configuration. */
 export interface ConfigShape {
+  /** The version that the configuration is based on. */
   readonly base: number;
+  /** Pools of the chat route, with equal shares. */
   readonly turnPools: readonly string[];
+  /** Pools of the call routes, with equal shares. */
   readonly callPools: readonly string[];
+  /** Number of unused call routes, which make the configuration larger. */
   readonly extraRoutes: number;
+  /** Text of the comment in the first line. */
   readonly note: string;
+  /** Whether server weights are tuned; true by default. */
   readonly tuning?: boolean;
 }
 
-/** The text of a configuration for a house. */
+/** Returns the text of a configuration file for one of the users' sites. */
 export const configFor = (house: Site, shape: ConfigShape): string => {
   const pools = [
     ...[...new Set([house.modelPool, ...shape.turnPools])].map((name) => ({ name, kind: 'model' })),
--- a/packages/fleet/src/failure-scenarios.ts
+++ b/packages/fleet/src/failure-scenarios.ts
@@ -1,4 +1,4 @@
-/** Scenarios in which machines and processes are killed, frozen, wiped and cut off. */
+/** Scenarios in which machines and processes are killed, frozen, wiped or cut off the network. */
 import { until } from './fleet.js';
 import {
   isolate,
@@ -10,7 +10,7 @@
   type Scenario,
 } from './scenario-actions.js';
 
-/** These scenarios by name. */
+/** The failure scenarios, keyed by name. */
 export const failureScenarios: ReadonlyMap<string, Scenario> = new Map<string, Scenario>([
   [
     'calm',
@@ -42,7 +42,7 @@
         const from = Date.now();
         await wait(5000);
         const master = await run.fleet.master();
-        if (!master) throw new Error('no master to kill');
+        if (!master) throw new Error('scenario shares: no running control is reported as master');
         await run.fleet.stop([master]);
         await wait(6000);
         run.fleet.start([master]);
@@ -138,12 +138,12 @@
       seconds: 16,
       run: async (run) => {
         await wait(1500);
-        const m = run.pick(run.fleet.machinesOf('front'));
-        for (const p of m.processes) {
-          run.note(`kill ${p.name}`);
-          await p.end();
+        const machine = run.pick(run.fleet.machinesOf('front'));
+        for (const process of machine.processes) {
+          run.note(`kill ${process.name}`);
+          await process.end();
           await wait(2500);
-          p.start();
+          process.start();
           await wait(3000);
         }
       },
@@ -157,10 +157,10 @@
       seconds: 14,
       run: async (run) => {
         await wait(1500);
-        const p = run.pick(run.fleet.machinesOf('front')).processes.at(0);
-        p?.freeze();
+        const process = run.pick(run.fleet.machinesOf('front')).processes.at(0);
+        process?.freeze();
         await wait(5000);
-        p?.resume();
+        process?.resume();
         await wait(3000);
       },
     },
@@ -174,13 +174,13 @@
       run: async (run) => {
         await wait(1500);
         const master = await run.fleet.master();
-        const side = [
+        const minority = [
           ...new Set([...(master ? [master] : []), ...run.fleet.machinesOf('control')]),
         ].slice(0, 2);
-        const cut = isolate(run, side, 7000);
+        const cut = isolate(run, minority, 7000);
         await wait(500);
-        const inside = side.at(0);
-        if (inside) await run.put(1, inside.http);
+        const minorityControl = minority.at(0);
+        if (minorityControl) await run.put(1, minorityControl.http);
         await wait(4500);
         await run.readConfigVersion();
         await run.put(1);
@@ -221,12 +221,12 @@
       requiredRules: ['draining', 'in force'],
       run: async (run) => {
         await wait(1500);
-        const s = run.pick(usedModelServers(run));
+        const server = run.pick(usedModelServers(run));
         const cut = isolate(run, [run.pick(run.fleet.machinesOf('front'))], 7000);
         await wait(300);
-        const at = await markDraining(run, s.options.id);
+        const markedAt = await markDraining(run, server.options.id);
         await cut;
-        run.drainings.push({ server: s.options.id, at, until: Date.now() });
+        run.drainings.push({ server: server.options.id, at: markedAt, until: Date.now() });
       },
     },
   ],
--- a/packages/fleet/src/layout.ts
+++ b/packages/fleet/src/layout.ts
@@ -1,18 +1,22 @@
-/** Houses, sizes, zones, and the ports and random numbers of a fleet. */
+/** Users' sites, machine counts, zones, ports and random numbers of a fleet. */
 import { createServer } from 'node:net';
 
-/** One of the users' houses: its pools, servers and paths. */
+/** One of the users' sites: its server pools, server counts and call paths. */
 export interface Site {
   readonly name: string;
   readonly modelPool: string;
   readonly servicePool: string;
+  /** Number of model servers. */
   readonly models: number;
+  /** Number of service servers. */
   readonly services: number;
+  /** Generation time of the faster model servers, in ms a token. */
   readonly msPerToken: number;
+  /** Paths of calls; the first one is urgent. */
   readonly paths: readonly string[];
 }
 
-/** The house in Seoul. */
+/** The users' site in Seoul. */
 export const seoul: Site = {
   name: 'seoul',
   modelPool: 'seoul-models',
@@ -23,7 +27,7 @@
   paths: ['/shop/stock/hold', '/shop/delivery/book', '/shop/catalogue/update'],
 };
 
-/** The house in Norway. */
+/** The users' site in Norway. */
 export const norway: Site = {
   name: 'norway',
   modelPool: 'norway-models',
@@ -34,53 +38,56 @@
   paths: ['/notices/shift/approve', '/notices/payroll/remind', '/notices/safety/sign-off'],
 };
 
-/** The pool of the n-th server: every other one is in a second pool. */
+/** The pool of the n-th server: odd-numbered servers are in a second pool, `<pool>-b`. */
 export const poolOf = (pool: string, n: number): string => (n % 2 === 0 ? pool : `${pool}-b`);
 
-/** How many machines of each kind. */
+/** Number of machines of each kind. */
 export interface FleetSizes {
   readonly controls: number;
   readonly stores: number;
   readonly fronts: number;
 }
 
-/** The sizes of the full fleet. */
+/** The machine counts of `--sizes full`. */
 export const fullSizes: FleetSizes = { controls: 5, stores: 3, fronts: 8 };
-/** The sizes of the small fleet. */
+/** The machine counts of `--sizes small`. */
 export const smallSizes: FleetSizes = { controls: 3, stores: 3, fronts: 2 };
 
 const zones = ['zone-a', 'zone-b', 'zone-c'] as const;
-/** The zone of the n-th machine of a kind. */
-export const zoneOf = (n: number): string => zones[n % zones.length];
+/** The zone of the n-th machine of a kind: the three zones take turns. */
+export const zoneOf = (index: number): string => zones[index % zones.length];
 
-const portFloor = 11000;
-const portSpan = 20000;
-let nextPort = (process.pid * 613) % portSpan;
+const firstPort = 11000;
+const portCount = 20000;
+let nextPort = (process.pid * 613) % portCount;
 
-const bindable = (port: number): Promise<boolean> =>
+const canBind = (port: number): Promise<boolean> =>
   new Promise((done) => {
-    const s = createServer();
-    s.once('error', () => done(false));
-    s.listen(port, '127.0.0.1', () => s.close(() => done(true)));
+    const server = createServer();
+    server.once('error', () => done(false));
+    server.listen(port, '127.0.0.1', () => server.close(() => done(true)));
   });
 
-/** Ports that were free a moment ago; each is given out once by this process. */
+/**
+ * Finds ports that can be bound on 127.0.0.1 at the moment. The process attempts each port of its range once before it
+ * repeats one. Returns fewer than `count` if the whole range was tried.
+ */
 export const freePorts = async (count: number): Promise<readonly number[]> => {
-  const out: number[] = [];
-  for (let tries = 0; out.length < count && tries < portSpan; tries++) {
-    const port = portFloor + (nextPort++ % portSpan);
-    if (await bindable(port)) out.push(port);
+  const ports: number[] = [];
+  for (let attempts = 0; ports.length < count && attempts < portCount; attempts++) {
+    const port = firstPort + (nextPort++ % portCount);
+    if (await canBind(port)) ports.push(port);
   }
-  return out;
+  return ports;
 };
 
-/** Numbers from 0 up to 1, the same ones for the same seed. */
+/** A pseudo-random generator (mulberry32) of numbers from 0 up to 1; the same seed gives the same series. */
 export const seededRandom = (seed: number): (() => number) => {
-  let a = (seed ^ 0x9e3779b9) >>> 0;
+  let state = (seed ^ 0x9e3779b9) >>> 0;
   return () => {
-    a = (a + 0x6d2b79f5) >>> 0;
-    let t = Math.imul(a ^ (a >>> 15), 1 | a);
-    t = (t + Math.imul(t ^ (t >>> 7), 61 | t)) ^ t;
-    return ((t ^ (t >>> 14)) >>> 0) / 4294967296;
+    state = (state + 0x6d2b79f5) >>> 0;
+    let bits = Math.imul(state ^ (state >>> 15), 1 | state);
+    bits = (bits + Math.imul(bits ^ (bits >>> 7), 61 | bits)) ^ bits;
+    return ((bits ^ (bits >>> 14)) >>> 0) / 4294967296;
   };
 };
--- a/packages/fleet/src/model.ts
+++ b/packages/fleet/src/model.ts
@@ -1,26 +1,30 @@
-/** Long series of runs of the model test, in batches of seeds; every failing batch prints its least run. */
+/** Runs the model test in batches, one seed each; a failing batch prints its smallest failing run. */
 import { checkControlModel, type ModelChoice } from '@tillerstair/sim';
 
 const batchSize = 100;
 
-/** Makes all runs of a choice, goes on after a failing one, and returns whether none failed. */
+/** Makes all runs of a choice, continues after a failing batch, and resolves with whether none failed. */
 export const modelRuns = async (
   choice: ModelChoice,
   say: (line: string) => void,
 ): Promise<boolean> => {
-  let made = 0;
+  let runsMade = 0;
   let checked = 0;
-  let failed = 0;
-  for (let seed = choice.seed; made < choice.runs; seed++) {
-    const runs = Math.min(batchSize, choice.runs - made);
+  let failedBatches = 0;
+  for (let seed = choice.seed; runsMade < choice.runs; seed++) {
+    const runs = Math.min(batchSize, choice.runs - runsMade);
     const result = await checkControlModel({ ...choice, seed, runs });
-    made += runs;
+    runsMade += runs;
     checked += result.checked;
     if (!result.failed) continue;
-    failed++;
-    say(`seed ${seed}: ${result.failed.findings.map((f) => `${f.rule}: ${f.text}`).join('; ')}`);
-    say(`  least run: ${JSON.stringify(result.failed.run)}`);
+    failedBatches++;
+    say(
+      `seed ${seed}: ${result.failed.findings.map((finding) => `${finding.rule}: ${finding.text}`).join('; ')}`,
+    );
+    say(`  smallest failing run: ${JSON.stringify(result.failed.run)}`);
   }
-  say(`${made} runs, ${checked} statements checked, ${failed} batches of seeds with a broken rule`);
-  return failed === 0;
+  say(
+    `${runsMade} runs, ${checked} statements checked, ${failedBatches} batches with a broken rule`,
+  );
+  return failedBatches === 0;
 };
--- a/packages/fleet/src/operation-scenarios.ts
+++ b/packages/fleet/src/operation-scenarios.ts
@@ -1,4 +1,4 @@
-/** Scenarios in which servers, machines and configurations are changed, under faults. */
+/** Scenarios in which servers, machines and configurations are changed or replaced, some of them under faults. */
 import { until } from './fleet.js';
 import { ask } from './operator.js';
 import {
@@ -11,7 +11,7 @@
   type Scenario,
 } from './scenario-actions.js';
 
-/** These scenarios by name. */
+/** The operation scenarios, keyed by name. */
 export const operationScenarios: ReadonlyMap<string, Scenario> = new Map<string, Scenario>([
   [
     'replace-servers',
@@ -41,11 +41,12 @@
       seconds: 12,
       requiredRules: ['skips, repeats'],
       run: async (run) => {
-        for (const s of [...run.fleet.models, ...run.fleet.services]) s.set({ loseEnd: 7 });
-        for (const s of run.fleet.models) s.set({ cutAfter: 11 });
+        for (const server of [...run.fleet.models, ...run.fleet.services])
+          server.set({ loseEnd: 7 });
+        for (const server of run.fleet.models) server.set({ cutAfter: 11 });
         await wait(9000);
-        for (const s of [...run.fleet.models, ...run.fleet.services])
-          s.set({ loseEnd: 0, cutAfter: 0 });
+        for (const server of [...run.fleet.models, ...run.fleet.services])
+          server.set({ loseEnd: 0, cutAfter: 0 });
       },
     },
   ],
@@ -59,7 +60,7 @@
       requiredRules: ['in force'],
       run: async (run) => {
         const controls = run.fleet.machinesOf('control');
-        for (let i = 0; i < 8; i++) {
+        for (let round = 0; round < 8; round++) {
           await Promise.all([
             run.put(20, run.pick(controls).http),
             run.put(20, run.pick(controls).http),
@@ -78,7 +79,7 @@
       seconds: 12,
       run: async (run) => {
         await wait(2000);
-        for (let i = 0; i < 150; i++) run.traffic.startChat(3);
+        for (let chat = 0; chat < 150; chat++) run.traffic.startChat(3);
         await wait(8000);
       },
     },
@@ -91,21 +92,21 @@
       seconds: 75,
       requiredRules: ['full stop'],
       run: async (run) => {
-        for (const m of run.fleet.machinesOf('control').slice(0, 3)) {
+        for (const machine of run.fleet.machinesOf('control').slice(0, 3)) {
           run.fleet.useSeeds(
             run.fleet
               .machinesOf('control')
-              .filter((x) => x !== m)
+              .filter((other) => other !== machine)
               .slice(-3),
           );
-          const fresh = await replaceMachine(run, m);
-          const took = await until('the newcomer to vote', 40000, async () => {
-            const r = await ask('GET', `http://${fresh.http}/v1/view`, '', 500);
-            const mine = JSON.stringify(r.body);
-            const id = /"id":"(c-[0-9a-f]+)"/.exec(mine)?.[1] ?? 'none';
-            return new RegExp(`"controls","[^"]*${id}`).test(mine);
+          const replacement = await replaceMachine(run, machine);
+          const waitedMs = await until('the new control to become a voter', 40000, async () => {
+            const reply = await ask('GET', `http://${replacement.http}/v1/view`, '', 500);
+            const view = JSON.stringify(reply.body);
+            const id = /"id":"(c-[0-9a-f]+)"/.exec(view)?.[1] ?? 'none';
+            return new RegExp(`"controls","[^"]*${id}`).test(view);
           });
-          run.note(`votes after ${took} ms`);
+          run.note(`the new control votes after ${waitedMs} ms`);
         }
         await restartAll(run);
         await run.put(1);
@@ -133,24 +134,27 @@
       seconds: 30,
       run: async (run) => {
         await wait(1500);
-        const old = run.pick(run.fleet.machinesOf('store'));
-        const refused = await run.fleet.operator.request('POST', `/v1/stores/${old.addr}/empty`);
-        run.note(`emptying with three stores: ${refused.status}`);
-        const fresh = await run.fleet.add('store');
-        run.fleet.start([fresh]);
+        const retired = run.pick(run.fleet.machinesOf('store'));
+        const refused = await run.fleet.operator.request(
+          'POST',
+          `/v1/stores/${retired.addr}/empty`,
+        );
+        run.note(`emptying with three stores: status ${refused.status}`);
+        const replacement = await run.fleet.add('store');
+        run.fleet.start([replacement]);
         await until(
-          'emptying accepted',
+          'a control to accept the emptying of a store',
           15000,
           async () =>
-            (await run.fleet.operator.request('POST', `/v1/stores/${old.addr}/empty`)).status ===
-            200,
+            (await run.fleet.operator.request('POST', `/v1/stores/${retired.addr}/empty`))
+              .status === 200,
         );
-        const took = await until('emptied', 40000, async () => {
-          const r = await run.fleet.operator.request('GET', '/v1/status');
-          return JSON.stringify(r.body).includes('"retiring":true,"slotsHeld":0');
+        const waitedMs = await until('emptied', 40000, async () => {
+          const reply = await run.fleet.operator.request('GET', '/v1/status');
+          return JSON.stringify(reply.body).includes('"retiring":true,"slotsHeld":0');
         });
-        run.note(`emptied after ${took} ms`);
-        await run.fleet.remove(old);
+        run.note(`emptied after ${waitedMs} ms`);
+        await run.fleet.remove(retired);
       },
     },
   ],
@@ -162,16 +166,16 @@
       seconds: 20,
       run: async (run) => {
         await wait(1500);
-        const fresh = await run.fleet.add('front');
-        run.fleet.start([fresh]);
+        const replacement = await run.fleet.add('front');
+        run.fleet.start([replacement]);
         await wait(6000);
-        const old = run.fleet.machinesOf('front').at(0);
-        if (!old) return;
-        const r = await run.fleet.operator.request('POST', `/v1/fronts/${old.addr}/drain`);
-        run.note(`drain: ${r.status}`);
+        const retired = run.fleet.machinesOf('front').at(0);
+        if (!retired) return;
+        const reply = await run.fleet.operator.request('POST', `/v1/fronts/${retired.addr}/drain`);
+        run.note(`drain: status ${reply.status}`);
         await wait(4000);
-        await run.fleet.stop([old], 'SIGTERM');
-        await run.fleet.remove(old);
+        await run.fleet.stop([retired], 'SIGTERM');
+        await run.fleet.remove(retired);
       },
     },
   ],
--- a/packages/fleet/src/operator.ts
+++ b/packages/fleet/src/operator.ts
@@ -1,8 +1,8 @@
-/** Operators of a fleet, over HTTP. */
+/** HTTP requests to a fleet, and the operator that sends them to its controls. */
 import { Agent, request } from 'undici';
 import { z } from 'zod';
 
-/** A reply; status 0 where none came. */
+/** A reply with its JSON body; status 0 if the request failed, with the reason in the body's `errorCode`. */
 export interface Reply {
   readonly status: number;
   readonly body: unknown;
@@ -10,7 +10,7 @@
 
 const agent = new Agent({ connections: 16, connect: { timeout: 1000 } });
 
-/** Sends a request; never throws. */
+/** Sends a request and waits up to `within` ms for its JSON reply; never throws, a failure is status 0. */
 export const ask = async (
   method: 'GET' | 'PUT' | 'POST' | 'DELETE',
   url: string,
@@ -18,45 +18,52 @@
   within = 15000,
 ): Promise<Reply> => {
   try {
-    const res = await request(url, {
+    const response = await request(url, {
       method,
       dispatcher: agent,
       body: method === 'GET' ? null : body,
       signal: AbortSignal.timeout(within),
     });
-    const text = await res.body.text();
+    const text = await response.body.text();
     const parsed: unknown = text === '' ? null : JSON.parse(text);
-    return { status: res.statusCode, body: parsed };
-  } catch (e) {
-    return { status: 0, body: { errorCode: e instanceof Error ? e.message : String(e) } };
+    return { status: response.statusCode, body: parsed };
+  } catch (error) {
+    return {
+      status: 0,
+      body: { errorCode: error instanceof Error ? error.message : String(error) },
+    };
   }
 };
 
-/** Closes the connections that `ask` uses. */
+/** Closes the pooled connections of `ask`. */
 export const closeHttpConnections = (): Promise<void> => agent.destroy();
 
-const ConfigBack = z.object({ version: z.number(), text: z.string(), digest: z.string() });
+/** The reply to a read of the configuration. */
+const ConfigReply = z.object({ version: z.number(), text: z.string(), digest: z.string() });
 
-/** Sends operators' requests to the controls in turn. */
+/** Sends an operator's requests to the controls, one after another, until one replies. */
 export class Operator {
-  constructor(private readonly https: () => readonly string[]) {}
+  /** `addresses` returns the HTTP addresses of the controls. */
+  constructor(private readonly addresses: () => readonly string[]) {}
 
+  /** Tries the controls in order; returns the first reply other than 503, or the last one. */
   async request(
     method: 'GET' | 'PUT' | 'POST' | 'DELETE',
     path: string,
     body = '',
   ): Promise<Reply> {
     let last: Reply = { status: 0, body: null };
-    for (const http of this.https()) {
-      last = await ask(method, `http://${http}${path}`, body);
+    for (const address of this.addresses()) {
+      last = await ask(method, `http://${address}${path}`, body);
       if (last.status !== 0 && last.status !== 503) return last;
     }
     return last;
   }
 
-  async config(): Promise<z.infer<typeof ConfigBack> | undefined> {
-    const got = await this.request('GET', '/v1/config');
-    const parsed = ConfigBack.safeParse(got.body);
-    return got.status === 200 && parsed.success ? parsed.data : undefined;
+  /** Reads the configuration in force; undefined if no control returns it. */
+  async config(): Promise<z.infer<typeof ConfigReply> | undefined> {
+    const reply = await this.request('GET', '/v1/config');
+    const parsed = ConfigReply.safeParse(reply.body);
+    return reply.status === 200 && parsed.success ? parsed.data : undefined;
   }
 }
--- a/packages/fleet/src/proc.ts
+++ b/packages/fleet/src/proc.ts
@@ -1,4 +1,4 @@
-/** Processes of a fleet. */
+/** Starts, signals and ends the operating-system processes of a fleet. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, mkdirSync, openSync, rmSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -6,26 +6,27 @@
 
 const require = createRequire(import.meta.url);
 
+/** The path of each program's main module, keyed by program name. */
 export const programs: ReadonlyMap<string, string> = new Map(
   [
     ['control-node', 'control'],
     ['store-node', 'store'],
     ['front-proxy', 'proxy'],
     ['front-agent', 'agent'],
-  ].map(([name = '', pkg = '']) => [
+  ].map(([name = '', packageName = '']) => [
     name,
-    join(dirname(require.resolve(`@tillerstair/${pkg}`)), 'main.js'),
+    join(dirname(require.resolve(`@tillerstair/${packageName}`)), 'main.js'),
   ]),
 );
 
-/** Hears that a process ended: its name, the signal that ended it, and how long it had run, in ms. */
+/** Called when a process exits, with its name, the signal that ended it (null if none), and its run time in ms. */
 export type ProcessExitListener = (
   name: string,
   signal: NodeJS.Signals | null,
   ranMs: number,
 ) => void;
 
-/** One process of a fleet: started, killed, frozen and woken. */
+/** One process of a fleet, which can be started, signalled, frozen, resumed and ended. */
 export class FleetProcess {
   private child: ChildProcess | undefined;
   private frozen = false;
@@ -44,17 +45,19 @@
     );
   }
 
+  /** Writes the settings file and starts the program, with its output in `log`; does nothing if the process runs. */
   start(): void {
     if (this.running) return;
     mkdirSync(this.dir, { recursive: true });
-    const settings = join(this.dir, 'settings.json');
-    writeFileSync(settings, JSON.stringify(this.settings, null, 1));
+    const settingsFile = join(this.dir, 'settings.json');
+    writeFileSync(settingsFile, JSON.stringify(this.settings, null, 1));
     const log = openSync(join(this.dir, 'log'), 'a');
     const main = programs.get(this.program);
-    if (main === undefined) throw new Error(`no program ${this.program}`);
+    if (main === undefined)
+      throw new Error(`unknown program ${this.program} of process ${this.name}`);
     this.child = spawn(
       process.execPath,
-      ['--max-semi-space-size=8', main, '--settings', settings],
+      ['--max-semi-space-size=8', main, '--settings', settingsFile],
       { stdio: ['ignore', log, log] },
     );
     const startedAt = Date.now();
@@ -65,38 +68,41 @@
     this.frozen = false;
   }
 
-  /** Sends a signal, if it runs. */
+  /** Sends a signal; does nothing if the process does not run. */
   signal(name: NodeJS.Signals): void {
     if (this.running) this.child?.kill(name);
   }
 
+  /** Suspends the process by SIGSTOP. */
   freeze(): void {
     this.frozen = true;
     this.signal('SIGSTOP');
   }
 
+  /** Continues the process by SIGCONT. */
   resume(): void {
     this.frozen = false;
     this.signal('SIGCONT');
   }
 
-  /** Ends it by a signal, and by SIGKILL after `within` ms; resolves with whether that was needed. */
+  /** Sends a signal that ends the process, and SIGKILL after `within` ms; resolves with whether SIGKILL was needed. */
   async end(name: NodeJS.Signals = 'SIGKILL', within = 8000): Promise<boolean> {
     const child = this.child;
     if (!child || !this.running) return false;
-    const over = new Promise<void>((done) => child.once('exit', () => done()));
+    const exited = new Promise<void>((done) => child.once('exit', () => done()));
     child.kill(name);
     if (this.frozen) child.kill('SIGCONT');
     let overdue = false;
-    const hard = setTimeout(() => {
+    const killTimer = setTimeout(() => {
       overdue = true;
       child.kill('SIGKILL');
     }, within);
-    await over;
-    clearTimeout(hard);
+    await exited;
+    clearTimeout(killTimer);
     return overdue;
   }
 
+  /** Deletes the data folder of the process. */
   wipe(): void {
     rmSync(join(this.dir, 'data'), { recursive: true, force: true });
   }
