--- a/packages/fleet/src/capacity-cost.ts
+++ b/packages/fleet/src/capacity-cost.ts
@@ -1,4 +1,4 @@
-/** Sweeps on the processor time and memory that single steps cost, in the code that the roles run. */
+/** Sweeps on the processor time and memory of single steps, measured on the code that the roles run. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -21,7 +21,7 @@
 import { hostClock, silentLogger, type Transport } from '@tillerstair/wire';
 import { zenBounds } from '@tillerstair/zen';
 import type { Sweep, Values } from './capacity.js';
-import { trackOpenFiles, meanCpuMs, cpuMsOnce, retainedMb } from './capacity-meter.js';
+import { trackOpenFiles, cpuMs, cpuMsOnce, retainedMb } from './capacity-meter.js';
 import { configText, testServers } from './capacity-deployment.js';
 import {
   withConfig,
@@ -37,118 +37,112 @@
   heartbeatInterval: 1000,
   failureTimeout: 3000,
 });
-const next = (s: State): State => ({ ...s, version: s.version + 1 });
-const packed = (v: unknown): string => deflateSync(JSON.stringify(v)).toString('base64');
+const nextVersion = (state: State): State => ({ ...state, version: state.version + 1 });
+const pack = (value: unknown): string => deflateSync(JSON.stringify(value)).toString('base64');
 
-const withOneDraining = (s: State): State => {
-  const first = [...s.servers.keys()].at(0);
-  return next(
-    first === undefined ? s : reduceState(s, { kind: 'server-mark', id: first, draining: true }),
+const withOneDraining = (state: State): State => {
+  const id = [...state.servers.keys()].at(0);
+  return nextVersion(
+    id === undefined ? state : reduceState(state, { kind: 'server-mark', id, draining: true }),
   );
 };
 
-/** What one change of one key costs each role, in the code that `Master`, `PublishReceiver`, `Agent` and `Front` run for it. */
-const applyCost = async (z: StateSizes): Promise<Values> => {
-  const [s, mb] = await retainedMb(() => stateOf(z));
-  const t = withOneDraining(s);
-  const diff = diffStates(s, t);
-  const full = [...encodeState(s)];
+/** The cost of one changed key for each role, in the code that `Master`, `PublishReceiver`, `Agent` and `Front` run. */
+const applyCost = async (sizes: StateSizes): Promise<Values> => {
+  const [state, retained] = await retainedMb(() => stateOf(sizes));
+  const changed = withOneDraining(state);
+  const diff = diffStates(state, changed);
+  const full = [...encodeState(state)];
   const text = JSON.stringify(full);
-  const wire = packed({ full });
+  const message = pack({ full });
   return new Map([
     ['state bytes', text.length],
-    ['state packed, bytes', wire.length],
-    ['diff packed, bytes', packed({ diff }).length],
-    ['state kept, MB', mb],
-    ['master: diff and pack, ms', meanCpuMs(() => packed({ diff: diffStates(s, t) }))],
-    ['master: pack whole, ms', meanCpuMs(() => packed({ full: [...encodeState(s)] }))],
-    ['node: take a diff, ms', meanCpuMs(() => applyDiff(s, diff))],
+    ['state packed, bytes', message.length],
+    ['diff packed, bytes', pack({ diff }).length],
+    ['state kept, MB', retained],
+    ['master: diff and pack, ms', cpuMs(() => pack({ diff: diffStates(state, changed) }))],
+    ['master: pack whole, ms', cpuMs(() => pack({ full: [...encodeState(state)] }))],
+    ['node: take a diff, ms', cpuMs(() => applyDiff(state, diff))],
     [
       'node: take whole, ms',
-      meanCpuMs(() => JSON.parse(inflateSync(Buffer.from(wire, 'base64')).toString())) +
-        meanCpuMs(() => decodeState(new Map(full))),
+      cpuMs(() => JSON.parse(inflateSync(Buffer.from(message, 'base64')).toString())) +
+        cpuMs(() => decodeState(new Map(full))),
     ],
     [
       'front: agent feeds its proxy, ms',
-      meanCpuMs(() => JSON.parse(JSON.stringify([...encodeState(t)]))) +
-        meanCpuMs(() => decodeState(new Map(full))),
+      cpuMs(() => JSON.parse(JSON.stringify([...encodeState(changed)]))) +
+        cpuMs(() => decodeState(new Map(full))),
     ],
   ]);
 };
 
-const part = (percent: number): StateSizes => {
-  const of = (n: number): number => Math.max(1, Math.round((n * percent) / 100));
+const shareOfGrownSizes = (percent: number): StateSizes => {
+  const scaled = (size: number): number => Math.max(1, Math.round((size * percent) / 100));
   return {
-    fronts: of(grownSizes.fronts),
-    servers: of(grownSizes.servers),
-    slots: of(grownSizes.slots),
-    routes: of(grownSizes.routes),
+    fronts: scaled(grownSizes.fronts),
+    servers: scaled(grownSizes.servers),
+    slots: scaled(grownSizes.slots),
+    routes: scaled(grownSizes.routes),
   };
 };
 
 const reportOf = (servers: number): unknown => ({
-  seen: testServers(servers).map((v) => ({ id: v.id, url: v.url, ok: true, pace: 12.345678 })),
+  seen: testServers(servers).map((s) => ({ id: s.id, url: s.url, ok: true, pace: 12.345678 })),
   released: [],
 });
 
-const fronts = 40;
+const frontCount = 40;
 
 const reportCost = async (servers: number): Promise<Values> => {
-  const s = stateOf({ ...typicalSizes, servers });
+  const state = stateOf({ ...typicalSizes, servers });
   const report = reportOf(servers);
   const text = JSON.stringify(report);
-  const [allocationController, mb] = await retainedMb(() => {
-    const k = new AllocationController(hostClock, bounds, silentLogger);
-    for (let n = 0; n < fronts; n++) k.onReport(`f-${n}`, JSON.parse(text));
-    return k;
+  const [controller, mb] = await retainedMb(() => {
+    const created = new AllocationController(hostClock, bounds, silentLogger);
+    for (let n = 0; n < frontCount; n++) created.onReport(`f-${n}`, JSON.parse(text));
+    return created;
   });
   return new Map([
     ['report bytes', text.length],
-    ['agent: make and send a report, ms', meanCpuMs(() => JSON.stringify(reportOf(servers)))],
-    [
-      'master: take a report, ms',
-      meanCpuMs(() => allocationController.onReport('f-0', JSON.parse(text))),
-    ],
-    ['master: standing kept a front, MB', mb / fronts],
-    [
-      'master: a tuning round a front, ms',
-      meanCpuMs(() => allocationController.throughputs(s)) / fronts,
-    ],
+    ['agent: make and send a report, ms', cpuMs(() => JSON.stringify(reportOf(servers)))],
+    ['master: take a report, ms', cpuMs(() => controller.onReport('f-0', JSON.parse(text)))],
+    ['master: standing kept a front, MB', mb / frontCount],
+    ['master: a tuning round a front, ms', cpuMs(() => controller.throughputs(state)) / frontCount],
   ]);
 };
 
 const routeCost = (routes: number): Values => {
   const text = configText(1, routes);
-  const s = stateOf({ ...typicalSizes, routes });
-  const t = next(withConfig(s, routes + 1));
-  const diff = diffStates(s, t);
-  const u = applyDiff(s, diff);
-  const take = (): void => {
-    const taken = applyDiff(s, diff);
-    const config = compiledConfig(taken?.config);
+  const state = stateOf({ ...typicalSizes, routes });
+  const changed = nextVersion(withConfig(state, routes + 1));
+  const diff = diffStates(state, changed);
+  const applied = applyDiff(state, diff);
+  const applyOnFront = (): void => {
+    const next = applyDiff(state, diff);
+    const config = compiledConfig(next?.config);
     if (config) buildRouteTable(config);
   };
-  if (!u) throw new Error('the diff does not fit');
+  if (!applied) throw new Error(`a diff does not apply to version ${state.version}`);
   return new Map([
     ['file bytes', text.length],
     ['diff of one route, bytes', JSON.stringify(diff).length],
-    ['diff of one route packed, bytes', packed({ diff }).length],
-    ['control: check the file, ms', meanCpuMs(() => checkConfig(text))],
-    ['front: take the version, ms', meanCpuMs(take)],
+    ['diff of one route packed, bytes', pack({ diff }).length],
+    ['control: check the file, ms', cpuMs(() => checkConfig(text))],
+    ['front: take the version, ms', cpuMs(applyOnFront)],
   ]);
 };
 
 const chunkTexts = (turn: number, count: number): string[] =>
   Array.from({ length: count }, (_, i) => `${turn}.${i} `.slice(0, 4));
 
-/** One program at its last turn: its history as one conversation of so many thousand characters. */
+/** The cost of a program's last turn, after a conversation of so many thousand characters. */
 const historyCost = async (thousands: number): Promise<Values> => {
   const turns = 81;
-  const each = (thousands * 1000) / turns / 2;
-  const words = 'x y '.repeat(each / 4);
-  const [kept, mb] = await retainedMb(() =>
+  const charactersEach = (thousands * 1000) / turns / 2;
+  const words = 'x y '.repeat(charactersEach / 4);
+  const [kept, retained] = await retainedMb(() =>
     Array.from({ length: turns }, (_, n) => {
-      const v: TurnValue = {
+      const value: TurnValue = {
         t: 'turn',
         status: 'done',
         after: n === 0 ? null : `t${n - 1}`,
@@ -157,9 +151,9 @@
         pool: 'models',
         server: 's',
         cost: 0,
-        chunks: chunkTexts(n, Math.ceil(each / 4)),
+        chunks: chunkTexts(n, Math.ceil(charactersEach / 4)),
       };
-      return JSON.stringify({ key: `p/p/t/t${n}`, ownershipEpoch: 1, seq: n, value: v });
+      return JSON.stringify({ key: `p/p/t/t${n}`, ownershipEpoch: 1, seq: n, value });
     }).map((text): unknown => JSON.parse(text)),
   );
   const messages = Array.from({ length: turns }, (_, n) => [
@@ -168,14 +162,14 @@
   ]).flat();
   return new Map([
     ['history kept, bytes', JSON.stringify(kept).length],
-    ['history held by an owner, MB', mb],
+    ['history held by an owner, MB', retained],
     ['bytes to the server for the last turn', JSON.stringify(messages).length],
-    ['owner: prefixes of the last turn, ms', meanCpuMs(() => prefixBlocksOfMessages(messages))],
-    ['owner: the last turn written out, ms', meanCpuMs(() => JSON.stringify(messages))],
+    ['owner: prefixes of the last turn, ms', cpuMs(() => prefixBlocksOfMessages(messages))],
+    ['owner: the last turn written out, ms', cpuMs(() => JSON.stringify(messages))],
   ]);
 };
 
-const stub = (): Transport => ({
+const stubTransport = (): Transport => ({
   self: 'owner',
   call: (_to, kind) => Promise.resolve(kind === 'store/fence' ? { items: [], next: '' } : {}),
   serve: () => Promise.resolve(),
@@ -183,13 +177,13 @@
   close: () => Promise.resolve(),
 });
 
-const replicatorOf = async (): Promise<SlotReplicator> => {
+const openReplicator = async (): Promise<SlotReplicator> => {
   const state = stateOf(typicalSizes);
   const config = compiledConfig(state.config);
   const table = { state, config, routes: config ? buildRouteTable(config) : new Map() };
-  const k = new SlotReplicator(0, 0, {
+  const replicator = new SlotReplicator(0, 0, {
     clock: hostClock,
-    transport: stub(),
+    transport: stubTransport(),
     log: silentLogger,
     compiledState: () => table,
     putTimeoutMs: 1500,
@@ -197,27 +191,27 @@
     retentionMs: 3600000,
   });
   const slot = state.slots.at(0);
-  if (!slot) throw new Error('no slot');
-  k.apply(slot);
-  while (!k.isOpen) await new Promise((done) => setImmediate(done));
-  return k;
+  if (!slot) throw new Error('the generated state has no slots');
+  replicator.apply(slot);
+  while (!replicator.isOpen) await new Promise((done) => setImmediate(done));
+  return replicator;
 };
 
-const chunks = Array.from({ length: 64 }, (_, n) => `w${n} `);
+const ownerChunks = Array.from({ length: 64 }, (_, n) => `w${n} `);
 
 const ownerCost = async (programs: number): Promise<Values> => {
-  const k = await replicatorOf();
-  let put = 0;
+  const replicator = await openReplicator();
+  let putMs = 0;
   const [, mb] = await retainedMb(async () => {
-    put = await cpuMsOnce(async () => {
+    putMs = await cpuMsOnce(async () => {
       for (let n = 0; n < programs; n++) {
-        await k.put(`p/p${n}`, {
+        await replicator.put(`p/p${n}`, {
           t: 'program',
           tenant: `tenant-${n % 2100}`,
           budget: 1000,
           parent: null,
         });
-        await k.put(`p/p${n}/t/t0`, {
+        await replicator.put(`p/p${n}/t/t0`, {
           t: 'turn',
           status: 'done',
           after: null,
@@ -226,35 +220,35 @@
           pool: 'models',
           server: 's',
           cost: 64,
-          chunks: chunks.map((p) => `${p}${n}`.slice(0, 4)),
+          chunks: ownerChunks.map((chunk) => `${chunk}${n}`.slice(0, 4)),
         });
       }
     });
   });
   return new Map([
-    ['items held', k.size],
+    ['items held', replicator.size],
     ['held by the owner, MB', mb],
-    ['a put, ms', put / programs / 2],
-    ['a round of ageing, ms', meanCpuMs(() => k.expire())],
+    ['a put, ms', putMs / programs / 2],
+    ['a round of ageing, ms', cpuMs(() => replicator.expire())],
   ]);
 };
 
 const replicaStoreCost = async (count: number): Promise<Values> => {
   const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
   const disk = await FolderDisk.acquire(dir);
-  const watched = trackOpenFiles(disk);
+  const tracked = trackOpenFiles(disk);
   try {
     const open = (): Promise<ReplicaStore> =>
-      ReplicaStore.open(watched.disk, hostClock, {
+      ReplicaStore.open(tracked.disk, hostClock, {
         rewriteMinBytes: 1 << 30,
         retentionMs: 3600000,
         maxHints: 1000,
       });
-    const fill = async (made: ReplicaStore): Promise<void> => {
+    const fill = async (store: ReplicaStore): Promise<void> => {
       for (let n = 0; n < count; n += 500)
         await Promise.all(
           Array.from({ length: Math.min(500, count - n) }, (_, i) =>
-            made.write((n + i) % 64, 1, [
+            store.write((n + i) % 64, 1, [
               {
                 key: `o/tenant-${(n + i) % 2100}/key-${n + i}`,
                 ownershipEpoch: 1,
@@ -271,28 +265,29 @@
           ),
         );
     };
-    let put = 0;
+    let putMs = 0;
     const [replicaStore, mb] = await retainedMb(async () => {
-      const made = await open();
-      put = await cpuMsOnce(() => fill(made));
-      return made;
+      const store = await open();
+      putMs = await cpuMsOnce(() => fill(store));
+      return store;
     });
-    let ms = 0;
-    for (let n = 0; n < 5; n++) ms += await cpuMsOnce(() => replicaStore.dropExpired());
+    let expiryMs = 0;
+    for (let n = 0; n < 5; n++) expiryMs += await cpuMsOnce(() => replicaStore.dropExpired());
     const { bytes } = replicaStore.counts();
     return new Map([
       ['held by the store, MB', mb],
       ['journal bytes', bytes],
-      ['a put of 500 at once, ms', put / count],
-      ['a round of ageing, ms', ms / 5],
+      ['a put of 500 at once, ms', putMs / count],
+      ['a round of ageing, ms', expiryMs / 5],
     ]);
   } finally {
-    await watched.close();
+    await tracked.close();
     await disk.release();
     rmSync(dir, { recursive: true, force: true });
   }
 };
 
+/** The sweeps on processor time and memory, keyed by name. */
 export const costSweeps: ReadonlyMap<string, Sweep> = new Map<string, Sweep>([
   [
     'apply-nodes',
@@ -339,13 +334,13 @@
       sizes: [12, 25, 50, 100],
       small: [1, 2, 3, 4],
       grown: 100,
-      run: (n) => applyCost(part(n)),
+      run: (percent) => applyCost(shareOfGrownSizes(percent)),
     },
   ],
   [
     'reports',
     {
-      about: `servers in each report; ${fronts} fronts`,
+      about: `servers in each report; ${frontCount} fronts`,
       by: 'server',
       how: 'processor',
       sizes: [425, 850, 1700, 3400],
--- a/packages/fleet/src/capacity-deployment.ts
+++ b/packages/fleet/src/capacity-deployment.ts
@@ -1,40 +1,46 @@
-/** The simulated deployment that sweeps measure. */
+/** The simulated deployment that capacity sweeps measure, and its servers and configurations. */
 import { reduceState, Server } from '@tillerstair/state';
 import { stormConfig, World, type ObservedMessage, type WorldSizes } from '@tillerstair/sim';
 
-/** Which process sent or received a message; `loop` is between the two processes of a front machine. */
+/** The process that sent or received a message; `loop` is the loopback between the two processes of a front machine. */
 export type Role = 'master' | 'control' | 'store' | 'agent' | 'proxy' | 'loop';
 
-/** How many messages and bytes there were, by role and by role and kind. */
+/**
+ * Counts of messages and bytes, keyed by role (`store`), role and kind (`store zen/ping`) and kind (`kind zen/ping`).
+ */
 export interface Tally {
   readonly messages: ReadonlyMap<string, number>;
   readonly bytes: ReadonlyMap<string, number>;
 }
 
-const add = (m: Map<string, number>, k: string, by: number): void => {
-  m.set(k, (m.get(k) ?? 0) + by);
+/** Adds an amount to the count of a key. */
+const add = (counts: Map<string, number>, key: string, amount: number): void => {
+  counts.set(key, (counts.get(key) ?? 0) + amount);
 };
 
-/** So many servers, seven of eight in the pool of models. */
+/** Returns so many servers: seven of eight in the pool `models`, the rest in `shop`. */
 export const testServers = (count: number): readonly Server[] =>
-  Array.from({ length: count }, (_, n) =>
+  Array.from({ length: count }, (_, index) =>
     Server.parse({
-      id: `server-${String(n).padStart(4, '0')}`,
-      pool: n % 8 === 7 ? 'shop' : 'models',
-      url: `http://10.0.${n >> 8}.${n & 255}:8000`,
+      id: `server-${String(index).padStart(4, '0')}`,
+      pool: index % 8 === 7 ? 'shop' : 'models',
+      url: `http://10.0.${index >> 8}.${index & 255}:8000`,
       draining: false,
       down: false,
     }),
   );
 
-/** A configuration on a version, with so many routes more than the usual ones. */
+/** Returns a configuration based on the version `base`, with `routes` extra routes. */
 export const configText = (base: number, routes: number): string =>
   stormConfig({ base, turnPools: ['models'], callPool: 'shop', extra: routes });
 
-/** The machines of a sweep, unless it changes their number. */
+/** The machine and slot counts of a sweep that does not vary them. */
 export const defaultSizes: WorldSizes = { controls: 5, stores: 3, fronts: 6, slots: 64 };
 
-/** A whole hollow fleet on the simulator's clock: real membership, publish, feed and sync code, no traffic of its own. */
+/**
+ * A deployment on the simulator's clock. Membership, publishing, feeds and syncs run their real code; there is no
+ * traffic.
+ */
 export class SimulatedDeployment {
   private version = 1;
 
@@ -43,32 +49,37 @@
     private routes: number,
   ) {}
 
+  /** Starts a deployment, registers its servers, and waits until it is idle; throws if no master is elected. */
   static async start(sizes: WorldSizes, servers: number, routes = 3): Promise<SimulatedDeployment> {
-    const w = new World(1, sizes);
-    await w.bringUp((base) => configText(base, routes), []);
-    const rig = new SimulatedDeployment(w, routes);
-    const lead = w.master?.control?.zen.leading;
-    if (!lead) throw new Error('no master');
-    const c = await w.clock.finish(
+    const simulation = new World(1, sizes);
+    await simulation.bringUp((base) => configText(base, routes), []);
+    const deployment = new SimulatedDeployment(simulation, routes);
+    const leader = simulation.master?.control?.zen.leading;
+    if (!leader) throw new Error(`no master was elected among ${sizes.controls} controls`);
+    const change = await simulation.clock.finish(
       'servers',
-      lead.submit((s) =>
-        testServers(servers).reduce((t, server) => reduceState(t, { kind: 'server', server }), s),
+      leader.submit((state) =>
+        testServers(servers).reduce(
+          (next, server) => reduceState(next, { kind: 'server', server }),
+          state,
+        ),
       ),
       20000,
     );
-    await w.clock.finish('servers in force', lead.waitUntilInForce(c), 20000);
-    await rig.waitUntilIdle();
-    return rig;
+    await simulation.clock.finish('servers in force', leader.waitUntilInForce(change), 20000);
+    await deployment.waitUntilIdle();
+    return deployment;
   }
 
-  /** Runs until no state was committed for five seconds. */
+  /** Runs until no state was committed for five simulated seconds. */
   async waitUntilIdle(): Promise<void> {
-    for (let was = -1; was !== this.simulation.committed?.version;) {
-      was = this.simulation.committed?.version ?? 0;
+    for (let previousVersion = -1; previousVersion !== this.simulation.committed?.version;) {
+      previousVersion = this.simulation.committed?.version ?? 0;
       await this.simulation.clock.run(5000);
     }
   }
 
+  /** The role of the process at an address. */
   roleOf(addr: string): Role {
     if (addr.endsWith('/loop') || addr.endsWith('/feed')) return 'loop';
     if (addr.endsWith('/data')) return 'proxy';
@@ -77,58 +88,63 @@
     return addr === this.simulation.master?.addr ? 'master' : 'control';
   }
 
-  /** What each role sent and received, under `role` and `role kind`, while `work` ran. */
+  /** Counts the messages that each role sent and received while `work` ran. */
   async tally(work: () => Promise<unknown>): Promise<Tally> {
     const messages = new Map<string, number>();
     const bytes = new Map<string, number>();
-    const count = (role: Role, m: ObservedMessage): void => {
-      for (const k of [role, `${role} ${m.kind}`]) {
-        add(messages, k, 1);
-        add(bytes, k, m.bytes);
+    const count = (role: Role, message: ObservedMessage): void => {
+      for (const key of [role, `${role} ${message.kind}`]) {
+        add(messages, key, 1);
+        add(bytes, key, message.bytes);
       }
     };
-    this.simulation.net.onMessage = (m) => {
-      const from = this.roleOf(m.from);
-      const to = this.roleOf(m.to);
-      count(from, m);
-      if (to !== from || from !== 'loop') count(to, m);
-      add(messages, `kind ${m.kind}`, 1);
-      add(bytes, `kind ${m.kind}`, m.bytes);
+    this.simulation.net.onMessage = (message) => {
+      const from = this.roleOf(message.from);
+      const to = this.roleOf(message.to);
+      count(from, message);
+      if (to !== from || from !== 'loop') count(to, message);
+      add(messages, `kind ${message.kind}`, 1);
+      add(bytes, `kind ${message.kind}`, message.bytes);
     };
     await work();
     this.simulation.net.onMessage = undefined;
     return { messages, bytes };
   }
 
+  /** Counts the messages of `ms` simulated ms without traffic. */
   tallyIdle(ms: number): Promise<Tally> {
     return this.tally(() => this.simulation.clock.run(ms));
   }
 
-  /** Hands in a configuration with one route more; the time until it is told in force, in ms. */
+  /** Submits a configuration with one more route; returns the time until it is reported in force, in ms. */
   async reconfigure(): Promise<number> {
-    const { simulation: w } = this;
-    const t0 = w.clock.now();
-    const put = await w.operate(
+    const { simulation } = this;
+    const startedAt = simulation.clock.now();
+    const reply = await simulation.operate(
       'PUT',
       '/v1/config',
       configText(this.version, ++this.routes),
-      w.master,
+      simulation.master,
     );
-    if (put.status !== 200) throw new Error(`config: ${JSON.stringify(put)}`);
+    if (reply.status !== 200)
+      throw new Error(`the configuration was not accepted: ${JSON.stringify(reply)}`);
     this.version++;
-    return w.clock.now() - t0;
+    return simulation.clock.now() - startedAt;
   }
 
-  async markDraining(n: number): Promise<void> {
-    const r = await this.simulation.operate(
+  /** Marks a server as draining. */
+  async markDraining(serverIndex: number): Promise<void> {
+    const reply = await this.simulation.operate(
       'POST',
-      `/v1/servers/server-${String(n).padStart(4, '0')}/draining`,
+      `/v1/servers/server-${String(serverIndex).padStart(4, '0')}/draining`,
       '',
       this.simulation.master,
     );
-    if (r.status !== 200) throw new Error(`draining: ${JSON.stringify(r)}`);
+    if (reply.status !== 200)
+      throw new Error(`the draining mark was not accepted: ${JSON.stringify(reply)}`);
   }
 }
 
-/** The value of a key; 0 where there is none. */
-export const countOf = (m: ReadonlyMap<string, number>, k: string): number => m.get(k) ?? 0;
+/** The count of a key; 0 if there is none. */
+export const countOf = (counts: ReadonlyMap<string, number>, key: string): number =>
+  counts.get(key) ?? 0;
--- a/packages/fleet/src/capacity-meter.ts
+++ b/packages/fleet/src/capacity-meter.ts
@@ -1,70 +1,75 @@
-/** Measures processor time and memory of this process. */
+/** Measures the processor time and the heap of this process. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import type { Disk, DiskFile } from '@tillerstair/journal';
 
-const warmMs = 100;
-const leastMs = 300;
+const warmUpMs = 100;
+const minMeasuredMs = 300;
 
-const spent = (since: NodeJS.CpuUsage): number => {
+/** Processor time used since `since`, in ms. */
+const cpuMsSince = (since: NodeJS.CpuUsage): number => {
   const { user, system } = process.cpuUsage(since);
   return (user + system) / 1000;
 };
 
-const repeat = (work: () => unknown, least: number): number => {
-  const t0 = process.cpuUsage();
-  let times = 0;
-  while (times < 3 || spent(t0) < least) {
+/** Repeats `work` at least 3 times and for `minMs` ms of processor time; returns the mean time of one run, in ms. */
+const repeat = (work: () => unknown, minMs: number): number => {
+  const start = process.cpuUsage();
+  let runs = 0;
+  while (runs < 3 || cpuMsSince(start) < minMs) {
     work();
-    times++;
+    runs++;
   }
-  return spent(t0) / times;
+  return cpuMsSince(start) / runs;
 };
 
-/** Processor milliseconds of one run of `work`: the mean of runs that last 300 ms or more, after 100 ms that are not counted. */
-export const meanCpuMs = (work: () => unknown): number => {
-  repeat(work, warmMs);
-  return repeat(work, leastMs);
+/** Mean processor time of one run of `work`, in ms: measured over 300 ms or more, after 100 ms of warm-up. */
+export const cpuMs = (work: () => unknown): number => {
+  repeat(work, warmUpMs);
+  return repeat(work, minMeasuredMs);
 };
 
-/** Processor milliseconds of one run of `work`. */
+/** Processor time of a single run of `work`, in ms. */
 export const cpuMsOnce = async (work: () => Promise<unknown>): Promise<number> => {
-  const t0 = process.cpuUsage();
+  const start = process.cpuUsage();
   await work();
-  return spent(t0);
+  return cpuMsSince(start);
 };
 
-const collect = (): void => {
+/** Forces a garbage collection. */
+const collectGarbage = (): void => {
   setFlagsFromString('--expose_gc');
   runInNewContext('gc()');
 };
 
-/** Megabytes of heap in use, after what can be collected was. */
+/** Heap in use after a garbage collection, in MB. */
 export const heapMb = (): number => {
-  collect();
-  collect();
+  collectGarbage();
+  collectGarbage();
   return process.memoryUsage().heapUsed / 1e6;
 };
 
-/** Megabytes of heap that what `make` returns keeps. */
+/** Returns the value that `make` creates and the heap that it retains, in MB. */
 export const retainedMb = async <T>(make: () => T | Promise<T>): Promise<readonly [T, number]> => {
   const before = heapMb();
   const made = await make();
   return [made, heapMb() - before];
 };
 
-/** A disk that knows the files opened on it, so that they can be closed when no owner does it. */
+/**
+ * Wraps a disk so that `close` closes every file that was opened through it; for users that do not close their files.
+ */
 export const trackOpenFiles = (disk: Disk): { disk: Disk; close: () => Promise<void> } => {
   const files: DiskFile[] = [];
   const open = async (name: string): Promise<DiskFile> => {
-    const f = await disk.open(name);
-    files.push(f);
-    return f;
+    const file = await disk.open(name);
+    files.push(file);
+    return file;
   };
   return {
     disk: { open, setAside: (name) => disk.setAside(name) },
     close: async () => {
-      for (const f of files) await f.close();
+      for (const file of files) await file.close();
     },
   };
 };
--- a/packages/fleet/src/capacity-plot.ts
+++ b/packages/fleet/src/capacity-plot.ts
@@ -1,13 +1,14 @@
-/** Draws sweeps. */
+/** Draws the results of sweeps as SVG. */
 import type { Spec } from 'vega';
 import type { Fit, SweepResult } from './capacity.js';
 
-const panel = (s: SweepResult, fit: Fit): NonNullable<Spec['marks']>[number] => {
-  const points = s.points.flatMap((p) => {
-    const y = p.values.get(fit.measure);
-    return y === undefined ? [] : [{ x: p.size, y }];
+/** The panel of one measure. */
+const panel = (result: SweepResult, fit: Fit): NonNullable<Spec['marks']>[number] => {
+  const points = result.points.flatMap((point) => {
+    const y = point.values.get(fit.measure);
+    return y === undefined ? [] : [{ x: point.size, y }];
   });
-  const xs = points.map((p) => p.x);
+  const xs = points.map((point) => point.x);
   const line = [Math.min(...xs), Math.max(...xs)].map((x) => ({ x, y: fit.base + fit.slope * x }));
   const scale = (name: 'x' | 'y', range: 'width' | 'height') => ({
     name,
@@ -22,7 +23,7 @@
       ],
     },
   });
-  const at = { x: { scale: 'x', field: 'x' }, y: { scale: 'y', field: 'y' } };
+  const position = { x: { scale: 'x', field: 'x' }, y: { scale: 'y', field: 'y' } };
   return {
     type: 'group',
     encode: { enter: { width: { value: 240 }, height: { value: 110 } } },
@@ -41,7 +42,7 @@
         orient: 'bottom',
         scale: 'x',
         tickCount: 5,
-        title: s.by,
+        title: result.by,
         labelFontSize: 9,
         titleFontSize: 9,
       },
@@ -51,25 +52,25 @@
       {
         type: 'line',
         from: { data: 'line' },
-        encode: { enter: { ...at, stroke: { value: '#8899aa' } } },
+        encode: { enter: { ...position, stroke: { value: '#8899aa' } } },
       },
       {
         type: 'symbol',
         from: { data: 'points' },
-        encode: { enter: { ...at, fill: { value: '#225588' }, size: { value: 30 } } },
+        encode: { enter: { ...position, fill: { value: '#225588' }, size: { value: 30 } } },
       },
     ],
   };
 };
 
-/** The points of a sweep with their fitted lines, as an SVG with a panel for each measure. */
-export const svgOf = async (s: SweepResult): Promise<string> => {
+/** Returns an SVG with a panel for each measure: the measured points and their fitted line. */
+export const svgOf = async (result: SweepResult): Promise<string> => {
   const { parse, View } = await import('vega');
   const spec: Spec = {
     padding: 5,
     background: 'white',
     layout: { columns: 3, padding: 25 },
-    marks: s.fits.map((f) => panel(s, f)),
+    marks: result.fits.map((fit) => panel(result, fit)),
   };
   const svg = await new View(parse(spec), { renderer: 'none' }).toSVG();
   return `${svg.replace(/(\d+\.\d{2})\d+/g, '$1').replace(/ (role|aria-[a-z]+|class)="[^"]*"/g, '')}\n`;
--- a/packages/fleet/src/capacity-run.ts
+++ b/packages/fleet/src/capacity-run.ts
@@ -1,4 +1,4 @@
-/** The sweeps that `fleet capacity` runs. */
+/** Lists and runs the sweeps of `fleet capacity`. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { jsonOf, measureSizes, tableOfFits, type Sweep } from './capacity.js';
@@ -8,7 +8,7 @@
 import { workSweeps } from './capacity-work.js';
 import { deploymentSweeps } from './capacity-traffic.js';
 
-/** All sweeps by name. */
+/** All sweeps, keyed by name. */
 export const sweeps: ReadonlyMap<string, Sweep> = new Map([
   ...deploymentSweeps,
   ...workSweeps,
@@ -16,28 +16,30 @@
   ...socketSweeps,
 ]);
 
-/** Which sweep to run, at which sizes (its own if there are none), and the folder that its results go to. */
+/** A request to run one sweep. */
 export interface SweepRequest {
   readonly name: string;
+  /** The sizes to measure; the sweep's own if empty. */
   readonly sizes: readonly number[];
+  /** The folder for `<name>.json` and `<name>.svg`; nothing is written if empty. */
   readonly out: string;
 }
 
-/** Runs one sweep and prints its fits; throws if there is no such sweep. */
+/** Runs one sweep, reports its fits and writes its files; throws if the sweep does not exist. */
 export const runSweep = async (
   { name, sizes, out }: SweepRequest,
-  say: (line: string) => void,
+  report: (line: string) => void,
 ): Promise<void> => {
-  const s = sweeps.get(name);
-  if (!s) throw new Error(`no sweep ${name}; see fleet capacity list`);
-  const swept = await measureSizes(name, s, sizes.length > 0 ? sizes : s.sizes, say);
-  for (const line of tableOfFits(swept)) say(line);
+  const sweep = sweeps.get(name);
+  if (!sweep) throw new Error(`unknown sweep ${name}; see fleet capacity list`);
+  const result = await measureSizes(name, sweep, sizes.length > 0 ? sizes : sweep.sizes, report);
+  for (const line of tableOfFits(result)) report(line);
   if (out === '') return;
   mkdirSync(out, { recursive: true });
-  writeFileSync(join(out, `${name}.json`), jsonOf(swept));
-  writeFileSync(join(out, `${name}.svg`), await svgOf(swept));
+  writeFileSync(join(out, `${name}.json`), jsonOf(result));
+  writeFileSync(join(out, `${name}.svg`), await svgOf(result));
 };
 
-/** A line for each sweep. */
+/** Returns a line of text for each sweep: its name, kind and description. */
 export const listSweeps = (): readonly string[] =>
-  [...sweeps].map(([name, s]) => `${name.padEnd(16)} ${s.how.padEnd(10)} ${s.about}`);
+  [...sweeps].map(([name, sweep]) => `${name.padEnd(16)} ${sweep.how.padEnd(10)} ${sweep.about}`);
--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -1,4 +1,4 @@
-/** Sweeps on real sockets: one control in this process, many fronts without traffic in another. */
+/** Sweeps on real sockets: one control in this process, many idle fronts (without traffic) in another. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { spawn } from 'node:child_process';
 import { tmpdir } from 'node:os';
@@ -23,9 +23,13 @@
   heartbeatInterval: 1000,
   failureTimeout: 3000,
 });
+/** Duration of a measurement. */
 const measureMs = 8000;
-/** Time for a change to come to rest before something is measured. */
+/** Wait after a change, so that its effects have ended before a measurement begins. */
 const restMs = 4000;
+/**
+ * A line that the process of idle fronts prints for each measurement: requests sent by agents, all and of ping rounds.
+ */
 const Measured = z.object({
   cpuMs: z.number(),
   heapMb: z.number(),
@@ -34,38 +38,42 @@
   rounds: z.number(),
 });
 
-class Counted extends TcpTransport {
+/** Counts the requests that all agents of this process send. */
+class CountingTransport extends TcpTransport {
   static asked = 0;
   static rounds = 0;
 
   override call(to: string, kind: string, body: unknown, options: CallOptions): Promise<unknown> {
-    Counted.asked++;
-    if (kind === 'zen/ping') Counted.rounds++;
+    CountingTransport.asked++;
+    if (kind === 'zen/ping') CountingTransport.rounds++;
     return super.call(to, kind, body, options);
   }
 }
 
-const never = { kind: 'never-left', text: 'hollow' } as const;
+/** The result of a request to a server: none is ever sent. */
+const neverSent = { kind: 'never-left', text: 'hollow' } as const;
 
-const idle = (): Backend => ({
-  generate: () => Promise.resolve(never),
-  act: () => Promise.resolve(never),
-  pass: () => Promise.resolve(never),
+/** A backend without servers. */
+const unusedBackend = (): Backend => ({
+  generate: () => Promise.resolve(neverSent),
+  act: () => Promise.resolve(neverSent),
+  pass: () => Promise.resolve(neverSent),
   load: () => Promise.resolve({ busy: 0, draining: false }),
 });
 
-const hollow = async (
+/** Starts the proxy and the agent of one idle front on four ports: agent, loopback, feed and data. */
+const startIdleFront = async (
   seed: string,
   [addr = 0, loop = 0, feed = 0, data = 0]: readonly number[],
-  n: number,
+  index: number,
 ): Promise<void> => {
-  const at = (p: number): string => `127.0.0.1:${p}`;
+  const addressOf = (port: number): string => `127.0.0.1:${port}`;
   const { heartbeatInterval, failureTimeout, readLease } = bounds;
   const front = new Front({
-    id: `f-${process.pid}-${n}`,
+    id: `f-${process.pid}-${index}`,
     clock: hostClock,
-    transport: new TcpTransport(at(data)),
-    backend: idle(),
+    transport: new TcpTransport(addressOf(data)),
+    backend: unusedBackend(),
     bounds: {
       heartbeatInterval,
       putTimeoutMs: failureTimeout / 2,
@@ -77,9 +85,9 @@
     log: silentLogger,
     affinity: true,
   });
-  const fed = new TcpTransport(at(feed));
-  const hello = { id: front.id, addr: at(data), http: '' };
-  await fed.serve(
+  const feedTransport = new TcpTransport(addressOf(feed));
+  const hello = { id: front.id, addr: addressOf(data), http: '' };
+  await feedTransport.serve(
     (rpc) =>
       new Promise((resolve) => {
         resolve(rpc.kind === 'front/hello' ? hello : front.feed(rpc.body));
@@ -89,54 +97,64 @@
   const agent = new Agent({
     seeds: [seed, seed, seed],
     clock: hostClock,
-    transport: new Counted(at(addr)),
+    transport: new CountingTransport(addressOf(addr)),
     bounds,
     log: silentLogger,
-    addr: at(addr),
+    addr: addressOf(addr),
     http: '',
-    zone: `zone-${n % 3}`,
-    name: `hollow-${n}`,
+    zone: `zone-${index % 3}`,
+    name: `hollow-${index}`,
     stopWithin: failureTimeout,
-    proxy: at(feed),
-    loopback: new TcpTransport(at(loop)),
+    proxy: addressOf(feed),
+    loopback: new TcpTransport(addressOf(loop)),
   });
   await agent.start();
 };
 
-/** Hollow fronts, all in this process, on real sockets; measured when told to on stdin, ended with it. */
-export const hollowFronts = async (count: number, seed: string): Promise<void> => {
+/**
+ * Runs idle fronts in this process, on real sockets. Each line on stdin starts a measurement, whose result is printed
+ * as a line of JSON. Resolves when stdin ends.
+ */
+export const runIdleFronts = async (count: number, seed: string): Promise<void> => {
   const ports = await freePorts(count * 4);
-  for (let n = 0; n < count; n++) await hollow(seed, ports.slice(n * 4, n * 4 + 4), n);
+  for (let index = 0; index < count; index++)
+    await startIdleFront(seed, ports.slice(index * 4, index * 4 + 4), index);
   process.stdout.write('up\n');
   process.stdin.setEncoding('utf8');
   const commands: AsyncIterator<unknown> = process.stdin[Symbol.asyncIterator]();
   while ((await commands.next()).done !== true) {
-    const t0 = process.cpuUsage();
-    const { asked, rounds } = Counted;
+    const cpuBefore = process.cpuUsage();
+    const { asked, rounds } = CountingTransport;
     await delay(hostClock, measureMs);
-    const { user, system } = process.cpuUsage(t0);
-    const sent = { asked: Counted.asked - asked, rounds: Counted.rounds - rounds };
+    const { user, system } = process.cpuUsage(cpuBefore);
+    const sent = {
+      asked: CountingTransport.asked - asked,
+      rounds: CountingTransport.rounds - rounds,
+    };
     process.stdout.write(
       `${JSON.stringify({ ...sent, cpuMs: (user + system) / 1000, heapMb: heapMb(), rssMb: process.memoryUsage().rss / 1e6 })}\n`,
     );
   }
 };
 
-const until = async (what: string, ready: () => boolean): Promise<void> => {
-  const t0 = hostClock.now();
-  while (!ready()) {
-    if (hostClock.now() - t0 > 60000) throw new Error(`${what}: not within a minute`);
+/** Polls until a condition holds; throws after a minute. */
+const until = async (condition: string, holds: () => boolean): Promise<void> => {
+  const startedAt = hostClock.now();
+  while (!holds()) {
+    if (hostClock.now() - startedAt > 60000)
+      throw new Error(`timed out waiting for ${condition} after a minute`);
     await delay(hostClock, 50);
   }
 };
 
-/** A control on real sockets with its disk; `close` ends it and removes what it wrote. */
+/** A control on real sockets with its disk; `close` stops it and deletes its data. */
 interface RunningControl {
   readonly node: ControlNode;
   readonly addr: string;
   close(): Promise<void>;
 }
 
+/** Starts a control that is the only seed and voter. */
 const startControl = async (): Promise<RunningControl> => {
   const dir = mkdtempSync(join(tmpdir(), 'capacity-'));
   const disk = await FolderDisk.acquire(dir);
@@ -144,7 +162,7 @@
   const [port = 0] = await freePorts(1);
   const addr = `127.0.0.1:${port}`;
   const electionStore = await DiskElectionStore.open(watched.disk, () => 'c-0', 4 << 20);
-  const me = {
+  const self = {
     id: electionStore.persisted.id,
     kind: 'control' as const,
     addr,
@@ -154,7 +172,7 @@
     name: 'control-0',
   };
   const node = new ControlNode({
-    me,
+    me: self,
     seeds: [addr, addr, addr],
     clock: hostClock,
     transport: new TcpTransport(addr),
@@ -173,8 +191,8 @@
   return { node, addr, close };
 };
 
-/** The process of hollow fronts; it prints a line when they are up, and one for each measurement. */
-class HollowProcess {
+/** A child process of idle fronts, which prints `up` once they run and a line for each measurement. */
+class IdleFrontsProcess {
   private output = '';
   private readonly child;
 
@@ -188,12 +206,12 @@
     });
   }
 
-  /** Begins a measurement; the result is there once its line came. */
+  /** Starts a measurement; the returned function waits for its result. */
   measure(): () => Promise<z.infer<typeof Measured>> {
     this.child.stdin.write('measure\n');
     const lines = this.lineCount();
     return async () => {
-      await until("the hollow fronts' figures", () => this.lineCount() > lines);
+      await until("the idle fronts' measurement", () => this.lineCount() > lines);
       return Measured.parse(JSON.parse(this.output.trimEnd().split('\n').at(-1) ?? ''));
     };
   }
@@ -207,27 +225,30 @@
   }
 }
 
-/** Brings a control to lead so many hollow fronts, with servers and a configuration. */
-const fill = async (node: ControlNode, servers: number, fronts: number): Promise<void> => {
-  await until('a master', () => node.zen.leading?.committed !== undefined);
-  const put = await node.operate({ method: 'PUT', path: '/v1/config', body: configText(0, 20) });
-  if (put.status !== 200) throw new Error(JSON.stringify(put));
+/**
+ * Puts a configuration in force, registers servers, and waits until all fronts have joined and the change has settled.
+ */
+const prepare = async (node: ControlNode, servers: number, fronts: number): Promise<void> => {
+  await until('a master with a committed state', () => node.zen.leading?.committed !== undefined);
+  const reply = await node.operate({ method: 'PUT', path: '/v1/config', body: configText(0, 20) });
+  if (reply.status !== 200) throw new Error(JSON.stringify(reply));
   await node.zen.leading?.submit((state) =>
     testServers(servers).reduce(
       (next, server) => reduceState(next, { kind: 'server', server }),
       state,
     ),
   );
-  await until('all fronts', () => node.zen.leading?.committed?.nodes.size === fronts + 1);
+  await until('all fronts to join', () => node.zen.leading?.committed?.nodes.size === fronts + 1);
   await delay(hostClock, restMs);
 };
 
-const measureAtRest = async (fronts: HollowProcess, count: number): Promise<Values> => {
-  const figures = fronts.measure();
-  const before = process.cpuUsage();
+/** Measures the idle master and the idle fronts at the same time. */
+const measureIdle = async (fronts: IdleFrontsProcess, count: number): Promise<Values> => {
+  const measurement = fronts.measure();
+  const cpuBefore = process.cpuUsage();
   await delay(hostClock, measureMs);
-  const { user, system } = process.cpuUsage(before);
-  const reported = await figures();
+  const { user, system } = process.cpuUsage(cpuBefore);
+  const reported = await measurement();
   const percentOfCore = (ms: number): number => (ms / measureMs) * 100;
   return new Map([
     ['master at rest, % of a core', percentOfCore((user + system) / 1000)],
@@ -240,26 +261,27 @@
   ]);
 };
 
+/** A sweep over counts of fronts, with a fixed count of servers. */
 const sockets =
   (servers: number) =>
   async (count: number): Promise<Values> => {
     const control = await startControl();
-    const hollowProcess = new HollowProcess(count, control.addr);
+    const idleFronts = new IdleFrontsProcess(count, control.addr);
     try {
-      await fill(control.node, servers, count);
-      return await measureAtRest(hollowProcess, count);
+      await prepare(control.node, servers, count);
+      return await measureIdle(idleFronts, count);
     } finally {
-      hollowProcess.end();
+      idleFronts.end();
       await control.close();
     }
   };
 
-/** These sweeps by name. */
+/** The sweeps on real sockets, keyed by name. */
 export const socketSweeps: ReadonlyMap<string, Sweep> = new Map<string, Sweep>([
   [
     'sockets',
     {
-      about: 'hollow fronts in one process, one control in another, 16 servers, at rest',
+      about: 'idle fronts in one process, one control in another, 16 servers',
       by: 'front',
       how: 'sockets',
       sizes: [10, 20, 40, 80],
@@ -271,7 +293,7 @@
   [
     'sockets-servers',
     {
-      about: 'servers before 10 hollow fronts, one control, at rest',
+      about: 'servers behind 10 idle fronts, one control',
       by: 'server',
       how: 'sockets',
       sizes: [16, 64, 128, 256],
--- a/packages/fleet/src/capacity-state.ts
+++ b/packages/fleet/src/capacity-state.ts
@@ -1,4 +1,4 @@
-/** Cluster states of any size, for the sweeps on processor time. */
+/** Generates cluster states of any size, for the sweeps on processor time. */
 import {
   allocate,
   checkConfig,
@@ -12,7 +12,7 @@
 } from '@tillerstair/state';
 import { configText, testServers } from './capacity-deployment.js';
 
-/** What the size of a cluster state depends on. */
+/** The counts that decide the size of a cluster state. */
 export interface StateSizes {
   readonly fronts: number;
   readonly servers: number;
@@ -20,12 +20,16 @@
   readonly routes: number;
 }
 
-/** The two-year size, with 20 slots a front held to the most a bootstrap takes, and a route for each tenant and model. */
+/**
+ * The size expected in two years: 20 slots a front, limited to the maximum of a bootstrap, and a route for each tenant
+ * and model.
+ */
 export const grownSizes: StateSizes = { fronts: 410, servers: 3400, slots: 4096, routes: 8400 };
-/** A deployment of today's size. */
+/** The size of a present deployment. */
 export const typicalSizes: StateSizes = { fronts: 40, servers: 100, slots: 64, routes: 20 };
 
-const peers = (kind: Member['kind'], net: number, count: number): readonly Member[] =>
+/** So many members of a kind, with addresses in the network 10.`net`. */
+const membersOf = (kind: Member['kind'], net: number, count: number): readonly Member[] =>
   Array.from({ length: count }, (_, n) => ({
     id: `${kind.charAt(0)}-${String(n).padStart(12, '0')}`,
     kind,
@@ -36,34 +40,47 @@
     name: '',
   }));
 
-/** The state with a configuration more. */
-export const withConfig = (s: State, routes: number): State => {
-  const text = configText(s.config?.version ?? 0, routes);
+/**
+ * Returns the state with a further configuration version, which has `routes` extra routes; throws if it is rejected.
+ */
+export const withConfig = (state: State, routes: number): State => {
+  const text = configText(state.config?.version ?? 0, routes);
   const { config } = checkConfig(text);
-  if (!config) throw new Error('the configuration is refused');
+  if (!config)
+    throw new Error(`the generated configuration with ${routes} extra routes was rejected`);
   const record = ConfigRecord.parse({
-    version: (s.config?.version ?? 0) + 1,
+    version: (state.config?.version ?? 0) + 1,
     text,
     digest: configDigest(text),
     compiled: JSON.stringify(config),
   });
-  return reduceState(s, { kind: 'config', record });
+  return reduceState(state, { kind: 'config', record });
 };
 
-/** A state of a size, as a cluster that has grown to it would have. */
-export const stateOf = (z: StateSizes): State => {
-  const controls = peers('control', 1, 5);
-  const all = [...controls, ...peers('store', 2, 15), ...peers('front', 3, z.fronts)];
-  const bootstrapped = bootstrapState('cluster', controls, z.slots);
-  const joined = all.reduce((s, member) => reduceState(s, { kind: 'join', member }), bootstrapped);
-  const allotted = allocate(joined, {
+/** Returns the state of a cluster of these sizes, with all slots allocated, servers registered and weights tuned. */
+export const stateOf = (sizes: StateSizes): State => {
+  const controls = membersOf('control', 1, 5);
+  const members = [
+    ...controls,
+    ...membersOf('store', 2, 15),
+    ...membersOf('front', 3, sizes.fronts),
+  ];
+  const bootstrapped = bootstrapState('cluster', controls, sizes.slots);
+  const joined = members.reduce(
+    (state, member) => reduceState(state, { kind: 'join', member }),
+    bootstrapped,
+  );
+  const allocated = allocate(joined, {
     minStores: 3,
-    maxMoves: z.slots,
-    maxFills: z.slots,
+    maxMoves: sizes.slots,
+    maxFills: sizes.slots,
     unresponsiveStores: new Set(),
   });
-  const servers = testServers(z.servers);
-  const served = { ...allotted, servers: new Map(servers.map((v) => [v.id, v])) };
-  const weights = new Map(servers.map((v) => [weightKey(v.pool, v.id), 0.98]));
-  return withConfig(reduceState(served, { kind: 'weights', weights }), z.routes);
+  const servers = testServers(sizes.servers);
+  const registered = {
+    ...allocated,
+    servers: new Map(servers.map((server) => [server.id, server])),
+  };
+  const weights = new Map(servers.map((server) => [weightKey(server.pool, server.id), 0.98]));
+  return withConfig(reduceState(registered, { kind: 'weights', weights }), sizes.routes);
 };
--- a/packages/fleet/src/capacity-traffic.ts
+++ b/packages/fleet/src/capacity-traffic.ts
@@ -1,4 +1,4 @@
-/** Sweeps on what a simulated deployment sends, at rest and at changes. */
+/** Sweeps on the messages and bytes that a simulated deployment sends, when idle and when something changes. */
 import { encodeState } from '@tillerstair/state';
 import type { Sweep, Values } from './capacity.js';
 import {
@@ -9,215 +9,266 @@
   type Tally,
 } from './capacity-deployment.js';
 
+/** Simulated time over which an idle deployment is measured. */
 const idleMs = 10000;
 
-const stateBytes = (rig: SimulatedDeployment): number =>
-  JSON.stringify([...encodeState(rig.simulation.committed ?? fail())]).length;
+/** Size of the committed state as JSON. */
+const stateBytes = (deployment: SimulatedDeployment): number =>
+  JSON.stringify([...encodeState(deployment.simulation.committed ?? fail())]).length;
 const fail = (): never => {
-  throw new Error('nothing is committed');
+  throw new Error('the simulated deployment has not committed a state');
 };
 
-const both = (t: Tally, kinds: readonly string[], what: 'messages' | 'bytes'): number =>
-  kinds.reduce((n, k) => n + countOf(t[what], `kind ${k}`), 0);
+/** Messages or bytes of several kinds together. */
+const sumOfKinds = (tally: Tally, kinds: readonly string[], unit: 'messages' | 'bytes'): number =>
+  kinds.reduce((sum, kind) => sum + countOf(tally[unit], `kind ${kind}`), 0);
 
-const rounds = 'zen/ping';
+/** The message kind of ping rounds. */
+const pingKind = 'zen/ping';
 
-/** What a role sent and received, but for ping rounds. */
-const without = (t: Tally, what: 'messages' | 'bytes', role: Role): number =>
-  countOf(t[what], role) - countOf(t[what], `${role} ${rounds}`);
+/** Messages or bytes that a role sent and received, without the pings of rounds. */
+const exceptPings = (tally: Tally, unit: 'messages' | 'bytes', role: Role): number =>
+  countOf(tally[unit], role) - countOf(tally[unit], `${role} ${pingKind}`);
 
-const resting = async (
-  rig: SimulatedDeployment,
+/** Measures the rates of messages and bytes of an idle deployment. */
+const measureIdle = async (
+  deployment: SimulatedDeployment,
   fronts: number,
 ): Promise<readonly (readonly [string, number])[]> => {
-  const t = await rig.tallyIdle(idleMs);
-  const each = idleMs / 1000;
-  const a = (what: 'messages' | 'bytes', role: Role, nodes: number): number =>
-    without(t, what, role) / each / nodes;
+  const tally = await deployment.tallyIdle(idleMs);
+  const seconds = idleMs / 1000;
+  const ratePerNode = (unit: 'messages' | 'bytes', role: Role, nodeCount: number): number =>
+    exceptPings(tally, unit, role) / seconds / nodeCount;
   return [
-    ['master messages a second', a('messages', 'master', 1)],
-    ['master bytes a second', a('bytes', 'master', 1)],
-    ['agent messages a second', a('messages', 'agent', fronts)],
-    ['agent bytes a second', a('bytes', 'agent', fronts)],
-    ['store messages a second', a('messages', 'store', rig.simulation.of('store').length)],
-    ['store bytes a second', a('bytes', 'store', rig.simulation.of('store').length)],
+    ['master messages a second', ratePerNode('messages', 'master', 1)],
+    ['master bytes a second', ratePerNode('bytes', 'master', 1)],
+    ['agent messages a second', ratePerNode('messages', 'agent', fronts)],
+    ['agent bytes a second', ratePerNode('bytes', 'agent', fronts)],
+    [
+      'store messages a second',
+      ratePerNode('messages', 'store', deployment.simulation.of('store').length),
+    ],
+    [
+      'store bytes a second',
+      ratePerNode('bytes', 'store', deployment.simulation.of('store').length),
+    ],
     [
       'other control bytes a second',
-      a('bytes', 'control', rig.simulation.of('control').length - 1),
+      ratePerNode('bytes', 'control', deployment.simulation.of('control').length - 1),
+    ],
+    ['loopback bytes a second a front', ratePerNode('bytes', 'loop', fronts)],
+    [
+      'messages of freshness rounds a second, all',
+      countOf(tally.messages, `kind ${pingKind}`) / seconds,
     ],
-    ['loopback bytes a second a front', a('bytes', 'loop', fronts)],
-    ['messages of freshness rounds a second, all', countOf(t.messages, `kind ${rounds}`) / each],
     [
       'freshness rounds a second, all',
-      countOf(t.messages, `kind ${rounds}`) / each / 2 / (rig.simulation.machines.length - 1),
+      countOf(tally.messages, `kind ${pingKind}`) /
+        seconds /
+        2 /
+        (deployment.simulation.machines.length - 1),
     ],
   ];
 };
 
-const otherMaster = async (
-  rig: SimulatedDeployment,
+/** Kills the master and measures the election until every front follows the new master. */
+const measureMasterChange = async (
+  deployment: SimulatedDeployment,
 ): Promise<readonly (readonly [string, number])[]> => {
-  const { simulation: w } = rig;
-  const old = w.master;
-  const t0 = w.clock.now();
-  let ms = 0;
-  const t = await rig.tally(async () => {
-    old?.kill();
-    await w.clock.until('another master', () => w.master !== undefined && w.master !== old, 20000);
-    const term = w.master?.control?.zen.term ?? 0;
-    const followed = (): boolean =>
-      w.of('front').every((m) => (m.front?.owner.current?.state.term ?? 0) >= term);
-    await w.clock.until('its state on every front', followed, 20000);
-    ms = w.clock.now() - t0;
+  const { simulation } = deployment;
+  const oldMaster = simulation.master;
+  const startedAt = simulation.clock.now();
+  let elapsedMs = 0;
+  const tally = await deployment.tally(async () => {
+    oldMaster?.kill();
+    await simulation.clock.until(
+      'a new master',
+      () => simulation.master !== undefined && simulation.master !== oldMaster,
+      20000,
+    );
+    const term = simulation.master?.control?.zen.term ?? 0;
+    const isFollowed = (): boolean =>
+      simulation
+        .of('front')
+        .every((machine) => (machine.front?.owner.current?.state.term ?? 0) >= term);
+    await simulation.clock.until('the state of the new master on every front', isFollowed, 20000);
+    elapsedMs = simulation.clock.now() - startedAt;
   });
   return [
     [
       'change of master, messages',
-      [...t.messages].reduce((n, [k, v]) => (k.startsWith('kind zen/') ? n + v : n), 0),
+      [...tally.messages].reduce(
+        (sum, [name, count]) => (name.startsWith('kind zen/') ? sum + count : sum),
+        0,
+      ),
     ],
     [
       'change of master, bytes',
-      [...t.bytes].reduce((n, [k, v]) => (k.startsWith('kind zen/') ? n + v : n), 0),
+      [...tally.bytes].reduce(
+        (sum, [name, count]) => (name.startsWith('kind zen/') ? sum + count : sum),
+        0,
+      ),
     ],
-    ['change of master, messages of rounds', countOf(t.messages, `kind ${rounds}`)],
+    ['change of master, messages of rounds', countOf(tally.messages, `kind ${pingKind}`)],
     [
       'change of master, messages of rounds a pair',
-      countOf(t.messages, `kind ${rounds}`) / w.machines.length ** 2,
+      countOf(tally.messages, `kind ${pingKind}`) / simulation.machines.length ** 2,
     ],
-    ['change of master, ms', ms],
+    ['change of master, ms', elapsedMs],
   ];
 };
 
-const published = ['zen/publish', 'zen/commit'] as const;
+/** The message kinds that publish a state. */
+const publishKinds = ['zen/publish', 'zen/commit'] as const;
 
-const changing = async (
-  rig: SimulatedDeployment,
+/** Measures one change of the configuration. */
+const measureConfigChange = async (
+  deployment: SimulatedDeployment,
 ): Promise<readonly (readonly [string, number])[]> => {
-  let ms = 0;
-  const t = await rig.tally(async () => {
-    ms = await rig.reconfigure();
-    await rig.simulation.clock.run(1000);
+  let elapsedMs = 0;
+  const tally = await deployment.tally(async () => {
+    elapsedMs = await deployment.reconfigure();
+    await deployment.simulation.clock.run(1000);
   });
-  const targets = rig.simulation.machines.length - 1;
+  const targets = deployment.simulation.machines.length - 1;
   return [
-    ['messages of one change', both(t, published, 'messages')],
-    ['bytes of one change', both(t, published, 'bytes')],
-    ['bytes of one change a node', both(t, published, 'bytes') / targets],
-    ['one change in force, ms', ms],
+    ['messages of one change', sumOfKinds(tally, publishKinds, 'messages')],
+    ['bytes of one change', sumOfKinds(tally, publishKinds, 'bytes')],
+    ['bytes of one change a node', sumOfKinds(tally, publishKinds, 'bytes') / targets],
+    ['one change in force, ms', elapsedMs],
   ];
 };
 
 const nodes = async (fronts: number): Promise<Values> => {
-  const rig = await SimulatedDeployment.start({ ...defaultSizes, fronts }, 16);
+  const deployment = await SimulatedDeployment.start({ ...defaultSizes, fronts }, 16);
   return new Map([
-    ['state bytes', stateBytes(rig)],
-    ...(await resting(rig, fronts)),
-    ...(await changing(rig)),
-    ...(await otherMaster(rig)),
+    ['state bytes', stateBytes(deployment)],
+    ...(await measureIdle(deployment, fronts)),
+    ...(await measureConfigChange(deployment)),
+    ...(await measureMasterChange(deployment)),
   ]);
 };
 
 const servers = async (count: number): Promise<Values> => {
-  const rig = await SimulatedDeployment.start(defaultSizes, count);
+  const deployment = await SimulatedDeployment.start(defaultSizes, count);
   const { fronts } = defaultSizes;
-  const polls = rig.simulation.servers.polls;
-  const rest = await resting(rig, fronts);
-  const polled = rig.simulation.servers.polls - polls;
-  const marked = await rig.tally(() => rig.markDraining(0));
-  const targets = rig.simulation.machines.length - 1;
+  const polls = deployment.simulation.servers.polls;
+  const idleRates = await measureIdle(deployment, fronts);
+  const polled = deployment.simulation.servers.polls - polls;
+  const markTally = await deployment.tally(() => deployment.markDraining(0));
+  const targets = deployment.simulation.machines.length - 1;
   return new Map([
-    ['state bytes', stateBytes(rig)],
+    ['state bytes', stateBytes(deployment)],
     ['polls a second a front', polled / (idleMs / 1000) / fronts],
-    ['bytes of one mark a node', both(marked, published, 'bytes') / targets],
-    ...rest,
+    ['bytes of one mark a node', sumOfKinds(markTally, publishKinds, 'bytes') / targets],
+    ...idleRates,
   ]);
 };
 
 const routes = async (count: number): Promise<Values> => {
-  const rig = await SimulatedDeployment.start(defaultSizes, 16, count);
-  return new Map([['state bytes', stateBytes(rig)], ...(await changing(rig))]);
+  const deployment = await SimulatedDeployment.start(defaultSizes, 16, count);
+  return new Map([
+    ['state bytes', stateBytes(deployment)],
+    ...(await measureConfigChange(deployment)),
+  ]);
 };
 
 const slots = async (count: number): Promise<Values> => {
-  const rig = await SimulatedDeployment.start({ ...defaultSizes, slots: count }, 16);
-  const state = stateBytes(rig);
-  const front = rig.simulation.of('front').at(0);
-  const versions = rig.simulation.committed?.version ?? 0;
-  const t0 = rig.simulation.clock.now();
-  let ms = 0;
-  const t = await rig.tally(async () => {
+  const deployment = await SimulatedDeployment.start({ ...defaultSizes, slots: count }, 16);
+  const bytesOfState = stateBytes(deployment);
+  const front = deployment.simulation.of('front').at(0);
+  const versionBefore = deployment.simulation.committed?.version ?? 0;
+  const startedAt = deployment.simulation.clock.now();
+  let elapsedMs = 0;
+  const tally = await deployment.tally(async () => {
     front?.kill();
-    await rig.simulation.clock.until(
-      'another owner',
-      () => (rig.simulation.committed?.version ?? 0) > versions && rig.simulation.slotsServed(),
+    await deployment.simulation.clock.until(
+      'a new owner of every slot',
+      () =>
+        (deployment.simulation.committed?.version ?? 0) > versionBefore &&
+        deployment.simulation.slotsServed(),
       20000,
     );
-    ms = rig.simulation.clock.now() - t0;
-    await rig.simulation.clock.run(2000);
+    elapsedMs = deployment.simulation.clock.now() - startedAt;
+    await deployment.simulation.clock.run(2000);
   });
   return new Map([
-    ['state bytes', state],
-    ['publish bytes at the loss of a front', both(t, published, 'bytes')],
-    ['fences at the loss of a front', both(t, ['store/fence'], 'messages')],
-    ['loss of a front, ms to the last new owner', ms],
+    ['state bytes', bytesOfState],
+    ['publish bytes at the loss of a front', sumOfKinds(tally, publishKinds, 'bytes')],
+    ['fences at the loss of a front', sumOfKinds(tally, ['store/fence'], 'messages')],
+    ['loss of a front, ms to the last new owner', elapsedMs],
   ]);
 };
 
-const changes = async (inTen: number): Promise<Values> => {
-  const rig = await SimulatedDeployment.start({ ...defaultSizes, fronts: 16 }, 16);
-  const took: number[] = [];
-  const t = await rig.tally(async () => {
-    for (let n = 0; n < inTen; n++) {
-      const at = rig.simulation.clock.now();
-      took.push(await rig.reconfigure());
-      await rig.simulation.clock.run(
-        Math.max(0, idleMs / inTen - (rig.simulation.clock.now() - at)),
+const changes = async (count: number): Promise<Values> => {
+  const deployment = await SimulatedDeployment.start({ ...defaultSizes, fronts: 16 }, 16);
+  const durations: number[] = [];
+  const tally = await deployment.tally(async () => {
+    for (let change = 0; change < count; change++) {
+      const startedAt = deployment.simulation.clock.now();
+      durations.push(await deployment.reconfigure());
+      await deployment.simulation.clock.run(
+        Math.max(0, idleMs / count - (deployment.simulation.clock.now() - startedAt)),
       );
     }
   });
   return new Map([
-    ['messages that publish', both(t, published, 'messages')],
-    ['master messages a second', without(t, 'messages', 'master') / 10],
-    ['master bytes a second', without(t, 'bytes', 'master') / 10],
-    ['agent bytes a second', without(t, 'bytes', 'agent') / 10 / 16],
-    ['longest to be in force, ms', Math.max(...took)],
+    ['messages that publish', sumOfKinds(tally, publishKinds, 'messages')],
+    ['master messages a second', exceptPings(tally, 'messages', 'master') / 10],
+    ['master bytes a second', exceptPings(tally, 'bytes', 'master') / 10],
+    ['agent bytes a second', exceptPings(tally, 'bytes', 'agent') / 10 / 16],
+    ['longest to be in force, ms', Math.max(...durations)],
   ]);
 };
 
+/** The region of a machine, by the number in its address. */
 const regionOf = (addr: string): number => Number(/-(\d+)/.exec(addr)?.[1] ?? 0) % 3;
 
-const regions = async (oneWay: number): Promise<Values> => {
-  const rig = await SimulatedDeployment.start({ ...defaultSizes, fronts: 9 }, 16);
-  const { simulation: w } = rig;
-  w.net.extraLatency = (a, b) => (regionOf(a) === regionOf(b) ? 0 : oneWay);
-  await w.clock.run(5000);
-  const inForce = await rig.reconfigure();
+const regions = async (oneWayMs: number): Promise<Values> => {
+  const deployment = await SimulatedDeployment.start({ ...defaultSizes, fronts: 9 }, 16);
+  const { simulation } = deployment;
+  simulation.net.extraLatency = (a, b) => (regionOf(a) === regionOf(b) ? 0 : oneWayMs);
+  await simulation.clock.run(5000);
+  const inForce = await deployment.reconfigure();
   const programs: number[] = [];
   const turns: number[] = [];
-  for (let n = 0; n < 27; n++) {
-    const t0 = w.clock.now();
-    const p = await w.clock.finish('program', w.program(1000, w.of('front')[n % 9]), 20000);
-    const t1 = w.clock.now();
-    const t = await w.clock.finish(
+  for (let index = 0; index < 27; index++) {
+    const startedAt = simulation.clock.now();
+    const program = await simulation.clock.finish(
+      'program',
+      simulation.program(1000, simulation.of('front')[index % 9]),
+      20000,
+    );
+    const createdAt = simulation.clock.now();
+    const turn = await simulation.clock.finish(
       'turn',
-      w.turn(p.program, null, 'words', `k${n}`, w.of('front')[n % 9]),
+      simulation.turn(
+        program.program,
+        null,
+        'words',
+        `k${index}`,
+        simulation.of('front')[index % 9],
+      ),
       20000,
     );
-    if (p.reported !== 'done' || t.reported !== 'done')
-      throw new Error(`reported ${p.reported}, ${t.reported}`);
-    programs.push(t1 - t0);
-    turns.push(w.clock.now() - t1);
+    if (program.reported !== 'done' || turn.reported !== 'done')
+      throw new Error(
+        `the program was reported as ${program.reported}, the turn as ${turn.reported}`,
+      );
+    programs.push(createdAt - startedAt);
+    turns.push(simulation.clock.now() - createdAt);
   }
-  const middle = (xs: readonly number[]): number =>
-    [...xs].sort((a, b) => a - b)[xs.length >> 1] ?? 0;
+  const median = (values: readonly number[]): number =>
+    [...values].sort((a, b) => a - b)[values.length >> 1] ?? 0;
   return new Map([
     ['one change in force, ms', inForce],
-    ['a program made, median ms', middle(programs)],
-    ['a turn of 4 to 15 chunks, median ms', middle(turns)],
+    ['a program made, median ms', median(programs)],
+    ['a turn of 4 to 15 chunks, median ms', median(turns)],
     ['a turn of 4 to 15 chunks, most ms', Math.max(...turns)],
   ]);
 };
 
+/** The sweeps on a simulated deployment, keyed by name. */
 export const deploymentSweeps: ReadonlyMap<string, Sweep> = new Map<string, Sweep>([
   [
     'nodes',
--- a/packages/fleet/src/capacity-work.ts
+++ b/packages/fleet/src/capacity-work.ts
@@ -1,56 +1,76 @@
-/** Sweeps on what programs, turns and calls cost in messages, bytes and items. */
+/** Sweeps on the messages, bytes and stored items that programs, turns and calls cost. */
 import type { Sweep, Values } from './capacity.js';
 import type { ReplyRecord } from '@tillerstair/checker';
 import { countOf, SimulatedDeployment, defaultSizes } from './capacity-deployment.js';
 
-const itemsOf = (rig: SimulatedDeployment): number =>
-  rig.simulation.of('store').reduce((n, m) => n + (m.replicaStore?.counts().items ?? 0), 0);
-const diskOf = (rig: SimulatedDeployment): number =>
-  rig.simulation.of('store').reduce((n, m) => n + (m.replicaStore?.counts().bytes ?? 0), 0);
-const heldBy = (rig: SimulatedDeployment): number =>
-  rig.simulation.of('front').reduce((n, m) => n + (m.front?.owner.sizes().items ?? 0), 0);
+/** Number of items in all stores. */
+const itemsOf = (deployment: SimulatedDeployment): number =>
+  deployment.simulation
+    .of('store')
+    .reduce((sum, machine) => sum + (machine.replicaStore?.counts().items ?? 0), 0);
+/** Journal bytes of all stores. */
+const journalBytesOf = (deployment: SimulatedDeployment): number =>
+  deployment.simulation
+    .of('store')
+    .reduce((sum, machine) => sum + (machine.replicaStore?.counts().bytes ?? 0), 0);
+/** Number of items that all slot owners hold in memory. */
+const ownerItemsOf = (deployment: SimulatedDeployment): number =>
+  deployment.simulation
+    .of('front')
+    .reduce((sum, machine) => sum + (machine.front?.owner.sizes().items ?? 0), 0);
 
-const counted = async (rig: SimulatedDeployment, work: () => Promise<void>): Promise<Values> => {
-  const items = itemsOf(rig);
-  const disk = diskOf(rig);
-  const held = heldBy(rig);
-  const t = await rig.tally(async () => {
+/** Counts the messages and items that `work` costs, until 500 ms after its end. */
+const measureWork = async (
+  deployment: SimulatedDeployment,
+  work: () => Promise<void>,
+): Promise<Values> => {
+  const items = itemsOf(deployment);
+  const journalBytes = journalBytesOf(deployment);
+  const ownerItems = ownerItemsOf(deployment);
+  const tally = await deployment.tally(async () => {
     await work();
-    await rig.simulation.clock.run(500);
+    await deployment.simulation.clock.run(500);
   });
   return new Map([
-    ['store/put messages', countOf(t.messages, 'kind store/put')],
-    ['store/put bytes', countOf(t.bytes, 'kind store/put')],
+    ['store/put messages', countOf(tally.messages, 'kind store/put')],
+    ['store/put bytes', countOf(tally.bytes, 'kind store/put')],
     [
       'bytes between fronts',
       ['program', 'turn', 'turn chunk', 'history', 'call'].reduce(
-        (n, k) => n + countOf(t.bytes, `kind front/${k}`),
+        (sum, kind) => sum + countOf(tally.bytes, `kind front/${kind}`),
         0,
       ),
     ],
-    ['items in all stores', itemsOf(rig) - items],
-    ['journal bytes in all stores', diskOf(rig) - disk],
-    ['items held by owners', heldBy(rig) - held],
+    ['items in all stores', itemsOf(deployment) - items],
+    ['journal bytes in all stores', journalBytesOf(deployment) - journalBytes],
+    ['items held by owners', ownerItemsOf(deployment) - ownerItems],
   ]);
 };
 
-const raise = (): Promise<SimulatedDeployment> =>
+/** Starts a deployment of 4 fronts, 3 stores, 16 slots and 16 servers. */
+const startDeployment = (): Promise<SimulatedDeployment> =>
   SimulatedDeployment.start({ ...defaultSizes, fronts: 4, slots: 16 }, 16);
-const check = (reported: string): void => {
-  if (reported !== 'done') throw new Error(`reported ${reported}`);
+/** Throws unless a request was reported as done. */
+const requireDone = (reported: string): void => {
+  if (reported !== 'done') throw new Error(`a request was reported as ${reported}, not as done`);
 };
 
+/** Creates programs of one turn each. */
 const programs = async (count: number): Promise<Values> => {
-  const rig = await raise();
-  return counted(rig, async () => {
+  const deployment = await startDeployment();
+  return measureWork(deployment, async () => {
     for (let n = 0; n < count; n++) {
-      const p = await rig.simulation.clock.finish('program', rig.simulation.program(1000), 20000);
-      check(p.reported);
-      check(
+      const program = await deployment.simulation.clock.finish(
+        'program',
+        deployment.simulation.program(1000),
+        20000,
+      );
+      requireDone(program.reported);
+      requireDone(
         (
-          await rig.simulation.clock.finish(
+          await deployment.simulation.clock.finish(
             'turn',
-            rig.simulation.turn(p.program, null, `words ${n}`, `k${n}`),
+            deployment.simulation.turn(program.program, null, `words ${n}`, `k${n}`),
             20000,
           )
         ).reported,
@@ -59,34 +79,40 @@
   });
 };
 
+/** Runs the turns of one program. */
 const history = async (turns: number): Promise<Values> => {
-  const rig = await raise();
-  return counted(rig, async () => {
-    const p = await rig.simulation.clock.finish('program', rig.simulation.program(100000), 20000);
-    check(p.reported);
+  const deployment = await startDeployment();
+  return measureWork(deployment, async () => {
+    const program = await deployment.simulation.clock.finish(
+      'program',
+      deployment.simulation.program(100000),
+      20000,
+    );
+    requireDone(program.reported);
     let after: string | null = null;
     for (let n = 0; n < turns; n++) {
-      const prior: string | null = after;
-      const t: ReplyRecord = await rig.simulation.clock.finish(
+      const previous: string | null = after;
+      const turn: ReplyRecord = await deployment.simulation.clock.finish(
         'turn',
-        rig.simulation.turn(p.program, prior, `words ${n}`, `k${n}`),
+        deployment.simulation.turn(program.program, previous, `words ${n}`, `k${n}`),
         20000,
       );
-      check(t.reported);
-      after = t.turn;
+      requireDone(turn.reported);
+      after = turn.turn;
     }
   });
 };
 
+/** Makes calls with an operation key each. */
 const keys = async (count: number): Promise<Values> => {
-  const rig = await raise();
-  return counted(rig, async () => {
+  const deployment = await startDeployment();
+  return measureWork(deployment, async () => {
     for (let n = 0; n < count; n++)
-      check(
+      requireDone(
         (
-          await rig.simulation.clock.finish(
+          await deployment.simulation.clock.finish(
             'call',
-            rig.simulation.call(`key-${n}`, '/hold', { n }),
+            deployment.simulation.call(`key-${n}`, '/hold', { n }),
             20000,
           )
         ).reported,
@@ -94,6 +120,7 @@
   });
 };
 
+/** The sweeps on programs, turns and calls, keyed by name. */
 export const workSweeps: ReadonlyMap<string, Sweep> = new Map<string, Sweep>([
   [
     'programs',
--- a/packages/fleet/src/capacity.ts
+++ b/packages/fleet/src/capacity.ts
@@ -1,24 +1,36 @@
-/** What was measured, by name; the name gives the unit. */
+/**
+ * Capacity sweeps: measurements of the costs at several sizes of a deployment, with a fitted line for each measure, so
+ * that the cost at a larger size can be extrapolated.
+ */
+
+/** Measured values, keyed by the name of the measure, which includes its unit. */
 export type Values = ReadonlyMap<string, number>;
 
-/** What was measured at one size. */
+/** The values measured at one size. */
 export interface Point {
   readonly size: number;
   readonly values: Values;
 }
 
-/** A measurement over several sizes, and what it is fitted for: the size that the deployment may grow to. */
+/** A measurement at several sizes, and the size for which its results are extrapolated. */
 export interface Sweep {
+  /** A one-line description, shown to users. */
   readonly about: string;
+  /** The unit of the sizes, in the singular. */
   readonly by: string;
+  /** Measured on the simulator, as processor time and memory of single steps, or on real sockets. */
   readonly how: 'simulated' | 'processor' | 'sockets';
+  /** The sizes that are measured by default. */
   readonly sizes: readonly number[];
+  /** Small sizes, for tests. */
   readonly small: readonly number[];
+  /** The size that the deployment may grow to. */
   readonly grown: number;
+  /** Measures all values at one size. */
   run(size: number): Promise<Values>;
 }
 
-/** A line through the measured points; `grown` is its value at the grown size. */
+/** A line fitted to the measured points of one measure; `grown` is its value at the size that may be grown to. */
 export interface Fit {
   readonly measure: string;
   readonly base: number;
@@ -28,7 +40,7 @@
   readonly grown: number;
 }
 
-/** A sweep that was run. */
+/** The result of a sweep: its points, the fitted lines, and the command that repeats it. */
 export interface SweepResult {
   readonly sweep: string;
   readonly by: string;
@@ -40,63 +52,69 @@
   readonly fits: readonly Fit[];
 }
 
-const mean = (xs: readonly number[]): number =>
-  xs.reduce((a, b) => a + b, 0) / Math.max(1, xs.length);
+const mean = (values: readonly number[]): number =>
+  values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
 
-/** Least squares; `spread` is the standard deviation of the residuals, `slopeSpread` the standard error of the slope. */
+/**
+ * Fits a line by least squares. `spread` is the standard deviation of the residuals, `slopeSpread` the standard error
+ * of the slope.
+ */
 export const fitOf = (
   measure: string,
   points: readonly (readonly [number, number])[],
   grown: number,
 ): Fit => {
-  const mx = mean(points.map(([x]) => x));
-  const my = mean(points.map(([, y]) => y));
-  const sxx = points.reduce((n, [x]) => n + (x - mx) ** 2, 0);
-  const slope = sxx === 0 ? 0 : points.reduce((n, [x, y]) => n + (x - mx) * (y - my), 0) / sxx;
-  const base = my - slope * mx;
-  const left = points.reduce((n, [x, y]) => n + (y - base - slope * x) ** 2, 0);
-  const spread = Math.sqrt(left / Math.max(1, points.length - 2));
+  const meanX = mean(points.map(([x]) => x));
+  const meanY = mean(points.map(([, y]) => y));
+  const squaresX = points.reduce((sum, [x]) => sum + (x - meanX) ** 2, 0);
+  const slope =
+    squaresX === 0
+      ? 0
+      : points.reduce((sum, [x, y]) => sum + (x - meanX) * (y - meanY), 0) / squaresX;
+  const base = meanY - slope * meanX;
+  const residualSquares = points.reduce((sum, [x, y]) => sum + (y - base - slope * x) ** 2, 0);
+  const spread = Math.sqrt(residualSquares / Math.max(1, points.length - 2));
   return {
     measure,
     base,
     slope,
-    slopeSpread: sxx === 0 ? 0 : spread / Math.sqrt(sxx),
+    slopeSpread: squaresX === 0 ? 0 : spread / Math.sqrt(squaresX),
     spread,
     grown: base + slope * grown,
   };
 };
 
-/** A line for each measure. */
+/** Fits a line to each measure of the points. */
 export const fitsOf = (points: readonly Point[], grown: number): readonly Fit[] => {
-  const names = new Set(points.flatMap((p) => [...p.values.keys()]));
+  const names = new Set(points.flatMap((point) => [...point.values.keys()]));
   return [...names].map((name) =>
     fitOf(
       name,
-      points.flatMap((p) => {
-        const v = p.values.get(name);
-        return v === undefined ? [] : [[p.size, v] as const];
+      points.flatMap((point) => {
+        const value = point.values.get(name);
+        return value === undefined ? [] : [[point.size, value] as const];
       }),
       grown,
     ),
   );
 };
 
-/** Runs a sweep at each size, one after another. */
+/** Runs a sweep at each size, one after another, and reports the values of each. */
 export const measureSizes = async (
   name: string,
-  s: Sweep,
+  sweep: Sweep,
   sizes: readonly number[],
-  say: (line: string) => void,
+  report: (line: string) => void,
 ): Promise<SweepResult> => {
   const points: Point[] = [];
   for (const size of sizes) {
-    const point = { size, values: await s.run(size) };
+    const point = { size, values: await sweep.run(size) };
     points.push(point);
-    say(
-      `${name} ${s.by} ${size}: ${[...point.values].map(([k, v]) => `${k} ${round(v)}`).join(', ')}`,
+    report(
+      `${name} ${sweep.by} ${size}: ${[...point.values].map(([k, v]) => `${k} ${round(v)}`).join(', ')}`,
     );
   }
-  const { by, how, about, grown } = s;
+  const { by, how, about, grown } = sweep;
   return {
     sweep: name,
     by,
@@ -109,32 +127,32 @@
   };
 };
 
-/** Five significant digits. */
-const round = (v: number): number => Number(v.toPrecision(5));
+/** Rounds to five significant digits. */
+const round = (value: number): number => Number(value.toPrecision(5));
 
-/** The sweep as it is kept in a file. */
-export const jsonOf = (s: SweepResult): string => {
-  const points = s.points.map((p) => ({
-    size: p.size,
-    values: [...p.values].map(([k, v]) => [k, round(v)]),
+/** Returns the JSON text of a sweep's result, with one line for each point and fit. */
+export const jsonOf = (result: SweepResult): string => {
+  const points = result.points.map((point) => ({
+    size: point.size,
+    values: [...point.values].map(([name, value]) => [name, round(value)]),
   }));
-  const fits = s.fits.map((f) => ({
-    measure: f.measure,
-    base: round(f.base),
-    slope: round(f.slope),
-    slopeSpread: round(f.slopeSpread),
-    spread: round(f.spread),
-    grown: round(f.grown),
+  const fits = result.fits.map((fit) => ({
+    measure: fit.measure,
+    base: round(fit.base),
+    slope: round(fit.slope),
+    slopeSpread: round(fit.slopeSpread),
+    spread: round(fit.spread),
+    grown: round(fit.grown),
   }));
-  const rows = (xs: readonly object[]): string =>
-    xs.map((x) => `  ${JSON.stringify(x)}`).join(',\n');
-  const head = JSON.stringify({ ...s, points: undefined, fits: undefined }).slice(1, -1);
+  const rows = (items: readonly object[]): string =>
+    items.map((item) => `  ${JSON.stringify(item)}`).join(',\n');
+  const head = JSON.stringify({ ...result, points: undefined, fits: undefined }).slice(1, -1);
   return `{${head},\n"points": [\n${rows(points)}\n],\n"fits": [\n${rows(fits)}\n]}\n`;
 };
 
-/** A line for each measure, for people. */
-export const tableOfFits = (s: SweepResult): readonly string[] =>
-  s.fits.map(
-    (f) =>
-      `${f.measure.padEnd(44)} ${round(f.base)} + ${round(f.slope)} (± ${round(f.slopeSpread)}) a ${s.by}; residuals ${round(f.spread)}; at ${s.grown}: ${round(f.grown)}`,
+/** Returns a line of text for each fit: base, slope, errors, and the value at the size that may be grown to. */
+export const tableOfFits = (result: SweepResult): readonly string[] =>
+  result.fits.map(
+    (fit) =>
+      `${fit.measure.padEnd(44)} ${round(fit.base)} + ${round(fit.slope)} (± ${round(fit.slopeSpread)}) a ${result.by}; residuals ${round(fit.spread)}; at ${result.grown}: ${round(fit.grown)}`,
   );
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -42,7 +42,9 @@
 
 const portsPerMachine = 7;
 
-/** Polls every 50 ms until `ready` holds, and returns how long it took in ms; throws after `within` ms, naming `what`. */
+/**
+ * Polls every 50 ms until `ready` holds, and returns how long it took in ms; throws after `within` ms, naming `what`.
+ */
 export const until = async (
   what: string,
   within: number,
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** A whole fleet on one machine, for scenarios and tests. */
+/** Runs a complete fleet on one host, for scenarios, soaks, capacity sweeps and tests. */
 export * from './layout.js';
 export * from './proc.js';
 export * from './fleet.js';
--- a/packages/fleet/src/main.ts
+++ b/packages/fleet/src/main.ts
@@ -10,7 +10,7 @@
 import { ScenarioRun, type RunResult } from './run.js';
 import { scenarios } from './scenarios.js';
 import { listSweeps, runSweep, sweeps } from './capacity-run.js';
-import { hollowFronts } from './capacity-sockets.js';
+import { runIdleFronts } from './capacity-sockets.js';
 import { faultKinds, modelRules } from '@tillerstair/sim';
 import { modelRuns } from './model.js';
 import { soakSeeds, soakSizesOf } from './soak/soak-seeds.js';
@@ -297,7 +297,7 @@
   .option('--seed <addr>', 'Address of the control that the fronts join')
   .action((count: string, options: object) =>
     runCommand(async () => {
-      await hollowFronts(Number(count), textOf(optionsOf(options).get('seed')) ?? '');
+      await runIdleFronts(Number(count), textOf(optionsOf(options).get('seed')) ?? '');
       return true;
     }),
   );
--- a/packages/fleet/src/run.ts
+++ b/packages/fleet/src/run.ts
@@ -155,7 +155,9 @@
     if (config.success) this.version = Math.max(this.version, config.data.version);
   }
 
-  /** Waits up to `within` ms until all fronts are ready and a program can be created; returns the time it took in ms. */
+  /**
+   * Waits up to `within` ms until all fronts are ready and a program can be created; returns the time it took in ms.
+   */
   async serving(within: number): Promise<number> {
     const { fleet } = this;
     return until(
--- a/packages/fleet/src/scenario-actions.ts
+++ b/packages/fleet/src/scenario-actions.ts
@@ -134,7 +134,10 @@
   return run.fleet.models.filter((server) => usedIds.has(server.options.id));
 };
 
-/** Marks a server as draining, in at most five attempts; returns when the accepted request was sent (ms since the epoch). */
+/**
+ * Marks a server as draining, in at most five attempts; returns when the accepted request was sent (ms since the
+ * epoch).
+ */
 export const markDraining = async (run: ScenarioRun, id: string): Promise<number> => {
   for (let attempt = 0; attempt < 5; attempt++) {
     const sentAt = Date.now();
--- a/packages/fleet/src/soak/soak-operators.ts
+++ b/packages/fleet/src/soak/soak-operators.ts
@@ -1,11 +1,16 @@
-/** The operators of a soak: they change and read the configuration concurrently at random controls, and retry lost requests. */
+/**
+ * The operators of a soak: they change and read the configuration concurrently at random controls, and retry lost
+ * requests.
+ */
 import { ConfigCalls, passRoutes } from '@tillerstair/sim';
 import { delay, hostClock } from '@tillerstair/wire';
 import { z } from 'zod';
 import { seededRandom } from '../layout.js';
 import { ask } from '../operator.js';
 
-/** One order, a configuration change, from its first attempt to its final answer. Times are in ms of the steady clock. */
+/**
+ * One order, a configuration change, from its first attempt to its final answer. Times are in ms of the steady clock.
+ */
 export interface SoakOrder {
   readonly sentAt: number;
   /** When it was answered 200 or 409; Infinity if it never was. */
--- a/packages/fleet/src/soak/soak-plan.ts
+++ b/packages/fleet/src/soak/soak-plan.ts
@@ -1,9 +1,14 @@
-/** The plan of a soak: which machines it disturbs, and when. It depends on the seed and sizes alone, so a seed is repeatable. */
+/**
+ * The plan of a soak: which machines it disturbs, and when. It depends on the seed and sizes alone, so a seed is
+ * repeatable.
+ */
 import { seededRandom } from '../layout.js';
 
 /** A disturbance of one machine: `roll` and `reload` are planned operations, `kill` and `freeze` are frontFaults. */
 type SoakStep =
-  /** SIGTERM to all processes; `again` sends a second one soon after. The processes are restarted once all have exited. */
+  /**
+   * SIGTERM to all processes; `again` sends a second one soon after. The processes are restarted once all have exited.
+   */
   | { readonly kind: 'roll'; readonly again: boolean }
   /** SIGHUP to all processes. */
   | { readonly kind: 'reload' }
@@ -113,7 +118,10 @@
   return [{ at: endMs / 2, machine: 'front', index: Math.floor(random() * fronts), step }];
 };
 
-/** Draws the plan of a seed: fronts are always restarted; only a share of the seeds has reloads, store or control restarts, or a fault. */
+/**
+ * Draws the plan of a seed: fronts are always restarted; only a share of the seeds has reloads, store or control
+ * restarts, or a fault.
+ */
 export const soakPlan = (seed: number, sizes: SoakSizes): SoakPlan => {
   const random = seededRandom(seed);
   const endMs = sizes.trafficMs * (1 - undisturbedShare);
--- a/packages/fleet/src/soak/soak-rules.ts
+++ b/packages/fleet/src/soak/soak-rules.ts
@@ -1,4 +1,6 @@
-/** The rules of a soak, checked on the records of its clients, servers and operators and on the exits of its processes. */
+/**
+ * The rules of a soak, checked on the records of its clients, servers and operators and on the exits of its processes.
+ */
 import {
   configHistory,
   defaultTolerances,
@@ -34,7 +36,10 @@
 export interface SoakBounds {
   /** Time from SIGTERM until a process that still runs is killed. */
   readonly graceMs: number;
-  /** Time after a fault (for orders: after any event of a store or control) in which requests and orders are not checked. */
+  /**
+   * Time after a fault (for orders: after any event of a store or control) in which requests and orders are not
+   * checked.
+   */
   readonly settleMs: number;
   /** A connection that a front closes within this time of the request counts as not accepted. */
   readonly lossSlackMs: number;
--- a/packages/fleet/src/soak/soak-seeds.ts
+++ b/packages/fleet/src/soak/soak-seeds.ts
@@ -1,4 +1,6 @@
-/** Runs the soaks of several seeds one after the other, and reports broken rules, request counts and order latencies. */
+/**
+ * Runs the soaks of several seeds one after the other, and reports broken rules, request counts and order latencies.
+ */
 import { runSoak, type SoakResult } from './soak.js';
 import type { SoakSizes } from './soak-plan.js';
 
@@ -63,7 +65,10 @@
   ];
 };
 
-/** Runs the soaks; resolves with whether all of them kept every rule. A soak whose fleet does not start counts as broken. */
+/**
+ * Runs the soaks; resolves with whether all of them kept every rule. A soak whose fleet does not start counts as
+ * broken.
+ */
 export const soakSeeds = async (
   { seed: first, count, sizes, dir }: SoakChoice,
   report: (line: string) => void,
--- a/packages/fleet/src/soak/soak.ts
+++ b/packages/fleet/src/soak/soak.ts
@@ -1,7 +1,7 @@
 /**
  * A soak test on real processes: clients reuse open connections, operators change the configuration concurrently, and
- * machines are stopped, reloaded, killed and frozen in overlapping series. The plan is drawn from a seed; the scheduling
- * of the processes is not repeatable.
+ * machines are stopped, reloaded, killed and frozen in overlapping series. The plan is drawn from a seed; the
+ * scheduling of the processes is not repeatable.
  */
 import { join } from 'node:path';
 import { ExecutionLog, PassServer } from '@tillerstair/stand-ins';
@@ -221,9 +221,9 @@
   }
 
   /**
-   * Records an exit that the soak did not order. SIGHUP ends a process whose first line has not run yet, and the process
-   * cannot prevent that. The users' pages allow for it during one second after a start (RULES, "Own ends"), so such an
-   * exit is only recorded and the machine restarted; a later exit by SIGHUP, or any other exit, breaks a rule.
+   * Records an exit that the soak did not order. SIGHUP ends a process whose first line has not run yet, and the
+   * process cannot prevent that. The users' pages allow for it during one second after a start (RULES, "Own ends"), so
+   * such an exit is only recorded and the machine restarted; a later exit by SIGHUP, or any other exit, breaks a rule.
    */
   private recordExit(name: string, signal: NodeJS.Signals | null, ranMs: number): void {
     const machine = [
--- a/packages/fleet/src/storms.ts
+++ b/packages/fleet/src/storms.ts
@@ -32,8 +32,8 @@
 }
 
 /**
- * A line of JSON that `storms --every` prints for each seed. `few` are the faults that a failure needs, `struck` the kinds
- * of faults that took effect.
+ * A line of JSON that `storms --every` prints for each seed. `few` are the faults that a failure needs, `struck` the
+ * kinds of faults that took effect.
  */
 const Row = z.object({
   seed: z.number(),
@@ -82,8 +82,8 @@
 };
 
 /**
- * Removes parts of a failing plan, of half its size down to single faults, as long as the storm still fails; returns the
- * rest. The pause before a removed fault is added to the next one's, so that the others keep their times.
+ * Removes parts of a failing plan, of half its size down to single faults, as long as the storm still fails; returns
+ * the rest. The pause before a removed fault is added to the next one's, so that the others keep their times.
  */
 const cutDown = async (
   seed: number,
