--- a/tests/src/fleet/soak.test.ts
+++ b/tests/src/fleet/soak.test.ts
@@ -23,7 +23,7 @@
 const toleratesLateOrders = knownRed.includes(lateOrdersFault);
 const isLateOrder = (rule: string): boolean => rule.includes('(acks)');
 
-/** Seeds whose plans have restarts of fronts only; reloads and second signals; restarts of stores or controls as well. */
+/** Seeds whose plans restart fronts only; have reloads and second signals; restart stores or controls as well. */
 const seeds = [2, 7, 11];
 
 soaks('a seed always gives the same plan, and another seed another plan', () => {
