--- a/packages/fleet/src/main.ts
+++ b/packages/fleet/src/main.ts
@@ -104,9 +104,8 @@
     `  prefix hit share ${result.prefixShare.toFixed(3)}, first chunk median ${quantile(result.firstChunkMs, 0.5)} ms, 99th ${quantile(result.firstChunkMs, 0.99)} ms`,
   );
   for (const rule of result.results) {
-    const verdict =
-      rule.breaches.length > 0 ? 'BREACHED' : rule.checked === 0 ? 'unproven' : 'kept';
-    console.log(`  ${verdict.padEnd(9)} ${rule.rule} (${rule.checked} checked)`);
+    const status = rule.breaches.length > 0 ? 'BREACHED' : rule.checked === 0 ? 'unproven' : 'kept';
+    console.log(`  ${status.padEnd(9)} ${rule.rule} (${rule.checked} checked)`);
     for (const breach of rule.breaches.slice(0, 10)) console.log(`            ${breach}`);
   }
   const unchecked = [...alwaysRequired, ...requiredRules].filter(
--- a/tests/src/fleet/whole-path.test.ts
+++ b/tests/src/fleet/whole-path.test.ts
@@ -47,7 +47,7 @@
     const reply = await fleet.operator.request('PUT', '/v1/config', text);
     assert.is(reply.status, 200);
     await fleet.register();
-    await until('all fronts to be ready', 30000, () => fleet.ready('front'));
+    await until('fronts', 30000, () => fleet.ready('front'));
     const [firstFront = '', secondFront = ''] = fleet.fronts;
     const created = await caller.program(firstFront, 500);
     assert.is(created.reported, 'done');
