--- a/packages/checker/src/check.ts
+++ b/packages/checker/src/check.ts
@@ -1,43 +1,47 @@
 /**
- * The checker's entry: all rules of the never-list (`docs/never-list.md`) against the records of one run. Records come
- * from the callers and from the servers; the checker never asks the product itself.
+ * Entry point of the checker: applies every rule of `docs/never-list.md` to the records of one run. The records come
+ * from callers, operators and servers; the checker never queries the system under test.
  */
-import { configHistory } from './config-history.js';
+import { checkConfigHistory } from './config-history.js';
 import {
-  acknowledgedIsInForce,
-  drainingServersGetNothingNew,
+  acknowledgedConfigStaysInForce,
+  drainingServersGetNoNewWork,
   poolsWereAllowed,
   readBackIsNewest,
-  restartsServeAgain,
-  sharesAreMet,
+  serviceResumesAfterRestart,
+  workFollowsShares,
 } from './configuration-rules.js';
 import { attemptsOfKeyRunOnce, operationsRunOnce } from './operation-rules.js';
-import { passRules } from './pass-rules.js';
-import { budgetsHold, historyIsFound } from './program-rules.js';
+import { checkPassRules } from './pass-rules.js';
+import { budgetsHold, historyIsRetained } from './program-rules.js';
 import type { Records, ReplyRecord } from './records.js';
-import { refusedDidNotRun, repliesAreTrue, streamsAreUnbroken } from './reply-rules.js';
+import {
+  refusedRequestsDidNotRun,
+  repliesMatchExecutions,
+  streamsAreContiguous,
+} from './reply-rules.js';
 import { defaultTolerances, type RuleResult, type Tolerances } from './rule-result.js';
 
-/** Checks every rule; the results come in the order of the never-list. */
+/** Checks every rule; returns one result per rule, in the order of `docs/never-list.md`. */
 export const checkRecords = (
   records: Records,
   tolerances: Tolerances = defaultTolerances,
 ): readonly RuleResult[] => [
   operationsRunOnce(records),
   attemptsOfKeyRunOnce(records, tolerances),
-  refusedDidNotRun(records),
-  repliesAreTrue(records),
+  refusedRequestsDidNotRun(records),
+  repliesMatchExecutions(records),
   budgetsHold(records),
-  historyIsFound(records, tolerances),
-  streamsAreUnbroken(records),
-  drainingServersGetNothingNew(records, tolerances),
-  sharesAreMet(records),
-  acknowledgedIsInForce(records, tolerances),
+  historyIsRetained(records, tolerances),
+  streamsAreContiguous(records),
+  drainingServersGetNoNewWork(records, tolerances),
+  workFollowsShares(records),
+  acknowledgedConfigStaysInForce(records, tolerances),
   poolsWereAllowed(records),
   readBackIsNewest(records),
-  configHistory(records.configCalls),
-  restartsServeAgain(records, tolerances),
-  ...passRules(records, tolerances),
+  checkConfigHistory(records.configCalls),
+  serviceResumesAfterRestart(records, tolerances),
+  ...checkPassRules(records, tolerances),
 ];
 
 const countBy = (
@@ -49,13 +53,13 @@
   return counts;
 };
 
-/** How many replies there are of each kind and outcome, such as `turn done`. */
-export const countReported = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
+/** Counts replies by kind and reported outcome; a key is, for example, `turn done`. */
+export const countByOutcome = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
   countBy(replies, ({ kind, reported }) => `${kind} ${reported}`);
 
-/** How many replies were not done, by outcome and error code. */
-export const countRefusals = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
+/** Counts the replies with an outcome other than `done`, by outcome and error code. */
+export const countFailures = (replies: readonly ReplyRecord[]): ReadonlyMap<string, number> =>
   countBy(
     replies.filter((reply) => reply.reported !== 'done'),
-    ({ reported, errorCode }) => `${reported} ${errorCode || 'without a code'}`,
+    ({ reported, errorCode }) => `${reported} ${errorCode || 'without an error code'}`,
   );
--- a/packages/fleet/src/main.ts
+++ b/packages/fleet/src/main.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import cac from 'cac';
-import { countRefusals } from '@tillerstair/checker';
+import { countFailures } from '@tillerstair/checker';
 import { closeHttpConnections } from './operator.js';
 import { fullSizes, norway, seoul, smallSizes, type Site, type FleetSizes } from './layout.js';
 import { ScenarioRun, type RunResult } from './run.js';
@@ -96,10 +96,10 @@
       .map(([name, count]) => `${name} ${count}`)
       .join(', ')}`,
   );
-  const refusals = [...countRefusals(result.records.reported)]
+  const failures = [...countFailures(result.records.reported)]
     .sort()
     .map(([name, count]) => `${name} ${count}`);
-  if (refusals.length > 0) console.log(`  refusals: ${refusals.join(', ')}`);
+  if (failures.length > 0) console.log(`  failures: ${failures.join(', ')}`);
   console.log(
     `  prefix hit share ${result.prefixShare.toFixed(3)}, first chunk median ${quantile(result.firstChunkMs, 0.5)} ms, 99th ${quantile(result.firstChunkMs, 0.99)} ms`,
   );
--- a/packages/fleet/src/run.ts
+++ b/packages/fleet/src/run.ts
@@ -1,8 +1,8 @@
 /** Runs a scenario under traffic and checks the records of the run. */
 import {
   checkRecords,
-  countReported,
-  noRecords,
+  countByOutcome,
+  emptyRecords,
   type ConfigRecord,
   type DrainingRecord,
   type Records,
@@ -211,7 +211,7 @@
         return readBack !== undefined;
       });
       const records: Records = {
-        ...noRecords,
+        ...emptyRecords,
         reported: this.traffic.reported,
         executed: this.fleet.executions.all(),
         configs: this.configs,
@@ -228,7 +228,7 @@
       return {
         records,
         results: checkRecords(records),
-        counts: countReported(this.traffic.reported),
+        counts: countByOutcome(this.traffic.reported),
         servingAfterMs,
         notes: this.notes,
         prefixShare:
--- a/packages/fleet/src/soak/soak-rules.ts
+++ b/packages/fleet/src/soak/soak-rules.ts
@@ -2,10 +2,10 @@
  * The rules of a soak, checked on the records of its clients, servers and operators and on the exits of its processes.
  */
 import {
-  configHistory,
+  checkConfigHistory,
   defaultTolerances,
-  noRecords,
-  passRules,
+  emptyRecords,
+  checkPassRules,
   type RuleResult,
 } from '@tillerstair/checker';
 import type { ConfigCall, ExecutionRecord } from '@tillerstair/checker';
@@ -158,7 +158,7 @@
     ordersAnsweredInTime(records, bounds),
     processesExitInTime(records),
     configWasReadBack(records),
-    configHistory(records.configCalls),
-    ...passRules({ ...noRecords, passes, executed: records.executed }, defaultTolerances),
+    checkConfigHistory(records.configCalls),
+    ...checkPassRules({ ...emptyRecords, passes, executed: records.executed }, defaultTolerances),
   ];
 };
