--- a/tests/src/repository/documentation-examples.test.ts
+++ b/tests/src/repository/documentation-examples.test.ts
@@ -14,7 +14,7 @@
   dir: join(tmpdir(), `tillerstair-docs-${process.pid}`),
   sizes: smallSizes,
   house: deployment,
-  cuts: false,
+  withRelay: false,
   affinity: true,
   log: 'info',
 });
@@ -42,7 +42,7 @@
   await until(
     'a master is elected',
     30000,
-    async () => (await fleet.operator.any('GET', '/v1/status')).status === 200,
+    async () => (await fleet.operator.request('GET', '/v1/status')).status === 200,
   );
   const configShape = {
     base: 0,
@@ -52,7 +52,7 @@
     note: 'first',
   };
   assert.is(
-    (await fleet.operator.any('PUT', '/v1/config', configFor(deployment, configShape))).status,
+    (await fleet.operator.request('PUT', '/v1/config', configFor(deployment, configShape))).status,
     200,
   );
   await fleet.register();
@@ -67,7 +67,7 @@
   assert.ok(examples.length >= 7, `${examples.length} examples`);
   const [front = '', other = ''] = fleet.fronts;
   const env = new Map([
-    ['TILLERCTL_AT', fleet.of('control')[0]?.http ?? ''],
+    ['TILLERCTL_AT', fleet.machinesOf('control')[0]?.http ?? ''],
     ['FRONT', front],
     ['OTHER', other],
   ]);
