--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -238,7 +238,7 @@
       name,
     };
     return new ZenNode({
-      me: member,
+      localMember: member,
       seeds: this.seeds,
       clock: this.clock,
       transport: this.transport,
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -59,8 +59,8 @@
   private readonly bounds: ControlNodeOptions['bounds'];
 
   constructor(options: ControlNodeOptions) {
-    const { me, clock, transport, bounds, log, electionStore } = options;
-    this.self = me;
+    const { localMember, clock, transport, bounds, log, electionStore } = options;
+    this.self = localMember;
     this.clock = clock;
     this.transport = transport;
     this.bounds = bounds;
--- a/packages/control/src/start.ts
+++ b/packages/control/src/start.ts
@@ -68,7 +68,7 @@
     controlJournalTimings(hostClock, bounds, log),
   );
   return new ControlNode({
-    me: memberFor(electionStore.persisted.id, settings),
+    localMember: memberFor(electionStore.persisted.id, settings),
     seeds: settings.seeds,
     clock: hostClock,
     transport: new TcpTransport(settings.addr, settings.listen),
--- a/packages/fleet/src/capacity-sockets.ts
+++ b/packages/fleet/src/capacity-sockets.ts
@@ -144,7 +144,7 @@
   const [port = 0] = await freePorts(1);
   const addr = `127.0.0.1:${port}`;
   const electionStore = await DiskElectionStore.open(watched.disk, () => 'c-0', 4 << 20);
-  const me = {
+  const localMember = {
     id: electionStore.persisted.id,
     kind: 'control' as const,
     addr,
@@ -154,7 +154,7 @@
     name: 'control-0',
   };
   const node = new ControlNode({
-    me,
+    localMember,
     seeds: [addr, addr, addr],
     clock: hostClock,
     transport: new TcpTransport(addr),
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -105,10 +105,10 @@
     const member = { kind: this.kind, addr: this.addr, http: '', zone, data: '', name: this.name };
     if (this.kind === 'control') {
       const electionStore = await DiskElectionStore.open(disk, freshId, w.longAt, pace);
-      const me = { id: electionStore.persisted.id, ...member };
+      const localMember = { id: electionStore.persisted.id, ...member };
       const node = new ControlNode({
         ...common,
-        me,
+        localMember,
         electionStore,
         slots: w.slots,
         replication: replicationFor(w.losses),
@@ -126,8 +126,8 @@
       rewriteMinBytes: w.longAt,
       limits: { rewriteMinBytes: w.longAt, retentionMs: w.retentionMs, maxHints: w.hintsMost },
     });
-    const me = { id: electionStore.persisted.id, ...member };
-    const node = new StoreNode({ ...common, me, electionStore, replicaStore });
+    const localMember = { id: electionStore.persisted.id, ...member };
+    const node = new StoreNode({ ...common, localMember, electionStore, replicaStore });
     await node.start();
     this.store = node;
     this.replicaStore = replicaStore;
--- a/packages/store/src/start.ts
+++ b/packages/store/src/start.ts
@@ -72,7 +72,7 @@
   });
   const { id } = electionStore.persisted;
   const node = new StoreNode({
-    me: memberOf(id, settings),
+    localMember: memberOf(id, settings),
     seeds: settings.seeds,
     clock: hostClock,
     transport: new TcpTransport(settings.addr, settings.listen),
--- a/packages/store/src/store-node.ts
+++ b/packages/store/src/store-node.ts
@@ -31,8 +31,8 @@
   private latestState: State | undefined;
 
   constructor(options: StoreNodeOptions) {
-    const { me, transport, replicaStore, clock, bounds, log } = options;
-    this.storeId = me.id;
+    const { localMember, transport, replicaStore, clock, bounds, log } = options;
+    this.storeId = localMember.id;
     this.transport = transport;
     this.replicaStore = replicaStore;
     this.requestOptions = { replicaStore, isReplicaOf: (slot) => this.isReplicaOf(slot) };
@@ -46,7 +46,7 @@
       },
     });
     const shared = {
-      storeId: me.id,
+      storeId: localMember.id,
       replicaStore,
       transport,
       clock,
--- a/packages/zen/src/leave.ts
+++ b/packages/zen/src/leave.ts
@@ -6,7 +6,7 @@
 
 /** The dependencies of `leaveCluster`. */
 export interface LeaveOptions {
-  readonly me: Member;
+  readonly localMember: Member;
   readonly clock: Clock;
   readonly transport: Transport;
   readonly bounds: Pick<ZenBounds, 'heartbeatInterval'>;
@@ -23,7 +23,7 @@
  * @throws RequestTimeoutError, or the master's error; the caller stops the node anyway, and fault detection removes it.
  */
 export const leaveCluster = async (
-  { me: localMember, clock, transport, bounds, leaseReleased = false }: LeaveOptions,
+  { localMember, clock, transport, bounds, leaseReleased = false }: LeaveOptions,
   followed: Member | undefined,
   leading: MasterView | undefined,
 ): Promise<void> => {
--- a/packages/zen/src/zen-node-options.ts
+++ b/packages/zen/src/zen-node-options.ts
@@ -8,7 +8,7 @@
 /** Dependencies, settings and callbacks of a `ZenNode`. */
 export interface ZenNodeOptions {
   /** The node itself. */
-  readonly me: Member;
+  readonly localMember: Member;
   /** Addresses that every ping round includes, in addition to the known controls. */
   readonly seeds: readonly string[];
   readonly clock: Clock;
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -55,20 +55,20 @@
   private seeds: readonly string[];
 
   constructor(private readonly options: ZenNodeOptions) {
-    const { me, clock, transport, bounds, log, electionStore } = options;
+    const { localMember, clock, transport, bounds, log, electionStore } = options;
     this.seeds = options.seeds;
     this.clock = clock;
     this.bounds = bounds;
     this.log = log;
     this.sleep = new InterruptibleSleep(clock);
-    this.localNode = new LocalNode(me, electionStore);
-    this.knownMembers = new KnownMembers(me.addr);
+    this.localNode = new LocalNode(localMember, electionStore);
+    this.knownMembers = new KnownMembers(localMember.addr);
     this.receiver = this.makeReceiver();
     this.leadership = this.makeLeadership();
     const bootstrapper = new Bootstrapper(options);
     this.masterFinder = this.makeMasterFinder(bootstrapper);
     const shared = {
-      localMember: me,
+      localMember,
       clock,
       transport,
       bounds,
@@ -112,10 +112,10 @@
   }
 
   private makeLeadership(): Leadership {
-    const { me, transport, electionStore, settle, onReport, onLead } = this.options;
+    const { localMember, transport, electionStore, settle, onReport, onLead } = this.options;
     return new Leadership({
       masterOptions: {
-        localMember: me,
+        localMember,
         clock: this.clock,
         transport,
         electionStore,
@@ -252,15 +252,19 @@
   }
 
   private pingRound(): Promise<PingRoundResult> {
-    const { me, transport } = this.options;
+    const { localMember, transport } = this.options;
     return new PingRound({
       clock: this.clock,
       transport,
       timeoutMs: this.bounds.pingRoundTimeout,
       knownMembers: this.knownMembers,
-      localAddress: me.addr,
+      localAddress: localMember.addr,
       seeds: () => this.seeds,
-      ping: () => ({ from: me, known: this.knownMembers.controls(), clusterId: this.clusterId }),
+      ping: () => ({
+        from: localMember,
+        known: this.knownMembers.controls(),
+        clusterId: this.clusterId,
+      }),
       stopping: this.stopping.signal,
     }).run();
   }
--- a/tests/src/agent/server-list-monitor.test.ts
+++ b/tests/src/agent/server-list-monitor.test.ts
@@ -37,7 +37,14 @@
   transport.answer = () => Promise.resolve(reply());
   const monitor = new ServerListMonitor(clock, transport, bounds, silentLogger, 'f');
   const zen = new ZenNode({
-    me: Member.parse({ id: 'f', kind: 'front', addr: 'f:1', http: '', zone: '', data: '' }),
+    localMember: Member.parse({
+      id: 'f',
+      kind: 'front',
+      addr: 'f:1',
+      http: '',
+      zone: '',
+      data: '',
+    }),
     seeds: [],
     clock,
     transport: new ScriptedTransport(),
--- a/tests/src/repository/recorded-conversation.test.ts
+++ b/tests/src/repository/recorded-conversation.test.ts
@@ -171,7 +171,7 @@
     rewriteMinBytes: 1 << 30,
   });
   return new StoreNode({
-    me: { id: 's', kind: 'store', addr: address, http: '', zone: 'z', data: '', name: '' },
+    localMember: { id: 's', kind: 'store', addr: address, http: '', zone: 'z', data: '', name: '' },
     seeds: [],
     clock: hostClock,
     transport: new TcpTransport(address),
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -131,7 +131,7 @@
   const state = stateWith(slots, stores);
   const disk = await openDisk(clock, platter, incarnation, state);
   const node = new StoreNode({
-    me: member('store-0', 'store'),
+    localMember: member('store-0', 'store'),
     seeds: [control.addr],
     clock,
     transport: net.transport('store-0', incarnation),
--- a/tests/src/support/zen-node-harness.ts
+++ b/tests/src/support/zen-node-harness.ts
@@ -60,7 +60,7 @@
       return answer(request);
     });
     this.node = new ZenNode({
-      me,
+      localMember: me,
       seeds: [a.addr, b.addr, c.addr],
       clock: this.clock,
       transport: this.transport,
--- a/tests/src/zen/departure.test.ts
+++ b/tests/src/zen/departure.test.ts
@@ -15,7 +15,12 @@
 
 departures('a node that stops asks its master to remove it from the nodes', async () => {
   const harness = await MasterHarness.elected();
-  const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
+  const options = {
+    localMember: memberOf('a'),
+    clock: harness.clock,
+    transport: harness.transport,
+    bounds,
+  };
   await harness.clock.finish('leave', leaveCluster(options, memberOf('b'), undefined), roundTrip);
   assert.equal(
     harness.sent.map(({ to, kind, body }) => ({ to, kind, body })),
@@ -25,7 +30,12 @@
 
 departures('a master that stops commits its own leave first', async () => {
   const harness = await MasterHarness.started();
-  const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
+  const options = {
+    localMember: memberOf('a'),
+    clock: harness.clock,
+    transport: harness.transport,
+    bounds,
+  };
   await harness.clock.finish('leave', leaveCluster(options, undefined, harness.master), roundTrip);
   assert.not(harness.master.committed?.nodes.has('a'));
 });
@@ -33,7 +43,12 @@
 departures('a master that stops waits one heartbeat at most for its own leave', async () => {
   const harness = await MasterHarness.started();
   for (const id of ['b', 'c']) harness.peer(id).silent = true;
-  const options = { me: memberOf('a'), clock: harness.clock, transport: harness.transport, bounds };
+  const options = {
+    localMember: memberOf('a'),
+    clock: harness.clock,
+    transport: harness.transport,
+    bounds,
+  };
   const outcome = await harness.outcome(
     leaveCluster(options, undefined, harness.master),
     bounds.heartbeatInterval,
