--- a/packages/checker/src/config-history.ts
+++ b/packages/checker/src/config-history.ts
@@ -26,7 +26,7 @@
 export interface ConfigCall {
   readonly what:
     | { readonly kind: 'read' }
-    /** `content` is undefined if the caller does not know the content that its change results in. */
+    /** `content` is the content after the change; undefined if the caller does not know it. */
     | {
         readonly kind: 'change';
         readonly changeId: string;
@@ -152,7 +152,7 @@
 /** The calls that could not be linearized in the longest partial order found; empty if the history is linearizable. */
 const unexplainedCalls = (calls: readonly ConfigCall[]): readonly ConfigCall[] => {
   const numberOf = new Map(calls.map((call, number) => [call, number]));
-  const seen = new Set<string>();
+  const visited = new Set<string>();
   const stack: SearchState[] = [{ register: emptyRegister, pending: calls }];
   let fewestRemaining = Infinity;
   let unexplained: readonly ConfigCall[] = [];
@@ -162,8 +162,8 @@
     const definite = pending.filter(hasDefiniteAnswer);
     if (definite.length === 0) return [];
     const key = searchKeyOf(register, pending, numberOf);
-    if (seen.has(key)) continue;
-    seen.add(key);
+    if (visited.has(key)) continue;
+    visited.add(key);
     if (definite.length < fewestRemaining) {
       const deadline = deadlineOf(pending);
       fewestRemaining = definite.length;
--- a/packages/checker/src/configuration-rules.ts
+++ b/packages/checker/src/configuration-rules.ts
@@ -25,7 +25,7 @@
 /** A split counts as checked only if it has more than this many times `rounding` requests. */
 const minRoundingMultiple = 4;
 
-/** Checks that the work of each period was split over pools by the configured shares. */
+/** Checks that the work of each period was split over pools by the configured shares, within the allowed rounding. */
 export const workFollowsShares = (records: Records): RuleResult => {
   const breaches: string[] = [];
   let checked = 0;
@@ -47,6 +47,7 @@
   return { rule: 'work is split by the shares the operator gave', checked, breaches };
 };
 
+/** The pools in which a configuration allows executions of a kind. */
 const poolsOf = (config: ConfigRecord, kind: ExecutionRecord['kind']): readonly string[] => {
   switch (kind) {
     case 'pass':
@@ -58,6 +59,7 @@
   }
 };
 
+/** The acknowledged configurations, by ascending version. */
 const acknowledgedConfigs = (records: Records): readonly ConfigRecord[] =>
   records.configs
     .filter((config) => config.reported === 'done')
@@ -69,7 +71,7 @@
   tolerances: Tolerances,
 ): RuleResult => {
   const acknowledged = acknowledgedConfigs(records);
-  const possible = records.configs.filter((config) => config.reported !== 'refused');
+  const notRefused = records.configs.filter((config) => config.reported !== 'refused');
   const breaches: string[] = [];
   let checked = 0;
   for (const { kind, pool, began } of records.executed) {
@@ -77,11 +79,12 @@
       .filter((config) => config.reportedAt + tolerances.inForceMs < began)
       .at(-1);
     if (!newestInForce) continue;
-    const older = possible.filter((config) => config.version < newestInForce.version);
+    // An execution checks the rule only if an older configuration allows a pool that the one in force does not.
+    const older = notRefused.filter((config) => config.version < newestInForce.version);
     const allowedPools = poolsOf(newestInForce, kind);
     if (older.some((config) => poolsOf(config, kind).some((name) => !allowedPools.includes(name))))
       checked++;
-    const possiblyInForce = possible.filter(
+    const possiblyInForce = notRefused.filter(
       (config) => config.version >= newestInForce.version && config.sentAt <= began,
     );
     if (!possiblyInForce.some((config) => poolsOf(config, kind).includes(pool)))
@@ -94,11 +97,13 @@
 
 /** Checks that no work ran in a pool that no configuration submitted by then allowed. */
 export const poolsWereAllowed = (records: Records): RuleResult => {
-  const possible = records.configs.filter((config) => config.reported !== 'refused');
+  const notRefused = records.configs.filter((config) => config.reported !== 'refused');
   const breaches = records.executed
     .filter(
       ({ kind, pool, began }) =>
-        !possible.some((config) => config.sentAt <= began && poolsOf(config, kind).includes(pool)),
+        !notRefused.some(
+          (config) => config.sentAt <= began && poolsOf(config, kind).includes(pool),
+        ),
     )
     .map(
       ({ pool }) => `work ran in pool ${pool}, which no configuration submitted by then allowed`,
@@ -125,7 +130,7 @@
       text === readBack.text &&
       version > newest.version,
   );
-  const breach = `read back configuration version ${readBack?.version ?? 'none'}, acknowledged was ${newest.version}`;
+  const breach = `the read-back returned configuration version ${readBack?.version ?? 'none'}, the newest acknowledged version is ${newest.version}`;
   return { rule, checked: 1, breaches: isNewest || isUnknownButNewer ? [] : [breach] };
 };
 
--- a/packages/checker/src/operation-rules.ts
+++ b/packages/checker/src/operation-rules.ts
@@ -23,8 +23,8 @@
 export const operationsRunOnce = (records: Records): RuleResult => {
   const executions = executionsByOperation(records);
   const breaches = [...executions]
-    .filter(([, rows]) => rows.length > 1)
-    .map(([key, rows]) => `operation ${key} executed ${rows.length} times`);
+    .filter(([, executed]) => executed.length > 1)
+    .map(([key, executed]) => `operation ${key} executed ${executed.length} times`);
   return { rule: 'no acting operation runs twice', checked: executions.size, breaches };
 };
 
@@ -34,7 +34,7 @@
   return times.filter((at, i) => i > 0 && at - (times[i - 1] ?? 0) <= withinMs).length;
 };
 
-/** Checks that at most one attempt of an operation ran within `keyMs`, the time for which its key is remembered. */
+/** Checks that no two attempts of an operation ran within `keyMs`, the time for which its key is remembered. */
 export const attemptsOfKeyRunOnce = (records: Records, tolerances: Tolerances): RuleResult => {
   const executions = executionsByOperation(records);
   const calls = records.reported.filter((reply) => reply.kind === 'call' && reply.key !== '');
--- a/packages/checker/src/pass-rules.ts
+++ b/packages/checker/src/pass-rules.ts
@@ -44,6 +44,7 @@
 const passesByAttempt = (records: Records): ReadonlyMap<string, PassRecord> =>
   new Map(records.passes.map((pass) => [pass.attempt, pass]));
 
+/** Whether a request may run more than once: it is idempotent, or a stream that another execution can resume. */
 const mayRepeat = (pass: PassRecord): boolean =>
   pass.manner === 'repeatable' || (pass.manner === 'stream' && pass.resumable);
 
@@ -54,8 +55,8 @@
     .filter((pass) => (executions.get(pass.attempt) ?? []).length > 1)
     .map((pass) => `attempt ${pass.attempt} on ${pass.path} ran more than once`);
   const repeatedKeys = [...executionsByKey(records)]
-    .filter(([, rows]) => rows.length > 1)
-    .map(([key, rows]) => `key ${key} of a pass route ran ${rows.length} times`);
+    .filter(([, keyed]) => keyed.length > 1)
+    .map(([key, keyed]) => `key ${key} of a pass route ran ${keyed.length} times`);
   return {
     rule: 'no pass that may not be repeated runs twice',
     checked: unrepeatable.filter((pass) => executions.has(pass.attempt)).length,
@@ -97,12 +98,12 @@
 };
 
 const completedPassesMatchServerBytes = (records: Records): RuleResult => {
-  const attempts = executionsByAttempt(records);
-  const keys = executionsByKey(records);
+  const byAttempt = executionsByAttempt(records);
+  const byKey = executionsByKey(records);
   const done = records.passes.filter((pass) => pass.reported === 'done');
   const unproduced = done
     .filter((pass) => {
-      const executions = pass.key === '' ? attempts.get(pass.attempt) : keys.get(pass.key);
+      const executions = pass.key === '' ? byAttempt.get(pass.attempt) : byKey.get(pass.key);
       return !(executions ?? []).some((execution) => producedBody(pass, execution));
     })
     .map(
@@ -162,18 +163,19 @@
   readonly unknownAttempt: string;
 }
 
+/** Follows a conversation back from a turn, up to its first turn or to one whose output is not known. */
 const chainOf = (pass: PassRecord, passes: ReadonlyMap<string, PassRecord>): ConversationChain => {
   let prompt = pass.input;
-  let previous = pass.after;
+  let attempt = pass.after;
   for (
-    let earlier = passes.get(previous);
-    earlier?.reported === 'done';
-    earlier = passes.get(previous)
+    let previous = passes.get(attempt);
+    previous?.reported === 'done';
+    previous = passes.get(attempt)
   ) {
-    prompt = earlier.input + outputOf(earlier.body) + prompt;
-    previous = earlier.after;
+    prompt = previous.input + outputOf(previous.body) + prompt;
+    attempt = previous.after;
   }
-  return { prompt, unknownAttempt: previous };
+  return { prompt, unknownAttempt: attempt };
 };
 
 const passesRunWithFullPrompt = (records: Records): RuleResult => {
@@ -184,6 +186,7 @@
     const pass = passes.get(attempt);
     if (!pass) continue;
     const { prompt, unknownAttempt } = chainOf(pass, passes);
+    // The expected prompt is not known without the output of every previous turn.
     if (unknownAttempt !== '' && pass.manner === 'stream') {
       if (!passes.has(unknownAttempt))
         breaches.push(
@@ -212,6 +215,7 @@
     const budget = Math.max(...budgeted.map((pass) => pass.budget ?? 0));
     const longestTurn = Math.max(...budgeted.map((pass) => pass.most));
     const received = passes.reduce((sum, pass) => sum + eventsOf(pass.body).length, 0);
+    // A program that used at most half of its budget does not show that the budget is enforced.
     if (received > budget / 2) checked++;
     if (received > budget + longestTurn)
       breaches.push(
@@ -225,6 +229,7 @@
   };
 };
 
+/** Statuses of a turn that is reported as not found or no longer retained. */
 const missingStatuses: readonly number[] = [404, 410];
 
 const passHistoryIsRetained = (records: Records, tolerances: Tolerances): RuleResult => {
--- a/packages/checker/src/records.ts
+++ b/packages/checker/src/records.ts
@@ -6,6 +6,7 @@
   readonly kind: 'program' | 'turn' | 'fetch' | 'call';
   readonly tenant: string;
   readonly program: string;
+  /** Operation key of a call, or key of a turn; empty if the request had none. */
   readonly key: string;
   /** Request id; each retry has a new one. */
   readonly attempt: string;
@@ -18,6 +19,7 @@
   readonly to: number;
   readonly reported: 'done' | 'refused' | 'unknown' | 'partial';
   readonly errorCode: string;
+  /** Numbers of the chunks of a streamed reply, in the order received. */
   readonly chunks: readonly number[];
   readonly text: string;
   readonly tokens: number;
@@ -35,9 +37,11 @@
   readonly key: string;
   readonly attempt: string;
   readonly program: string;
+  /** Token budget of the program that the request states; null if it states none. */
   readonly budget: number | null;
   /** Maximum number of tokens that this turn may generate. */
   readonly most: number;
+  /** Attempt of the previous turn of the conversation; empty for the first turn. */
   readonly after: string;
   readonly input: string;
   readonly from: number;
@@ -99,6 +103,7 @@
 export interface RestartRecord {
   readonly stoppedAt: number;
   readonly startedAt: number;
+  /** Time at which a request was first served again. */
   readonly servedAt: number;
   readonly configBefore: number;
   readonly configAfter: number;
--- a/packages/checker/src/reply-rules.ts
+++ b/packages/checker/src/reply-rules.ts
@@ -6,6 +6,7 @@
 /** Number of characters at the end of a prompt that servers record. */
 const recordedPromptLength = 60;
 
+/** Groups a turn with its executions: by the program and the recorded end of the prompt. */
 const promptKey = (program: string, prompt: string): string =>
   `${program}\n${prompt.slice(-recordedPromptLength)}`;
 
@@ -45,7 +46,7 @@
       execution.reply === turn.text,
   );
 
-/** Whether the server and the operation key that the reply to a call contains are those of one of its executions. */
+/** Whether the reply to a call, `SERVER KEY ...`, names the call's operation and a server that executed it. */
 const callHasExecution = (executions: Executions, call: ReplyRecord): boolean => {
   const [server = '', key = ''] = call.text.split(' ');
   const operation = operationOfReply(call);
@@ -73,12 +74,12 @@
 
 const wrongFetches = (records: Records): readonly string[] => {
   const done = records.reported.filter((reply) => reply.reported === 'done');
-  const texts = new Map(
+  const replyTexts = new Map(
     done.filter((reply) => reply.kind === 'turn').map((turn) => [turnIdOf(turn), turn.text]),
   );
   return done
     .filter((reply) => reply.kind === 'fetch')
-    .filter((fetch) => (texts.get(turnIdOf(fetch)) ?? fetch.text) !== fetch.text)
+    .filter((fetch) => (replyTexts.get(turnIdOf(fetch)) ?? fetch.text) !== fetch.text)
     .map((fetch) => `turn ${turnIdOf(fetch)} was fetched with a text other than its reply`);
 };
 
--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -14,17 +14,18 @@
   reload?(settings: T): void;
 }
 
-/** Creates a logger that writes to standard error; `part` is the name of the program in each line. */
+/** Creates a logger that writes to standard error; each line names the program. */
 export const createStderrLogger = (
-  part: string,
+  programName: string,
   level: 'debug' | 'info' | 'warn' | 'error',
 ): Logger =>
-  createLogger(part, level, (line) => {
+  createLogger(programName, level, (line) => {
     process.stderr.write(`${line}\n`);
   });
 
 const textOf = (error: unknown): string => (error instanceof Error ? error.message : String(error));
 
+/** The findings of invalid settings in one line, or the message of any other error. */
 const findingsText = (error: unknown): string =>
   error instanceof InvalidSettingsError
     ? error.findings.map(({ place, text }) => `${place}: ${text}`).join('; ')
@@ -87,18 +88,18 @@
   start: (settings: T) => Promise<RunningProgram<T>>,
 ): Promise<void> => {
   process.on('unhandledRejection', (error) => reportUnhandled(name, error));
-  const program: { running?: RunningProgram<T>; reloadRequested: boolean } = {
+  const lifecycle: { running?: RunningProgram<T>; reloadRequested: boolean } = {
     reloadRequested: false,
   };
   process.on('SIGHUP', () => {
-    if (program.running) reloadSettings(name, read, program.running);
-    else program.reloadRequested = true;
+    if (lifecycle.running) reloadSettings(name, read, lifecycle.running);
+    else lifecycle.reloadRequested = true;
   });
   try {
-    program.running = await start(read());
+    lifecycle.running = await start(read());
   } catch (error) {
     return exitAfterFailedStart(name, error);
   }
-  if (program.reloadRequested) reloadSettings(name, read, program.running);
-  stopOnSignals(program.running);
+  if (lifecycle.reloadRequested) reloadSettings(name, read, lifecycle.running);
+  stopOnSignals(lifecycle.running);
 };
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -17,19 +17,19 @@
 const isTable = (value: unknown): value is object =>
   value !== null && typeof value === 'object' && !Array.isArray(value);
 
-/** Sets a setting by its path, such as `bounds.serveWithin`; other values of its table are kept. */
+/** Sets the value at a path, such as `bounds.serveWithin`; the other values of the same table are kept. */
 const setFlag = (settings: Map<string, unknown>, path: string, value: unknown): void => {
   const [head = '', ...rest] = path.split('.');
   if (rest.length === 0) {
     settings.set(head, parseFlag(path, value));
     return;
   }
-  const table = settings.get(head);
-  const inner = new Map<string, unknown>(
-    table !== null && typeof table === 'object' ? Object.entries(table) : [],
+  const current = settings.get(head);
+  const table = new Map<string, unknown>(
+    current !== null && typeof current === 'object' ? Object.entries(current) : [],
   );
-  setFlag(inner, rest.join('.'), value);
-  settings.set(head, Object.fromEntries(inner));
+  setFlag(table, rest.join('.'), value);
+  settings.set(head, Object.fromEntries(table));
 };
 
 /** Reads the table of a settings file; errors of the file are added to `findings`. */
--- a/packages/state/src/messages.ts
+++ b/packages/state/src/messages.ts
@@ -37,9 +37,7 @@
 /** The item of a key; null if there is none. */
 export const ReadResponse = z.object({ item: Item.nullable() });
 
-/**
- * Asks a store for the items of a turn; `slots` are those of which the requesting front counts the store as a replica.
- */
+/** Asks a store for the items of a turn; `slots` are those that it replicates according to the requesting front. */
 export const FindTurnRequest = z.object({
   turn: z.string(),
   slots: z.array(z.number()).default([]),
@@ -48,18 +46,18 @@
 /** The items of a turn that the store has. */
 export const FindTurnResponse = z.object({ items: z.array(Item) });
 
-/** Items for a store that is unreachable; the receiver hands them off to it later. */
+/** Items for the unreachable store `to`; the receiver keeps them as a hint and hands them off to `to` later. */
 export const HintRequest = z.object({ to: z.string(), slot: z.number(), items: z.array(Item) });
 
-/** Items from hints, handed off to the store that they are for. */
+/** Hands off the items of a hint to the store that they are for. */
 export const HandoffRequest = z.object({ slot: z.number(), items: z.array(Item) });
 
-/** Ages of a reading of the server list, in ms: of the last attempt, and of the last successful one; null for never. */
+/** Ages in ms of a node's last attempt to read the server list and of its last successful one; null for none. */
 export const ServerListReport = z.object({
   age: z.number().nullable(),
   readAge: z.number().nullable(),
 });
-/** Ages of a node's reading of the server list. */
+/** Ages in ms of a node's last attempt to read the server list and of its last successful one. */
 export type ServerListReport = z.infer<typeof ServerListReport>;
 
 /** A control's reading of the server list, for fronts that request it while no master is known. */
--- a/packages/wire/src/drainable-server.ts
+++ b/packages/wire/src/drainable-server.ts
@@ -111,7 +111,7 @@
     // RFC 9112, 9.6: requests that follow one whose response closes the connection are not processed.
     if ([...earlier].some(({ shouldKeepAlive }) => !shouldKeepAlive)) return;
     this.unanswered.set(socket, earlier.add(response));
-    response.on('close', () => this.answered(socket, response));
+    response.on('close', () => this.removeResponse(socket, response));
     if (this.phase !== 'serving') this.closeAfter(response);
     if (this.phase === 'refusing') sendServiceUnavailable(response);
     else this.handler(request, response);
@@ -125,8 +125,8 @@
     response.shouldKeepAlive = false;
   }
 
-  /** Removes a closed response from the incomplete ones of its connection. */
-  private answered(socket: Duplex, response: ServerResponse): void {
+  /** Removes a closed response from the incomplete ones of its connection; emits `allAnswered` if it was the last. */
+  private removeResponse(socket: Duplex, response: ServerResponse): void {
     const responses = this.unanswered.get(socket);
     responses?.delete(response);
     if (responses?.size === 0) this.unanswered.delete(socket);
--- a/tests/guards.mjs
+++ b/tests/guards.mjs
@@ -1,8 +1,10 @@
 /**
- * Breaks each guard of tests/guards alone, on a copy of the repository, and says whether its test then fails.
+ * Mutation test of the guards, which are conditions in the code, listed in tests/guards/*.json, that a test must
+ * protect. Replaces the text of one guard at a time by a broken version, on a copy of the repository, and reports
+ * whether the guard's test then fails.
  *
  * Usage: node tests/guards.mjs [REGEX on file and name]
- * The last line is `N caught, N missed`; the exit code is 0 only when none was missed.
+ * The last line is `N caught, N missed`; the exit code is 0 only if at least one guard ran and none was missed.
  */
 import { spawnSync } from 'node:child_process';
 import {
@@ -20,17 +22,17 @@
 
 const root = join(dirname(fileURLToPath(import.meta.url)), '..');
 const guardFolder = join(root, 'tests', 'guards');
-const wanted = new RegExp(process.argv[2] ?? '');
-/** Folders at the root which neither the build nor a test needs as a copy. */
+const selected = new RegExp(process.argv[2] ?? '');
+/** Folders at the root that neither the build nor a test needs as a copy, or that are copied or linked separately. */
 const notCopied = new Set(['.git', 'node_modules', 'run', 'journal', 'target']);
 
 const guards = readdirSync(guardFolder)
   .filter((file) => file.endsWith('.json'))
   .flatMap((file) => JSON.parse(readFileSync(join(guardFolder, file), 'utf8')))
-  .filter((guard) => wanted.test(`${guard.file} ${guard.name}`));
+  .filter((guard) => selected.test(`${guard.file} ${guard.name}`));
 
-/** Packages are linked by npm to this repository's own folders; the copy needs links to its own. */
-const linkPackages = (copy) => {
+/** Copies node_modules with its relative links, so that the packages of the copy resolve to the copy's own folders. */
+const copyNodeModules = (copy) => {
   cpSync(join(root, 'node_modules'), join(copy, 'node_modules'), {
     recursive: true,
     verbatimSymlinks: true,
@@ -43,14 +45,14 @@
     recursive: true,
     filter: (path) => !notCopied.has(relative(root, path)),
   });
-  linkPackages(copy);
+  copyNodeModules(copy);
   symlinkSync(join(root, 'journal'), join(copy, 'journal'));
   return copy;
 };
 
 const testTimeoutMs = 120_000;
 
-/** A command that does not end in time is killed and has no exit status. */
+/** Runs a command in the copy. One that exceeds the timeout is killed; its status is null. */
 const runIn = (copy, command, args) =>
   spawnSync(command, args, {
     cwd: copy,
@@ -61,24 +63,26 @@
 
 const build = (copy) => runIn(copy, 'npm', ['run', '-s', 'build']);
 
-/** Whether the test fails with the guard broken; a broken version that does not compile proves nothing. */
+/** Whether the test fails with the guard broken, with a reason if not. A broken version must compile to count. */
 const isCaught = (copy, guard) => {
   const path = join(copy, guard.file);
   const text = readFileSync(path, 'utf8');
   if (text.split(guard.find).length !== 2)
-    return { caught: false, why: 'its text does not stand once' };
+    return { caught: false, reason: 'its `find` text does not occur exactly once' };
   writeFileSync(
     path,
     text.replace(guard.find, () => guard.replace),
   );
   try {
     const built = build(copy);
-    if (built.status !== 0) return { caught: false, why: `does not compile: ${built.stdout}` };
-    const ended = runIn(copy, 'node', ['tests/run.js', guard.test]);
-    if (/^0 passed, 0 failed$/m.test(ended.stdout))
-      return { caught: false, why: 'no test has that path' };
-    if (ended.status === null) return { caught: false, why: 'its test did not end in time' };
-    return { caught: ended.status !== 0, why: 'its test passes without it' };
+    if (built.status !== 0)
+      return { caught: false, reason: `the broken version does not compile: ${built.stdout}` };
+    const testRun = runIn(copy, 'node', ['tests/run.js', guard.test]);
+    if (/^0 passed, 0 failed$/m.test(testRun.stdout))
+      return { caught: false, reason: `no test file matches ${guard.test}` };
+    if (testRun.status === null)
+      return { caught: false, reason: `its test did not end within ${testTimeoutMs} ms` };
+    return { caught: testRun.status !== 0, reason: 'its test passes with the guard broken' };
   } finally {
     writeFileSync(path, text);
   }
@@ -88,12 +92,12 @@
 let missed = 0;
 try {
   const built = build(copy);
-  if (built.status !== 0) throw new Error(`the copy does not build: ${built.stdout}`);
+  if (built.status !== 0) throw new Error(`the unchanged copy does not build: ${built.stdout}`);
   for (const guard of guards) {
-    const { caught, why } = isCaught(copy, guard);
+    const { caught, reason } = isCaught(copy, guard);
     if (!caught) missed++;
     process.stdout.write(
-      `${caught ? 'caught' : `MISSED (${why})`}: ${guard.file}: ${guard.name}\n`,
+      `${caught ? 'caught' : `MISSED (${reason})`}: ${guard.file}: ${guard.name}\n`,
     );
   }
 } finally {
--- a/tests/run.js
+++ b/tests/run.js
@@ -1,3 +1,10 @@
+/**
+ * Runs the compiled test files in parallel, each in its own process, and prints the number of passed tests of each.
+ *
+ * Usage: node tests/run.js [REGEX on the path below tests/dist]
+ * The last line is `N passed, N failed`; the exit code is 0 only if a test passed and none failed. Files listed in
+ * KNOWN-RED.txt do not count while they fail, and count as failed once they pass.
+ */
 import { spawn } from 'node:child_process';
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -5,10 +12,10 @@
 import { fileURLToPath } from 'node:url';
 import pLimit from 'p-limit';
 
-const here = dirname(fileURLToPath(import.meta.url));
+const testsFolder = dirname(fileURLToPath(import.meta.url));
 const uvu = join(dirname(createRequire(import.meta.url).resolve('uvu')), '..', 'bin.js');
-const wanted = new RegExp(process.argv[2] ?? '');
-/** Files that start real processes on fixed ports or bundle the product: one at a time. */
+const selected = new RegExp(process.argv[2] ?? '');
+/** Files that run one at a time, since they start processes on fixed ports or bundle the product. */
 const serialFiles = new Set([
   'repository/documentation-examples.test.js',
   'fleet/whole-path.test.js',
@@ -19,11 +26,11 @@
   'platform/stopping-front.test.js',
   'proxy/interface.test.js',
 ]);
-const files = readdirSync(join(here, 'dist'), { recursive: true }).filter(
-  (f) => f.endsWith('.test.js') && wanted.test(f),
+const files = readdirSync(join(testsFolder, 'dist'), { recursive: true }).filter(
+  (file) => file.endsWith('.test.js') && selected.test(file),
 );
-/** Test files that fail for a fault which is known and not mended yet, with its cause; see KNOWN-RED.txt. */
-const knownRedList = join(here, '..', 'KNOWN-RED.txt');
+const knownRedList = join(testsFolder, '..', 'KNOWN-RED.txt');
+/** Entries of KNOWN-RED.txt by test file: files that fail because of a known fault that is not fixed yet. */
 const knownRed = new Map(
   (existsSync(knownRedList) ? readFileSync(knownRedList, 'utf8') : '')
     .split('\n')
@@ -31,51 +38,61 @@
     .map((line) => [`${line.slice(0, line.indexOf(': '))}.test.js`, line]),
 );
 const running = new Set();
-const hard = setTimeout(() => running.forEach((c) => c.kill('SIGKILL')), 13 * 60 * 1000);
+/** Kills the test files that still run after 13 minutes. */
+const killTimer = setTimeout(
+  () => running.forEach((child) => child.kill('SIGKILL')),
+  13 * 60 * 1000,
+);
 
 const run = (file) =>
-  new Promise((done) => {
+  new Promise((resolve) => {
     const child = spawn(
       process.execPath,
-      [uvu, join(here, 'dist'), `^${file.replaceAll('.', '\\.')}$`],
+      [uvu, join(testsFolder, 'dist'), `^${file.replaceAll('.', '\\.')}$`],
       { stdio: ['ignore', 'pipe', 'pipe'] },
     );
     running.add(child);
-    let out = '';
-    for (const s of [child.stdout, child.stderr]) {
-      s.setEncoding('utf8');
-      s.on('data', (part) => {
-        out += part;
+    let output = '';
+    for (const stream of [child.stdout, child.stderr]) {
+      stream.setEncoding('utf8');
+      stream.on('data', (part) => {
+        output += part;
       });
     }
     child.on('close', (code) => {
       running.delete(child);
-      const plain = out.replace(/\u001b\[[0-9;]*m/g, '');
-      const total = Number(/Total:\s+(\d+)/.exec(plain)?.[1] ?? 0);
-      const passed = Number(/Passed:\s+(\d+)/.exec(plain)?.[1] ?? 0);
+      const plainOutput = output.replace(/\u001b\[[0-9;]*m/g, '');
+      const total = Number(/Total:\s+(\d+)/.exec(plainOutput)?.[1] ?? 0);
+      const passed = Number(/Passed:\s+(\d+)/.exec(plainOutput)?.[1] ?? 0);
       const failed = Math.max(total - passed, code === 0 && total > 0 ? 0 : 1);
-      const known = knownRed.get(file);
-      if (known !== undefined) {
+      const knownFault = knownRed.get(file);
+      if (knownFault !== undefined) {
         process.stdout.write(
-          failed === 0 ? `${file}: passes but stands in KNOWN-RED.txt\n` : `KNOWN RED: ${known}\n`,
+          failed === 0
+            ? `${file}: passes but stands in KNOWN-RED.txt\n`
+            : `KNOWN RED: ${knownFault}\n`,
         );
-        done({ passed: 0, failed: failed === 0 ? 1 : 0 });
+        resolve({ passed: 0, failed: failed === 0 ? 1 : 0 });
         return;
       }
       process.stdout.write(
-        failed === 0 ? `${file}: ${passed}\n` : `${file}: ${failed} failed\n${plain}\n`,
+        failed === 0 ? `${file}: ${passed}\n` : `${file}: ${failed} failed\n${plainOutput}\n`,
       );
-      done({ passed, failed });
+      resolve({ passed, failed });
     });
   });
 
-const many = pLimit(6);
-const one = pLimit(1);
-const ends = await Promise.all(
-  files.map((f) => (serialFiles.has(f) ? one(() => many(() => run(f))) : many(() => run(f)))),
+const parallelLimit = pLimit(6);
+const serialLimit = pLimit(1);
+const results = await Promise.all(
+  files.map((file) =>
+    serialFiles.has(file)
+      ? serialLimit(() => parallelLimit(() => run(file)))
+      : parallelLimit(() => run(file)),
+  ),
 );
-clearTimeout(hard);
-const passed = ends.reduce((n, e) => n + e.passed, 0);
-const failed = ends.reduce((n, e) => n + e.failed, 0);
+clearTimeout(killTimer);
+const passed = results.reduce((sum, result) => sum + result.passed, 0);
+const failed = results.reduce((sum, result) => sum + result.failed, 0);
 process.stdout.write(`${passed} passed, ${failed} failed\n`);
 process.exitCode = failed === 0 && passed > 0 ? 0 : 1;
--- a/tests/src/control/order-sent-again.test.ts
+++ b/tests/src/control/order-sent-again.test.ts
@@ -1,4 +1,4 @@
-/** A change that is resent while later ones are in flight waits until it is in force itself, not for the later ones. */
+/** A resent change is acknowledged as soon as it is in force itself; it does not wait for later changes in flight. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { operate, type OperatorResponse } from '@tillerstair/control';
@@ -14,7 +14,7 @@
 
 const resentChanges = suite('resent changes while later ones are pending');
 
-const fileOn = (base: number): string =>
+const configBasedOn = (base: number): string =>
   JSON.stringify({
     base,
     pools: [{ name: 'm', kind: 'model' }],
@@ -24,7 +24,7 @@
   });
 
 const put = (harness: MasterHarness, base: number): Promise<OperatorResponse> =>
-  operate(harness.master, { method: 'PUT', path: '/v1/config', body: fileOn(base) });
+  operate(harness.master, { method: 'PUT', path: '/v1/config', body: configBasedOn(base) });
 
 resentChanges(
   'an acknowledged change is acknowledged again immediately while a later one is pending',
@@ -38,6 +38,7 @@
       bounds.publishTimeout,
     );
     assert.is(first.status, 200);
+    // The front rejects every later commit, so the second change stays pending.
     harness.peer('f').on('zen/commit', () => {
       throw new ElectionError('not-held', 'that state is not held');
     });
@@ -51,9 +52,9 @@
     );
     assert.is(repeated.status, 200);
     const tookMs = harness.clock.now() - startedAt;
-    assert.ok(tookMs <= roundTrip * 4, `${tookMs} ms`);
-    const later = await harness.clock.finish('the second change', second, bounds.readLease * 2);
-    assert.is(later.status, 200);
+    assert.ok(tookMs <= roundTrip * 4, `the resent change was acknowledged after ${tookMs} ms`);
+    const delayed = await harness.clock.finish('the second change', second, bounds.readLease * 2);
+    assert.is(delayed.status, 200);
   },
 );
 
--- a/tests/src/proxy/front-feed.test.ts
+++ b/tests/src/proxy/front-feed.test.ts
@@ -8,10 +8,11 @@
 
 const baseFeed = { leaseRenewedAt: -1, master: 'm', term: 3 };
 
+/** The code of the RPC error that an action throws, or `no error`. */
 const codeOf = (action: () => unknown): string => {
   try {
     action();
-    return 'nothing';
+    return 'no error';
   } catch (error) {
     return error instanceof RpcError ? error.code : String(error);
   }
--- a/tests/src/proxy/refusals.test.ts
+++ b/tests/src/proxy/refusals.test.ts
@@ -14,17 +14,18 @@
   'responses to requests that reached no server, and server responses that are rejected',
 );
 const BoundAddress = z.object({ port: z.number() });
+/** The product's dialect with a header that only servers set: responses without it were not made by a server. */
 const dialect = { ...productDialect, madeByServer: 'x-seal' };
 
 type ServerBehavior = (attempt: string, res: ServerResponse) => void;
 
 const startServer = async (respond: ServerBehavior) => {
-  const asked: string[] = [];
+  const receivedAttempts: string[] = [];
   const http = createServer((req, res) => {
     const attempt = String(req.headers['x-request-id']);
     req.resume();
     req.on('end', () => {
-      asked.push(attempt);
+      receivedAttempts.push(attempt);
       respond(attempt, res);
     });
   });
@@ -36,7 +37,7 @@
     http.closeAllConnections();
     http.close();
   };
-  return { port, asked, close };
+  return { port, receivedAttempts, close };
 };
 type TestServer = Awaited<ReturnType<typeof startServer>>;
 
@@ -145,14 +146,19 @@
         res.setEncoding('latin1');
         res.on('data', (chunk) => (body += String(chunk)));
         res.on('error', () => undefined);
-        const reported = new Map(
+        const receivedHeaders = new Map(
           Object.entries(res.headers).map(([name, value]): [string, string] => [
             name,
             String(value),
           ]),
         );
         res.on('close', () =>
-          resolve({ status: res.statusCode ?? 0, headers: reported, body, complete: res.complete }),
+          resolve({
+            status: res.statusCode ?? 0,
+            headers: receivedHeaders,
+            body,
+            complete: res.complete,
+          }),
         );
       },
     );
@@ -188,14 +194,18 @@
     };
     for (const path of ['/once/x', '/again/x', '/flow/x'])
       await withFront([respond], async (port, [testServer]) => {
-        const mute = ask(port, path, 'mute', ['X-Time-Left-Ms', '600']);
+        const unanswered = ask(port, path, 'mute', ['X-Time-Left-Ms', '600']);
         const queued = await ask(port, path, 'queued', ['X-Time-Left-Ms', '150']);
         assert.equal(
           [queued.status, queued.headers.has('retry-after'), queued.headers.has('x-seal')],
           [503, true, false],
           path,
         );
-        assert.equal([(await mute).status, testServer.asked], [502, ['mute']], path);
+        assert.equal(
+          [(await unanswered).status, testServer.receivedAttempts],
+          [502, ['mute']],
+          path,
+        );
       });
   },
 );
@@ -211,16 +221,19 @@
       [409, 502],
       [500, 500],
     ] as const;
-    for (const [given, reported] of statuses)
+    for (const [serverStatus, reportedStatus] of statuses)
       for (const path of ['/once/x', '/flow/x'])
         await withFront(
-          [(attempt, res) => void res.writeHead(given, { 'X-Request-Id': attempt }).end('theirs')],
+          [
+            (attempt, res) =>
+              void res.writeHead(serverStatus, { 'X-Request-Id': attempt }).end('theirs'),
+          ],
           async (port, [testServer]) => {
             const response = await ask(port, path, 'a');
             assert.equal(
-              [response.status, response.body === 'theirs', testServer.asked],
-              [reported, reported === 500, ['a']],
-              `${path} ${given}`,
+              [response.status, response.body === 'theirs', testServer.receivedAttempts],
+              [reportedStatus, reportedStatus === 500, ['a']],
+              `${path} ${serverStatus}`,
             );
           },
         );
@@ -286,7 +299,7 @@
   },
 );
 
-refusals('a stream that is not of events is never continued by another server', async () => {
+refusals('a stream other than an event stream is never continued by another server', async () => {
   let requestCount = 0;
   const respond: ServerBehavior = (attempt, res) => {
     res.writeHead(200, {
@@ -299,7 +312,7 @@
   await withFront([respond, respond], async (port, testServers) => {
     const response = await ask(port, '/live/x', 'a');
     assert.equal(
-      [response.complete, testServers.flatMap((testServer) => testServer.asked)],
+      [response.complete, testServers.flatMap((testServer) => testServer.receivedAttempts)],
       [false, ['a']],
     );
   });
@@ -339,7 +352,7 @@
     ] as const) {
       const response = await ask(port, path, 'a', extraHeaders);
       assert.equal(
-        [response.status, response.headers.has('retry-after'), testServer.asked],
+        [response.status, response.headers.has('retry-after'), testServer.receivedAttempts],
         [503, true, []],
         `${path} ${response.body}`,
       );
--- a/tests/src/repository/documentation-examples.test.ts
+++ b/tests/src/repository/documentation-examples.test.ts
@@ -19,6 +19,7 @@
   log: 'info',
 });
 
+/** The environment of the examples, without the variables that force colors on or off. */
 const environment = Object.entries(process.env).filter(
   ([name]) => !['FORCE_COLOR', 'NO_COLOR'].includes(name),
 );
@@ -56,7 +57,7 @@
     200,
   );
   await fleet.register();
-  await until('fronts', 30000, () => fleet.ready('front'));
+  await until('the fronts are ready', 30000, () => fleet.ready('front'));
 });
 
 docs.after(() => fleet.close());
@@ -64,7 +65,7 @@
 docs('each shell example prints the output that the page shows', async () => {
   const text = await readFile(join(repositoryRoot, 'docs', 'getting-started.md'), 'utf8');
   const examples = [...text.matchAll(/```sh\n([\s\S]*?)```\n```text\n([\s\S]*?)```/g)];
-  assert.ok(examples.length >= 7, `${examples.length} examples`);
+  assert.ok(examples.length >= 7, `the page has only ${examples.length} examples`);
   const [front = '', other = ''] = fleet.fronts;
   const env = new Map([
     ['TILLERCTL_AT', fleet.of('control')[0]?.http ?? ''],
@@ -73,12 +74,17 @@
   ]);
   for (const [, script = '', expected = ''] of examples) {
     const output = await runScript(script, env);
+    // An ellipsis on the page stands for any text within its line.
     const pattern = expected
       .trim()
       .split('…')
       .map((literal) => literal.replace(/[.*+?^${}()|[\]\\]/g, '\\$&'))
       .join('[^\\n]*?');
-    assert.match(output.trim(), new RegExp(`^${pattern}$`), `${script}printed\n${output}`);
+    assert.match(
+      output.trim(),
+      new RegExp(`^${pattern}$`),
+      `the example\n${script}printed\n${output}`,
+    );
   }
 });
 
--- a/tests/src/repository/stored-data.test.ts
+++ b/tests/src/repository/stored-data.test.ts
@@ -89,9 +89,11 @@
         );
         const page = replicaStore.pull(slot, epoch, '');
         assert.is(page.next, '');
-        const inSlot = items.filter((entry) => entry.slot === slot).map((entry) => entry.item);
+        const expectedItems = items
+          .filter((entry) => entry.slot === slot)
+          .map((entry) => entry.item);
         const byKey = (a: { key: string }, b: { key: string }): number => (a.key < b.key ? -1 : 1);
-        assert.equal([...page.items].sort(byKey), inSlot.sort(byKey));
+        assert.equal([...page.items].sort(byKey), expectedItems.sort(byKey));
         assert.throws(
           () => replicaStore.read(slot, epoch - 1, 'none'),
           (error: unknown) =>
@@ -127,8 +129,8 @@
   return { ...history, turns };
 };
 
-const sendKeyed = async (caller: string, path: string, key: string): Promise<string> => {
-  const response = await request(`http://${caller}${path}`, {
+const sendKeyed = async (front: string, path: string, key: string): Promise<string> => {
+  const response = await request(`http://${front}${path}`, {
     method: 'POST',
     headers: {
       host: 'a.example',
@@ -149,37 +151,42 @@
       const cluster = await startStoredCluster(folderOf);
       try {
         const [operator = ''] = cluster.operators;
-        const [first = '', second = ''] = cluster.callers;
+        const [firstFront = '', secondFront = ''] = cluster.callers;
         const current = await ask('GET', `http://${operator}/v1/config`);
         assert.is(current.status, 200);
         assert.equal(current.body, config);
         const caller = new Caller(tenant, () => undefined);
         const firstProgram = answers.programs[0]?.program ?? '';
         await until('the slots are served', 20000, async () => {
-          const page = `http://${first}/v1/programs/${firstProgram}`;
-          const reply = await request(page, { headers: { 'x-tenant': tenant } });
+          const url = `http://${firstFront}/v1/programs/${firstProgram}`;
+          const reply = await request(url, { headers: { 'x-tenant': tenant } });
           await reply.body.dump();
           return reply.statusCode === 200;
         });
         for (const { program, history } of answers.programs) {
-          const page = `http://${second}/v1/programs/${program}`;
-          const reply = await request(page, { headers: { 'x-tenant': tenant } });
+          const url = `http://${secondFront}/v1/programs/${program}`;
+          const reply = await request(url, { headers: { 'x-tenant': tenant } });
           assert.equal(historyOf(await reply.body.json()), historyOf(history));
         }
         for (const { program, after, turn, key, text, sent } of answers.turns) {
-          assert.is((await caller.fetch(first, program, turn)).text, text);
-          const retry = await caller.turn(second, { program, after, words: sent, key });
+          assert.is((await caller.fetch(firstFront, program, turn)).text, text);
+          const retry = await caller.turn(secondFront, { program, after, words: sent, key });
           assert.equal([retry.reported, retry.turn, retry.text], ['done', turn, text]);
         }
         for (const { key, body, text } of answers.calls) {
-          assert.is((await caller.call(first, '/shop/stock/hold', body, key)).text, text);
-          const reusedKey = await caller.call(first, '/shop/stock/hold', { item: 'another' }, key);
+          assert.is((await caller.call(firstFront, '/shop/stock/hold', body, key)).text, text);
+          const reusedKey = await caller.call(
+            firstFront,
+            '/shop/stock/hold',
+            { item: 'another' },
+            key,
+          );
           assert.is(reusedKey.status, 422);
         }
         for (const { path, key, body } of answers.keyed)
-          assert.is(await sendKeyed(first, path, key), `200 ${body}`);
-        const put = await ask('PUT', `http://${operator}/v1/config`, config.text);
-        assert.is(put.status, 200, JSON.stringify(put.body));
+          assert.is(await sendKeyed(firstFront, path, key), `200 ${body}`);
+        const putResponse = await ask('PUT', `http://${operator}/v1/config`, config.text);
+        assert.is(putResponse.status, 200, JSON.stringify(putResponse.body));
         assert.equal((await ask('GET', `http://${operator}/v1/config`)).body, config);
       } finally {
         await cluster.stop();
--- a/tests/src/store/emptying-stores.test.ts
+++ b/tests/src/store/emptying-stores.test.ts
@@ -124,7 +124,7 @@
       loseDisk(emptied);
       emptied.start();
       await cluster.clock.until(
-        'back',
+        'the store to be a member again',
         () => cluster.committed?.nodes.has(storeIdOf(emptied)) ?? false,
         10000,
       );
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -118,8 +118,8 @@
 
 const rejectsNothing = (): boolean => false;
 
-/** Starts a store among scripted peers, after whose master has committed a state with these slots. */
-const setUp = async (
+/** Starts a store among scripted peers, then lets their master commit a state with these slots to it. */
+const startStore = async (
   slots: readonly Slot[],
   stores: readonly string[],
   rejects: (call: string) => boolean = rejectsNothing,
@@ -169,7 +169,7 @@
   fixture.clock.finish('stop', fixture.node.stop(), 20000);
 
 requests('a request of an unknown kind is rejected', async () => {
-  const fixture = await setUp([slotWith({})], ['store-0']);
+  const fixture = await startStore([slotWith({})], ['store-0']);
   assert.is(await fixture.ask('store/none', {}), 'unknown-kind');
   await stop(fixture);
 });
@@ -178,7 +178,7 @@
   'a turn is looked up only in slots that the store replicates, and only once they are synced',
   async () => {
     const replica = slotWith({ replicas: ['store-0', 'store-1', 'store-2'] });
-    const fixture = await setUp([replica, slotWith({})], ['store-0', 'store-1', 'store-2']);
+    const fixture = await startStore([replica, slotWith({})], ['store-0', 'store-1', 'store-2']);
     assert.is(await fixture.ask('store/find', { turn: 'a', slots: [0] }), '{"items":[]}');
     assert.is(await fixture.ask('store/find', { turn: 'a', slots: [0, 1] }), 'moved');
     fixture.platter.failSyncs = true;
@@ -192,9 +192,9 @@
   'a joining replica reports itself as filled once it has pulled from a quorum of replicas',
   async () => {
     const joining = slotWith({ joiningReplicas: ['store-0'], replacedReplica: 'store-3' });
-    const fixture = await setUp([joining], ['store-0', 'store-1', 'store-2', 'store-3']);
+    const fixture = await startStore([joining], ['store-0', 'store-1', 'store-2', 'store-3']);
     await fixture.clock.until(
-      'filled',
+      'the replica to be reported as filled',
       () => fixture.received.includes('control-0 control/filled'),
       10000,
     );
@@ -215,7 +215,7 @@
   'a joining replica that reaches fewer replicas than a quorum does not report itself as filled',
   async () => {
     const joining = slotWith({ joiningReplicas: ['store-0'], replacedReplica: 'store-3' });
-    const fixture = await setUp(
+    const fixture = await startStore(
       [joining],
       ['store-0', 'store-1', 'store-2'],
       (call) => call === 'store-2 store/pull',
@@ -229,7 +229,7 @@
 
 requests('a hint is dropped after its handoff, and kept while the handoff fails', async () => {
   const slot = slotWith({ replicas: ['store-1', 'store-2', 'store-3'] });
-  const fixture = await setUp([slot], ['store-0', 'store-1']);
+  const fixture = await startStore([slot], ['store-0', 'store-1']);
   fixture.rejects = (call) => call === 'store-1 store/hand';
   for (const to of ['store-1', 'store-2', 'store-2', 'store-9'])
     assert.is(await fixture.ask('store/hint', { to, slot: 0, items: [item('a', 1)] }), '{}');
@@ -248,16 +248,16 @@
   async () => {
     const replica = slotWith({ replicas: ['store-0', 'store-1', 'store-2'] });
     const slots = [slotWith({}), slotWith({}), replica, slotWith({ replicas: [] })];
-    const fixture = await setUp(slots, ['store-0', 'store-1']);
+    const fixture = await startStore(slots, ['store-0', 'store-1']);
     const putItem = (slot: number, ownershipEpoch: number) =>
       fixture.ask('store/put', { slot, ownershipEpoch, items: [item('a', 1)] });
-    const written = [
+    const responses = [
       await putItem(0, 4),
       await putItem(1, 5),
       await putItem(2, 4),
       await putItem(3, 4),
     ];
-    assert.equal(written, ['{}', '{}', '{}', '{}']);
+    assert.equal(responses, ['{}', '{}', '{}', '{}']);
     await fixture.clock.run(3000);
     const stillStored: number[] = [];
     for (const slot of slots.keys())
