--- a/packages/control/src/cluster-reports.ts
+++ b/packages/control/src/cluster-reports.ts
@@ -9,12 +9,16 @@
   type State,
 } from '@tillerstair/state';
 
-/** Progress of emptying a store, in slots; `done` once the store may be switched off permanently. */
+/** Progress of emptying a store. */
 export interface EmptyingProgress {
+  /** Id of the store. */
   readonly store: string;
   readonly retiring: boolean;
+  /** Number of slots that have a replica on this store, a joining one included. */
   readonly slotsHeld: number;
+  /** Number of slots in the whole cluster that have a joining replica. */
   readonly slotsJoining: number;
+  /** Whether the store may be switched off permanently. */
   readonly done: boolean;
 }
 
@@ -39,7 +43,7 @@
   };
 };
 
-/** Progress of draining a front: the number of slots that it still owns. */
+/** Progress of draining a front; `slotsHeld` is the number of slots that it still owns. */
 export interface DrainingProgress {
   readonly front: string;
   readonly retiring: boolean;
@@ -66,7 +70,9 @@
   readonly stores: readonly EmptyingProgress[];
   readonly slots: {
     readonly count: number;
+    /** Number of slots whose owner is in the list of nodes. */
     readonly owned: number;
+    /** Number of slots that have a joining replica. */
     readonly joiningReplicas: number;
   };
   readonly weights: readonly (readonly [string, number])[];
--- a/packages/control/src/list-reader.ts
+++ b/packages/control/src/list-reader.ts
@@ -47,14 +47,16 @@
   readAge: ageOf(readAt, now),
 });
 
-/** Divides the read interval to get the longest time that a reply waits for the reading in flight. */
-const replyDivisor = 4;
+/** A reply waits for the reading in flight for at most the read interval divided by this. */
+const replyWaitDivisor = 4;
 
 /** Reads the server list for one control. */
 export class ListReader {
+  /** The result of the last attempt that has ended, with the servers of the last successful one. */
   private newest: ListReading = { ...neverRead, servers: [] };
   private inFlight: Promise<ListReading> | undefined;
-  private attemptedAt = -Infinity;
+  /** Start time, in ms of the clock, of the last attempt, including one in flight; -Infinity before the first. */
+  private lastStartedAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
@@ -79,12 +81,13 @@
   }
 
   /**
-   * Replies to a node that requests the list. If a reading is slow: the previous servers, with the age of the attempt.
+   * Replies to a node that requests the list. If the reading in flight is slow, the reply has the servers of the last
+   * successful reading, and the age of the attempt in flight.
    */
   async reply(): Promise<ServerListReply> {
-    const fallback = delay(this.clock, this.intervalMs / replyDivisor).then(() => ({
+    const fallback = delay(this.clock, this.intervalMs / replyWaitDivisor).then(() => ({
       ...this.newest,
-      triedAt: this.attemptedAt,
+      triedAt: this.lastStartedAt,
     }));
     const reading = await Promise.race([this.read(), fallback]);
     const idsWhere = (draining: boolean): readonly string[] =>
@@ -98,7 +101,7 @@
 
   private async attempt(): Promise<ListReading> {
     const triedAt = this.clock.now();
-    this.attemptedAt = triedAt;
+    this.lastStartedAt = triedAt;
     try {
       const servers = await withTimeout(
         this.clock,
--- a/packages/control/src/node.ts
+++ b/packages/control/src/node.ts
@@ -1,7 +1,7 @@
 /**
- * A control: takes part in zen, serves other nodes' requests to the master, and answers operators by itself, as master,
- * or by forwarding to the master. A response to an operator never claims more than is known: a change with an unclear
- * outcome is never reported as not made.
+ * A control: takes part in elections and publishing through its zen node, serves other nodes' requests to the master,
+ * and answers operators by itself, as master, or by forwarding to the master. A response to an operator never claims
+ * more than is known: a change with an unknown outcome is never reported as not made.
  */
 import { nodeViewOf, reduceState, type Member, type NodeView } from '@tillerstair/state';
 import { ElectionError, ProtocolError, toRpcError, type RpcRequest } from '@tillerstair/wire';
@@ -34,12 +34,13 @@
   readonly list?: ServerList | undefined;
 }
 
+/** The reader of the server list, and the poll that the master runs on it. */
 interface PolledList {
   readonly reader: ListReader;
   readonly poll: ListPoll;
 }
 
-/** Reply of a control without a server list to a node that requests its reading. */
+/** Reply to a node that requests the server list, from a control that has none. */
 const emptyListReply = { open: [], draining: [] };
 
 const drainingPath = /^\/v1\/servers\/[^/]+\/draining$/;
@@ -120,15 +121,16 @@
   }
 
   /**
-   * Answers an operator. A server's draining mark that took longer than its commit timeout gets an unclear response,
-   * since the time within which fronts stop would no longer count from the request (never-list.md, draining servers).
+   * Answers an operator. A request to drain a server that was committed after its timeout gets a response that leaves
+   * the outcome open, since the time within which fronts stop sending to the server would no longer count from the
+   * request (never-list.md, draining servers).
    */
   async operate(request: OperatorRequest): Promise<OperatorResponse> {
     const receivedAt = this.clock.now();
     const response = await this.dispatch(request);
-    const isMarked = isDrainingMark(request) && response.status === HttpStatus.ok;
+    const isAcceptedMark = isDrainingMark(request) && response.status === HttpStatus.ok;
     const isInTime = this.clock.now() - receivedAt <= this.bounds.drainingCommitTimeout;
-    return !isMarked || isInTime ? response : lateDrainingMark();
+    return !isAcceptedMark || isInTime ? response : lateDrainingMark();
   }
 
   private async dispatch(request: OperatorRequest): Promise<OperatorResponse> {
@@ -146,8 +148,8 @@
   }
 
   /**
-   * Forwards a request to the master, waiting for at most the time of two publishes. A change without a clear response
-   * may have been made.
+   * Forwards a request to the master; the failure timeout is long enough for two publishes. A change without a response
+   * may have been made, unless the error says that it was not executed.
    */
   private async forward(master: Member, request: OperatorRequest): Promise<OperatorResponse> {
     const { failureTimeout } = this.bounds;
@@ -189,6 +191,7 @@
     return {};
   }
 
+  /** Records that a joining replica has received all items of its slot. */
   private async recordFilledReplica(master: MasterView, notice: FilledNotice): Promise<object> {
     await master.submit((state) => reduceState(state, { kind: 'filled', ...notice }));
     return {};
--- a/packages/control/src/operations/voting-controls.ts
+++ b/packages/control/src/operations/voting-controls.ts
@@ -1,4 +1,4 @@
-/** Operations that add or remove a voting control, one at a time (zen.md, joint consensus). */
+/** Operations that add or remove a voting control, one at a time (docs/zen.md, joint consensus). */
 import { reduceState, type State } from '@tillerstair/state';
 import type { MasterView } from '@tillerstair/zen';
 import { ConflictError, NotFoundError } from './errors.js';
@@ -30,7 +30,7 @@
       throw new ConflictError(`${reference} is a ${member.kind}, not a control`);
     if (!master.holdsCommitted(member.id))
       throw new ConflictError(
-        `${reference} does not hold the newest state on its disk yet; ask again`,
+        `control ${reference} has not acknowledged the newest state as synced yet; retry later`,
       );
     return reduceState(state, { kind: 'voters', out: '', in: member });
   },
--- a/packages/control/src/weight-tuning.ts
+++ b/packages/control/src/weight-tuning.ts
@@ -10,6 +10,7 @@
 
 /** Fraction of the distance to the target weight that one step covers. */
 const damping = 0.3;
+/** Lower limit of a target weight; the best server of a pool has a target of 1. */
 const minWeight = 0.1;
 /** Weights are multiples of 1/50. */
 const stepsPerUnit = 50;
@@ -28,7 +29,10 @@
     : next;
 };
 
-/** The next weights of all servers, given the throughput of each (work per time, compared within a pool). */
+/**
+ * The next weights of all servers, given the throughputs that are known (work per time, compared within a pool); empty
+ * if the configuration turns tuning off. The weight of a server without a known throughput keeps its value.
+ */
 export const tunedWeights = (
   state: State,
   throughputs: ReadonlyMap<string, number>,
--- a/packages/journal/src/journal.ts
+++ b/packages/journal/src/journal.ts
@@ -34,8 +34,9 @@
 }
 
 /**
- * The last fraction of a write's timeout, which runs on a second timer. If the whole process was paused, the first
- * timer fires as soon as it resumes; a write that the disk did not delay can still complete within this fraction.
+ * Fraction of a write's timeout that runs on a second timer, after the first one has fired. If the whole process was
+ * paused, the first timer fires as soon as the process resumes; a write that the disk did not delay can still complete
+ * before the second timer fires.
  */
 const finalTimeoutFraction = 0.2;
 
@@ -45,11 +46,11 @@
 /** A log is due for a rewrite once it exceeds its size after the last rewrite by this factor. */
 const rewriteGrowthFactor = 2;
 
-/** After a failed recovery attempt the delay is at least its duration times this factor, ... */
+/** After a failed recovery attempt, the delay is at least the duration of the attempt times this factor. */
 const retryDurationFactor = 2;
 
-/** ... and at most this many retry intervals. */
-const maxRetryFactor = 4;
+/** Maximum delay after a failed recovery attempt, in retry intervals. */
+const maxRetryIntervals = 4;
 
 const scanFile = async (file: DiskFile, scanner: LogScanner): Promise<void> => {
   for await (const chunk of file.chunks()) scanner.add(chunk);
@@ -64,7 +65,7 @@
 /** The delay after a failed recovery attempt that took `attemptMs`, in ms. */
 const retryDelayMs = (retryIntervalMs: number, attemptMs: number): number => {
   const uncappedMs = Math.max(retryIntervalMs, retryDurationFactor * attemptMs);
-  return toTimerMs(Math.min(uncappedMs, maxRetryFactor * retryIntervalMs));
+  return toTimerMs(Math.min(uncappedMs, maxRetryIntervals * retryIntervalMs));
 };
 
 /** One log on disk, with the guarantees that the comment of this module lists. */
@@ -183,7 +184,10 @@
     });
   }
 
-  /** Compacts the file to the owner's snapshot, which must include all records appended so far. */
+  /**
+   * Compacts the file to the owner's snapshot, which must include all records appended so far. Does nothing if a
+   * rewrite is in progress or the journal is not writable.
+   */
   async rewrite(snapshot: JournalSnapshot): Promise<void> {
     if (this.rewriting || !this.writable) return;
     this.rewriting = true;
@@ -212,8 +216,8 @@
   }
 
   /**
-   * Runs one write and settles its appends within `timeoutMs`. A late write is still awaited before the next one
-   * starts.
+   * Runs one write, and resolves or rejects its appends within `timeoutMs`. A write that takes longer is still awaited
+   * before the next one starts.
    */
   private async write(
     batch: readonly PendingAppend[],
@@ -246,7 +250,7 @@
 
   /** Marks the journal as not writable, and rejects the appends of a batch and all pending ones. */
   private refuse(batch: readonly PendingAppend[], reason: string): void {
-    if (this.writable) this.timings.log?.warn(`${this.name} cannot be written: ${reason}.`);
+    if (this.writable) this.timings.log?.warn(`Journal ${this.name} cannot be written: ${reason}.`);
     this.failure ??= reason;
     if (this.pending.length > 0) this.fileLacksRecords = true;
     const error = new JournalUnavailableError(this.name, reason, 'unknown');
@@ -287,7 +291,7 @@
   private resume(): void {
     this.failure = undefined;
     this.fileLacksRecords = false;
-    this.timings.log?.info(`${this.name} is complete and writable again.`);
+    this.timings.log?.info(`Journal ${this.name} is complete and writable again.`);
   }
 
   /** Stops a running recovery, and closes the file after the write in flight has ended. */
--- a/packages/session-owner/src/attempt-machine.ts
+++ b/packages/session-owner/src/attempt-machine.ts
@@ -45,13 +45,16 @@
   mayRun(server: Server, kind: RouteKind, path: string): boolean;
 }
 
-/** The hooks by which an interface handles the states of a request. The outcome `undefined`: try another server. */
+/**
+ * The hooks by which an interface handles the states of a request. A hook that returns an outcome ends the request. An
+ * outcome of `undefined` lets it continue: after `record` at the same server, otherwise with a wait for a server.
+ */
 export interface Attempts<Result> {
   readonly kind: RouteKind;
   readonly path: string;
   readonly promptParts: readonly PrefixBlock[];
   readonly stickyPool: string;
-  /** Deadline of the request on the owner's clock, in ms; no server is waited for after it. */
+  /** Time on the owner's clock, in ms, by which a server must be assigned; all attempts of the request share it. */
   readonly deadline: number;
   /** Aborted when the caller disconnects; cancels the wait for a server. */
   readonly signal: AbortSignal;
@@ -61,7 +64,7 @@
   refuseBeforePlacing(remainingMs: number): CallOutcome | Promise<CallOutcome> | undefined;
   /** `placing`: called when no server was assigned. May clear `tried`, so that the same servers are tried again. */
   placementFailed(error: RpcError, tried: Set<string>): Promise<CallOutcome | undefined>;
-  /** `placed`: stores the intent or reservation on a quorum of replicas, unless it is there; an outcome refuses it. */
+  /** `placed`: stores the intent or reservation on a quorum of replicas, unless it is stored already. */
   record(server: Server): Promise<CallOutcome | undefined>;
   /** `recorded`: called when the request may no longer be sent to this server. */
   notAllowed(): Promise<CallOutcome | undefined>;
--- a/packages/store/src/start.ts
+++ b/packages/store/src/start.ts
@@ -1,4 +1,4 @@
-/** Starts a store on the host's disk and network, and serves its pages for operators. */
+/** Starts a store on the host's disk and network, and serves its HTTP pages to operators. */
 import { randomBytes } from 'node:crypto';
 import { FolderDisk } from '@tillerstair/journal';
 import {
@@ -19,6 +19,7 @@
 
 const freshId = (): string => `s-${randomBytes(storeIdBytes).toString('hex')}`;
 
+/** This store as a member of the cluster. */
 const memberOf = (id: string, settings: StoreSettings): Member => ({
   id,
   kind: 'store',
@@ -37,7 +38,8 @@
   };
 };
 
-const storePages =
+/** Serves the store's view of the cluster and its counts of stored data, as JSON. */
+const operatorPages =
   (node: StoreNode, replicaStore: ReplicaStore): HttpHandler =>
   (_request, response, url) => {
     if (url.pathname === '/v1/view') sendJson(response, 200, node.nodeView());
@@ -83,9 +85,9 @@
   const http = await servePages(
     settings.http,
     () => readinessOf(node),
-    storePages(node, replicaStore),
+    operatorPages(node, replicaStore),
   );
-  log.info(`Serving ${id} at ${settings.addr}.`);
+  log.info(`Serving store ${id} at ${settings.addr}.`);
   return {
     reload: (next) => {
       reloadable.replace(next.bounds);
--- a/packages/zen/src/bootstrapper.ts
+++ b/packages/zen/src/bootstrapper.ts
@@ -1,6 +1,7 @@
 /**
- * Bootstraps a cluster of blank controls exactly once (docs/zen.md, "Bootstrapping happens once", with the argument why
- * no two clusters form). Owns the closure of the last ping round; votes and the state are in the election store.
+ * Bootstraps a cluster of blank controls, which have accepted no state yet, exactly once (docs/zen.md, "Bootstrapping
+ * happens once", with the argument why no two clusters form). Owns the closure of the last ping round: this control and
+ * those that responded, or nothing while a bootstrap is not allowed. Votes and the state are in the election store.
  */
 import { bootstrapState, type Member, type Replication } from '@tillerstair/state';
 import { toRpcError, type Clock, type Logger, type Transport } from '@tillerstair/wire';
@@ -76,7 +77,7 @@
     return true;
   }
 
-  /** Whether, after the requests to the others, the local vote is still for these members and no state was accepted. */
+  /** Whether the local vote is still for these members, and no state was accepted while other votes were requested. */
   private mayStillBootstrap(members: readonly Member[]): boolean {
     const { accepted, bootstrapVote } = this.electionStore.persisted;
     return membersKey(bootstrapVote) === membersKey(members) && !accepted;
@@ -117,7 +118,7 @@
     return true;
   }
 
-  /** Answers another control's proposal: yes only if the closure of this control's last ping round is these members. */
+  /** Answers another control's proposal: yes only if its members are the closure of this control's last ping round. */
   async onVoteRequest(
     localMember: Member,
     { members }: BootstrapVote,
--- a/packages/zen/src/bounds.ts
+++ b/packages/zen/src/bounds.ts
@@ -23,17 +23,17 @@
   readonly syncTimeout: number;
   /** Interval between attempts to write to a failed disk. */
   readonly diskRetryInterval: number;
-  /** Time for which every ping round must yield the same blank controls before they bootstrap a cluster. */
+  /** Time for which every ping round must find the same controls, none with a state, before they form a cluster. */
   readonly bootstrapStablePeriod: number;
   /** Time without a response from a store after which its replicas are rebuilt on other stores. */
   readonly replicaReplacementDelay: number;
   /** Time that a front may serve after the last confirmation that no newer state was committed. */
   readonly readLease: number;
-  /** Time after an operator's call within which the draining mark must be committed for the call to succeed. */
+  /** Maximum time from an operator's request to drain a server to its commit; a later commit is not a success. */
   readonly drainingCommitTimeout: number;
   /** Interval between reads of the server list. */
   readonly listReadInterval: number;
-  /** Number of pings from another master with a later term after which a master steps down. */
+  /** Number of pings from another master in a later term after which a master steps down. */
   readonly pingsFromAnotherMaster: number;
 }
 
--- a/packages/zen/src/local-node.ts
+++ b/packages/zen/src/local-node.ts
@@ -9,7 +9,7 @@
 import type { ElectionStore } from './election-store.js';
 import type { PingResponse } from './messages.js';
 
-/** The local node as an input of `elect`. */
+/** The local node as a candidate, for its own call of `elect`. */
 export interface LocalCandidate {
   readonly member: Member;
   /** Whether the node is a voter, has an accepted state and can sync a vote. */
@@ -57,7 +57,7 @@
     return voters.current.includes(id) || voters.next.includes(id);
   }
 
-  /** This node as an input of its own choice of a master. */
+  /** Describes this node as a candidate, for its own call of `elect`. */
   asCandidate(): LocalCandidate {
     const { accepted } = this;
     return {
@@ -71,7 +71,7 @@
   }
 
   /** Builds the response to a ping, with the current master and the controls that this node knows of. */
-  pingResponse(master: Member | undefined, known: Member[]): PingResponse {
+  pingResponse(master: Member | undefined, knownControls: Member[]): PingResponse {
     const { canWin, joinedBefore, accepted, voters } = this.asCandidate();
     return {
       from: this.member,
@@ -83,7 +83,7 @@
       joinedBefore,
       accepted,
       voters,
-      known,
+      known: knownControls,
     };
   }
 }
--- a/packages/zen/src/master-finder.ts
+++ b/packages/zen/src/master-finder.ts
@@ -12,8 +12,11 @@
 import type { PendingJoins } from './pending-joins.js';
 import type { PingRoundResult } from './ping-round.js';
 
-/** Backoff after a round without a master: the heartbeat interval divided by this, times the number of such rounds. */
-const pausesPerHeartbeat = 20;
+/**
+ * After consecutive rounds without a master, the backoff is the heartbeat interval divided by this, times the number of
+ * those rounds.
+ */
+const backoffDivisor = 20;
 /** Number of consecutive rounds without a master up to which the backoff grows. */
 const maxCountedRounds = 5;
 
@@ -74,16 +77,22 @@
     if (this.stopping.aborted) return undefined;
     this.onRound(round);
     if (await this.bootstrap(round)) return undefined;
-    return this.choose(round);
+    return this.chooseMaster(round);
   }
 
-  /** A node that cannot sync a vote neither becomes a candidate nor joins a master; it only answers pings. */
+  /**
+   * Waits one disk retry interval. A node that cannot sync a vote neither becomes a candidate nor joins a master; it
+   * only answers pings.
+   */
   private async waitForDisk(): Promise<undefined> {
     this.pendingJoins.rejectAll();
     await delay(this.clock, this.bounds.diskRetryInterval, this.stopping);
   }
 
-  /** The bootstrapper refuses once a state is accepted; the same check here avoids its work and its log lines. */
+  /**
+   * Resolves with true if this control has bootstrapped the cluster. The bootstrapper refuses once a state is accepted;
+   * the same check here avoids its work and its log lines.
+   */
   private async bootstrap(round: PingRoundResult): Promise<boolean> {
     const { member, accepted } = this.localNode;
     if (member.kind !== 'control' || accepted || !this.mayBootstrap) return false;
@@ -95,13 +104,14 @@
     });
   }
 
-  private async choose(round: PingRoundResult): Promise<Member | undefined> {
-    const result = elect(this.localNode.asCandidate(), this.ofThisCluster(round));
+  /** Elects a master from the responses of a round; waits for the backoff if there is none. */
+  private async chooseMaster(round: PingRoundResult): Promise<Member | undefined> {
+    const result = elect(this.localNode.asCandidate(), this.responsesOfThisCluster(round));
     if (result.kind === 'none') {
       this.log.debug(`No master elected: ${result.reason}.`);
       this.roundsWithoutMaster = Math.min(this.roundsWithoutMaster + 1, maxCountedRounds);
-      const wait = (this.bounds.heartbeatInterval / pausesPerHeartbeat) * this.roundsWithoutMaster;
-      await delay(this.clock, wait, this.stopping);
+      const backoffMs = (this.bounds.heartbeatInterval / backoffDivisor) * this.roundsWithoutMaster;
+      await delay(this.clock, backoffMs, this.stopping);
       return undefined;
     }
     this.roundsWithoutMaster = 0;
@@ -110,7 +120,7 @@
   }
 
   /** Responses of nodes that belong to the same cluster as this node, or to no cluster yet. */
-  private ofThisCluster(round: PingRoundResult): PingRoundResult['pingResponses'] {
+  private responsesOfThisCluster(round: PingRoundResult): PingRoundResult['pingResponses'] {
     const { clusterId } = this.localNode;
     if (!clusterId) return round.pingResponses;
     return round.pingResponses.filter(
--- a/packages/zen/src/master-types.ts
+++ b/packages/zen/src/master-types.ts
@@ -65,8 +65,8 @@
    */
   confirm(): Promise<State>;
   /**
-   * Resolves once no front serves from a state older than the committed one, at most one read lease after the commit,
-   * the election or the last departure of a front.
+   * Resolves once no front serves from a state older than the committed one: at most one read lease after the commit or
+   * the election, whichever is later.
    *
    * @throws UnknownOutcomeError if this control steps down before that.
    */
--- a/packages/zen/src/quorum-read.ts
+++ b/packages/zen/src/quorum-read.ts
@@ -73,22 +73,24 @@
 
   /** Waits, up to a timeout, for the round in progress, and then starts the round that all calls since then share. */
   private async beginNextRound(): Promise<State> {
-    await this.currentRoundOrTimeout();
+    await this.waitForCurrentRound();
     this.nextRound = undefined;
     if (this.lost.aborted) throw new NotMasterError();
-    const runRound = this.round(this.clock.now() + this.bounds.heartbeatInterval);
-    this.currentRound = runRound.catch(() => undefined);
-    return runRound;
+    const round = this.runRound(this.clock.now() + this.bounds.heartbeatInterval);
+    this.currentRound = round.catch(() => undefined);
+    return round;
   }
 
-  private async currentRoundOrTimeout(): Promise<void> {
+  /** Resolves once the round in progress has ended, or after a quarter of a heartbeat. */
+  private async waitForCurrentRound(): Promise<void> {
     const timeout = new AbortController();
     const timeoutMs = this.bounds.heartbeatInterval / waitsPerHeartbeat;
     await Promise.race([this.currentRound, delay(this.clock, timeoutMs, timeout.signal)]);
     timeout.abort();
   }
 
-  private async round(deadline: number): Promise<State> {
+  /** Runs one round of requests; rejects if no majority has confirmed this master by the deadline. */
+  private async runRound(deadline: number): Promise<State> {
     const state = this.committed();
     if (!state) throw new NotMasterError(`no state is committed yet in term ${this.term}`);
     const confirmedBy = await this.collectConfirmations(state, deadline);
--- a/packages/zen/src/zen-node.ts
+++ b/packages/zen/src/zen-node.ts
@@ -1,6 +1,7 @@
 /**
- * A node of the cluster (docs/zen.md): it repeatedly finds a master, then leads or follows until that ends. This module
- * connects the components; each owns its state, and only the election store owns state that must survive a restart.
+ * A node of the cluster (docs/zen.md): in a loop, it finds a master, and then leads the cluster or follows the master
+ * until it steps down or loses the master. This module connects the components; each owns its state, and only the
+ * election store owns state that must survive a restart.
  */
 import type { Member, State } from '@tillerstair/state';
 import {
@@ -30,8 +31,8 @@
 import { RequestDispatcher } from './request-dispatcher.js';
 import type { ZenNodeOptions } from './zen-node-options.js';
 
-/** After an unexpected error the node retries after the heartbeat interval divided by this. */
-const errorPausesPerHeartbeat = 10;
+/** After an error, the run loop continues after the heartbeat interval divided by this. */
+const errorDelayDivisor = 10;
 
 /** A node of the cluster, from `start` to `stop`; can be started once. */
 export class ZenNode {
@@ -67,7 +68,7 @@
     this.leadership = this.makeLeadership();
     const bootstrapper = new Bootstrapper(options);
     this.masterFinder = this.makeMasterFinder(bootstrapper);
-    const shared = {
+    const sharedOptions = {
       localMember: me,
       clock,
       transport,
@@ -78,10 +79,14 @@
       sleep: this.sleep,
       stopping: this.stopping.signal,
     };
-    this.candidate = new Candidate(shared);
-    this.follower = new Follower({ ...shared, ...this.reports(), readLease: this.readLease });
+    this.candidate = new Candidate(sharedOptions);
+    this.follower = new Follower({
+      ...sharedOptions,
+      ...this.reports(),
+      readLease: this.readLease,
+    });
     this.dispatcher = new RequestDispatcher({
-      ...shared,
+      ...sharedOptions,
       ...this.reports(),
       bootstrapper,
       knownMembers: this.knownMembers,
@@ -142,7 +147,7 @@
       mayBootstrap: this.options.mayBootstrap !== false,
       seeds: () => this.seeds,
       pingRound: () => this.pingRound(),
-      onRound: (round) => this.renewLease(round),
+      onRound: (round) => this.renewLeaseFromRound(round),
       stopping: this.stopping.signal,
     });
   }
@@ -204,21 +209,21 @@
     this.sleep.wake();
   }
 
-  /** Starts the search for a master; `handle` may be called before. */
+  /** Starts the run loop. `handle` may be called before `start`. */
   start(): void {
     this.ended = this.run();
-    if (this.localNode.member.kind === 'front') void this.renewReadLease();
+    if (this.localNode.member.kind === 'front') void this.runLeaseRenewal();
   }
 
   /**
    * Leaves the cluster and stops the node; resolves once its run loop has ended.
    *
-   * @param leaseReleased - Whether this is the node of a front that has stopped serving: changes then do not wait for
-   * its read lease.
+   * @param leaseReleased - True if this node is a front that has stopped serving, so that no change of the state has to
+   * wait for its read lease to expire.
    */
   async stop(leaseReleased = false): Promise<void> {
-    const leave = { ...this.options, leaseReleased };
-    await leaveCluster(leave, this.follower.master, this.leading).catch(() => undefined);
+    const leaveOptions = { ...this.options, leaseReleased };
+    await leaveCluster(leaveOptions, this.follower.master, this.leading).catch(() => undefined);
     this.stopping.abort();
     this.leadership.master?.stepDown('stopping');
     this.sleep.wake();
@@ -236,8 +241,8 @@
         await this.findAndServe();
       } catch (e) {
         this.log.warn(`Round ended: ${toRpcError(e).message}.`);
-        const wait = this.bounds.heartbeatInterval / errorPausesPerHeartbeat;
-        await delay(this.clock, wait, this.stopping.signal);
+        const delayMs = this.bounds.heartbeatInterval / errorDelayDivisor;
+        await delay(this.clock, delayMs, this.stopping.signal);
       }
     }
     this.pendingJoins.rejectAll();
@@ -265,19 +270,20 @@
     }).run();
   }
 
-  private renewReadLease(): Promise<void> {
+  /** While following a master, renews the read lease by ping rounds once half of it has elapsed. */
+  private runLeaseRenewal(): Promise<void> {
     return renewReadLease({
       clock: this.clock,
       bounds: this.bounds,
       isFollowing: () => this.follower.master !== undefined,
       renewedAt: () => this.leaseRenewedAt,
       pingRound: () => this.pingRound(),
-      onRound: (round) => this.renewLease(round),
+      onRound: (round) => this.renewLeaseFromRound(round),
       stopping: this.stopping.signal,
     });
   }
 
-  private renewLease(round: PingRoundResult): void {
+  private renewLeaseFromRound(round: PingRoundResult): void {
     this.readLease.renewFromRound(round, this.applied, this.localNode.member.id);
   }
 
@@ -285,6 +291,7 @@
     this.knownMembers.learn([...state.votingMembers.values(), ...state.nodes.values()]);
   }
 
+  /** Called when the connection to `addr` was lost; a follower then pings its master without delay. */
   private onConnectionLost(addr: string): void {
     this.leadership.master?.onConnectionLost(addr);
     if (this.follower.master?.addr === addr) this.sleep.wake();
