--- a/tests/src/session-owner/keyed-operations.test.ts
+++ b/tests/src/session-owner/keyed-operations.test.ts
@@ -17,22 +17,22 @@
 const operations = suite('keyed operations');
 const neverAborted = new AbortController().signal;
 /** The key of the record of an operation with the idempotency key `k`. */
-const key = opKeyOf('t', 'k');
+const recordKey = opKeyOf('t', 'k');
 
 /** Runs a tool call with the key `k`. */
 const call = (
   fixture: SessionOwnerFixture,
-  change: { path?: string; key?: string; body?: string } = {},
+  overrides: { path?: string; key?: string; body?: string } = {},
 ) =>
   fixture.owner.calls.runCall(
-    { tenant: 't', path: '/act', key: 'k', body: '1', requestId: '', ...change },
+    { tenant: 't', path: '/act', key: 'k', body: '1', requestId: '', ...overrides },
     neverAborted,
   );
 
 /** Runs a request of a pass route with the key `k`. */
 const pass = (
   fixture: SessionOwnerFixture,
-  change: { path?: string; key?: string; body?: string; left?: number } = {},
+  overrides: { path?: string; key?: string; body?: string; left?: number } = {},
   signal = neverAborted,
 ) =>
   fixture.owner.calls.runPass(
@@ -51,8 +51,8 @@
       parts: [],
       after: '',
       resume: '',
-      ...change,
-      body: encodeBody(Buffer.from(change.body ?? 'b')),
+      ...overrides,
+      body: encodeBody(Buffer.from(overrides.body ?? 'b')),
     },
     signal,
   );
@@ -75,9 +75,9 @@
   const fixture = await SessionOwnerFixture.opened();
   assert.is(textOf(await fixture.finish(call(fixture))), 'done 200');
   const sentAt = fixture.events.findIndex((line) => line.startsWith('send'));
-  const before = fixture.events.slice(0, sentAt).filter((line) => line === `put ${key} intent`);
-  assert.ok(before.length >= 2, fixture.events.join(', '));
-  assert.is(statusOf(fixture.stored(key)), 'done');
+  const puts = fixture.events.slice(0, sentAt).filter((line) => line === `put ${recordKey} intent`);
+  assert.ok(puts.length >= 2, fixture.events.join(', '));
+  assert.is(statusOf(fixture.stored(recordKey)), 'done');
 });
 
 operations('without a quorum for the intent nothing is sent', async () => {
@@ -98,12 +98,12 @@
 
 operations('a key used with another body is refused, in progress and afterwards', async () => {
   const fixture = await SessionOwnerFixture.opened();
-  const server = gate();
-  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
+  const replyGate = gate();
+  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: replyGate.opened });
   const first = call(fixture);
   await fixture.clock.run(10);
   assert.is(textOf(await fixture.finish(call(fixture, { body: '2' }))), 'refused 422 other-body');
-  server.open();
+  replyGate.open();
   assert.is(textOf(await fixture.finish(first)), 'done 200');
   assert.is(textOf(await fixture.finish(call(fixture, { body: '2' }))), 'refused 422 other-body');
   assert.is(fixture.sent.length, 1);
@@ -111,15 +111,15 @@
 
 operations('a second request with a key in progress shares its outcome or is refused', async () => {
   const fixture = await SessionOwnerFixture.opened();
-  const server = gate();
-  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
+  const replyGate = gate();
+  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: replyGate.opened });
   const first = pass(fixture);
   await fixture.clock.run(10);
   const joined = pass(fixture);
   const startedAt = fixture.clock.now();
   assert.is(textOf(await fixture.finish(pass(fixture, { left: 50 }))), 'refused 409 running');
   assert.is(fixture.clock.now() - startedAt, 50);
-  server.open();
+  replyGate.open();
   assert.equal(await fixture.finish(joined), await fixture.finish(first));
   assert.is(fixture.sent.length, 1);
 });
@@ -132,12 +132,12 @@
   });
   void call(fixture);
   await fixture.clock.run(10);
-  assert.is(statusOf(fixture.stored(key)), 'intent');
-  const next = await SessionOwnerFixture.opened();
-  next.store(key, fixture.stored(key));
-  await next.transferAwayAndBack();
-  assert.is(textOf(await next.finish(call(next))), 'unknown 504 unknown');
-  assert.is(next.sent.length, 0);
+  assert.is(statusOf(fixture.stored(recordKey)), 'intent');
+  const nextOwner = await SessionOwnerFixture.opened();
+  nextOwner.store(recordKey, fixture.stored(recordKey));
+  await nextOwner.transferAwayAndBack();
+  assert.is(textOf(await nextOwner.finish(call(nextOwner))), 'unknown 504 unknown');
+  assert.is(nextOwner.sent.length, 0);
 });
 
 operations('an operation of an earlier ownership reruns only if servers record keys', async () => {
@@ -150,9 +150,9 @@
     const request = { path: '/recorded/' };
     fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 } });
     await fixture.finish(pass(fixture, request));
-    const stored = fixture.stored(key);
-    if (stored === null || typeof stored !== 'object') throw new Error('no stored record');
-    fixture.store(key, { ...stored, status: 'intent', recorded });
+    const stored = fixture.stored(recordKey);
+    if (stored === null || typeof stored !== 'object') throw new Error('operation is not stored');
+    fixture.store(recordKey, { ...stored, status: 'intent', recorded });
     fixture.configure({
       ...configuration,
       routes: configuration.routes.map((route) =>
@@ -172,13 +172,13 @@
   const fixture = await SessionOwnerFixture.opened();
   const request = { path: '/recorded/' };
   await fixture.finish(pass(fixture, request));
-  const stored = fixture.stored(key);
-  if (stored === null || typeof stored !== 'object') throw new Error('no stored record');
-  fixture.store(key, { ...stored, status: 'intent', recorded: true });
+  const stored = fixture.stored(recordKey);
+  if (stored === null || typeof stored !== 'object') throw new Error('operation is not stored');
+  fixture.store(recordKey, { ...stored, status: 'intent', recorded: true });
   await fixture.transferAwayAndBack();
   fixture.reply = () => declinedReply;
   assert.is((await fixture.finish(pass(fixture, request))).outcome, 'refused');
-  assert.is(statusOf(fixture.stored(key)), 'unknown');
+  assert.is(statusOf(fixture.stored(recordKey)), 'unknown');
   const fresh = { path: '/recorded/', key: 'fresh' };
   assert.is((await fixture.finish(pass(fixture, fresh))).outcome, 'refused');
   assert.is(statusOf(fixture.stored(opKeyOf('t', 'fresh'))), 'void');
@@ -189,7 +189,7 @@
   fixture.reply = () => lostReply;
   assert.is(textOf(await fixture.finish(call(fixture))), 'unknown 504 unknown');
   assert.is(fixture.sent.length, 1);
-  assert.is(statusOf(fixture.stored(key)), 'unknown');
+  assert.is(statusOf(fixture.stored(recordKey)), 'unknown');
   assert.is(textOf(await fixture.finish(call(fixture))), 'unknown 504 unknown');
   assert.is(fixture.sent.length, 1);
 });
@@ -294,7 +294,7 @@
   };
   assert.is((await fixture.finish(call(fixture))).outcome, 'refused');
   assert.is(fixture.sent.length, 0);
-  assert.is(statusOf(fixture.stored(key)), 'void');
+  assert.is(statusOf(fixture.stored(recordKey)), 'void');
 });
 
 operations('an owner whose read lease expired sends nothing', async () => {
@@ -338,12 +338,12 @@
     ),
   });
   fixture.removeServers('k2');
-  fixture.reply = (n) => (n === 0 ? declinedReply : lostReply);
+  fixture.reply = (index) => (index === 0 ? declinedReply : lostReply);
   const recordedWhenSent: boolean[] = [];
-  const reply = fixture.reply;
-  fixture.reply = (n, sent) => {
-    recordedWhenSent.push(OpValue.parse(fixture.stored(key)).recorded);
-    return reply(n, sent);
+  const replyInTurn = fixture.reply;
+  fixture.reply = (index, sent) => {
+    recordedWhenSent.push(OpValue.parse(fixture.stored(recordKey)).recorded);
+    return replyInTurn(index, sent);
   };
   assert.is((await fixture.finish(pass(fixture, { path: '/recorded/' }))).outcome, 'unknown');
   assert.is(fixture.sent[0]?.server, 'k1');
@@ -352,13 +352,13 @@
 
 operations('a slot is not released while one of its operations is in progress', async () => {
   const fixture = await SessionOwnerFixture.opened();
-  const server = gate();
-  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
+  const replyGate = gate();
+  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: replyGate.opened });
   const running = call(fixture);
   await fixture.clock.run(10);
   fixture.changeSlot({ transferTarget: 'f2' });
   assert.equal(fixture.owner.releaseIdleSlots(), []);
-  server.open();
+  replyGate.open();
   await fixture.finish(running);
   assert.equal(fixture.owner.releaseIdleSlots(), [[0, 1]]);
   assert.is(await codeOf(() => fixture.finish(call(fixture, { key: 'next' }))), 'taking-over');
@@ -368,8 +368,8 @@
   const fixture = await SessionOwnerFixture.opened();
   fixture.removeServers('s2');
   fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
-  const server = gate();
-  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: server.opened });
+  const replyGate = gate();
+  fixture.reply = () => ({ ended: { kind: 'done', code: 200, body: 1 }, after: replyGate.opened });
   const running = call(fixture);
   await fixture.clock.run(10);
   const outcome = await fixture.finish(pass(fixture, { key: 'next', left: 300 }));
@@ -378,7 +378,7 @@
     textOf(await fixture.finish(pass(fixture, { key: 'late', left: 0 }))),
     'refused 503 no-server',
   );
-  server.open();
+  replyGate.open();
   await fixture.finish(running);
   assert.is(fixture.sent.length, 1);
 });
@@ -388,10 +388,10 @@
   fixture.removeServers('s2');
   fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
   const replies = [declinedReply, lostReply, fullReply];
-  fixture.reply = (n) => replies[n] ?? fullReply;
+  fixture.reply = (index) => replies[index] ?? fullReply;
   const outcomes = [];
-  for (const name of ['first', 'second', 'third', 'fourth'])
-    outcomes.push((await fixture.finish(call(fixture, { key: name }))).outcome);
+  for (const idempotencyKey of ['first', 'second', 'third', 'fourth'])
+    outcomes.push((await fixture.finish(call(fixture, { key: idempotencyKey }))).outcome);
   assert.equal(outcomes, ['refused', 'unknown', 'done', 'done']);
 });
 
--- a/tests/src/session-owner/slot-writes.test.ts
+++ b/tests/src/session-owner/slot-writes.test.ts
@@ -16,7 +16,7 @@
 
 const writes = suite('writes of a slot');
 
-/** Delays the puts until the test gives each replica's reply; the result has the delayed reply of each replica. */
+/** Delays each replica's reply to a put until the test gives it; returns the delayed replies by replica. */
 const delayedPuts = (fixture: ReplicatorFixture): Map<string, DelayedReply> => {
   const puts = new Map(['s1', 's2', 's3', 's4'].map((id) => [id, new DelayedReply()]));
   fixture.replicas.reply = (request: ReplicaRequest) =>
@@ -89,14 +89,14 @@
   await fixture.clock.runReadyTasks();
   assert.is(put.outcome, 'done');
   assert.is(fixture.replicator.isOpen, false);
-  const sent = fixture.replicas.requests.length;
+  const requestsBefore = fixture.replicas.requests.length;
   const refused = [fixture.put('o/l', 'value'), fixture.confirmMissing('o/l')];
   await fixture.clock.runReadyTasks();
   assert.equal(
     refused.map(({ outcome }) => outcome),
     ['unavailable', 'unavailable'],
   );
-  assert.is(fixture.replicas.requests.length, sent);
+  assert.is(fixture.replicas.requests.length, requestsBefore);
 });
 
 writes('a write that completes after the slot closed is not kept in memory', async () => {
@@ -132,7 +132,7 @@
   async () => {
     const fixture = await ReplicatorFixture.open();
     await fixture.replicator.put('o/k', 'value');
-    const sent = fixture.replicas.requests.length;
+    const requestsBefore = fixture.replicas.requests.length;
     fixture.replicator.close();
     assert.is(fixture.replicator.isOpen, false);
     assert.is(fixture.replicator.isAccepting, false);
@@ -140,28 +140,28 @@
     assert.is(await errorOf(fixture.replicator.put('o/k', 'other')), 'unavailable');
     assert.is(await errorOf(fixture.replicator.putWithRetry('o/k', 'other', 20)), 'unavailable');
     assert.is(await errorOf(fixture.replicator.confirmMissing('o/k')), 'unavailable');
-    assert.is(fixture.replicas.requests.length, sent);
+    assert.is(fixture.replicas.requests.length, requestsBefore);
   },
 );
 
 writes('a put is not retried beyond its number of attempts', async () => {
   const fixture = await ReplicatorFixture.open();
   fixture.replicas.reply = () => failWith('connection-refused');
-  const ended = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 3));
+  const outcome = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 3));
   await fixture.clock.run(heartbeatIntervalMs * 10);
   assert.is(fixture.replicas.of('store/put').length, 9);
-  assert.is(await ended, 'unavailable');
+  assert.is(await outcome, 'unavailable');
 });
 
 writes('a put is not retried after the slot is lost', async () => {
   const fixture = await ReplicatorFixture.open();
   fixture.replicas.reply = () => failWith('connection-refused');
-  const ended = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 20));
+  const outcome = errorOf(fixture.replicator.putWithRetry('o/k', 'value', 20));
   await fixture.clock.runReadyTasks();
   fixture.replicator.close();
   await fixture.clock.run(heartbeatIntervalMs / 10 + 1);
   assert.is(
-    await Promise.race([ended, fixture.clock.runReadyTasks().then(() => 'still retried')]),
+    await Promise.race([outcome, fixture.clock.runReadyTasks().then(() => 'still retried')]),
     'unavailable',
   );
 });
@@ -190,9 +190,9 @@
   async () => {
     const fixture = await ReplicatorFixture.open();
     const puts = delayedPuts(fixture);
-    const delayed = fixture.replicas.reply;
+    const replyToPut = fixture.replicas.reply;
     fixture.replicas.reply = (request) =>
-      request.kind === 'store/hint' ? failWith('hints-full') : delayed(request);
+      request.kind === 'store/hint' ? failWith('hints-full') : replyToPut(request);
     fixture.put('o/k', 'value');
     puts.get('s1')?.reject('connection-lost');
     puts.get('s2')?.accept();
@@ -211,16 +211,16 @@
 writes(
   'no hint is stored if no replica synced the write, nor for a replica at a newer epoch',
   async () => {
-    for (const [first, others] of [
+    for (const [firstCode, otherCodes] of [
       ['connection-lost', ['connection-lost', 'connection-lost']],
       ['stale-epoch', [undefined, undefined]],
     ] as const) {
       const fixture = await ReplicatorFixture.open();
       const puts = delayedPuts(fixture);
       fixture.put('o/k', 'value');
-      puts.get('s1')?.reject(first);
+      puts.get('s1')?.reject(firstCode);
       ['s2', 's3'].forEach((id, index) => {
-        const code = others[index];
+        const code = otherCodes[index];
         if (code === undefined) puts.get(id)?.accept();
         else puts.get(id)?.reject(code);
       });
@@ -281,10 +281,10 @@
 writes(
   'a slot is released only if it has a transfer target, is open, and has no request in flight',
   async () => {
-    const moving = slotAt(1, { transferTarget: 'next' });
+    const slotInTransfer = slotAt(1, { transferTarget: 'next' });
     const fixture = await ReplicatorFixture.open();
     assert.is(fixture.replicator.tryRelease(), undefined);
-    fixture.replicator.apply(moving);
+    fixture.replicator.apply(slotInTransfer);
     const endRequest = fixture.replicator.beginRequest();
     assert.is(fixture.replicator.tryRelease(), undefined);
     assert.is(fixture.replicator.isAccepting, true);
@@ -293,11 +293,11 @@
     assert.is(fixture.replicator.isAccepting, false);
     fixture.replicator.apply(slotAt(1));
     assert.is(fixture.replicator.isAccepting, true);
-    const closed = new ReplicatorFixture();
-    closed.replicas.reply = silence;
-    closed.replicator.apply(moving);
-    await closed.clock.runReadyTasks();
-    assert.is(closed.replicator.tryRelease(), undefined);
+    const unopened = new ReplicatorFixture();
+    unopened.replicas.reply = silence;
+    unopened.replicator.apply(slotInTransfer);
+    await unopened.clock.runReadyTasks();
+    assert.is(unopened.replicator.tryRelease(), undefined);
   },
 );
 
--- a/tests/src/session-owner/turns.test.ts
+++ b/tests/src/session-owner/turns.test.ts
@@ -26,16 +26,16 @@
   const fixture = await withProgram();
   assert.is(textOf(await fixture.finish(runTurn(fixture))), 'done 200');
   const sentAt = fixture.events.findIndex((line) => line.startsWith('send'));
-  const before = fixture.events
+  const putsBefore = fixture.events
     .slice(0, sentAt)
     .filter((line) => line === `put ${turnKey} reserved`);
-  assert.ok(before.length >= 2, fixture.events.join(', '));
+  assert.ok(putsBefore.length >= 2, fixture.events.join(', '));
   assert.is(turnValue(fixture).cost, 3);
   assert.equal(fixture.emitted, ['x', 'y', 'z']);
 });
 
 turns(
-  'without a quorum for the reservation nothing is sent, and the reservation stops counting',
+  'without a quorum for the reservation nothing is sent, and the reservation no longer counts against the budget',
   async () => {
     const fixture = await withProgram(10);
     fixture.onPut = () => false;
@@ -61,13 +61,13 @@
 
 turns('access to the program is also checked for a caller that joins a running turn', async () => {
   const fixture = await withProgram();
-  const server = gate();
-  fixture.reply = () => ({ ...fullReply, after: server.opened });
+  const replyGate = gate();
+  fixture.reply = () => ({ ...fullReply, after: replyGate.opened });
   const first = runTurn(fixture);
   await fixture.clock.run(10);
   const otherTenant = runTurn(fixture, { tenant: 'other' });
   const joined = runTurn(fixture);
-  server.open();
+  replyGate.open();
   assert.is(textOf(await fixture.finish(first)), 'done 200');
   assert.is(textOf(await fixture.finish(otherTenant)), 'refused 404 missing');
   assert.equal(await fixture.finish(joined), await fixture.finish(runTurn(fixture)));
@@ -198,18 +198,18 @@
   const fixture = await withProgram(8);
   fixture.removeServers('m2');
   fixture.configure({ ...configuration, bounds: { ...configuration.bounds, perServer: 1 } });
-  const server = gate();
+  const replyGate = gate();
   fixture.reply = () => ({
     ended: { kind: 'done', code: 200, body: 8 },
     chunks: Array.from({ length: 8 }, (_, index) => [index, 'x'] as const),
-    after: server.opened,
+    after: replyGate.opened,
   });
   await fixture.finish(fixture.owner.turns.createProgram({ tenant: 't', pid: 'p2', budget: 50 }));
   const occupyingTurn = runTurn(fixture, { pid: 'p2' });
   await fixture.clock.run(10);
   const [second, third] = [runTurn(fixture, { key: 'second' }), runTurn(fixture, { key: 'third' })];
   await fixture.clock.run(10);
-  server.open();
+  replyGate.open();
   const outcomes = [];
   for (const work of [occupyingTurn, second, third])
     outcomes.push(textOf(await fixture.finish(work)));
@@ -238,9 +238,9 @@
     const putAt: number[] = [];
     fixture.reply = (index) => {
       if (index > 0) return fullReply;
-      const lateReply = gate();
-      fixture.clock.after(2100, lateReply.open);
-      return { ...declinedReply, after: lateReply.opened };
+      const lateReplyGate = gate();
+      fixture.clock.after(2100, lateReplyGate.open);
+      return { ...declinedReply, after: lateReplyGate.opened };
     };
     fixture.onPut = () => {
       putAt.push(fixture.clock.now());
@@ -273,16 +273,19 @@
   assert.is(fixture.sent.length, 0);
 });
 
-turns('a server that begins to drain while the reservation is written gets nothing', async () => {
-  const fixture = await withProgram();
-  fixture.removeServers('m2');
-  fixture.onPut = (_, status) => {
-    if (status === 'reserved') fixture.changeServer('m1', { draining: true });
-    return true;
-  };
-  assert.is(textOf(await fixture.finish(runTurn(fixture))), 'refused 503 no-server');
-  assert.is(fixture.sent.length, 0);
-});
+turns(
+  'a server that begins to drain while the reservation is written gets no request',
+  async () => {
+    const fixture = await withProgram();
+    fixture.removeServers('m2');
+    fixture.onPut = (_, status) => {
+      if (status === 'reserved') fixture.changeServer('m1', { draining: true });
+      return true;
+    };
+    assert.is(textOf(await fixture.finish(runTurn(fixture))), 'refused 503 no-server');
+    assert.is(fixture.sent.length, 0);
+  },
+);
 
 turns('whether the turn may be sent is checked again just before the first byte', async () => {
   const fixture = await withProgram();
@@ -347,13 +350,13 @@
 
 turns('a slot is not released while one of its turns is in flight', async () => {
   const fixture = await withProgram();
-  const server = gate();
-  fixture.reply = () => ({ ...fullReply, after: server.opened });
+  const replyGate = gate();
+  fixture.reply = () => ({ ...fullReply, after: replyGate.opened });
   const runningTurn = runTurn(fixture);
   await fixture.clock.run(10);
   fixture.changeSlot({ transferTarget: 'f2' });
   assert.equal(fixture.owner.releaseIdleSlots(), []);
-  server.open();
+  replyGate.open();
   await fixture.finish(runningTurn);
   assert.equal(fixture.owner.releaseIdleSlots(), [[0, 1]]);
   assert.is(await codeOf(() => runTurn(fixture, { key: 'next' })), 'taking-over');
--- a/tests/src/support/raw-server.ts
+++ b/tests/src/support/raw-server.ts
@@ -13,7 +13,7 @@
 /** A signal that never aborts. */
 export const neverAborted: AbortSignal = new AbortController().signal;
 
-/** A request as the server received it; `line` is its request line, `connection` counts from 1. */
+/** A request as the server received it: `line` is its request line, `connection` the number of its connection, from 1. */
 export interface RawRequest {
   readonly attempt: string;
   readonly line: string;
@@ -28,16 +28,20 @@
 const splitRequest = (
   buffered: string,
 ): { readonly head: string; readonly rest: string } | undefined => {
-  const end = buffered.indexOf('\r\n\r\n');
-  if (end < 0) return undefined;
-  const head = buffered.slice(0, end);
-  const size = Number(/content-length: *(\d+)/i.exec(head)?.[1] ?? 0);
-  return buffered.length < end + 4 + size
+  const headEnd = buffered.indexOf('\r\n\r\n');
+  if (headEnd < 0) return undefined;
+  const head = buffered.slice(0, headEnd);
+  const bodyLength = Number(/content-length: *(\d+)/i.exec(head)?.[1] ?? 0);
+  return buffered.length < headEnd + 4 + bodyLength
     ? undefined
-    : { head, rest: buffered.slice(end + 4 + size) };
+    : { head, rest: buffered.slice(headEnd + 4 + bodyLength) };
 };
 
-/** Starts a TCP server that records each complete request and handles it with `respond`. */
+/**
+ * Starts a TCP server that records each complete request and handles it with `respond`. The result has the requests
+ * received (`asked`), a promise for the end of each connection by its number (`closed`), and the count of requests of an
+ * attempt (`runs`).
+ */
 export const rawServer = async (
   respond: (request: RawRequest) => void,
   onConnection: (socket: Socket, connectionNumber: number) => void = () => undefined,
@@ -82,7 +86,7 @@
 /** A server started by `rawServer`. */
 export type RawServer = Awaited<ReturnType<typeof rawServer>>;
 
-/** The bytes of a response with a length, for this attempt. */
+/** The bytes of a response to this attempt, with a `Content-Length`. */
 export const responseBytes = (
   attempt: string,
   body: string,
@@ -95,7 +99,7 @@
 export const createClient = (connections = 1): HttpBackend =>
   new HttpBackend({ connectTimeoutMs: 2000, maxConnections: () => connections }, dialect);
 
-/** Outcome of a request, and what its caller received. */
+/** Outcome of a request, with the status and body that its caller received. */
 export interface SendResult {
   readonly ended: BackendOutcome;
   readonly status: number;
--- a/tests/src/zen/bootstrap.test.ts
+++ b/tests/src/zen/bootstrap.test.ts
@@ -35,11 +35,11 @@
 });
 const blankReplies = [blankPingResponse(b), blankPingResponse(c)];
 const viewOfA = viewOf(a, blankReplies);
-const votes = (yes: boolean) => (): Promise<unknown> => Promise.resolve({ yes });
+const answerVote = (yes: boolean) => (): Promise<unknown> => Promise.resolve({ yes });
 
 const bootstrapperOf = (
   electionStore: MemoryElectionStore,
-  answer: (request: SentRequest) => Promise<unknown> = votes(true),
+  answer: (request: SentRequest) => Promise<unknown> = answerVote(true),
 ) => {
   const clock = new SimClock();
   const transport = new ScriptedTransport(answer);
@@ -65,20 +65,20 @@
   assert.is(closureOf(viewOf(a, [blankPingResponse(b)])).members.length, 0);
 });
 
-bootstrapping('a reply of a node that belongs to a cluster prevents it', () => {
-  const old = blankPingResponse(c, { clusterId: 'x' });
-  assert.is(closureOf(viewOf(a, [blankPingResponse(b), old])).members.length, 0);
+bootstrapping('a reply of a node that belongs to a cluster prevents a bootstrap', () => {
+  const clusterReply = blankPingResponse(c, { clusterId: 'x' });
+  assert.is(closureOf(viewOf(a, [blankPingResponse(b), clusterReply])).members.length, 0);
 });
 
-bootstrapping('every control that anyone named must have replied', () => {
+bootstrapping('every control that a reply or this control names must have replied', () => {
   const d = member('d');
-  const named = blankPingResponse(c, { known: [d] });
-  assert.is(closureOf(viewOf(a, [blankPingResponse(b), named])).members.length, 0);
+  const replyNamingD = blankPingResponse(c, { known: [d] });
+  assert.is(closureOf(viewOf(a, [blankPingResponse(b), replyNamingD])).members.length, 0);
   assert.is(closureOf({ ...viewOfA, knownMembers: [d] }).members.length, 0);
   assert.is(closureOf({ ...viewOfA, knownMembers: [member('d', 'store')] }).members.length, 3);
 });
 
-bootstrapping('only controls are members', () => {
+bootstrapping('only controls are members of the closure', () => {
   const withStore = [...blankReplies, blankPingResponse(member('d', 'store'))];
   assert.equal(
     closureOf(viewOf(a, withStore)).members.map((m) => m.id),
@@ -105,9 +105,9 @@
   const electionStore = new MemoryElectionStore('a');
   const { bootstrapper, twoRounds, clock } = bootstrapperOf(electionStore);
   assert.is(await twoRounds(viewOfA, bounds.bootstrapStablePeriod - 1), false);
-  const others = [...blankReplies, blankPingResponse(member('d'))];
+  const repliesWithD = [...blankReplies, blankPingResponse(member('d'))];
   await clock.run(1);
-  assert.is(await bootstrapper.onPingRound(viewOf(a, others)), false);
+  assert.is(await bootstrapper.onPingRound(viewOf(a, repliesWithD)), false);
   assert.is(await bootstrapper.onPingRound(viewOfA), false);
   assert.is(electionStore.persisted.accepted, undefined);
 });
@@ -119,12 +119,12 @@
   assert.is(transport.sent.length, 0);
 });
 
-bootstrapping('a missing or refused vote prevents it', async () => {
-  const refuses = (request: SentRequest): Promise<unknown> =>
+bootstrapping('a missing or refused vote prevents a bootstrap', async () => {
+  const refusesVote = (request: SentRequest): Promise<unknown> =>
     Promise.resolve({ yes: request.to === b.addr });
-  const timesOut = (request: SentRequest): Promise<unknown> =>
+  const failsToReply = (request: SentRequest): Promise<unknown> =>
     request.to === b.addr ? Promise.resolve({ yes: true }) : Promise.reject(new Error('no reply'));
-  for (const answer of [refuses, timesOut]) {
+  for (const answer of [refusesVote, failsToReply]) {
     const electionStore = new MemoryElectionStore('a');
     const { twoRounds } = bootstrapperOf(electionStore, answer);
     assert.is(await twoRounds(viewOfA), false);
@@ -133,7 +133,7 @@
 });
 
 bootstrapping(
-  'a local vote that changed during the requests to the others prevents it',
+  'a local vote that changed during the requests to the others prevents a bootstrap',
   async () => {
     const electionStore = new MemoryElectionStore('a');
     const { twoRounds } = bootstrapperOf(electionStore, async () => {
@@ -195,8 +195,8 @@
 bootstrapping(
   'a vote changes only to members that cover all addresses of the earlier vote',
   async () => {
-    const covered = await voterAfterRound(new MemoryElectionStore('b'), [a, b]);
-    assert.equal(await covered.onVoteRequest(b, proposal), { yes: true });
+    const coveringVoter = await voterAfterRound(new MemoryElectionStore('b'), [a, b]);
+    assert.equal(await coveringVoter.onVoteRequest(b, proposal), { yes: true });
     const electionStore = new MemoryElectionStore('b');
     const bootstrapper = await voterAfterRound(electionStore, [b, member('d')]);
     assert.equal(await bootstrapper.onVoteRequest(b, proposal), { yes: false });
--- a/tests/src/zen/master-fault-detection.test.ts
+++ b/tests/src/zen/master-fault-detection.test.ts
@@ -49,11 +49,11 @@
 faults('refusals with an answer between them do not add up', async () => {
   const harness = await MasterHarness.started({ newest: withStore });
   for (let i = 0; i < 3; i++) {
-    const pinged = harness.sentOf('zen/node-ping', 's').length;
+    const pingsBefore = harness.sentOf('zen/node-ping', 's').length;
     harness.peer('s').refusing = true;
     await harness.clock.until(
       'a refused ping',
-      () => harness.sentOf('zen/node-ping', 's').length > pinged,
+      () => harness.sentOf('zen/node-ping', 's').length > pingsBefore,
       bounds.heartbeatInterval * 2,
     );
     harness.peer('s').refusing = false;
@@ -80,11 +80,11 @@
     assert.ok(harness.master.committed?.nodes.has('s'));
     await harness.clock.run(bounds.failureTimeout + bounds.heartbeatInterval);
     assert.not(harness.master.committed?.nodes.has('s'));
-    const pinged = harness.sentOf('zen/node-ping', 's').length;
+    const pingsBefore = harness.sentOf('zen/node-ping', 's').length;
     await harness.clock.run(bounds.failureTimeout * 2);
     assert.is(
       harness.sentOf('zen/node-ping', 's').length,
-      pinged,
+      pingsBefore,
       'a removed store is no longer pinged',
     );
   },
@@ -96,28 +96,28 @@
   await harness.clock.run(bounds.heartbeatInterval * 2);
   assert.not(harness.master.committed?.nodes.has('c'));
   const version = harness.master.committed?.version;
-  const pinged = harness.sentOf('zen/node-ping', 'c').length;
+  const pingsBefore = harness.sentOf('zen/node-ping', 'c').length;
   await harness.clock.run(bounds.failureTimeout * 2);
   assert.is(harness.master.committed?.version, version);
-  assert.ok(harness.sentOf('zen/node-ping', 'c').length > pinged);
+  assert.ok(harness.sentOf('zen/node-ping', 'c').length > pingsBefore);
 });
 
 faults('a member whose connection is lost is pinged immediately', async () => {
   const harness = await MasterHarness.started({ newest: withStore });
   await harness.clock.run(roundTrip * 2);
-  const pinged = harness.sentOf('zen/node-ping', 's').length;
+  const pingsBefore = harness.sentOf('zen/node-ping', 's').length;
   harness.master.onConnectionLost('s');
   await harness.clock.run(roundTrip);
-  assert.is(harness.sentOf('zen/node-ping', 's').length, pinged + 1);
+  assert.is(harness.sentOf('zen/node-ping', 's').length, pingsBefore + 1);
 });
 
 faults('a member that applied an older state is sent the committed one', async () => {
   const harness = await MasterHarness.started({ newest: withStore });
   harness.peer('s').applied = noVersion;
   await harness.clock.run(bounds.heartbeatInterval + roundTrip * 3);
-  const later = harness.sentOf('zen/publish', 's').slice(1);
-  assert.ok(later.length > 0);
-  assert.ok(later.every(isFull));
+  const laterPublishes = harness.sentOf('zen/publish', 's').slice(1);
+  assert.ok(laterPublishes.length > 0);
+  assert.ok(laterPublishes.every(isFull));
   assert.ok(harness.sentOf('zen/commit', 's').length > 1);
 });
 
@@ -220,10 +220,13 @@
   const harness = await MasterHarness.started({ newest: stateWith(threeVoters, [front]) });
   harness.peer('b').silent = true;
   harness.peer('c').silent = true;
-  const before = harness.master.onMasterPing(pingOf('f')).age;
+  const ageBefore = harness.master.onMasterPing(pingOf('f')).age;
   await harness.clock.run(bounds.heartbeatInterval);
-  const after = harness.master.onMasterPing(pingOf('f')).age;
-  assert.ok(after >= before + bounds.heartbeatInterval, `${before} ms, then ${after} ms`);
+  const ageAfter = harness.master.onMasterPing(pingOf('f')).age;
+  assert.ok(
+    ageAfter >= ageBefore + bounds.heartbeatInterval,
+    `${ageBefore} ms, then ${ageAfter} ms`,
+  );
 });
 
 faults('a ping of another master ends the mastership only in a later term', async () => {
@@ -299,9 +302,9 @@
   const harness = await MasterHarness.started({ newest: withStore });
   harness.master.stepDown('test');
   await harness.clock.run(roundTrip);
-  const sent = harness.sent.length;
+  const sentBefore = harness.sent.length;
   await harness.clock.run(bounds.failureTimeout * 2);
-  assert.is(harness.sent.length, sent);
+  assert.is(harness.sent.length, sentBefore);
   assert.is(await outcomeOf(harness.master.submit((state) => state)), 'not-master no');
 });
 
