--- a/packages/control/src/daemon.ts
+++ b/packages/control/src/daemon.ts
@@ -4,7 +4,8 @@
 
 void runDaemon({
   name: 'control-node',
-  about: "Keeps the cluster state, can be elected master, serves the operators' HTTP interface.",
+  description:
+    "Keeps the cluster state, can be elected master, serves the operators' HTTP interface.",
   schema: ControlSettings,
   flags: [
     ['addr', 'Own address, IP:PORT'],
--- a/packages/proxy/src/start.ts
+++ b/packages/proxy/src/start.ts
@@ -2,10 +2,10 @@
 import { randomBytes } from 'node:crypto';
 import {
   servePages,
-  stderrLog,
+  createStderrLogger,
   type ProxySettings,
   type Readiness,
-  type Running,
+  type RunningProgram,
 } from '@tillerstair/settings';
 import {
   hostClock,
@@ -84,8 +84,8 @@
   settings: ProxySettings,
   dialect: Dialect = productDialect,
   openListeners: OpenListeners = noAdditionalListeners,
-): Promise<Running<ProxySettings>> => {
-  const log = stderrLog('proxy', settings.log);
+): Promise<RunningProgram<ProxySettings>> => {
+  const log = createStderrLogger('proxy', settings.log);
   let { bounds } = settings;
   const backend: HttpBackend = new HttpBackend(
     {
@@ -112,7 +112,7 @@
       const callers = [http, ...listeners.callers];
       await front.stop(callers);
       const servers = [...callers, ...listeners.healthChecks];
-      await Promise.all(servers.map((server) => server.endWithin(finalResponseGraceMs)));
+      await Promise.all(servers.map((server) => server.closeWithin(finalResponseGraceMs)));
       await feed.close();
       await backend.close();
     },
