--- a/packages/fleet/src/capacity-rig.ts
+++ b/packages/fleet/src/capacity-rig.ts
@@ -1,6 +1,6 @@
 /** The simulated deployment that sweeps measure. */
 import { reduceState, Server } from '@tillerstair/state';
-import { stormConfig, World, type ObservedMessage, type WorldSizes } from '@tillerstair/sim';
+import { stormConfig, World, type ObservedMessage, type WorldOptions } from '@tillerstair/sim';
 
 /** Which process sent or received a message; `loop` is between the two processes of a front machine. */
 export type Role = 'master' | 'control' | 'store' | 'agent' | 'proxy' | 'loop';
@@ -29,10 +29,10 @@
 
 /** A configuration on a version, with so many routes more than the usual ones. */
 export const configOf = (base: number, routes: number): string =>
-  stormConfig({ base, turnPools: ['models'], callPool: 'shop', extra: routes });
+  stormConfig({ base, turnPools: ['models'], callPool: 'shop', extraRouteCount: routes });
 
 /** The machines of a sweep, unless it changes their number. */
-export const rigSizes: WorldSizes = { controls: 5, stores: 3, fronts: 6, slots: 64 };
+export const rigSizes: WorldOptions = { controls: 5, stores: 3, fronts: 6, slots: 64 };
 
 /** A whole hollow fleet on the simulator's clock: real membership, publish, feed and sync code, no traffic of its own. */
 export class Rig {
@@ -43,9 +43,9 @@
     private routes: number,
   ) {}
 
-  static async raise(sizes: WorldSizes, servers: number, routes = 3): Promise<Rig> {
+  static async raise(sizes: WorldOptions, servers: number, routes = 3): Promise<Rig> {
     const w = new World(1, sizes);
-    await w.bringUp((base) => configOf(base, routes), []);
+    await w.startServing((base) => configOf(base, routes), []);
     const rig = new Rig(w, routes);
     const lead = w.master?.control?.zen.leading;
     if (!lead) throw new Error('no master');
--- a/packages/fleet/src/capacity-world.ts
+++ b/packages/fleet/src/capacity-world.ts
@@ -107,9 +107,9 @@
 const servers = async (count: number): Promise<Values> => {
   const rig = await Rig.raise(rigSizes, count);
   const { fronts } = rigSizes;
-  const polls = rig.w.servers.polls;
+  const polls = rig.w.servers.healthChecks;
   const rest = await resting(rig, fronts);
-  const polled = rig.w.servers.polls - polls;
+  const polled = rig.w.servers.healthChecks - polls;
   const marked = await rig.tally(() => rig.mark(0));
   const targets = rig.w.machines.length - 1;
   return new Map([
@@ -136,7 +136,7 @@
     front?.kill();
     await rig.w.clock.until(
       'another owner',
-      () => (rig.w.committed?.version ?? 0) > versions && rig.w.slotsServed(),
+      () => (rig.w.committed?.version ?? 0) > versions && rig.w.slotsOwned(),
       20000,
     );
     ms = rig.w.clock.now() - t0;
--- a/packages/fleet/src/model.ts
+++ b/packages/fleet/src/model.ts
@@ -1,11 +1,11 @@
 /** Long series of runs of the model test, in batches of seeds; every failing batch prints its least run. */
-import { checkControlModel, type ModelChoice } from '@tillerstair/sim';
+import { checkControlModel, type ModelCheckOptions } from '@tillerstair/sim';
 
 const batchSize = 100;
 
 /** Makes all runs of a choice, goes on after a failing one, and returns whether none failed. */
 export const modelRuns = async (
-  choice: ModelChoice,
+  choice: ModelCheckOptions,
   say: (line: string) => void,
 ): Promise<boolean> => {
   let made = 0;
--- a/packages/fleet/src/storms.ts
+++ b/packages/fleet/src/storms.ts
@@ -2,7 +2,7 @@
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import { checkRecords } from '@tillerstair/checker';
-import { deploymentOf, faultKinds, planOf, Storm, type PlannedFault } from '@tillerstair/sim';
+import { deploymentOf, faultKinds, faultPlanFor, Storm, type PlannedFault } from '@tillerstair/sim';
 import split2 from 'split2';
 import { z } from 'zod';
 
@@ -44,7 +44,7 @@
     sizes: deploymentOf(seed),
     ms,
     plan,
-    chats: seed % 10 === 0 ? 80 : 40,
+    concurrentChats: seed % 10 === 0 ? 80 : 40,
   });
   try {
     const results = checkRecords(await storm.run());
@@ -57,7 +57,7 @@
       breach,
       log: storm.log,
       checked: new Map(results.map((v) => [v.rule, v.checked])),
-      struck: [...storm.struck],
+      struck: [...storm.appliedFaults],
     };
   } catch (e) {
     return {
@@ -101,7 +101,7 @@
   say: (line: string) => void,
 ): Promise<void> => {
   for (let seed = c.from; seed < c.from + c.count; seed += every) {
-    const plan = planOf(seed, c.ms, c.kinds);
+    const plan = faultPlanFor(seed, c.ms, c.kinds);
     const v = await stormOnce(seed, c.ms, plan);
     const few = v.breach !== '' && c.cut ? await cutDown(seed, c.ms, plan) : [];
     say(
--- a/packages/sim/src/control-model.ts
+++ b/packages/sim/src/control-model.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import { anyAction, type ModelAction, type ModelRun } from './model-actions.js';
 import type { ModelFinding, ModelRule } from './model-history.js';
-import { ModelRig } from './model-rig.js';
+import { ModelSimulation } from './model-simulation.js';
 
 /** A run that broke a rule, cut down as far as it goes. */
 interface FailedRun {
@@ -14,7 +14,7 @@
 }
 
 /** How many runs to make, from which seed. */
-export interface ModelChoice {
+export interface ModelCheckOptions {
   readonly seed: number;
   readonly runs: number;
   /** The longest run, in actions. */
@@ -32,25 +32,25 @@
 
 class RuleBrokenError extends Error {}
 
-const findingsOf = (rig: ModelRig, except: readonly ModelRule[]): readonly ModelFinding[] =>
+const findingsOf = (rig: ModelSimulation, except: readonly ModelRule[]): readonly ModelFinding[] =>
   rig.history.findings.filter((f) => !except.includes(f.rule));
 
-const mustBeSound = (rig: ModelRig, except: readonly ModelRule[]): void => {
+const mustBeSound = (rig: ModelSimulation, except: readonly ModelRule[]): void => {
   const first = findingsOf(rig, except).at(0);
   if (first) throw new RuleBrokenError(`${first.rule}: ${first.text}`);
 };
 
-class ActionCommand implements fc.AsyncCommand<ModelRig, ModelRig> {
+class ActionCommand implements fc.AsyncCommand<ModelSimulation, ModelSimulation> {
   constructor(
     private readonly action: ModelAction,
     private readonly except: readonly ModelRule[],
   ) {}
 
-  check(model: Readonly<ModelRig>): boolean {
+  check(model: Readonly<ModelSimulation>): boolean {
     return model.allows(this.action);
   }
 
-  async run(_model: ModelRig, rig: ModelRig): Promise<void> {
+  async run(_model: ModelSimulation, rig: ModelSimulation): Promise<void> {
     await rig.act(this.action);
     mustBeSound(rig, this.except);
   }
@@ -65,7 +65,7 @@
   { seed, controls, actions }: ModelRun,
   trace?: (line: string) => void,
 ): Promise<readonly ModelFinding[]> => {
-  const rig = new ModelRig(seed, controls);
+  const rig = new ModelSimulation(seed, controls);
   if (trace) rig.trace = trace;
   await rig.begin();
   for (const a of actions) if (rig.allows(a)) await rig.act(a);
@@ -79,7 +79,7 @@
   runs,
   longest,
   except = [],
-}: ModelChoice): Promise<ModelResult> => {
+}: ModelCheckOptions): Promise<ModelResult> => {
   let failed: FailedRun | undefined;
   let checked = 0;
   const commands = fc.commands(
@@ -91,7 +91,7 @@
     fc.constantFrom(3, 3, 3, 5),
     commands,
     async (worldSeed, controls, list) => {
-      const rig = new ModelRig(worldSeed, controls);
+      const rig = new ModelSimulation(worldSeed, controls);
       try {
         await rig.begin();
         mustBeSound(rig, except);
--- a/packages/sim/src/faults-disk.ts
+++ b/packages/sim/src/faults-disk.ts
@@ -1,31 +1,31 @@
 /** Faults of disks: slow, full, stalled, lost. */
-import type { SimPlatter } from './sim-platter.js';
+import type { SimDrive } from './sim-drive.js';
 import type { Fault, FaultTable, MachineKind } from './storm-fault.js';
 
 const kinds: readonly MachineKind[] = ['control', 'store'];
 const usualMs = 0.2;
 const slowMs = 400;
 
-type Platter = (p: SimPlatter, on: boolean) => void;
+type SetDiskFault = (p: SimDrive, on: boolean) => void;
 
-const slow: Platter = (p, on) => {
+const slow: SetDiskFault = (p, on) => {
   p.delay = on ? slowMs : usualMs;
 };
-const full: Platter = (p, on) => {
+const full: SetDiskFault = (p, on) => {
   p.full = on;
 };
-const stalled: Platter = (p, on) => {
+const stalled: SetDiskFault = (p, on) => {
   p.stalled = on;
 };
 
 /** One disk is in trouble for a time. */
 const diskFault =
-  (kind: MachineKind, set: Platter): Fault =>
+  (kind: MachineKind, set: SetDiskFault): Fault =>
   (c) => {
     const m = c.tools.target(c, kind);
     if (!m || (kind === 'store' && c.tools.isDiskLost)) return '';
-    set(m.platter, true);
-    c.tools.after(c.durationMs, () => set(m.platter, false));
+    set(m.drive, true);
+    c.tools.after(c.durationMs, () => set(m.drive, false));
     return m.addr;
   };
 
--- a/packages/sim/src/faults-machine.ts
+++ b/packages/sim/src/faults-machine.ts
@@ -3,7 +3,7 @@
 import { rootProgramId, slotForKey } from '@tillerstair/state';
 import type { Machine } from './machine.js';
 import {
-  pickOf,
+  pickRandom,
   type Fault,
   type FaultContext,
   type FaultTable,
@@ -57,8 +57,8 @@
     return m.addr;
   };
 
-const stopInOrder = async (c: FaultContext, m: Machine): Promise<void> => {
-  const end = m.stopInOrder().catch(() => undefined);
+const stopGracefully = async (c: FaultContext, m: Machine): Promise<void> => {
+  const end = m.stopGracefully().catch(() => undefined);
   await Promise.race([end, c.storm.delay(6 * c.world.bounds.heartbeatInterval)]);
   if (m.up) m.kill();
 };
@@ -71,7 +71,7 @@
     const work = async (): Promise<void> => {
       for (const m of all) {
         if (!m.up || m.incarnation.frozen) continue;
-        await stopInOrder(c, m);
+        await stopGracefully(c, m);
         await c.storm.delay(100 + c.rng() * 900);
         c.tools.restart(m);
         await c.storm.delay(2 * c.world.bounds.failureTimeout);
@@ -131,7 +131,7 @@
 const proxy =
   (what: 'kill' | 'freeze' | 'agent'): Fault =>
   (c) => {
-    const m = pickOf(c.rng, c.tools.up('front'));
+    const m = pickRandom(c.rng, c.tools.up('front'));
     if (!m) return '';
     if (what === 'freeze') {
       m.proxyIncarnation.frozen = true;
--- a/packages/sim/src/faults-members.ts
+++ b/packages/sim/src/faults-members.ts
@@ -1,7 +1,7 @@
 /** Faults and works that change which machines there are: added, replaced, emptied, drained; settings read again. */
 import type { Machine } from './machine.js';
 import {
-  pickOf,
+  pickRandom,
   type Fault,
   type FaultContext,
   type FaultTable,
@@ -32,7 +32,7 @@
       await c.storm.delay(2 * c.world.bounds.failureTimeout);
       if (!old.up) c.tools.restart(old);
       await Promise.race([
-        old.stopInOrder().catch(() => undefined),
+        old.stopGracefully().catch(() => undefined),
         c.storm.delay(2 * c.world.bounds.failureTimeout),
       ]);
       if (old.up) old.kill('power');
@@ -78,10 +78,10 @@
   (thenWipe: boolean): Fault =>
   (c) =>
     c.tools.runDiskLoss(async () => {
-      const old = pickOf(c.rng, c.tools.up('store'));
+      const old = pickRandom(c.rng, c.tools.up('store'));
       if (!old) return;
       await emptyStore(c, old);
-      const other = thenWipe ? pickOf(c.rng, c.tools.up('store')) : undefined;
+      const other = thenWipe ? pickRandom(c.rng, c.tools.up('store')) : undefined;
       if (other) await c.tools.wipe(other, c.durationMs);
     });
 
@@ -119,12 +119,12 @@
 
 /** A front stops in order and is removed. */
 const removeFront: Fault = (c) => {
-  const m = pickOf(c.rng, c.tools.up('front'));
+  const m = pickRandom(c.rng, c.tools.up('front'));
   if (!m || c.world.of('front').length < 3) return '';
   c.storm.track(
     (async () => {
       await Promise.race([
-        m.stopInOrder().catch(() => undefined),
+        m.stopGracefully().catch(() => undefined),
         c.storm.delay(6 * c.world.bounds.heartbeatInterval),
       ]);
       if (m.up) m.kill();
@@ -135,7 +135,7 @@
 };
 
 const drainFront: Fault = (c) => {
-  const m = pickOf(c.rng, c.tools.up('front'));
+  const m = pickRandom(c.rng, c.tools.up('front'));
   const master = c.world.master;
   if (!m?.front || !master?.control || c.world.of('front').length < 3) return '';
   const path = `/v1/fronts/${m.addr}/drain`;
@@ -157,7 +157,8 @@
   const controls = [...c.tools.up('control')].reverse().map((m) => m.addr);
   if (controls.length < 3) return '';
   c.world.namedSeeds = controls.slice(0, 3);
-  for (const m of c.world.machines) if (m.up) m.incarnation.do(() => m.reload(c.world.outer));
+  for (const m of c.world.machines)
+    if (m.up) m.incarnation.do(() => m.reload(c.world.configuredBounds));
   c.tools.after(c.durationMs, () => {
     c.world.namedSeeds = undefined;
   });
@@ -166,12 +167,13 @@
 
 /** Some machines read changed bounds while they run, and the old ones again later. */
 const reload: Fault = (c) => {
-  const { outer } = c.world;
-  const heartbeatInterval = outer.heartbeatInterval * (0.7 + c.rng() * 0.3);
+  const { configuredBounds } = c.world;
+  const heartbeatInterval = configuredBounds.heartbeatInterval * (0.7 + c.rng() * 0.3);
   const some = c.world.machines.filter((m) => m.up && c.rng() < 0.3);
-  for (const m of some) m.incarnation.do(() => m.reload({ ...outer, heartbeatInterval }));
+  for (const m of some)
+    m.incarnation.do(() => m.reload({ ...configuredBounds, heartbeatInterval }));
   c.tools.after(c.durationMs, () => {
-    for (const m of some) m.incarnation.do(() => m.reload(outer));
+    for (const m of some) m.incarnation.do(() => m.reload(configuredBounds));
   });
   return some.map((m) => m.addr).join(' ');
 };
--- a/packages/sim/src/faults-network.ts
+++ b/packages/sim/src/faults-network.ts
@@ -2,7 +2,7 @@
 import type { Machine } from './machine.js';
 import type { CutEffect } from './sim-net.js';
 import {
-  pickOf,
+  pickRandom,
   type Fault,
   type FaultContext,
   type FaultTable,
@@ -47,7 +47,7 @@
 const cutSeeds: Fault = (c) => {
   const all = shuffled(c);
   const away = all.slice(0, Math.floor((all.length - 1) / 2));
-  const restarted = pickOf(
+  const restarted = pickRandom(
     c.rng,
     [...c.tools.up('front'), ...c.tools.up('store')].filter(() => !c.tools.isDiskLost),
   );
@@ -76,7 +76,7 @@
 
 /** A machine is cut off from all controls and stores, not from fronts and servers. */
 const cutFromCore: Fault = (c) => {
-  const m = pickOf(c.rng, c.tools.up('front'));
+  const m = pickRandom(c.rng, c.tools.up('front'));
   if (!m) return '';
   c.tools.isolate([m], c.durationMs, 'both', 'silent', ['control', 'store']);
   return m.addr;
@@ -84,7 +84,7 @@
 
 /** A front reaches some servers no longer, while others do. */
 const cutFromServers: Fault = (c) => {
-  const m = pickOf(c.rng, c.tools.up('front'));
+  const m = pickRandom(c.rng, c.tools.up('front'));
   if (!m) return '';
   const pair = `${m.addr}>${c.server}`;
   c.world.servers.cutFronts.add(pair);
@@ -110,14 +110,14 @@
 /** Messages are late, so that later ones overtake them, and some are lost. */
 const lossy: Fault = (c) => {
   const { net } = c.world;
-  const fate = (): { lost: boolean; lateBy: number; repeats: number } => ({
+  const fate = (): { lost: boolean; extraDelayMs: number; duplicates: number } => ({
     lost: c.rng() < 0.02,
-    lateBy: c.rng() < 0.1 ? c.rng() * 300 : 0,
-    repeats: 0,
+    extraDelayMs: c.rng() < 0.1 ? c.rng() * 300 : 0,
+    duplicates: 0,
   });
-  net.fate = fate;
+  net.deliveryFaults = fate;
   c.tools.after(c.durationMs, () => {
-    if (net.fate === fate) net.fate = undefined;
+    if (net.deliveryFaults === fate) net.deliveryFaults = undefined;
   });
   return 'all';
 };
--- a/packages/sim/src/faults-server.ts
+++ b/packages/sim/src/faults-server.ts
@@ -1,12 +1,12 @@
 /** Faults of servers: lost and spoiled answers, silence, resets, refusals, coming and going. */
-import type { SimFaults } from './server-faults.js';
+import type { ServerFaults } from './server-faults.js';
 import type { Fault, FaultContext, FaultTable } from './storm-fault.js';
 
 const drainingMs = 4000;
 
 /** One server is in trouble for a time. */
 const serverFault =
-  (f: Partial<SimFaults>): Fault =>
+  (f: Partial<ServerFaults>): Fault =>
   (c) => {
     c.world.servers.set(c.server, f);
     c.tools.after(c.durationMs, () => c.world.servers.heal(c.server));
@@ -86,7 +86,7 @@
 
 /** A server crashes for good while it is at work, and stays on the list for a time. */
 const crashed =
-  (how: Partial<SimFaults>): Fault =>
+  (how: Partial<ServerFaults>): Fault =>
   (c) => {
     const id = `g${c.index}`;
     c.storm.track(
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -12,12 +12,12 @@
 } from '@tillerstair/zen';
 import { silentLogger, type Logger } from '@tillerstair/wire';
 import { Incarnation } from './incarnation.js';
-import { SimPlatter } from './sim-platter.js';
+import { SimDrive } from './sim-drive.js';
 import type { SimCluster } from './sim-cluster.js';
 
 /** A machine of one kind; a front has two processes, the proxy and the agent, and each has an incarnation of its own. */
 export class Machine {
-  readonly platter: SimPlatter;
+  readonly drive: SimDrive;
   incarnation = new Incarnation();
   proxyIncarnation = new Incarnation();
   control: ControlNode | undefined;
@@ -28,7 +28,7 @@
   /** Whether it was started and not killed since. */
   up = false;
   /** Why its last start failed; empty if it did not. */
-  startFailed = '';
+  startError = '';
   private readonly settings: ReloadableBounds;
 
   constructor(
@@ -37,8 +37,8 @@
     readonly index: number,
     private readonly fixedSeeds: readonly string[] | undefined,
   ) {
-    this.platter = new SimPlatter(world.rng);
-    this.settings = reloadableBounds(world.outer);
+    this.drive = new SimDrive(world.rng);
+    this.settings = reloadableBounds(world.configuredBounds);
   }
 
   get addr(): string {
@@ -67,12 +67,12 @@
 
   /** Starts all its processes, as new incarnations. */
   start(): void {
-    const rate = this.world.skewed ? 0.97 + this.world.rng() * 0.06 : 1;
+    const rate = this.world.skewClocks ? 0.97 + this.world.rng() * 0.06 : 1;
     this.incarnation = new Incarnation(rate);
     this.proxyIncarnation = new Incarnation(rate);
     this.up = true;
     void this.startProcesses(this.incarnation, this.proxyIncarnation).catch((e: unknown) => {
-      this.startFailed = e instanceof Error ? e.message : String(e);
+      this.startError = e instanceof Error ? e.message : String(e);
       this.up = false;
     });
   }
@@ -94,7 +94,7 @@
       await this.startAgent(life);
       return;
     }
-    const disk = this.platter.disk(clock, life);
+    const disk = this.drive.disk(clock, life);
     const freshId = (): string => `${this.kind.charAt(0)}${w.freshId()}`;
     const pace = {
       clock,
@@ -104,7 +104,7 @@
     };
     const member = { kind: this.kind, addr: this.addr, http: '', zone, data: '', name: this.name };
     if (this.kind === 'control') {
-      const electionStore = await DiskElectionStore.open(disk, freshId, w.longAt, pace);
+      const electionStore = await DiskElectionStore.open(disk, freshId, w.rewriteMinBytes, pace);
       const me = { id: electionStore.persisted.id, ...member };
       const node = new ControlNode({
         ...common,
@@ -123,8 +123,12 @@
       clock,
       timings: { ...pace, syncTimeoutMs: w.bounds.failureTimeout },
       freshId,
-      rewriteMinBytes: w.longAt,
-      limits: { rewriteMinBytes: w.longAt, retentionMs: w.retentionMs, maxHints: w.hintsMost },
+      rewriteMinBytes: w.rewriteMinBytes,
+      limits: {
+        rewriteMinBytes: w.rewriteMinBytes,
+        retentionMs: w.retentionMs,
+        maxHints: w.hintsMost,
+      },
     });
     const me = { id: electionStore.persisted.id, ...member };
     const node = new StoreNode({ ...common, me, electionStore, replicaStore });
@@ -195,19 +199,19 @@
     this.store = undefined;
     this.front = undefined;
     this.agent = undefined;
-    if (how === 'power') this.platter.powerLoss();
+    if (how === 'power') this.drive.powerLoss();
   }
 
   /** Reads the settings again while running (SIGHUP): seeds and bounds are swapped. */
-  reload(outer: ConfiguredBounds): void {
-    this.settings.replace(outer);
+  reload(configuredBounds: ConfiguredBounds): void {
+    this.settings.replace(configuredBounds);
     this.control?.zen.replaceSeeds(this.seeds);
     this.store?.zen.replaceSeeds(this.seeds);
     this.agent?.replaceSeeds(this.seeds);
   }
 
   /** Tells every process of this machine to stop (SIGTERM); resolves when they have ended. */
-  async stopInOrder(): Promise<void> {
+  async stopGracefully(): Promise<void> {
     await Promise.all([
       this.front?.stop(),
       this.agent?.stop(),
--- a/packages/sim/src/model-disturbances.ts
+++ b/packages/sim/src/model-disturbances.ts
@@ -3,7 +3,7 @@
 import type { CutDirection, DiskFault } from './model-actions.js';
 import type { ModelNodes } from './model-nodes.js';
 import type { ModelHistory } from './model-history.js';
-import type { AddressPair, Fate } from './sim-net.js';
+import type { AddressPair, DeliveryFaults } from './sim-net.js';
 import type { World } from './world.js';
 
 /** Short bounds, so that a run of a minute of them stays cheap. */
@@ -48,7 +48,7 @@
     private readonly history: ModelHistory,
     private readonly rng: () => number,
   ) {
-    world.net.fate = () => this.fate();
+    world.net.deliveryFaults = () => this.fate();
   }
 
   /** A disk may be lost if, without it, a majority of the voters has the newest committed state on disk. */
@@ -92,8 +92,8 @@
   /** Takes a machine's power and disk, and starts it again without anything on it. */
   wipe(machine: Machine, ms: number): void {
     this.kill(machine, 'power', ms);
-    machine.platter.wipe();
-    this.nodes.diskLost(machine);
+    machine.drive.wipe();
+    this.nodes.forgetDisk(machine);
   }
 
   /** A machine is lost for good, and a new one starts. */
@@ -114,19 +114,19 @@
     });
   }
 
-  disturbDisk({ platter }: Machine, fault: DiskFault, ms: number): void {
+  disturbDisk({ drive }: Machine, fault: DiskFault, ms: number): void {
     switch (fault) {
       case 'slow-disk':
-        platter.delay = slowDiskMs;
+        drive.delay = slowDiskMs;
         break;
       case 'full-disk':
-        platter.full = true;
+        drive.full = true;
         break;
       case 'stalled-disk':
-        platter.stalled = true;
+        drive.stalled = true;
         break;
     }
-    this.after(ms, () => platter.endFaults());
+    this.after(ms, () => drive.endFaults());
   }
 
   /** Ends all disturbances now. */
@@ -136,7 +136,7 @@
     for (const machine of this.world.machines) {
       if (machine.incarnation.frozen) machine.wake();
       if (!machine.up) machine.start();
-      machine.platter.endFaults();
+      machine.drive.endFaults();
     }
   }
 
@@ -156,11 +156,11 @@
     this.world.clock.after(ms, run);
   }
 
-  private fate(): Fate {
+  private fate(): DeliveryFaults {
     return {
       lost: this.happens(this.network.lost),
-      lateBy: this.happens(this.network.late) ? this.rng() * modelBounds.failureTimeout : 0,
-      repeats: this.happens(this.network.repeated) ? 1 : 0,
+      extraDelayMs: this.happens(this.network.late) ? this.rng() * modelBounds.failureTimeout : 0,
+      duplicates: this.happens(this.network.repeated) ? 1 : 0,
     };
   }
 
--- a/packages/sim/src/model-history.ts
+++ b/packages/sim/src/model-history.ts
@@ -72,7 +72,7 @@
     return this.newest?.config?.version ?? 0;
   }
 
-  broken(rule: ModelRule, text: string): void {
+  addFinding(rule: ModelRule, text: string): void {
     if (this.findings.some((f) => f.rule === rule && f.text === text)) return;
     this.findings.push({ rule, text });
   }
@@ -96,7 +96,7 @@
     const known = this.fingerprints.get(key);
     if (known !== undefined) {
       if (known !== fingerprint)
-        this.broken(
+        this.addFinding(
           'committed state is kept',
           `${by} holds another state ${key}: ${fingerprint}, not ${known}`,
         );
@@ -105,11 +105,11 @@
     this.fingerprints.set(key, fingerprint);
     const master = this.masters.get(s.term);
     if (master !== undefined && master !== s.master)
-      this.broken('one master a term', `term ${s.term}: ${master} and ${s.master}`);
+      this.addFinding('one master a term', `term ${s.term}: ${master} and ${s.master}`);
     this.masters.set(s.term, s.master);
     const { newest } = this;
     if (newest && !isNewerVersion(mark, versionOf(newest))) {
-      this.broken(
+      this.addFinding(
         'committed state is kept',
         `${by} commits ${key} after ${keyOf(versionOf(newest))}`,
       );
@@ -122,7 +122,7 @@
     const before = this.committedVersion;
     const { config } = s;
     if ((config?.version ?? 0) < before)
-      this.broken(
+      this.addFinding(
         'committed state is kept',
         `${by} goes back from configuration ${before} to ${config?.version ?? 0}`,
       );
@@ -133,7 +133,7 @@
   private content(version: number, digest: string, what: string): void {
     const known = this.contents.get(version);
     if (known !== undefined && known !== digest)
-      this.broken(
+      this.addFinding(
         'one content a version',
         `version ${version}: ${known.slice(0, 6)} and ${digest.slice(0, 6)} (${what})`,
       );
@@ -144,7 +144,7 @@
   acknowledged(c: SentConfig, by: string): void {
     this.checks++;
     if (this.committedVersion < c.version)
-      this.broken(
+      this.addFinding(
         'acknowledged changes are committed',
         `${by} acknowledged ${c.version}, committed is ${this.committedVersion}`,
       );
@@ -158,11 +158,11 @@
     const now = this.committedVersion;
     const who = `${by} refused ${c.version} on ${c.base} (${c.digest.slice(0, 6)})`;
     if (this.contents.get(c.version) === c.digest)
-      this.broken('refusals are true', `${who}, which had been taken`);
+      this.addFinding('refusals are true', `${who}, which had been taken`);
     else if (start.committedVersion === c.base && now === c.base)
-      this.broken('refusals are true', `${who}, and ${c.base} was current all the time`);
+      this.addFinding('refusals are true', `${who}, and ${c.base} was current all the time`);
     if (current !== undefined && (current < start.committedVersion || current > now))
-      this.broken(
+      this.addFinding(
         'refusals are true',
         `${who} since ${current} is current, which was ${start.committedVersion} to ${now}`,
       );
@@ -178,12 +178,12 @@
     const version = found?.version ?? 0;
     const least = Math.max(start.acknowledged, start.committedVersion);
     if (version < least)
-      this.broken(
+      this.addFinding(
         'reads hold every acknowledged change',
         `${by} read ${version}, ${least} had been committed`,
       );
     if (version > this.committedVersion)
-      this.broken(
+      this.addFinding(
         'reads hold every acknowledged change',
         `${by} read ${version}, committed is ${this.committedVersion}`,
       );
--- a/packages/sim/src/model-nodes.ts
+++ b/packages/sim/src/model-nodes.ts
@@ -48,7 +48,7 @@
   }
 
   /** The disk of this machine is gone. */
-  diskLost(m: Machine): void {
+  forgetDisk(m: Machine): void {
     this.identities.delete(m);
   }
 
@@ -63,7 +63,7 @@
     const key = `${to} ${term}`;
     const before = this.votes.get(key);
     if (before !== undefined && before !== from.id)
-      this.history.broken(
+      this.history.addFinding(
         'one vote a term',
         `${to} votes for ${before} and ${from.id} in term ${term}`,
       );
@@ -90,7 +90,7 @@
     const { id } = control;
     const before = this.identities.get(m);
     if (before !== undefined && before !== id && this.acknowledged.has(before))
-      this.history.broken(
+      this.history.addFinding(
         'terms and versions never go back',
         `${m.addr} forgot who it was: ${before} is ${id} now`,
       );
@@ -98,13 +98,13 @@
     const mark = versionOf(control.zen.accepted);
     const least = this.acknowledged.get(id);
     if (least && isNewerVersion(least, mark))
-      this.history.broken(
+      this.history.addFinding(
         'terms and versions never go back',
         `${m.addr} holds ${markText(mark)}, had stored ${markText(least)}`,
       );
     const granted = this.grantedTerms.get(id) ?? 0;
     if (control.zen.term < granted)
-      this.history.broken(
+      this.history.addFinding(
         'terms and versions never go back',
         `${m.addr} is in term ${control.zen.term}, had promised ${granted}`,
       );
@@ -116,7 +116,7 @@
     const mark = versionOf(s);
     const before = this.applied.get(m);
     if (before?.life === m.incarnation && isNewerVersion(before.mark, mark))
-      this.history.broken(
+      this.history.addFinding(
         'terms and versions never go back',
         `${m.addr} applies ${markText(mark)} after ${markText(before.mark)}`,
       );
@@ -129,9 +129,9 @@
       !held ||
       markText(held.version) !== markText(mark) ||
       m.incarnation.frozen ||
-      m.platter.delay > 1 ||
-      m.platter.full ||
-      m.platter.stalled
+      m.drive.delay > 1 ||
+      m.drive.full ||
+      m.drive.stalled
     )
       this.inMemory.set(id, { version: mark, since: now });
     else if (
--- a/packages/sim/src/model-operators.ts
+++ b/packages/sim/src/model-operators.ts
@@ -31,7 +31,7 @@
   /** A new change on a version, with a content that no other has. */
   configOn(base: number): SentConfig {
     const text =
-      stormConfig({ base, turnPools: ['models'], callPool: 'shop', extra: 0 }) +
+      stormConfig({ base, turnPools: ['models'], callPool: 'shop', extraRouteCount: 0 }) +
       ' '.repeat(this.sent.length + 1);
     const config = { version: base + 1, base, digest: configDigest(text), text };
     this.sent.push(config);
--- a/packages/sim/src/model-rig.ts
+++ b/packages/sim/src/model-simulation.ts
@@ -25,7 +25,7 @@
 };
 
 /** One run: its world, the history that its statements are checked against, and what was done. */
-export class ModelRig {
+export class ModelSimulation {
   readonly history = new ModelHistory();
   readonly actions: ModelAction[] = [];
   private readonly nodes = new ModelNodes(this.history);
@@ -39,8 +39,8 @@
     readonly controls: number,
   ) {
     this.rng = seededRng(seed * 31 + 7);
-    this.world = new World(seed, { controls, stores: 0, fronts: 0, outer: modelBounds });
-    this.world.skewed = true;
+    this.world = new World(seed, { controls, stores: 0, fronts: 0, configuredBounds: modelBounds });
+    this.world.skewClocks = true;
     this.world.net.onAnswer = (answer) => this.nodes.answered(answer);
     this.disturbances = new ModelDisturbances(this.world, this.nodes, this.history, this.rng);
   }
@@ -117,7 +117,10 @@
     const end = clock.now() + healedWithinMs;
     while (!ready()) {
       if (clock.now() >= end) {
-        this.history.broken('serves again once healed', `${what}: not within ${healedWithinMs} ms`);
+        this.history.addFinding(
+          'serves again once healed',
+          `${what}: not within ${healedWithinMs} ms`,
+        );
         return false;
       }
       await this.advance(pollMs);
--- a/packages/sim/src/server-faults.ts
+++ b/packages/sim/src/server-faults.ts
@@ -1,7 +1,7 @@
 /** What may be wrong with a simulated server. */
 
 /** Faults of one server; several may hold at once. */
-export interface SimFaults {
+export interface ServerFaults {
   /** Refuses connections. */
   readonly refuses: boolean;
   /** Reports itself as draining. */
@@ -29,7 +29,7 @@
 }
 
 /** A server without faults. */
-export const healthyServer: SimFaults = {
+export const healthyServer: ServerFaults = {
   refuses: false,
   draining: false,
   loseEvery: 0,
@@ -45,5 +45,5 @@
 };
 
 /** Whether a fault that strikes every `every`-th request strikes this one. */
-export const strikes = (every: number, requestNumber: number): boolean =>
+export const isEveryNth = (every: number, requestNumber: number): boolean =>
   every > 0 && requestNumber % every === 0;
--- a/packages/sim/src/sim-backend.ts
+++ b/packages/sim/src/sim-backend.ts
@@ -10,7 +10,7 @@
 } from '@tillerstair/session-owner';
 import type { Server } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
-import { strikes, type SimFaults } from './server-faults.js';
+import { isEveryNth, type ServerFaults } from './server-faults.js';
 import type { Incarnation } from './incarnation.js';
 import { executePass } from './sim-pass.js';
 import type { SimServers } from './sim-servers.js';
@@ -59,7 +59,7 @@
     };
     const length = shortestReply + Math.floor(this.servers.rng() * replyLengths);
     const total = Math.min(request.maxTokens, length);
-    const cutAt = strikes(faults.cutEvery, number) ? Math.floor(total / 2) : -1;
+    const cutAt = isEveryNth(faults.cutEvery, number) ? Math.floor(total / 2) : -1;
     let reply = '';
     this.servers.addBusy(server, 1);
     for (let index = 0; index < total; index++) {
@@ -141,14 +141,14 @@
     if (!executed.complete) return this.receive({ kind: 'lost', text: 'the answer stopped' });
     if (faults.namesOtherAttempt)
       return this.receive({ kind: 'lost', text: 'the response names another attempt' });
-    if (strikes(faults.loseEvery, number))
+    if (isEveryNth(faults.loseEvery, number))
       return this.receive({ kind: 'lost', text: 'the answer was lost' });
     return this.receive({ kind: 'done', code: 200, body: null });
   }
 
   async load(server: Server, timeoutMs: number): Promise<ServerStatus> {
     const faults = this.servers.faultsOf(server.id);
-    this.servers.polls++;
+    this.servers.healthChecks++;
     await delay(this.frontClock, sendMs);
     if (faults.unresponsive) await delay(this.frontClock, timeoutMs);
     if (!this.servers.accepts(this.front, server) || faults.unresponsive)
@@ -182,5 +182,5 @@
   }
 }
 
-const losesEnd = (faults: SimFaults, requestNumber: number): boolean =>
-  faults.fails || strikes(faults.loseEvery, requestNumber);
+const losesEnd = (faults: ServerFaults, requestNumber: number): boolean =>
+  faults.fails || isEveryNth(faults.loseEvery, requestNumber);
--- a/packages/sim/src/sim-cluster.ts
+++ b/packages/sim/src/sim-cluster.ts
@@ -5,18 +5,18 @@
 import { Machine } from './machine.js';
 import { seededRng } from './random.js';
 import { SimClock } from './sim-clock.js';
-import type { SimList } from './sim-list.js';
+import type { SimServerList } from './sim-server-list.js';
 import { SimNet } from './sim-net.js';
 import { SimServers } from './sim-servers.js';
 
 /** How many machines of each kind a world has, and the bounds of its deployment. */
-export interface WorldSizes {
+export interface WorldOptions {
   readonly controls: number;
   readonly stores: number;
   readonly fronts: number;
   readonly slots?: number;
   /** Outer bounds of the deployment, in ms; the usual ones if left out. */
-  readonly outer?: ConfiguredBounds;
+  readonly configuredBounds?: ConfiguredBounds;
   /** Losses of stores at once that the cluster is bootstrapped to bear. */
   readonly losses?: number;
   /** How many zones the machines are spread over; three if left out. */
@@ -36,7 +36,7 @@
   readonly clock = new SimClock();
   readonly net;
   readonly servers;
-  readonly outer: ConfiguredBounds;
+  readonly configuredBounds: ConfiguredBounds;
   readonly bounds: ZenBounds;
   readonly zones: number;
   /** Names the seeds that settings hold from now on; the first three controls while unset. */
@@ -45,28 +45,28 @@
   readonly slots: number;
   readonly losses: number;
   /** Logs longer than this many bytes are written anew. */
-  readonly longAt = 1 << 16;
+  readonly rewriteMinBytes = 1 << 16;
   /** The most hints that a store has. */
   hintsMost = 10000;
   /** How long idle turns stay, in ms. */
   retentionMs = 3600000;
   /** The list of servers that controls read; servers are added by operators while unset. */
-  list: SimList | undefined;
+  list: SimServerList | undefined;
   readonly machines: Machine[] = [];
   /** Gets each line of all logs, while set. */
   trace: ((line: string) => void) | undefined;
   /** Whether machines that start from now on have clocks that run fast or slow. */
-  skewed = false;
+  skewClocks = false;
   private idCount = 0;
   private readonly machineCounts = new Map<Machine['kind'], number>();
 
   constructor(
     readonly seed: number,
-    sizes: WorldSizes,
+    sizes: WorldOptions,
   ) {
     this.rng = seededRng(seed);
-    this.outer = sizes.outer ?? usualOuter;
-    this.bounds = zenBounds(this.outer);
+    this.configuredBounds = sizes.configuredBounds ?? usualOuter;
+    this.bounds = zenBounds(this.configuredBounds);
     this.slots = sizes.slots ?? 8;
     this.losses = sizes.losses ?? 1;
     this.zones = sizes.zones ?? 3;
@@ -131,7 +131,7 @@
   }
 
   /** The nodes that are being drained or emptied. */
-  get drained(): ReadonlySet<string> {
+  get retiringNodes(): ReadonlySet<string> {
     return new Set(this.committed?.retiring.keys());
   }
 
@@ -175,7 +175,7 @@
   }
 
   /** Starts all machines and waits until they serve a configuration and know the servers. */
-  async bringUp(
+  async startServing(
     configText: (base: number) => string,
     servers: readonly (readonly [string, string])[],
   ): Promise<void> {
@@ -196,7 +196,7 @@
       'fronts',
       () =>
         this.readyFronts().length === fronts &&
-        this.slotsOpen() &&
+        this.slotsReplicated() &&
         this.frontsKnowServers(servers.length),
       20000,
     );
@@ -207,7 +207,7 @@
   }
 
   /** Whether each slot has an owner and all its replicas. */
-  slotsOpen(): boolean {
+  slotsReplicated(): boolean {
     const s = this.committed;
     return (
       s !== undefined &&
@@ -216,7 +216,7 @@
   }
 
   /** Whether each slot has an owner. */
-  slotsServed(): boolean {
+  slotsOwned(): boolean {
     const s = this.committed;
     return s !== undefined && s.slots.every((slot) => s.nodes.has(slot.owner));
   }
--- a/packages/sim/src/sim-disk.ts
+++ b/packages/sim/src/sim-disk.ts
@@ -3,7 +3,7 @@
 import { delay, type Clock } from '@tillerstair/wire';
 import type { Incarnation } from './incarnation.js';
 import { emptyContent, type FileContent } from './file-content.js';
-import type { SimPlatter } from './sim-platter.js';
+import type { SimDrive } from './sim-drive.js';
 
 const chunkBytes = 1000;
 const neverEnds = new Promise<never>(() => undefined);
@@ -22,46 +22,46 @@
   }
 }
 
-/** A platter as one incarnation of a process has it open. */
+/** A drive as one incarnation of a process has it open. */
 export class SimDisk implements Disk {
   constructor(
-    private readonly platter: SimPlatter,
+    private readonly drive: SimDrive,
     private readonly clock: Clock,
     private readonly incarnation: Incarnation,
   ) {}
 
   readonly open = async (name: string): Promise<DiskFile> => {
     await this.whileAlive();
-    if (!this.platter.has(name) && this.platter.full) throw new DiskFullError();
-    const content = this.platter.file(name);
-    if (!this.platter.isNameSynced(name)) await this.syncNames();
+    if (!this.drive.has(name) && this.drive.full) throw new DiskFullError();
+    const content = this.drive.file(name);
+    if (!this.drive.isNameSynced(name)) await this.syncNames();
     return this.fileOf(name, content);
   };
 
   readonly setAside = async (name: string): Promise<void> => {
     await this.work();
-    this.platter.rename(name, `${name}.damaged`);
+    this.drive.rename(name, `${name}.damaged`);
     await this.syncNames();
   };
 
-  /** A step that takes as long as the platter does, and waits while it is stalled. */
+  /** A step that takes as long as the drive does, and waits while it is stalled. */
   async work(): Promise<void> {
     await this.whileAlive();
-    await delay(this.clock, this.platter.delay);
-    await this.platter.untilReleased();
+    await delay(this.clock, this.drive.delay);
+    await this.drive.untilReleased();
     await this.step();
   }
 
   /** A step at which the machine may crash. */
   async step(): Promise<void> {
-    this.platter.step();
+    this.drive.step();
     await this.whileAlive();
   }
 
   async write(file: FileContent, bytes: Buffer): Promise<void> {
-    await this.platter.untilReleased();
+    await this.drive.untilReleased();
     await this.whileAlive();
-    const written = this.platter.writableBytes(bytes.length);
+    const written = this.drive.writableBytes(bytes.length);
     file.cached = Buffer.concat([file.cached, bytes.subarray(0, written)]);
     await this.step();
     if (written < bytes.length) throw new DiskFullError();
@@ -69,14 +69,14 @@
 
   async sync(file: FileContent): Promise<void> {
     await this.work();
-    if (this.platter.failSyncs) throw new Error('the disk failed to sync');
-    this.platter.syncs++;
+    if (this.drive.failSyncs) throw new Error('the disk failed to sync');
+    this.drive.syncs++;
     file.synced = file.cached;
   }
 
   async syncNames(): Promise<void> {
     await this.work();
-    this.platter.syncNames();
+    this.drive.syncNames();
   }
 
   /** An open file, as an object of functions, so that tests may replace some of them. */
@@ -103,17 +103,17 @@
     const next = emptyContent();
     try {
       await this.work();
-      this.platter.link(nextName, next);
+      this.drive.link(nextName, next);
       await this.step();
       for (const chunk of chunks) await this.write(next, chunk);
       await this.sync(next);
-      this.platter.link(name, next);
-      this.platter.unlink(nextName);
+      this.drive.link(name, next);
+      this.drive.unlink(nextName);
       await this.step();
       await this.syncNames();
       return next;
     } catch (error) {
-      this.platter.unlink(nextName);
+      this.drive.unlink(nextName);
       throw error;
     }
   }
--- a/packages/sim/src/sim-platter.ts
+++ b/packages/sim/src/sim-drive.ts
@@ -9,7 +9,7 @@
 const flippedBit = 0x20;
 
 /** The disk of one machine, over all incarnations of its process. */
-export class SimPlatter {
+export class SimDrive {
   /** How long a sync or another slow step takes, in ms. */
   delay = usualDelayMs;
   /** How many syncs there were. */
@@ -30,7 +30,7 @@
 
   constructor(private readonly rng: () => number) {}
 
-  /** The platter as one process uses it. */
+  /** The drive as one process uses it. */
   disk(clock: Clock, incarnation: Incarnation): Disk {
     return new SimDisk(this, clock, incarnation);
   }
@@ -55,7 +55,7 @@
     this.stalled = false;
   }
 
-  /** Resolves while the platter is not stalled. */
+  /** Resolves while the drive is not stalled. */
   async untilReleased(): Promise<void> {
     while (this.isStalled) await new Promise<void>((resume) => this.waiting.push(resume));
   }
--- a/packages/sim/src/sim-net.ts
+++ b/packages/sim/src/sim-net.ts
@@ -25,12 +25,12 @@
 }
 
 /** What becomes of one message on its way. */
-export interface Fate {
+export interface DeliveryFaults {
   readonly lost: boolean;
   /** How much longer it takes, in ms; a late message may be overtaken by later ones. */
-  readonly lateBy: number;
+  readonly extraDelayMs: number;
   /** How many more times it arrives. */
-  readonly repeats: number;
+  readonly duplicates: number;
 }
 
 /** One answer as its sender made it, whether it arrives or not. */
@@ -64,7 +64,7 @@
   readonly kind: string;
 }
 
-const deliveredOnce: Fate = { lost: false, lateBy: 0, repeats: 0 };
+const deliveredOnce: DeliveryFaults = { lost: false, extraDelayMs: 0, duplicates: 0 };
 
 /** A message takes from this many ms to this many more, unless its fate or the latency says otherwise. */
 const shortestMs = 0.3;
@@ -91,11 +91,11 @@
   /** Called with each answer that a handler gave, while set. */
   onAnswer: ((answer: ObservedAnswer) => void) | undefined;
   /** Decides the fate of each message; every one is delivered once while unset. */
-  fate: ((from: string, to: string) => Fate) | undefined;
+  deliveryFaults: ((from: string, to: string) => DeliveryFaults) | undefined;
   /** How much longer messages of a pair take, in ms. */
   extraLatency: (from: string, to: string) => number = () => 0;
   /** The longest message of each kind, in characters. */
-  readonly largest = new Map<string, number>();
+  readonly largestMessages = new Map<string, number>();
   private readonly hosts = new Map<string, Host>();
   private readonly cuts = new Map<string, CutEffect>();
   private readonly listeners: ConnectionListener[] = [];
@@ -177,12 +177,12 @@
 
   /** Delivers a message as its fate says: `arrive` is called once, later, several times or never. */
   deliver(from: string, to: string, arrive: () => void): void {
-    const fate = this.fate?.(from, to) ?? deliveredOnce;
-    for (let n = 0; n < fate.repeats; n++)
-      this.clock.after(repeatMs + this.rng() * (repeatMs + fate.lateBy), arrive);
+    const fate = this.deliveryFaults?.(from, to) ?? deliveredOnce;
+    for (let n = 0; n < fate.duplicates; n++)
+      this.clock.after(repeatMs + this.rng() * (repeatMs + fate.extraDelayMs), arrive);
     if (fate.lost) return;
-    if (fate.lateBy > 0) {
-      this.clock.after(shortestMs + fate.lateBy, arrive);
+    if (fate.extraDelayMs > 0) {
+      this.clock.after(shortestMs + fate.extraDelayMs, arrive);
       return;
     }
     const pair = pairKey(from, to);
@@ -199,7 +199,8 @@
     const { kind } = message;
     const bytes = Buffer.byteLength(text) + frameBytes(kind, part);
     this.onMessage?.({ ...message, bytes });
-    if (text.length > (this.largest.get(kind) ?? 0)) this.largest.set(kind, text.length);
+    if (text.length > (this.largestMessages.get(kind) ?? 0))
+      this.largestMessages.set(kind, text.length);
   }
 
   /** The network as the processes of one address use it. */
--- a/packages/sim/src/sim-pass.ts
+++ b/packages/sim/src/sim-pass.ts
@@ -2,7 +2,7 @@
 import type { ForwardedRequest, ResponseHead, ResponseSink } from '@tillerstair/session-owner';
 import { slotForKey } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
-import { strikes, type SimFaults } from './server-faults.js';
+import { isEveryNth, type ServerFaults } from './server-faults.js';
 import type { Incarnation } from './incarnation.js';
 
 /** What a server has of a request after it ended. */
@@ -20,7 +20,7 @@
   readonly by: string;
   /** The request's number among those of all servers. */
   readonly number: number;
-  readonly faults: SimFaults;
+  readonly faults: ServerFaults;
   readonly clock: Clock;
   readonly rng: () => number;
   readonly incarnation: Incarnation;
@@ -63,7 +63,7 @@
     first,
     total,
     failsAt: faults.fails && streamed ? first : -1,
-    cutAt: strikes(faults.cutEvery, number) ? Math.floor((first + total) / 2) : -1,
+    cutAt: isEveryNth(faults.cutEvery, number) ? Math.floor((first + total) / 2) : -1,
   };
 };
 
@@ -78,7 +78,7 @@
 const partMsOf = ({ streamed }: ResponsePlan, rng: () => number): number =>
   streamed ? msPerEvent : shortestCallMs + rng() * callRangeMs;
 
-const headOf = ({ streamed }: ResponsePlan, faults: SimFaults): ResponseHead => ({
+const headOf = ({ streamed }: ResponsePlan, faults: ServerFaults): ResponseHead => ({
   status: faults.fails && !streamed ? 500 : 200,
   headers: [['content-type', streamed ? 'text/event-stream' : 'application/json']],
 });
--- a/packages/sim/src/sim-list.ts
+++ b/packages/sim/src/sim-server-list.ts
@@ -4,7 +4,7 @@
 import type { Incarnation } from './incarnation.js';
 
 /** A read of the list, whether it succeeded or not. */
-export interface ObservedRead {
+export interface ListRead {
   readonly at: number;
   readonly by: string;
 }
@@ -17,8 +17,8 @@
 const usualReadMs = 10;
 
 /** The list of one world. */
-export class SimList {
-  readonly reads: ObservedRead[] = [];
+export class SimServerList {
+  readonly reads: ListRead[] = [];
   /** Readers that cannot reach the list. */
   readonly cut = new Set<string>();
   /** While set, reads fail. */
@@ -49,7 +49,7 @@
   }
 
   /** Marks a server as draining; returns when that shows. */
-  mark(id: string): number {
+  markDraining(id: string): number {
     return this.change((servers) => {
       const server = servers.get(id);
       if (server) servers.set(id, { ...server, draining: true });
--- a/packages/sim/src/sim-servers.ts
+++ b/packages/sim/src/sim-servers.ts
@@ -3,7 +3,7 @@
 import type { Backend } from '@tillerstair/session-owner';
 import type { Server } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
-import { healthyServer, type SimFaults } from './server-faults.js';
+import { healthyServer, type ServerFaults } from './server-faults.js';
 import { SimBackend } from './sim-backend.js';
 import type { Incarnation } from './incarnation.js';
 
@@ -18,8 +18,8 @@
   /** Requests that fronts began to send. */
   asked = 0;
   /** Health checks that fronts sent. */
-  polls = 0;
-  private readonly faults = new Map<string, SimFaults>();
+  healthChecks = 0;
+  private readonly faults = new Map<string, ServerFaults>();
   private readonly busy = new Map<string, number>();
   private served = 0;
 
@@ -34,12 +34,12 @@
   }
 
   /** Sets the faults that are named; the others stay. */
-  set(id: string, faults: Partial<SimFaults>): void {
+  set(id: string, faults: Partial<ServerFaults>): void {
     this.faults.set(id, { ...this.faultsOf(id), ...faults });
   }
 
   /** The faults of a server now. */
-  faultsOf(id: string): SimFaults {
+  faultsOf(id: string): ServerFaults {
     return this.faults.get(id) ?? healthyServer;
   }
 
--- a/packages/sim/src/storm-config.ts
+++ b/packages/sim/src/storm-config.ts
@@ -2,11 +2,11 @@
 import { passRoutes } from './pass.js';
 
 /** What a configuration is made from: its base, the pools of turns and calls, and how many routes more it has. */
-export interface StormConfig {
+export interface StormConfigOptions {
   readonly base: number;
   readonly turnPools: readonly string[];
   readonly callPool: string;
-  readonly extra: number;
+  readonly extraRouteCount: number;
   /** Changes weights, deadlines and the time of idle connections; 0 leaves the usual ones. */
   readonly variant?: number;
 }
@@ -19,9 +19,9 @@
   base,
   turnPools,
   callPool,
-  extra,
+  extraRouteCount,
   variant = 0,
-}: StormConfig): string => {
+}: StormConfigOptions): string => {
   const call = (name: string, path: string, more: object = {}): object => ({
     name,
     match: { kind: 'call', path },
@@ -43,7 +43,7 @@
       call('hold', '/hold', { acting: true }),
       call('alarm', '/alarm', { acting: true, urgent: true }),
       ...passRoutes(turnPools, callPool, usualDeadlineMs - (variant % 4) * 500),
-      ...Array.from({ length: extra }, (_, i) => call(`x${i}`, `/x/${i}`)),
+      ...Array.from({ length: extraRouteCount }, (_, i) => call(`x${i}`, `/x/${i}`)),
     ],
     budgets: { program: 1000, turn: 16 },
     limits: { idleMs: usualIdleMs - (variant % 5) * 1000 },
@@ -51,13 +51,13 @@
 };
 
 /** A configuration that must be refused, and what is wrong with it. */
-export interface BadConfig {
+export interface InvalidConfig {
   readonly flaw: string;
   readonly text: string;
 }
 
 /** Spoils a sound configuration on `base` in every way that operators may. */
-export const badConfigs = (sound: string, base: number): readonly BadConfig[] => [
+export const invalidConfigs = (sound: string, base: number): readonly InvalidConfig[] => [
   { flaw: 'cut short', text: sound.slice(0, Math.floor(sound.length / 2)) },
   { flaw: 'unknown pool', text: sound.replace('"pool":"shop"', '"pool":"nowhere"') },
   { flaw: 'two routes at one place', text: sound.replace('/alarm', '/hold') },
--- a/packages/sim/src/storm-fault.ts
+++ b/packages/sim/src/storm-fault.ts
@@ -72,12 +72,12 @@
 export type FaultTable = ReadonlyMap<string, Fault>;
 
 /** Any one of a list; undefined where it is empty. */
-export const pickOf = <T>(rng: () => number, from: readonly T[]): T | undefined =>
+export const pickRandom = <T>(rng: () => number, from: readonly T[]): T | undefined =>
   from[Math.floor(rng() * from.length)];
 
 /** Any one of the servers that faults may befall. */
-export const serverFor = (rng: () => number): string =>
-  pickOf(rng, faultyServers) ?? faultyServers[0];
+export const pickFaultyServer = (rng: () => number): string =>
+  pickRandom(rng, faultyServers) ?? faultyServers[0];
 
 /** State and steps that several faults need. */
 export class FaultTools {
@@ -101,7 +101,9 @@
   /** A machine that is up, for controls more often than not the master. */
   target(c: FaultContext, kind: MachineKind): Machine | undefined {
     const { master } = this.storm.world;
-    return kind === 'control' && master && c.rng() < 0.6 ? master : pickOf(c.rng, this.up(kind));
+    return kind === 'control' && master && c.rng() < 0.6
+      ? master
+      : pickRandom(c.rng, this.up(kind));
   }
 
   after(ms: number, run: () => void): void {
@@ -194,7 +196,7 @@
   /** A machine loses its disk, stays away for a time and comes back blank. */
   async wipe(m: Machine, away: number): Promise<void> {
     m.kill('power');
-    m.platter.wipe();
+    m.drive.wipe();
     await this.storm.delay(away);
     this.restart(m);
     await this.storm.delay(500);
@@ -211,9 +213,9 @@
     w.net.extraLatency = () => 0;
     w.servers.cutFronts.clear();
     for (const m of w.machines) {
-      m.platter.full = false;
-      m.platter.stalled = false;
-      m.platter.delay = 0.2;
+      m.drive.full = false;
+      m.drive.stalled = false;
+      m.drive.delay = 0.2;
       if (m.incarnation.frozen || m.proxyIncarnation.frozen) m.wake();
       if (!m.up) m.start();
       else if (m.kind === 'front' && !m.front) m.restartProxy();
--- a/packages/sim/src/storm-faults.ts
+++ b/packages/sim/src/storm-faults.ts
@@ -7,7 +7,7 @@
 import { serverFaults } from './faults-server.js';
 import {
   FaultTools,
-  serverFor,
+  pickFaultyServer,
   type FaultTable,
   type PlannedFault,
   type StormActions,
@@ -37,7 +37,7 @@
     const { actions } = this;
     const rng = seededRng(actions.spec.seed * 104729 + p.index);
     const span = 500 + rng() * 7000;
-    const server = serverFor(rng);
+    const server = pickFaultyServer(rng);
     return (
       (await faults.get(p.fault)?.({
         tools: this,
--- a/packages/sim/src/storm-operators.ts
+++ b/packages/sim/src/storm-operators.ts
@@ -4,7 +4,7 @@
 import { z } from 'zod';
 import { ConfigCalls } from './config-calls.js';
 import type { Machine } from './machine.js';
-import { badConfigs, stormConfig } from './storm-config.js';
+import { invalidConfigs, stormConfig } from './storm-config.js';
 import type { LostAnswers } from './storm-fault.js';
 import type { World } from './world.js';
 
@@ -62,7 +62,7 @@
 
   /** The configuration that a storm begins with. */
   static firstConfig(): string {
-    return stormConfig({ base: 0, turnPools: firstPools, callPool, extra: 0 });
+    return stormConfig({ base: 0, turnPools: firstPools, callPool, extraRouteCount: 0 });
   }
 
   /** Sends the first configuration, which is in force, once more, and records it. */
@@ -110,7 +110,13 @@
     const turnPools = turnPoolChoices[Math.floor(rng() * turnPoolChoices.length)];
     this.extraRoutes = Math.min(mostRoutes, this.extraRoutes + moreRoutes);
     const variant = Math.floor(rng() * configVariants);
-    const config = stormConfig({ base, turnPools, callPool, extra: this.extraRoutes, variant });
+    const config = stormConfig({
+      base,
+      turnPools,
+      callPool,
+      extraRouteCount: this.extraRoutes,
+      variant,
+    });
     const text = config + ' '.repeat(Math.floor(rng() * mostPadding));
     const at = to ?? (rng() < 0.5 ? this.world.master : this.anyControl());
     const row: ConfigRecord = {
@@ -140,9 +146,9 @@
       base: this.version,
       turnPools: firstPools,
       callPool,
-      extra: this.extraRoutes,
+      extraRouteCount: this.extraRoutes,
     });
-    const invalid = badConfigs(sound, this.version);
+    const invalid = invalidConfigs(sound, this.version);
     const { text, flaw } = invalid[n % invalid.length];
     const padding = ' '.repeat(1 + Math.floor(this.world.rng() * mostPadding));
     const at = this.anyControl();
--- a/packages/sim/src/storm-plan.ts
+++ b/packages/sim/src/storm-plan.ts
@@ -1,7 +1,7 @@
 /** What a storm's seed decides beforehand: the deployment and the plan of faults. */
 import type { PlannedFault } from './storm-fault.js';
 import { seededRng } from './random.js';
-import type { WorldSizes } from './sim-cluster.js';
+import type { WorldOptions } from './sim-cluster.js';
 
 const dealtPerPlan = 20;
 const wholeFleetEvery = 10;
@@ -19,7 +19,7 @@
 };
 
 /** The faults of one seed, with the gaps between them. */
-export const planOf = (
+export const faultPlanFor = (
   seed: number,
   ms: number,
   kinds: readonly string[],
@@ -38,7 +38,7 @@
   least + Math.floor(rng() * (most - least + 1));
 
 /** Draws the sizes, zones and bounds of one seed's deployment; every tenth has eight fronts. */
-export const deploymentOf = (seed: number): WorldSizes => {
+export const deploymentOf = (seed: number): WorldOptions => {
   const rng = seededRng(seed * 6007 + 3);
   const heartbeatInterval = between(rng, 600, 1300);
   const failureTimeout = Math.round(heartbeatInterval * (2.5 + rng()));
@@ -48,6 +48,11 @@
     stores: between(rng, 3, 5),
     fronts: seed % wholeFleetEvery === 0 ? 8 : between(rng, 2, 4),
     zones: between(rng, 1, 4),
-    outer: { serveWithin: 12000, drainingWithin: 3000, heartbeatInterval, failureTimeout },
+    configuredBounds: {
+      serveWithin: 12000,
+      drainingWithin: 3000,
+      heartbeatInterval,
+      failureTimeout,
+    },
   };
 };
--- a/packages/sim/src/storm.ts
+++ b/packages/sim/src/storm.ts
@@ -6,7 +6,7 @@
 import type { OperatorResponse } from '@tillerstair/control';
 import type { Machine } from './machine.js';
 import { PendingWork } from './pending-work.js';
-import type { WorldSizes } from './sim-cluster.js';
+import type { WorldOptions } from './sim-cluster.js';
 import { StormCallers } from './storm-callers.js';
 import { StormDrainings } from './storm-drainings.js';
 import type { PlannedFault, StormActions } from './storm-fault.js';
@@ -18,12 +18,12 @@
 /** What decides a storm. */
 export interface StormOptions {
   readonly seed: number;
-  readonly sizes: WorldSizes;
+  readonly sizes: WorldOptions;
   /** How long faults strike, in ms. */
   readonly ms: number;
   readonly plan: readonly PlannedFault[];
   /** How many chats go on at once. */
-  readonly chats: number;
+  readonly concurrentChats: number;
 }
 
 const stormServers = [
@@ -47,7 +47,7 @@
   /** One line for each fault: when, which, and what it struck. */
   readonly log: string[] = [];
   /** The kinds of faults that struck something. */
-  readonly struck = new Set<string>();
+  readonly appliedFaults = new Set<string>();
   readonly faults: Faults;
   readonly callers: StormCallers;
   readonly operators: StormOperators;
@@ -57,7 +57,7 @@
 
   constructor(readonly spec: StormOptions) {
     this.world = new World(spec.seed, spec.sizes);
-    this.world.skewed = true;
+    this.world.skewClocks = true;
     const { world } = this;
     const delay = (ms: number): Promise<void> => this.delay(ms);
     const track = (work: Promise<unknown>): void => this.track(work);
@@ -150,7 +150,7 @@
   /** Runs the storm to its end; throws where the deployment does not serve again, or a fault ended as it must not. */
   async run(): Promise<Records> {
     const { world } = this;
-    await world.bringUp(() => StormOperators.firstConfig(), stormServers);
+    await world.startServing(() => StormOperators.firstConfig(), stormServers);
     await this.operators.recordFirst();
     await this.strike();
     await this.calm();
@@ -180,10 +180,10 @@
     await clock.run(downMs);
     const startedAt = clock.now();
     for (const machine of world.machines) machine.start();
-    const fronts = (): number => world.of('front').length - world.drained.size;
+    const fronts = (): number => world.of('front').length - world.retiringNodes.size;
     await clock.until(
       'back',
-      () => world.readyFronts().length >= fronts() && world.slotsServed(),
+      () => world.readyFronts().length >= fronts() && world.slotsOwned(),
       servingWithinMs,
     );
     const servedAt = clock.now();
@@ -201,8 +201,8 @@
     let next = plan.shift();
     let nextAt = clock.now() + (next?.gap ?? Infinity);
     while (clock.now() < end) {
-      if (this.callers.pending.size < spec.chats) this.beginChat();
-      if (this.pendingPasses.size < spec.chats / 2)
+      if (this.callers.pending.size < spec.concurrentChats) this.beginChat();
+      if (this.pendingPasses.size < spec.concurrentChats / 2)
         this.trackPass(passChat(this, this.passChats++));
       if (next && clock.now() >= nextAt) {
         await this.cause(next);
@@ -217,7 +217,7 @@
     const struck = await this.faults.cause(planned);
     const at = this.world.clock.now().toFixed(0);
     this.log.push(`${at} ${planned.index}:${planned.fault} ${struck || 'skipped'}`);
-    if (struck) this.struck.add(planned.fault);
+    if (struck) this.appliedFaults.add(planned.fault);
   }
 
   /** Ends all faults, and waits until the deployment is well and all callers have finished. */
@@ -232,7 +232,9 @@
     const frontsUp = (): number => world.of('front').filter((machine) => machine.up).length;
     await world.clock.until(
       'calm',
-      () => world.readyFronts().length >= frontsUp() - world.drained.size && world.slotsOpen(),
+      () =>
+        world.readyFronts().length >= frontsUp() - world.retiringNodes.size &&
+        world.slotsReplicated(),
       calmWithinMs,
     );
     await world.clock.until(
--- a/tests/src/control/draining-servers.test.ts
+++ b/tests/src/control/draining-servers.test.ts
@@ -2,7 +2,13 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { DrainingRecord } from '@tillerstair/checker';
-import { assertNoBreach, five, recordsOf, ownerOf, worldUp } from '../support/world-helpers.js';
+import {
+  assertNoBreach,
+  fiveControls,
+  recordsOf,
+  ownerOf,
+  worldUp,
+} from '../support/world-helpers.js';
 
 const draining = suite('draining servers');
 const seeds = [11, 12, 13, 14];
@@ -11,7 +17,7 @@
   'a front that freezes between its last check and sending sends nothing to a server drained meanwhile',
   async () => {
     for (const seed of seeds) {
-      const cluster = await worldUp(seed, five);
+      const cluster = await worldUp(seed, fiveControls);
       const program = await cluster.clock.finish('program', cluster.program(900), 10000);
       const front = ownerOf(cluster, `p/${program.program}`);
       const requestsBefore = cluster.servers.asked;
@@ -43,7 +49,7 @@
 
 draining('a front that resumes after a freeze ignores what servers reported before', async () => {
   for (const seed of seeds) {
-    const cluster = await worldUp(seed, five);
+    const cluster = await worldUp(seed, fiveControls);
     const program = await cluster.clock.finish('program', cluster.program(900), 10000);
     const front = ownerOf(cluster, `p/${program.program}`);
     if (!front) throw new Error('no owner');
@@ -73,11 +79,11 @@
   'a draining mark that was committed late is not acknowledged as if it were in time',
   async () => {
     for (const seed of [11, 12, 13, 14, 15, 16, 17, 18]) {
-      const cluster = await worldUp(seed, five);
+      const cluster = await worldUp(seed, fiveControls);
       const program = await cluster.clock.finish('program', cluster.program(900), 10000);
       const front = ownerOf(cluster, `p/${program.program}`);
       await cluster.clock.run(seed * 97);
-      for (const machine of cluster.of('control')) machine.platter.delay = 700;
+      for (const machine of cluster.of('control')) machine.drive.delay = 700;
       void cluster.operate(
         'PUT',
         '/v1/servers/x1',
--- a/tests/src/control/many-changes.test.ts
+++ b/tests/src/control/many-changes.test.ts
@@ -84,12 +84,12 @@
     assert.is(followers.length, 4, 'five controls are needed');
     const [brieflyDown, longDown, slow] = followers;
     longDown.kill('power');
-    slow.platter.delay = 400;
+    slow.drive.delay = 400;
     let longest = 0;
     const tookMs: number[] = [];
     for (let index = 0; index < changes; index++) {
       if (index === 200) {
-        slow.platter.delay = 0.2;
+        slow.drive.delay = 0.2;
         brieflyDown.kill('process');
       }
       if (index === 200 + changesWhileDown) {
@@ -97,12 +97,12 @@
         tookMs.push(
           await cluster.clock.until('down for 100', caughtUp(cluster, [brieflyDown]), 5000),
         );
-        slow.platter.delay = 400;
+        slow.drive.delay = 400;
       }
       await submitChange(cluster);
-      longest = Math.max(longest, ...cluster.of('control').map((m) => m.platter.bytes('zen.log')));
+      longest = Math.max(longest, ...cluster.of('control').map((m) => m.drive.bytes('zen.log')));
     }
-    slow.platter.delay = 0.2;
+    slow.drive.delay = 0.2;
     await cluster.clock.until('the slow control', caughtUp(cluster, [slow]), 1000);
     longDown.start();
     tookMs.push(await cluster.clock.until('down for all', caughtUp(cluster, [longDown]), 5000));
--- a/tests/src/control/server-list-reading.test.ts
+++ b/tests/src/control/server-list-reading.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { applyServerList, bootstrapState } from '@tillerstair/state';
 import { ListPoll, ListReader } from '@tillerstair/control';
-import { Incarnation, SimClock, SimList, World } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimServerList, World } from '@tillerstair/sim';
 import { silentLogger, type Transport } from '@tillerstair/wire';
 import { ServerListMonitor } from '@tillerstair/agent';
 import { startListedCluster, sendLoad, roundRobinFronts } from '../support/listed-servers.js';
@@ -50,7 +50,7 @@
 
 reading('a reader has one reading in flight, and its age counts from the request', async () => {
   const clock = new SimClock();
-  const serverList = new SimList(clock);
+  const serverList = new SimServerList(clock);
   serverList.put({ id: 'a', pool: 'p' });
   serverList.readMs = 100;
   const reader = new ListReader(
@@ -75,7 +75,7 @@
 
 reading('a reader whose list hangs reports the age of its attempt soon', async () => {
   const clock = new SimClock();
-  const serverList = new SimList(clock);
+  const serverList = new SimServerList(clock);
   serverList.hanging = true;
   const reader = new ListReader(
     clock,
@@ -94,7 +94,7 @@
 
 reading('a new master ignores readings from before its term', async () => {
   const clock = new SimClock();
-  const serverList = new SimList(clock);
+  const serverList = new SimServerList(clock);
   serverList.put({ id: 'a', pool: 'p' });
   const reader = new ListReader(
     clock,
--- a/tests/src/control/server-list.test.ts
+++ b/tests/src/control/server-list.test.ts
@@ -2,7 +2,13 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { World, type Machine } from '@tillerstair/sim';
-import { assertNoBreach, configText, five, recordsOf, servers } from '../support/world-helpers.js';
+import {
+  assertNoBreach,
+  configText,
+  fiveControls,
+  recordsOf,
+  servers,
+} from '../support/world-helpers.js';
 import {
   type ListedCluster,
   serverIdsByFront,
@@ -71,9 +77,9 @@
 
 list('a draining mark reaches every front, also from a list that lags', async () => {
   for (const seed of seeds) {
-    const listedCluster = await startListedCluster(seed, five, seed % 2 === 0 ? 0 : 800);
+    const listedCluster = await startListedCluster(seed, fiveControls, seed % 2 === 0 ? 0 : 800);
     const { cluster, serverList } = listedCluster;
-    const markedAt = serverList.mark('s1');
+    const markedAt = serverList.markDraining('s1');
     await cluster.clock.run(markedAt - cluster.clock.now() + 700);
     for (const machine of cluster.of('front'))
       assert.is(machine.front?.owner.current?.state.servers.get('s1')?.draining, true);
@@ -86,7 +92,7 @@
 
 list('a server that drained once stays draining under its id', async () => {
   const { cluster, serverList } = await startListedCluster(22);
-  serverList.mark('s1');
+  serverList.markDraining('s1');
   await cluster.clock.run(1000);
   serverList.put({ id: 's1', pool: 'shop' });
   await cluster.clock.run(2000);
@@ -103,7 +109,7 @@
     const { cluster, serverList } = listedCluster;
     const master = cluster.master;
     if (!master) throw new Error('the cluster has no master');
-    const markedAt = serverList.mark('s1');
+    const markedAt = serverList.markDraining('s1');
     injectFault(cluster, master);
     const load = sendLoad(cluster, `${label}${seed}-`, 9000, roundRobinFronts(cluster));
     await cluster.clock.run(1);
@@ -144,7 +150,7 @@
   for (let delayMs = 0; delayMs < 560; delayMs += 70) {
     const listedCluster = await startListedCluster(21 + (delayMs % 5));
     const { cluster, serverList } = listedCluster;
-    const markedAt = serverList.mark('s1');
+    const markedAt = serverList.markDraining('s1');
     const load = sendLoad(cluster, `q${delayMs}-`, 6000, roundRobinFronts(cluster));
     cluster.clock.after(delayMs, () => cluster.master?.kill('power'));
     await load;
@@ -174,7 +180,7 @@
       const { cluster, serverList } = listedCluster;
       const controlAddresses = cluster.of('control').map((machine) => machine.addr);
       const isolatedAddress = firstOf(cluster, 'front').addr;
-      const markedAt = serverList.mark('s1');
+      const markedAt = serverList.markDraining('s1');
       if (seed % 2 === 0) cluster.net.cutBoth([isolatedAddress], controlAddresses);
       else
         for (const address of controlAddresses)
@@ -196,7 +202,7 @@
   for (const seed of seeds) {
     const listedCluster = await startListedCluster(seed);
     const { cluster, serverList } = listedCluster;
-    const markedAt = serverList.mark('s1');
+    const markedAt = serverList.markDraining('s1');
     cluster.master?.freeze();
     const load = sendLoad(cluster, 'r', 8000, roundRobinFronts(cluster));
     await cluster.clock.run(2200);
@@ -244,7 +250,7 @@
       assert.is(cluster.committed?.servers.size, servers.length);
       serverList.failing = false;
       serverList.hanging = false;
-      const markedAt = serverList.mark('s1');
+      const markedAt = serverList.markDraining('s1');
       await sendLoad(cluster, 'z', 4000, roundRobinFronts(cluster));
       assertDrained(listedCluster, 's1', markedAt);
       assert.is(countExecutions(cluster, 's1', markedAt + 1800), 0);
@@ -257,7 +263,7 @@
     const listedCluster = await startListedCluster(seed);
     const { cluster, serverList } = listedCluster;
     serverList.cut.add(cluster.master?.addr ?? '');
-    const markedAt = serverList.mark('s1');
+    const markedAt = serverList.markDraining('s1');
     await sendLoad(cluster, 'k', 6000, roundRobinFronts(cluster));
     assertDrained(listedCluster, 's1', markedAt);
     assert.ok(countExecutions(cluster, 's2', markedAt + drainMs) > 20);
@@ -274,7 +280,7 @@
       [isolatedFront.addr],
       controls.filter((machine) => machine !== cluster.master).map((machine) => machine.addr),
     );
-    for (const machine of controls) machine.platter.delay = 1000;
+    for (const machine of controls) machine.drive.delay = 1000;
     let changesSubmitted = 0;
     const submitChange = (): void => {
       const number = ++changesSubmitted;
@@ -290,7 +296,7 @@
     const readsBefore = serverList.reads.length;
     await cluster.clock.until('a read', () => serverList.reads.length > readsBefore, 5000);
     await cluster.clock.run(250);
-    const markedAt = serverList.mark('s1');
+    const markedAt = serverList.markDraining('s1');
     await sendLoad(cluster, 'l', 5000, () => isolatedFront);
     assertDrained(listedCluster, 's1', markedAt);
     assert.is(countExecutions(cluster, 's1', markedAt + cluster.bounds.readLease + 1), 0);
@@ -302,7 +308,7 @@
   for (const seed of seeds) {
     const listedCluster = await startListedCluster(seed);
     const { cluster, serverList } = listedCluster;
-    const markedAt = serverList.mark('s1');
+    const markedAt = serverList.markDraining('s1');
     await cluster.clock.run(1000);
     serverList.put({ id: 's9', pool: 'shop', url: 'http://127.0.0.1:1' });
     await cluster.clock.run(4000);
@@ -315,8 +321,8 @@
 });
 
 list('operators add servers where there is no list', async () => {
-  const cluster = new World(21, five);
-  await cluster.bringUp((base) => configText(base), servers);
+  const cluster = new World(21, fiveControls);
+  await cluster.startServing((base) => configText(base), servers);
   await cluster.clock.run(5000);
   assert.is(cluster.committed?.servers.size, servers.length);
   cluster.master?.kill('power');
--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -13,7 +13,7 @@
   type DiskFile,
   type JournalTimings,
 } from '@tillerstair/journal';
-import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimDrive, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
 import { openJournal } from './journal-rig.js';
 
@@ -180,7 +180,7 @@
   'what a rewrite writes is of the moment it began, and later records follow it',
   async () => {
     const clock = new SimClock();
-    const platter = new SimPlatter(seededRng(1));
+    const platter = new SimDrive(seededRng(1));
     const chunks: Buffer[] = [];
     const later: Promise<unknown>[] = [];
     let onFirst = (): void => undefined;
@@ -232,7 +232,7 @@
     let recovered = 0;
     for (let step = 0; step < 16; step++) {
       const clock = new SimClock();
-      const platter = new SimPlatter(seededRng(step));
+      const platter = new SimDrive(seededRng(step));
       const life = new Incarnation();
       const replicaStore = await clock.finish(
         'open',
@@ -278,7 +278,7 @@
 
 chunked('a recovery whose file reads back otherwise is tried again', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const platter = new SimDrive(seededRng(1));
   const pace: JournalTimings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
   const plain = platter.disk(clock, new Incarnation());
   let badReads = 2;
@@ -319,7 +319,7 @@
 
 chunked('a read that fails half way is begun anew with a new owner', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const platter = new SimDrive(seededRng(1));
   const plain = platter.disk(clock, new Incarnation());
   const { journal } = await clock.finish(
     'open',
--- a/tests/src/journal/full-and-stalled-disks.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import type { Machine, World } from '@tillerstair/sim';
 import { PingResponse } from '@tillerstair/zen';
-import { configText, five, small, worldUp } from '../support/world-helpers.js';
+import { configText, fiveControls, small, worldUp } from '../support/world-helpers.js';
 
 const disk = suite('disks that are full or stall');
 const seeds = [1, 2, 3, 4, 5];
@@ -41,7 +41,7 @@
         const w = await worldUp(seed, small);
         const old = masterOf(w);
         const id = old.control?.id;
-        old.platter[how] = true;
+        old.drive[how] = true;
         const since = w.clock.now();
         meet(w, old);
         await w.clock.until(
@@ -56,7 +56,7 @@
         assert.is(during.status, 200, `seed ${seed}: ${JSON.stringify(during)}`);
         assert.is(old.control?.zen.leading, undefined);
         await w.clock.run(Math.max(0, since + 6000 - w.clock.now()));
-        old.platter[how] = false;
+        old.drive[how] = false;
         const master = masterOf(w);
         await w.clock.until(
           'the old one to follow',
@@ -72,7 +72,7 @@
           2000,
         );
         assert.is(old.control?.id, id);
-        assert.ok(old.up, old.startFailed);
+        assert.ok(old.up, old.startError);
         assert.is(w.masters().length, 1);
       }
     },
@@ -87,7 +87,7 @@
         const master = masterOf(w);
         const follower = w.of('control').find((m) => m !== master);
         if (!follower) throw new Error('a follower is needed');
-        follower.platter[how] = true;
+        follower.drive[how] = true;
         const before = version(follower);
         const acked: number[] = [];
         for (let n = 0; n < 4; n++) {
@@ -99,7 +99,7 @@
         assert.is(w.master, master);
         assert.is(version(follower), before);
         await w.clock.run(4000);
-        follower.platter[how] = false;
+        follower.drive[how] = false;
         await w.clock.until(
           'caught up',
           () => version(follower) === version(master),
@@ -114,11 +114,11 @@
   'two of five controls with full disks change nothing for the operator, and count for no election',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, five);
+      const w = await worldUp(seed, fiveControls);
       const old = masterOf(w);
       const other = w.of('control').find((m) => m !== old);
       if (!other) throw new Error('controls are needed');
-      for (const m of [old, other]) m.platter.full = true;
+      for (const m of [old, other]) m.drive.full = true;
       meet(w, old);
       await w.clock.until(
         'another master',
@@ -128,7 +128,7 @@
       assert.is.not(w.master, other);
       const now = masterOf(w);
       assert.is((await change(w, version(now), now)).status, 200);
-      for (const m of [old, other]) m.platter.full = false;
+      for (const m of [old, other]) m.drive.full = false;
       await w.clock.until(
         'all the same',
         () => w.of('control').every((m) => version(m) === version(now)),
@@ -154,10 +154,10 @@
     );
   const said = (p: PingResponse) => [p.eligible, p.canWin];
   assert.equal(said(await ask()), [true, true]);
-  follower.platter.full = true;
+  follower.drive.full = true;
   assert.is((await change(w, 1)).status, 200);
   assert.equal(said(await ask()), [false, false]);
-  follower.platter.full = false;
+  follower.drive.full = false;
   await w.clock.run(1000);
   assert.equal(said(await ask()), [true, true]);
 });
@@ -175,11 +175,11 @@
           .filter((m) => m !== old)
           .slice(0, 1),
       ];
-      for (const m of full) m.platter.full = true;
+      for (const m of full) m.drive.full = true;
       assert.is.not((await change(w, version(old), old)).status, 200);
       await w.clock.run(6000);
       assert.is(w.master, undefined);
-      for (const m of full) m.platter.full = false;
+      for (const m of full) m.drive.full = false;
       await w.clock.until('a master', () => w.master !== undefined, 5000);
       assert.is((await change(w, version(masterOf(w)))).status, 200);
       await w.clock.until(
@@ -198,7 +198,7 @@
       const w = await worldUp(seed, small);
       const old = masterOf(w);
       const id = old.control?.id;
-      old.platter.full = true;
+      old.drive.full = true;
       meet(w, old);
       await w.clock.run(2000);
       old.kill(seed % 2 === 0 ? 'power' : 'process');
@@ -206,8 +206,8 @@
       assert.is((await change(w, version(masterOf(w)))).status, 200);
       old.start();
       await w.clock.run(2000);
-      assert.is(old.startFailed, '');
-      old.platter.full = false;
+      assert.is(old.startError, '');
+      old.drive.full = false;
       await w.clock.until(
         'caught up',
         () => old.control !== undefined && version(old) === version(masterOf(w)),
@@ -228,7 +228,7 @@
       assert.is((await change(w, version(old))).status, 200);
       const held = version(old);
       old.kill('power');
-      old.platter.corrupt('zen.log', 12);
+      old.drive.corrupt('zen.log', 12);
       old.start();
       await w.clock.until(
         'a master',
@@ -247,7 +247,7 @@
         },
         12000,
       );
-      assert.ok(old.platter.list().includes('zen.log.damaged'));
+      assert.ok(old.drive.list().includes('zen.log.damaged'));
     }
   },
 );
@@ -268,7 +268,7 @@
         const pid = (await w.clock.finish('program', w.program(1000), 10000)).program;
         const store = w.of('store').at(seed % 3);
         if (!store) throw new Error('a store is needed');
-        store.platter[how] = true;
+        store.drive[how] = true;
         const slowest: number[] = [];
         for (let n = 0; n < 6; n++) {
           const root = (await w.clock.finish('program', w.program(1000), 10000)).program;
@@ -281,8 +281,8 @@
           `seed ${seed}: ${slowest.join()}`,
         );
         await w.clock.run(4000);
-        store.platter[how] = false;
-        assert.ok(store.up && store.startFailed === '');
+        store.drive[how] = false;
+        assert.ok(store.up && store.startError === '');
         const held = (m: Machine): string => {
           const replicaStore = m.replicaStore;
           const slots = Array.from(
@@ -314,21 +314,21 @@
     if (!store) throw new Error('a store is needed');
     const id = store.store?.id;
     const pid = (await w.clock.finish('program', w.program(1000), 10000)).program;
-    store.platter.full = true;
+    store.drive.full = true;
     await work(w, pid, 1);
     store.kill(seed % 2 === 0 ? 'power' : 'process');
     await w.clock.run(500);
     store.start();
     await w.clock.run(1500);
-    store.platter.full = false;
+    store.drive.full = false;
     await w.clock.until('back', () => store.store?.zen.knownMaster !== undefined, 8000);
     assert.is(store.store?.id, id);
     await w.clock.until(
       'whole',
-      () => w.slotsOpen() && store.replicaStore?.writable === true,
+      () => w.slotsReplicated() && store.replicaStore?.writable === true,
       20000,
     );
-    assert.is(store.startFailed, '');
+    assert.is(store.startError, '');
   }
 });
 
--- a/tests/src/journal/journal-rig.ts
+++ b/tests/src/journal/journal-rig.ts
@@ -1,6 +1,6 @@
 /** A simulated disk with its clock, and the states that are written to it. */
 import { defaultTimings, Journal, type Disk, type JournalTimings } from '@tillerstair/journal';
-import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimDrive, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
 import { ReplicaStore } from '@tillerstair/store';
 import { silentLogger } from '@tillerstair/wire';
@@ -24,7 +24,7 @@
 
 export interface Rig {
   readonly clock: SimClock;
-  readonly platter: SimPlatter;
+  readonly platter: SimDrive;
   readonly said: string[];
   readonly pace: JournalTimings;
   electionStore(life?: Incarnation, id?: string, rewriteAt?: number): Promise<DiskElectionStore>;
@@ -33,7 +33,7 @@
 
 export const rig = (seed: number): Rig => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(seed));
+  const platter = new SimDrive(seededRng(seed));
   const said: string[] = [];
   const pace = {
     clock,
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -4,7 +4,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FolderDisk, FolderInUseError, JournalDamagedError } from '@tillerstair/journal';
-import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimDrive, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
 import { openJournal } from './journal-rig.js';
 
@@ -75,7 +75,7 @@
 
 journal('appends at once share syncs', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const platter = new SimDrive(seededRng(1));
   const opening = openJournal(platter.disk(clock, new Incarnation()), 'a.log');
   const { journal: j } = await clock.finish('open', opening, 1000);
   await clock.finish(
@@ -90,7 +90,7 @@
   let rewrites = 0;
   for (let step = 0; step < 60; step++) {
     const clock = new SimClock();
-    const platter = new SimPlatter(seededRng(step));
+    const platter = new SimDrive(seededRng(step));
     const life = new Incarnation();
     const replicaStore = await clock.finish(
       'open',
@@ -141,7 +141,7 @@
 
 journal('a store refuses ownership epochs below its fence, after power loss too', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(3));
+  const platter = new SimDrive(seededRng(3));
   const bounds = { rewriteMinBytes: 1 << 20, retentionMs: 1e9, maxHints: 10 };
   const replicaStore = await clock.finish(
     'open',
--- a/tests/src/platform/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -136,8 +136,8 @@
 settings('a fleet with the bounds of any settings serves', async () => {
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
     const { bounds: outer } = controlSettings(await readDrawn(seed));
-    const w = new World(seed, { controls: 3, stores: 3, fronts: 2, outer });
-    await w.bringUp((base) => configText(base), servers);
+    const w = new World(seed, { controls: 3, stores: 3, fronts: 2, configuredBounds: outer });
+    await w.startServing((base) => configText(base), servers);
     const reported = await w.clock.finish('program', w.program(100), 20000);
     assert.is(reported.reported, 'done', `seed ${seed}`);
   }
--- a/tests/src/proxy/graceful-stop.test.ts
+++ b/tests/src/proxy/graceful-stop.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { passAt } from '@tillerstair/sim';
-import { five, ownerOf, passUp } from '../support/world-helpers.js';
+import { fiveControls, ownerOf, passUp } from '../support/world-helpers.js';
 
 const frontStop = suite('a front that stops in order');
 const seeds = [21, 22, 23];
@@ -11,7 +11,7 @@
 
 frontStop('streams that go on all the time in a slot do not outlive its owner', async () => {
   for (const seed of seeds) {
-    const w = await passUp(seed, five);
+    const w = await passUp(seed, fiveControls);
     const program = `busy${seed}`;
     const owner = ownerOf(w, `p/x-${program}`);
     const other = w.of('front').find((m) => m !== owner);
@@ -25,7 +25,7 @@
       await w.clock.run(streamEveryMs);
     }
     let stopped = false;
-    void owner.stopInOrder().then(() => {
+    void owner.stopGracefully().then(() => {
       stopped = true;
     });
     for (let n = 0; n < streams; n++) {
--- a/tests/src/proxy/pass-route-attempts.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -2,14 +2,14 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
-import { passAt, type SimFaults } from '@tillerstair/sim';
+import { passAt, type ServerFaults } from '@tillerstair/sim';
 import { slotForKey } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
   assertNoBreach,
-  five,
+  fiveControls,
   passed,
-  passText,
+  passConfigText,
   passUp,
   recordsOf,
   runsOf,
@@ -99,7 +99,7 @@
     { loseEvery: 1 },
     { namesOtherAttempt: true },
     { cutEvery: 1 },
-  ] satisfies Partial<SimFaults>[]) {
+  ] satisfies Partial<ServerFaults>[]) {
     const w = await passUp(12, small);
     for (const id of shops) w.servers.set(id, fault);
     const reported = await passed(w, { path: '/once/x', body: 'a' });
@@ -167,7 +167,7 @@
           await w.operate(
             'PUT',
             '/v1/config',
-            passText(1, 'others', 'mart', 'memo', { bounds: { perServer: 1 } }),
+            passConfigText(1, 'others', 'mart', 'memo', { bounds: { perServer: 1 } }),
           )
         ).status,
         200,
@@ -196,7 +196,7 @@
   );
   await w.clock.run(50);
   const text = ConfigWithRoutes.parse(
-    JSON.parse(passText(1, 'models', 'shop', 'memo', { bounds: { perServer: 1 } })),
+    JSON.parse(passConfigText(1, 'models', 'shop', 'memo', { bounds: { perServer: 1 } })),
   );
   const routes = text.routes.filter((route) => route.name !== 'pass-once');
   assert.is(
@@ -213,7 +213,7 @@
   'a front told to stop hands its slots over and serves what is under way, kept waiting or new',
   async () => {
     for (const seed of seeds) {
-      const w = await passUp(seed, five);
+      const w = await passUp(seed, fiveControls);
       const a = firstOf(w, 'front');
       const id = a.front?.id ?? '';
       const mine = Array.from({ length: 60 }, (_, i) => `k${i}`).filter(
@@ -229,7 +229,7 @@
         a,
       );
       await w.clock.run(4);
-      const stopped = a.stopInOrder();
+      const stopped = a.stopGracefully();
       const end = { reached: false };
       void stopped.then(() => {
         end.reached = true;
--- a/tests/src/proxy/pass-route-streams.test.ts
+++ b/tests/src/proxy/pass-route-streams.test.ts
@@ -2,11 +2,11 @@
 import * as assert from 'uvu/assert';
 import type { PassRecord } from '@tillerstair/checker';
 import { outputOf } from '@tillerstair/checker';
-import { eventsIn, passAt, type World, type SimFaults } from '@tillerstair/sim';
+import { eventsIn, passAt, type World, type ServerFaults } from '@tillerstair/sim';
 import {
   assertNoBreach,
   passed,
-  passText,
+  passConfigText,
   passUp,
   recordsOf,
   restart,
@@ -61,15 +61,19 @@
       let last = await turn(w, 'one');
       ownerOf(w, 'p/x-pro')?.kill();
       w.start(w.of('front').filter((m) => !m.up));
-      await w.clock.until('serving', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
+      await w.clock.until(
+        'serving',
+        () => w.readyFronts().length === 2 && w.slotsReplicated(),
+        20000,
+      );
       last = await turn(w, 'two', last.attempt);
       assert.is(last.reported, 'done', last.errorCode);
       const store = w.of('store')[seed % 3];
       store.kill('power');
-      store.platter.wipe();
+      store.drive.wipe();
       store.start();
       await w.clock.run(4000);
-      await w.clock.until('whole', () => w.slotsOpen(), 20000);
+      await w.clock.until('whole', () => w.slotsReplicated(), 20000);
       last = await turn(w, 'three', last.attempt);
       assert.is(last.reported, 'done', last.errorCode);
       await restart(w);
@@ -244,7 +248,7 @@
     { cutEvery: 2 },
     { cutEvery: 2, cutsInsideEvent: true },
     { loseEvery: 2 },
-  ] satisfies Partial<SimFaults>[])
+  ] satisfies Partial<ServerFaults>[])
     for (const seed of seeds) {
       const w = await passUp(seed, small);
       for (const id of models) w.servers.set(id, fault);
@@ -283,7 +287,7 @@
       for (const fault of [
         { cutEvery: 1 },
         { cutEvery: 1, cutsInsideEvent: true },
-      ] satisfies Partial<SimFaults>[]) {
+      ] satisfies Partial<ServerFaults>[]) {
         const w = await passUp(38, small);
         for (const id of models) w.servers.set(id, fault);
         for (let i = 0; i < 4; i++) {
@@ -325,7 +329,7 @@
 turns('a turn moved to another pool while it waits runs there with its chain', async () => {
   const w = await passUp(40, small);
   const a = await turn(w, 'a');
-  const put = await w.operate('PUT', '/v1/config', passText(1, 'others'));
+  const put = await w.operate('PUT', '/v1/config', passConfigText(1, 'others'));
   assert.is(put.status, 200);
   await w.clock.run(1000);
   const b = await turn(w, 'b', a.attempt);
--- a/tests/src/proxy/pass-routes.test.ts
+++ b/tests/src/proxy/pass-routes.test.ts
@@ -1,12 +1,12 @@
 /** Pass routes answered whole: a key runs once, whatever fails. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { passAt, type World, type SimFaults } from '@tillerstair/sim';
+import { passAt, type World, type ServerFaults } from '@tillerstair/sim';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
   assertNoBreach,
   passed,
-  passText,
+  passConfigText,
   passUp,
   recordsOf,
   restart,
@@ -98,7 +98,7 @@
       { loseEvery: 1 },
       { namesOtherAttempt: true },
       { cutEvery: 1 },
-    ] satisfies Partial<SimFaults>[]) {
+    ] satisfies Partial<ServerFaults>[]) {
       const w = await passUp(11, small);
       for (const id of shops) w.servers.set(id, fault);
       assert.is((await passed(w, { path: '/keyed/x', key: 'k', body: 'a' })).reported, 'unknown');
@@ -129,7 +129,10 @@
     const w = await passUp(11, small);
     for (const id of shops) w.servers.set(id, { loseEvery: 1 });
     assert.is((await passed(w, { path: '/keyed/x', key: 'k', body: 'a' })).reported, 'unknown');
-    assert.is((await w.operate('PUT', '/v1/config', passText(1, 'models', 'memo'))).status, 200);
+    assert.is(
+      (await w.operate('PUT', '/v1/config', passConfigText(1, 'models', 'memo'))).status,
+      200,
+    );
     await w.clock.run(1500);
     assert.is((await passed(w, { path: '/keyed/x', key: 'k', body: 'a' })).reported, 'unknown');
     assert.is(runs(w, 'k'), 1);
@@ -144,7 +147,7 @@
   for (const id of ['k1', 'k2']) w.servers.set(id, { loseEvery: 0, declines: true });
   assert.is.not((await passed(w, { path: '/own/x', key: 'k', body: 'a' })).reported, 'done');
   assert.is(
-    (await w.operate('PUT', '/v1/config', passText(1, 'models', 'shop', 'shop'))).status,
+    (await w.operate('PUT', '/v1/config', passConfigText(1, 'models', 'shop', 'shop'))).status,
     200,
   );
   await w.clock.run(1500);
@@ -159,7 +162,11 @@
     for (const m of w.of('store').slice(seed % 2, (seed % 2) + 2)) m.kill('power');
     ownerOf(w, opKeyOf('t', 'k'))?.kill('power');
     w.start(w.machines.filter((m) => !m.up));
-    await w.clock.until('serving', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
+    await w.clock.until(
+      'serving',
+      () => w.readyFronts().length === 2 && w.slotsReplicated(),
+      20000,
+    );
     await w.clock.run(500);
     const again = await passed(w, { path: '/keyed/x', key: 'k', body: 'a' });
     assert.is(again.reported, 'done', again.errorCode);
--- a/tests/src/session-owner/overload.test.ts
+++ b/tests/src/session-owner/overload.test.ts
@@ -14,7 +14,12 @@
   loadFactor: number,
 ): Promise<{ done: readonly ReplyRecord[]; refused: readonly ReplyRecord[] }> => {
   const cluster = await worldUp(81, small);
-  const text = stormConfig({ base: 1, turnPools: ['models'], callPool: 'shop', extra: 0 });
+  const text = stormConfig({
+    base: 1,
+    turnPools: ['models'],
+    callPool: 'shop',
+    extraRouteCount: 0,
+  });
   const bounds = { callMs: 4000, perServer: 2, queue: 200 };
   assert.is(
     (await cluster.operate('PUT', '/v1/config', JSON.stringify({ ...JSON.parse(text), bounds })))
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -20,7 +20,7 @@
   compileState,
 } from '@tillerstair/session-owner';
 import { createAbortController, RpcError } from '@tillerstair/wire';
-import { five, recordsOf, worldUp } from '../support/world-helpers.js';
+import { fiveControls, recordsOf, worldUp } from '../support/world-helpers.js';
 
 const placementSuite = suite('placement, admission and weights');
 
@@ -266,7 +266,7 @@
 placementSuite(
   'a server that fails for one front stays in use by the others; one that fails for all is soon marked down',
   async () => {
-    const cluster = await worldUp(91, five);
+    const cluster = await worldUp(91, fiveControls);
     const programs = await cluster.clock.finish(
       'programs',
       Promise.all(cluster.of('front').map((front) => cluster.program(900, front))),
@@ -320,7 +320,7 @@
 placementSuite(
   'pools get the shares that the operator set while weights are tuned and the master changes',
   async () => {
-    const cluster = await worldUp(92, five);
+    const cluster = await worldUp(92, fiveControls);
     for (const [id, pool] of [
       ['m3', 'models'],
       ['n1', 'others'],
@@ -332,7 +332,12 @@
         JSON.stringify({ pool, url: 'http://127.0.0.1:1' }),
       );
     const { config } = checkConfig(
-      stormConfig({ base: 1, turnPools: ['models', 'others'], callPool: 'shop', extra: 0 }),
+      stormConfig({
+        base: 1,
+        turnPools: ['models', 'others'],
+        callPool: 'shop',
+        extraRouteCount: 0,
+      }),
     );
     const shares = [
       { pool: 'models', share: 3 },
--- a/tests/src/session-owner/unbroken-ownership.test.ts
+++ b/tests/src/session-owner/unbroken-ownership.test.ts
@@ -8,7 +8,7 @@
 import { slotForKey } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
-  acts,
+  executionCount,
   assertNoBreach,
   configText,
   recordsOf,
@@ -72,7 +72,7 @@
         60000,
       );
       assert.is(repeatedCall.reported, 'done', repeatedCall.errorCode);
-      assert.is(acts(cluster, key), 1);
+      assert.is(executionCount(cluster, key), 1);
       otherFront.kill();
       await cluster.clock.until(
         'removed from the cluster',
@@ -97,7 +97,7 @@
       await cluster.clock.run(40000);
       await cluster.clock.finish('busy', occupyingCall, 60000);
       await cluster.clock.finish('first', queuedCall, 60000);
-      assert.is(acts(cluster, key), 1, `${acts(cluster, key)} runs`);
+      assert.is(executionCount(cluster, key), 1, `${executionCount(cluster, key)} runs`);
       assertNoBreach(recordsOf(cluster));
     }
   },
@@ -132,7 +132,7 @@
           20000,
         );
       }
-      assert.is(acts(cluster, key), 1);
+      assert.is(executionCount(cluster, key), 1);
       assertNoBreach(recordsOf(cluster));
     }
   },
--- a/tests/src/sim/never-list-under-failure.test.ts
+++ b/tests/src/sim/never-list-under-failure.test.ts
@@ -4,9 +4,9 @@
 import { slotForKey } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
-  acts,
+  executionCount,
   assertNoBreach,
-  five,
+  fiveControls,
   recordsOf,
   small,
   ownerOf,
@@ -33,7 +33,7 @@
       await w.clock.finish('again', w.call(key, '/hold', { n: 1 }), 30000);
     }
     assert.ok(w.servers.executed.length >= before);
-    assert.ok(acts(w, key) <= 1, `${acts(w, key)} runs`);
+    assert.ok(executionCount(w, key) <= 1, `${executionCount(w, key)} runs`);
     assertNoBreach(recordsOf(w));
   }
 });
@@ -44,13 +44,13 @@
     const key = `v${seed}`;
     const owner = ownerOf(w, opKeyOf('t', key));
     const first = w.call(key, '/hold', { n: 1 }, owner);
-    await w.clock.until('it ran', () => acts(w, key) === 1, 5000);
+    await w.clock.until('it ran', () => executionCount(w, key) === 1, 5000);
     owner?.kill();
     await w.clock.finish('first', first, 30000);
     await w.clock.run(6000);
     const again = await w.clock.finish('again', w.call(key, '/hold', { n: 1 }), 30000);
     assert.is(again.reported, 'unknown');
-    assert.is(acts(w, key), 1);
+    assert.is(executionCount(w, key), 1);
     assertNoBreach(recordsOf(w));
   }
 });
@@ -70,7 +70,7 @@
     await w.clock.finish('first', first, 30000);
     await w.clock.run(3000);
     await w.clock.finish('last', w.call(key, '/hold', { n: 1 }, other), 30000);
-    assert.ok(acts(w, key) <= 1, `${acts(w, key)} runs`);
+    assert.ok(executionCount(w, key) <= 1, `${executionCount(w, key)} runs`);
     assertNoBreach(recordsOf(w));
   }
 });
@@ -88,11 +88,15 @@
       w.servers.set('s2', { loseEvery: 0 });
       for (const m of w.machines) m.kill('power');
       w.start();
-      await w.clock.until('serving', () => w.readyFronts().length === 2 && w.slotsOpen(), 12000);
+      await w.clock.until(
+        'serving',
+        () => w.readyFronts().length === 2 && w.slotsReplicated(),
+        12000,
+      );
       await w.clock.run(500);
       const again = await w.clock.finish('again', w.call('lost', '/hold', { n: 1 }), 30000);
       assert.is(again.reported, 'unknown');
-      assert.is(acts(w, 'lost'), 1);
+      assert.is(executionCount(w, 'lost'), 1);
       assertNoBreach(recordsOf(w));
     }
   },
@@ -100,14 +104,14 @@
 
 never('a turn done is whole at every front after its owner and one store lose power', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, five);
+    const w = await worldUp(seed, fiveControls);
     const p = await w.clock.finish('program', w.program(200), 10000);
     const t = await w.clock.finish('turn', w.turn(p.program, null, `hello #${seed}`, 'k'), 30000);
     assert.is(t.reported, 'done');
     ownerOf(w, `p/${p.program}`)?.kill('power');
     const store = w.of('store')[seed % 3];
     store.kill('power');
-    store.platter.wipe();
+    store.drive.wipe();
     await w.clock.run(6000);
     for (const m of w.of('front').filter((x) => x.up)) {
       const f = await w.clock.finish('fetch', w.fetch(p.program, t.turn, m), 30000);
@@ -132,7 +136,7 @@
         const w = await worldUp(40 + n, small);
         const p = await w.clock.finish('program', w.program(200), 10000);
         w.of('store').forEach((m, i) => {
-          m.platter.delay = [1, 60, 130][(i + n) % 3] ?? 1;
+          m.drive.delay = [1, 60, 130][(i + n) % 3] ?? 1;
         });
         const first = await w.clock.finish(
           kind,
@@ -142,11 +146,15 @@
           30000,
         );
         assert.is(first.reported, 'done');
-        const store = w.of('store').find((m) => m.platter.delay === 1);
+        const store = w.of('store').find((m) => m.drive.delay === 1);
         for (const m of [...w.of('front'), ...w.of('store')]) m.kill('power');
-        store?.platter.wipe();
+        store?.drive.wipe();
         w.start([...w.of('front'), ...w.of('store').filter((m) => m !== store)]);
-        await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
+        await w.clock.until(
+          'fronts',
+          () => w.readyFronts().length === 2 && w.slotsReplicated(),
+          20000,
+        );
         await w.clock.run(1000);
         const again = await w.clock.finish(
           'again',
@@ -154,7 +162,7 @@
           30000,
         );
         assert.is(again.text, first.text, again.errorCode);
-        assert.ok(acts(w, 'op') <= 1);
+        assert.ok(executionCount(w, 'op') <= 1);
         assertNoBreach(recordsOf(w));
       }
   },
--- a/tests/src/sim/never-list-while-serving.test.ts
+++ b/tests/src/sim/never-list-while-serving.test.ts
@@ -3,10 +3,10 @@
 import * as assert from 'uvu/assert';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
-  acts,
+  executionCount,
   assertNoBreach,
   configText,
-  five,
+  fiveControls,
   recordsOf,
   small,
   ownerOf,
@@ -58,7 +58,7 @@
 
 serving('a budget holds over owner changes, with helpers and many turns at once', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, five);
+    const w = await worldUp(seed, fiveControls);
     const p = await w.clock.finish('program', w.program(60), 10000);
     const helper = await w.clock.finish('helper', w.program(60, undefined, p.program), 10000);
     assert.is(helper.reported, 'done');
@@ -110,7 +110,7 @@
   'a draining server gets nothing new after 3 s, from a cut front and from a woken one',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, five);
+      const w = await worldUp(seed, fiveControls);
       const [a, b] = w.of('front');
       const rest = w.machines.filter((m) => m.kind !== 'front').map((m) => m.addr);
       const p = await w.clock.finish('program', w.program(900), 10000);
@@ -143,7 +143,7 @@
   'an acknowledged configuration is in force, with a front cut off and one frozen',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, five);
+      const w = await worldUp(seed, fiveControls);
       await w.operate(
         'PUT',
         '/v1/servers/n1',
@@ -202,7 +202,7 @@
       ['done ', 'done '],
     );
     assert.is(both[0]?.text, both[1]?.text);
-    assert.is(acts(w, 'twin'), 1);
+    assert.is(executionCount(w, 'twin'), 1);
   }
 });
 
--- a/tests/src/sim/storm-worker.ts
+++ b/tests/src/sim/storm-worker.ts
@@ -1,7 +1,7 @@
 /** Runs storms for some seeds in a thread of its own and posts what was proven and struck, or the first breach. */
 import { parentPort, workerData } from 'node:worker_threads';
 import { z } from 'zod';
-import { deploymentOf, faultKinds, planOf, Storm } from '@tillerstair/sim';
+import { deploymentOf, faultKinds, faultPlanFor, Storm } from '@tillerstair/sim';
 import { checkRecords } from '@tillerstair/checker';
 import { assertNoBreach } from '../support/world-helpers.js';
 
@@ -12,14 +12,14 @@
     seed,
     sizes: deploymentOf(seed),
     ms: stormMs,
-    plan: planOf(seed, stormMs, faultKinds),
-    chats: 40,
+    plan: faultPlanFor(seed, stormMs, faultKinds),
+    concurrentChats: 40,
   });
   try {
     const records = await storm.run();
     assertNoBreach(records);
     for (const v of checkRecords(records)) if (v.checked > 0) proven.add(v.rule);
-    for (const f of storm.struck) struck.add(f);
+    for (const f of storm.appliedFaults) struck.add(f);
   } catch (e) {
     throw new Error(`seed ${seed}: ${storm.log.join(' | ')}\n${String(e)}`);
   }
--- a/tests/src/store/emptying-stores.test.ts
+++ b/tests/src/store/emptying-stores.test.ts
@@ -117,7 +117,7 @@
       await untilRetired(w, old, 20000);
       assert.not(w.committed?.slots.some((s) => s.replicas.includes(storeIdOf(old))));
       assert.is((await w.operate('DELETE', `/v1/stores/${old.name}/empty`)).status, 200);
-      assert.is(w.drained.size, 0);
+      assert.is(w.retiringNodes.size, 0);
       await assertKept(w, 'x');
     }
   },
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -5,7 +5,7 @@
 import {
   assertNoBreach,
   configText,
-  five,
+  fiveControls,
   recordsOf,
   servers,
   small,
@@ -135,10 +135,10 @@
 
 repair('a slow disk on one store delays nothing for long and loses nothing', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, five);
+    const w = await worldUp(seed, fiveControls);
     const p = await w.clock.finish('program', w.program(900), 10000);
     const slow = w.of('store')[seed % 3];
-    slow.platter.delay = 2500;
+    slow.drive.delay = 2500;
     const t0 = w.clock.now();
     await turns(w, p.program, 0, 6);
     assert.ok(w.clock.now() - t0 < 6000, `${w.clock.now() - t0} ms for six turns`);
@@ -170,7 +170,7 @@
   const kept = w.reported.filter((x) => x.kind === 'turn' && x.program === q.program);
   for (const m of w.of('front')) m.kill();
   w.start(w.of('front'));
-  await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
+  await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsReplicated(), 20000);
   for (const x of kept)
     assert.is((await w.clock.finish('fetch', w.fetch(q.program, x.turn), 10000)).text, x.text);
 });
@@ -227,7 +227,11 @@
       w.at('store-0').kill('power');
       for (const m of w.of('front')) m.kill();
       w.start(w.of('front'));
-      await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
+      await w.clock.until(
+        'fronts',
+        () => w.readyFronts().length === 2 && w.slotsReplicated(),
+        20000,
+      );
       await w.clock.run(1000);
       for (const t of half)
         assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
@@ -244,7 +248,7 @@
       const w = await worldUp(seed, small);
       const ps = await programsOf(w, 12);
       const fresh = await fourthStore(w);
-      fresh.platter.delay = 2500;
+      fresh.drive.delay = 2500;
       assert.is((await w.operate('POST', '/v1/stores/store-0/empty')).status, 200);
       await untilFilling(w);
       for (const m of w.of('front'))
@@ -259,7 +263,7 @@
       }
       for (const m of ['store-0', 'store-1']) w.at(m).kill('power');
       w.net.healCuts();
-      fresh.platter.delay = 0.2;
+      fresh.drive.delay = 0.2;
       await w.clock.finish('all', Promise.all(going), 60000);
       for (const m of w.of('front')) m.kill();
       w.start(w.of('front'));
@@ -315,7 +319,7 @@
   'twenty megabytes in 64 slots move off a store within 6 s, and the calls meanwhile are served',
   async () => {
     const w = new World(33, { controls: 3, stores: 4, fronts: 2, slots: 64 });
-    await w.bringUp((base) => configText(base), servers);
+    await w.startServing((base) => configText(base), servers);
     const p = await w.clock.finish('program', w.program(900), 10000);
     const filling = fillStores(w, 14, 'v'.repeat(32 << 10));
     await w.clock.finish('filling the stores', filling, 60000);
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -23,10 +23,10 @@
   program: string,
 ): Promise<void> => {
   store?.kill('power');
-  store?.platter.wipe();
+  store?.drive.wipe();
   for (const m of w.of('front')) m.kill();
   w.start(w.of('front'));
-  await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
+  await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsReplicated(), 20000);
   for (const t of w.reported.filter((x) => x.kind === 'turn' && x.program === program))
     assert.is((await w.clock.finish('fetch', w.fetch(program, t.turn), 30000)).text, t.text);
   assertNoBreach(recordsOf(w));
@@ -64,7 +64,7 @@
     await turns(w, p.program, 0, 4);
     const [a, b] = w.of('store');
     a.kill('power');
-    a.platter.wipe();
+    a.drive.wipe();
     a.start();
     const id = () => a.store?.id ?? 'none';
     await w.clock.until(
@@ -109,7 +109,7 @@
       assert.ok(ts.every((t) => t.reported === 'done'));
       const a = w.at('store-0');
       a.kill('power');
-      a.platter.wipe();
+      a.drive.wipe();
       for (const m of w.of('front')) m.kill();
       w.net.healCuts();
       w.net.cutBoth(['store-2'], [...data, 'store-0', 'store-1']);
@@ -149,7 +149,7 @@
     await turns(w, p.program, 0, 2);
     for (const m of w.of('store').slice(0, 2)) {
       m.kill('power');
-      m.platter.wipe();
+      m.drive.wipe();
       m.start();
     }
     for (const m of w.of('front')) m.kill();
@@ -182,13 +182,13 @@
       assert.is(t.reported, 'done', t.errorCode);
       after = t.turn;
     }
-    w.net.largest.clear();
+    w.net.largestMessages.clear();
     const store = w.of('store')[0];
     store.kill('power');
-    store.platter.wipe();
+    store.drive.wipe();
     for (const m of w.of('front')) m.kill();
     w.start(w.of('front'));
-    await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
+    await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsReplicated(), 20000);
     const other = await w.clock.finish(
       'other slot',
       w.turn(q.program, null, 'short #29', 'q'),
@@ -207,10 +207,10 @@
     );
     for (const kind of ['store/fence', 'store/pull', 'store/put', 'store/hand'])
       assert.ok(
-        (w.net.largest.get(kind) ?? 0) < 1 << 19,
-        `${kind} ${w.net.largest.get(kind) ?? 0}`,
+        (w.net.largestMessages.get(kind) ?? 0) < 1 << 19,
+        `${kind} ${w.net.largestMessages.get(kind) ?? 0}`,
       );
-    assert.ok((w.net.largest.get('store/pull') ?? 0) > 1 << 16);
+    assert.ok((w.net.largestMessages.get('store/pull') ?? 0) > 1 << 16);
     await loseAndReadAll(w, w.of('store')[1], p.program);
   },
 );
@@ -221,7 +221,7 @@
     for (const seed of seeds) {
       const w = new World(seed, small);
       w.hintsMost = 0;
-      await w.bringUp((base) => configText(base), servers);
+      await w.startServing((base) => configText(base), servers);
       const p = await w.clock.finish('program', w.program(900), 10000);
       const [a, b, c] = w.of('store');
       a.kill('power');
@@ -234,7 +234,7 @@
       a.start();
       await w.clock.run(2000);
       b.kill('power');
-      b.platter.wipe();
+      b.drive.wipe();
       b.start();
       const id = () => b.store?.id ?? 'none';
       await w.clock.until(
@@ -257,7 +257,7 @@
     for (const m of w.of('control')) {
       const old = m.control?.id ?? 'none';
       m.kill('power');
-      m.platter.wipe();
+      m.drive.wipe();
       if (seed === 22) await w.clock.run(1000);
       m.start();
       const from = w.clock.now();
@@ -295,7 +295,7 @@
     assert.ok(ts.every((t) => t.reported === 'done'));
     const a = w.at('store-0');
     a.kill('power');
-    a.platter.wipe();
+    a.drive.wipe();
     if (seed === 22) await w.clock.run(1000);
     a.start();
     const id = () => a.store?.id ?? 'none';
--- a/tests/src/store/replica-store.test.ts
+++ b/tests/src/store/replica-store.test.ts
@@ -1,7 +1,7 @@
 /** What a store's replicas refuse, keep and drop. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimDrive, seededRng } from '@tillerstair/sim';
 import type { Item } from '@tillerstair/state';
 import { openStoreDisk, ReplicaStore } from '@tillerstair/store';
 import { silentLogger } from '@tillerstair/wire';
@@ -18,7 +18,7 @@
   value,
 });
 
-const open = (clock: SimClock, platter: SimPlatter): Promise<ReplicaStore> => {
+const open = (clock: SimClock, platter: SimDrive): Promise<ReplicaStore> => {
   const pace = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
   const disk = platter.disk(clock, new Incarnation());
   return clock.finish('open', ReplicaStore.open(disk, clock, bounds, pace), 5000);
@@ -26,7 +26,7 @@
 
 const setUp = async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const platter = new SimDrive(seededRng(1));
   const store = await open(clock, platter);
   const outcomeOf = (work: Promise<unknown>): Promise<string> =>
     clock.finish(
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -180,7 +180,7 @@
     const w = await worldUp(seed, { ...oneLoss, stores: 3 });
     await work(w, 'f');
     const filler = w.add('store');
-    filler.platter.delay = 400;
+    filler.drive.delay = 400;
     filler.start();
     await w.clock.until(
       'listed',
@@ -216,7 +216,7 @@
     ] as const) {
       const w = await worldUp(81, { ...oneLoss, stores: 3, slots: 64 });
       await work(w, 'a');
-      for (const m of w.of('store')) m.platter.delay = delay;
+      for (const m of w.of('store')) m.drive.delay = delay;
       const old = w.at('store-0');
       const lostId = storeIdOf(old);
       wipe(old);
@@ -226,7 +226,7 @@
       );
       await w.clock.run(after);
       const fresh = w.add('store');
-      fresh.platter.delay = delay;
+      fresh.drive.delay = delay;
       fresh.start();
       const from = w.clock.now();
       await w.clock.until('whole', () => whole(w, [lostId]), 20000);
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -1,7 +1,7 @@
 /** What a store answers to requests of other nodes, and what it hands on by itself. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Incarnation, SimClock, SimNet, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimNet, SimDrive, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Item, type Member, type Slot, type State } from '@tillerstair/state';
 import { openStoreDisk, StoreNode } from '@tillerstair/store';
 import { RpcError, silentLogger } from '@tillerstair/wire';
@@ -44,7 +44,7 @@
 /** Requests that other nodes got, as `ADDRESS KIND`; those that `refuses` names are refused. */
 interface Rig {
   readonly clock: SimClock;
-  readonly platter: SimPlatter;
+  readonly platter: SimDrive;
   readonly node: StoreNode;
   readonly got: string[];
   refuses: (call: string) => boolean;
@@ -89,7 +89,7 @@
 };
 
 /** Opens the disk of a store that voted for the control and accepted its state. */
-const openDisk = async (clock: SimClock, platter: SimPlatter, life: Incarnation, state: State) => {
+const openDisk = async (clock: SimClock, platter: SimDrive, life: Incarnation, state: State) => {
   const disk = await clock.finish(
     'disk',
     openStoreDisk({
@@ -116,7 +116,7 @@
   refuses: (call: string) => boolean = refusesNothing,
 ): Promise<Rig> => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const platter = new SimDrive(seededRng(1));
   const net = new SimNet(clock, seededRng(2));
   const life = new Incarnation();
   const state = stateWith(slots, stores);
--- a/tests/src/support/listed-servers.ts
+++ b/tests/src/support/listed-servers.ts
@@ -1,10 +1,10 @@
 /** A simulated cluster whose servers come from a server list. */
-import { SimList, World, type Machine, type WorldSizes } from '@tillerstair/sim';
-import { configText, five, servers } from './world-helpers.js';
+import { SimServerList, World, type Machine, type WorldOptions } from '@tillerstair/sim';
+import { configText, fiveControls, servers } from './world-helpers.js';
 
 export interface ListedCluster {
   readonly cluster: World;
-  readonly serverList: SimList;
+  readonly serverList: SimServerList;
 }
 
 export const serverIdsByFront = (cluster: World): readonly (readonly string[])[] =>
@@ -14,13 +14,13 @@
 
 export const startListedCluster = async (
   seed: number,
-  sizes: WorldSizes = five,
+  sizes: WorldOptions = fiveControls,
   lagMs = 0,
 ): Promise<ListedCluster> => {
   const cluster = new World(seed, sizes);
-  const serverList = new SimList(cluster.clock, lagMs);
+  const serverList = new SimServerList(cluster.clock, lagMs);
   cluster.list = serverList;
-  await cluster.bringUp((base) => configText(base), []);
+  await cluster.startServing((base) => configText(base), []);
   for (const [id, pool] of servers) serverList.put({ id, pool });
   await cluster.clock.until(
     'servers',
--- a/tests/src/support/replica-world.ts
+++ b/tests/src/support/replica-world.ts
@@ -1,7 +1,7 @@
 /** Worlds that bear one or two losses, work done in them, and the check that it was kept. */
 import * as assert from 'uvu/assert';
-import type { World, Machine, WorldSizes } from '@tillerstair/sim';
-import { acts, assertNoBreach, recordsOf } from './world-helpers.js';
+import type { World, Machine, WorldOptions } from '@tillerstair/sim';
+import { executionCount, assertNoBreach, recordsOf } from './world-helpers.js';
 
 const siteBounds = {
   serveWithin: 12000,
@@ -10,21 +10,26 @@
   failureTimeout: 1800,
 };
 
-export const twoLosses: WorldSizes = {
+export const twoLosses: WorldOptions = {
   controls: 5,
   stores: 7,
   fronts: 2,
   losses: 2,
-  outer: siteBounds,
+  configuredBounds: siteBounds,
 };
 
-export const oneLoss: WorldSizes = { controls: 3, stores: 4, fronts: 2, outer: siteBounds };
+export const oneLoss: WorldOptions = {
+  controls: 3,
+  stores: 4,
+  fronts: 2,
+  configuredBounds: siteBounds,
+};
 
 export const storeIdOf = (m: Machine | undefined): string => m?.store?.id ?? 'none';
 
 export const wipe = (m: Machine | undefined): void => {
   m?.kill('power');
-  m?.platter.wipe();
+  m?.drive.wipe();
 };
 
 /** All replicas are there, and none of them on the stores `lost`. */
@@ -69,7 +74,7 @@
     assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
   for (let i = 0; i < 12; i++) {
     await w.clock.finish('call again', w.call(`${tag}-${i}`, '/hold', { n: i }), 60000);
-    assert.is(acts(w, `${tag}-${i}`), 1);
+    assert.is(executionCount(w, `${tag}-${i}`), 1);
   }
   assertNoBreach(recordsOf(w));
 };
@@ -79,7 +84,7 @@
   w.start(w.of('front'));
   await w.clock.until(
     'fronts',
-    () => w.readyFronts().length === w.of('front').length && w.slotsServed(),
+    () => w.readyFronts().length === w.of('front').length && w.slotsOwned(),
     20000,
   );
 };
--- a/tests/src/support/world-helpers.ts
+++ b/tests/src/support/world-helpers.ts
@@ -13,7 +13,7 @@
   World,
   type Machine,
   type PassSpec,
-  type WorldSizes,
+  type WorldOptions,
 } from '@tillerstair/sim';
 import { slotForKey } from '@tillerstair/state';
 
@@ -57,17 +57,17 @@
   ['s2', 'shop'],
 ];
 
-export const small: WorldSizes = { controls: 3, stores: 3, fronts: 2 };
-export const five: WorldSizes = { controls: 5, stores: 3, fronts: 3 };
+export const small: WorldOptions = { controls: 3, stores: 3, fronts: 2 };
+export const fiveControls: WorldOptions = { controls: 5, stores: 3, fronts: 3 };
 
-export const worldUp = async (seed: number, sizes: WorldSizes, trace = false): Promise<World> => {
+export const worldUp = async (seed: number, sizes: WorldOptions, trace = false): Promise<World> => {
   const w = new World(seed, sizes);
   if (trace) w.trace = (line) => console.log(line);
-  await w.bringUp((base) => configText(base), servers);
+  await w.startServing((base) => configText(base), servers);
   return w;
 };
 
-export const passText = (
+export const passConfigText = (
   base: number,
   turnPool = 'models',
   callPool = 'shop',
@@ -108,13 +108,13 @@
 
 export const passUp = async (
   seed: number,
-  sizes: WorldSizes,
+  sizes: WorldOptions,
   more: object = {},
   retentionMs?: number,
 ): Promise<World> => {
   const w = new World(seed, sizes);
   if (retentionMs !== undefined) w.retentionMs = retentionMs;
-  await w.bringUp((base) => passText(base, 'models', 'shop', 'memo', more), passServers);
+  await w.startServing((base) => passConfigText(base, 'models', 'shop', 'memo', more), passServers);
   return w;
 };
 
@@ -131,7 +131,7 @@
   w.start();
   await w.clock.until(
     'serving',
-    () => w.readyFronts().length === w.of('front').length && w.slotsOpen(),
+    () => w.readyFronts().length === w.of('front').length && w.slotsReplicated(),
     20000,
   );
   await w.clock.run(500);
@@ -169,5 +169,5 @@
   return w.of('front').find((m) => m.front?.id === slot?.owner);
 };
 
-export const acts = (w: World, key: string): number =>
+export const executionCount = (w: World, key: string): number =>
   w.servers.executed.filter((r) => r.key === `t/${key}`).length;
--- a/tests/src/zen/discovery-under-failure.test.ts
+++ b/tests/src/zen/discovery-under-failure.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { configText, five, small, worldUp } from '../support/world-helpers.js';
+import { configText, fiveControls, small, worldUp } from '../support/world-helpers.js';
 
 const zen = suite('zen under failure');
 const seeds = [1, 2, 3, 4, 5];
@@ -18,7 +18,7 @@
 
 zen('a killed master is replaced and its configuration stays', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, five);
+    const w = await worldUp(seed, fiveControls);
     const old = w.master;
     const term = old?.control?.zen.term ?? 0;
     old?.kill('power');
@@ -36,7 +36,7 @@
 
 zen('a frozen master gives no orders once woken', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, five);
+    const w = await worldUp(seed, fiveControls);
     const old = w.master;
     const oldNode = old?.control;
     old?.freeze();
@@ -65,7 +65,7 @@
 
 zen('a control group cut two to three has one master that can commit', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, five);
+    const w = await worldUp(seed, fiveControls);
     const master = w.master;
     const others = w.of('control').filter((m) => m !== master);
     const minority = [master, others[0]].flatMap((m) => (m ? [m.addr] : []));
@@ -97,7 +97,7 @@
   'after everything loses power serving is back within the bound with its configuration',
   async () => {
     for (const seed of seeds) {
-      const w = await worldUp(seed, five);
+      const w = await worldUp(seed, fiveControls);
       const put = await w.operate('PUT', '/v1/config', configText(1, 'models', 'shop', 3));
       assert.is(put.status, 200);
       for (const m of w.machines) m.kill('power');
@@ -105,7 +105,7 @@
       w.start();
       const took = await w.clock.until(
         'serving',
-        () => w.readyFronts().length === 3 && w.slotsOpen(),
+        () => w.readyFronts().length === 3 && w.slotsReplicated(),
         12000,
       );
       assert.ok(took < 12000, `took ${took}`);
@@ -168,7 +168,7 @@
 
 zen('blank controls at new addresses bootstrap nothing while one old node answers', async () => {
   for (const seed of seeds) {
-    const w = await worldUp(seed, five);
+    const w = await worldUp(seed, fiveControls);
     const survivor = w.of('control')[4];
     const cluster = survivor.control?.zen.clusterId;
     for (const m of w.of('control')) if (m !== survivor) m.kill();
@@ -183,7 +183,7 @@
 
 zen('silent controls are replaced one by one by caught-up newcomers, seeds and all', async () => {
   for (const seed of seeds.slice(0, 3)) {
-    const w = await worldUp(seed, five);
+    const w = await worldUp(seed, fiveControls);
     const cluster = w.master?.control?.zen.clusterId;
     for (let i = 0; i < 3; i++) {
       w.at(`control-${i}`).kill();
@@ -197,7 +197,11 @@
     assert.is(voters.length, 5);
     for (const m of w.machines) m.kill('power');
     w.start(w.machines.filter((m) => !['control-0', 'control-1', 'control-2'].includes(m.addr)));
-    await w.clock.until('serving', () => w.readyFronts().length === 3 && w.slotsOpen(), 12000);
+    await w.clock.until(
+      'serving',
+      () => w.readyFronts().length === 3 && w.slotsReplicated(),
+      12000,
+    );
     assert.is(w.master?.control?.zen.clusterId, cluster);
     assert.is((await w.operate('GET', '/v1/config')).status, 200);
   }
@@ -214,7 +218,7 @@
       const [c, d] = others;
       const before = c.control?.id ?? '';
       c.kill('power');
-      c.platter.wipe();
+      c.drive.wipe();
       c.start();
       await w.clock.until(
         'back as another',
--- a/tests/src/zen/election-store.test.ts
+++ b/tests/src/zen/election-store.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { encodeFrame } from '@tillerstair/journal';
-import { Incarnation, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
+import { Incarnation, seededRng, SimClock, SimDrive } from '@tillerstair/sim';
 import { diffStates, encodeState, type State } from '@tillerstair/state';
 import { silentLogger } from '@tillerstair/wire';
 import { DiskElectionStore } from '@tillerstair/zen';
@@ -14,7 +14,7 @@
 
 const rig = () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const platter = new SimDrive(seededRng(1));
   const warnings: string[] = [];
   const log = { ...silentLogger, warn: (text: string) => warnings.push(text) };
   const pace = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log };
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -11,7 +11,7 @@
   type Member,
   type State,
 } from '@tillerstair/state';
-import { Incarnation, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
+import { Incarnation, seededRng, SimClock, SimDrive } from '@tillerstair/sim';
 import {
   closureOf,
   DiskElectionStore,
@@ -94,7 +94,7 @@
   'votes, bootstrap votes and states a node spoke of stand after power loss at once',
   async () => {
     const clock = new SimClock();
-    const platter = new SimPlatter(seededRng(5));
+    const platter = new SimDrive(seededRng(5));
     const open = () =>
       clock.finish(
         'open',
--- a/tests/src/zen/voting-members.test.ts
+++ b/tests/src/zen/voting-members.test.ts
@@ -1,7 +1,7 @@
 /** Changes of the voting controls: a voter that stops in order, one that is lost, one that is replaced. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { World, type Machine, type WorldSizes } from '@tillerstair/sim';
+import { World, type Machine, type WorldOptions } from '@tillerstair/sim';
 import { configText, restart, servers, worldUp } from '../support/world-helpers.js';
 
 const members = suite('voting controls');
@@ -15,7 +15,7 @@
   failureTimeout: 1800,
 };
 const halfCatchUp = 2400;
-const sizes: WorldSizes = { controls: 3, stores: 3, fronts: 2, outer: siteBounds };
+const sizes: WorldOptions = { controls: 3, stores: 3, fronts: 2, configuredBounds: siteBounds };
 
 const idOf = (m: Machine | undefined): string => m?.control?.id ?? 'none';
 const votersNow = (w: World): readonly string[] => w.committed?.voters.current ?? [];
@@ -57,7 +57,7 @@
         const { w, spare } = await withSpare(seed);
         const old = others(w, spare).find((m) => (m === w.master) === leads);
         const oldId = idOf(old);
-        await w.clock.finish('stop', old?.stopInOrder() ?? Promise.resolve(), 3000);
+        await w.clock.finish('stop', old?.stopGracefully() ?? Promise.resolve(), 3000);
         await w.clock.until(
           'voted in',
           () => votersNow(w).includes(idOf(spare)) && settled(w),
@@ -74,7 +74,7 @@
     const w = await worldUp(seed, sizes);
     for (const m of [...w.of('control')]) {
       const before = votersNow(w);
-      await w.clock.finish('stop', m.stopInOrder(), 3000);
+      await w.clock.finish('stop', m.stopGracefully(), 3000);
       await w.clock.run(2000);
       m.start();
       await w.clock.until('back', () => listed(w, m), 6000);
@@ -91,7 +91,7 @@
     for (const seed of seeds) {
       const { w } = await withSpare(seed);
       for (const m of [...w.of('control')]) {
-        await w.clock.finish('stop', m.stopInOrder(), 3000);
+        await w.clock.finish('stop', m.stopGracefully(), 3000);
         await w.clock.run(1500);
         m.start();
         await w.clock.until('back', () => listed(w, m) && settled(w), 6000);
@@ -109,12 +109,12 @@
     for (const leads of [false, true]) {
       const { w, spare } = await withSpare(seed);
       const old = others(w, spare).find((m) => (m === w.master) === leads);
-      await w.clock.finish('stop', old?.stopInOrder() ?? Promise.resolve(), 3000);
-      old?.platter.wipe();
+      await w.clock.finish('stop', old?.stopGracefully() ?? Promise.resolve(), 3000);
+      old?.drive.wipe();
       await w.clock.run(1000);
       const next = others(w, spare).find((m) => m !== old);
       next?.kill('power');
-      next?.platter.wipe();
+      next?.drive.wipe();
       await assertServes(w);
     }
 });
@@ -132,14 +132,14 @@
         const w = await worldUp(seed, sizes);
         const old = w.of('control').find((m) => m !== w.master);
         old?.kill('power');
-        old?.platter.wipe();
+        old?.drive.wipe();
         w.net.cutBoth(
           [old?.addr ?? ''],
           w.machines.map((m) => m.addr),
         );
         await w.clock.run(after);
         const fresh = w.add('control');
-        fresh.platter.delay = delay;
+        fresh.drive.delay = delay;
         fresh.start();
         const from = w.clock.now();
         await w.clock.until(
@@ -163,7 +163,7 @@
     const w = await worldUp(seed, sizes);
     const spare = w.add('control');
     w.net.onMessage = (m) => {
-      if (m.kind === 'zen/publish' && m.to === spare.addr) spare.platter.delay = 1e9;
+      if (m.kind === 'zen/publish' && m.to === spare.addr) spare.drive.delay = 1e9;
     };
     spare.start();
     await w.clock.until('the spare', () => listed(w, spare), 5000);
@@ -180,7 +180,7 @@
   const w = await worldUp(64, sizes);
   const spare = w.add('control');
   w.net.onMessage = (m) => {
-    if (m.kind === 'zen/publish' && m.to === spare.addr) spare.platter.delay = 1e9;
+    if (m.kind === 'zen/publish' && m.to === spare.addr) spare.drive.delay = 1e9;
   };
   spare.start();
   await w.clock.until('the spare', () => listed(w, spare), 5000);
@@ -196,7 +196,7 @@
         const { w, spare } = await withSpare(seed);
         const master = w.master;
         const old = others(w, spare).find((m) => m !== master);
-        void old?.stopInOrder();
+        void old?.stopGracefully();
         await w.clock.run(at);
         master?.kill('power');
         await w.clock.run(1000);
