--- a/packages/sim/src/config-calls.ts
+++ b/packages/sim/src/config-calls.ts
@@ -1,12 +1,12 @@
-/** Operators' calls on the configuration, recorded for the check of their history. */
+/** Operators' calls to the configuration interface, recorded for the checker. */
 import type { ConfigAnswer, ConfigCall } from '@tillerstair/checker';
 import type { OperatorRequest, OperatorResponse } from '@tillerstair/control';
 import { configDigest } from '@tillerstair/state';
 import type { Clock } from '@tillerstair/wire';
 import { z } from 'zod';
 
-/** Sends an operation to some control; undefined is no answer at all. */
-export type SendOperation = (o: OperatorRequest) => Promise<OperatorResponse | undefined>;
+/** Sends an operation to some control; resolves with undefined if there is no answer. */
+export type SendOperation = (request: OperatorRequest) => Promise<OperatorResponse | undefined>;
 
 const Change = z.object({ base: z.number(), version: z.number().optional() });
 const Value = z.object({ version: z.number(), text: z.string() });
@@ -19,42 +19,43 @@
     : { kind: 'unclear' };
 };
 
-const answerToRead = (o: OperatorResponse | undefined): ConfigAnswer => {
-  if (o?.status === 404) return { kind: 'value', version: 0, content: '' };
-  const got = Value.safeParse(o?.status === 200 ? o.body : undefined);
-  return got.success
-    ? { kind: 'value', version: got.data.version, content: configDigest(got.data.text) }
+const answerToRead = (response: OperatorResponse | undefined): ConfigAnswer => {
+  if (response?.status === 404) return { kind: 'value', version: 0, content: '' };
+  const result = Value.safeParse(response?.status === 200 ? response.body : undefined);
+  return result.success
+    ? { kind: 'value', version: result.data.version, content: configDigest(result.data.text) }
     : { kind: 'no-effect' };
 };
 
-/** Sends operators' calls on the configuration and keeps them, with their answers, for the check of the history. */
+/** Sends operators' changes and reads of the configuration, and records them with their answers. */
 export class ConfigCalls {
-  private readonly rows: ConfigCall[] = [];
+  private readonly recorded: ConfigCall[] = [];
 
   constructor(private readonly clock: Clock) {}
 
   get calls(): readonly ConfigCall[] {
-    return this.rows;
+    return this.recorded;
   }
 
-  /** Keeps a call as unanswered until its answer comes. */
+  /** Sends a call and records it; until its answer arrives, the call is recorded as unanswered. */
   async record<T>(
     what: ConfigCall['what'],
     send: () => Promise<T>,
-    answerOf: (got: T) => ConfigAnswer,
+    answerOf: (result: T) => ConfigAnswer,
   ): Promise<T> {
-    const row: ConfigCall = {
+    const call: ConfigCall = {
       what,
       calledAt: this.clock.now(),
       answeredAt: Infinity,
       answer: { kind: 'unclear' },
     };
-    const at = this.rows.push(row) - 1;
-    const got = await send();
-    this.rows[at] = { ...row, answeredAt: this.clock.now(), answer: answerOf(got) };
-    return got;
+    const index = this.recorded.push(call) - 1;
+    const result = await send();
+    this.recorded[index] = { ...call, answeredAt: this.clock.now(), answer: answerOf(result) };
+    return result;
   }
 
+  /** Sends a change. */
   put(text: string, send: SendOperation): Promise<OperatorResponse | undefined> {
     const { base, version = base + 1 } = Change.parse(JSON.parse(text));
     const digest = configDigest(text);
@@ -62,10 +63,11 @@
     return this.record(
       what,
       () => send({ method: 'PUT', path: '/v1/config', body: text }),
-      (o) => answerToChange(o?.status ?? 0),
+      (response) => answerToChange(response?.status ?? 0),
     );
   }
 
+  /** Reads the configuration. */
   read(send: SendOperation): Promise<OperatorResponse | undefined> {
     return this.record(
       { kind: 'read' },
--- a/packages/sim/src/control-model.ts
+++ b/packages/sim/src/control-model.ts
@@ -1,29 +1,29 @@
 /**
- * The model test of the controls: random runs of requests and troubles over the real election, publish,
- * membership and log code, each statement checked after every event, failing runs cut down to their least.
+ * The model test of the controls: random runs of requests and faults over the real election, publish, membership and
+ * log code. What nodes and clients report is checked after every event, and failing runs are shrunk.
  */
 import fc from 'fast-check';
 import { anyAction, type ModelAction, type ModelRun } from './model-actions.js';
 import type { ModelFinding, ModelRule } from './model-history.js';
 import { ModelSimulation } from './model-simulation.js';
 
-/** A run that broke a rule, cut down as far as it goes. */
+/** A run that broke a rule, shrunk as far as possible, and the findings. */
 interface FailedRun {
   readonly run: ModelRun;
   readonly findings: readonly ModelFinding[];
 }
 
-/** How many runs to make, from which seed. */
+/** Options of a series of runs. */
 export interface ModelCheckOptions {
   readonly seed: number;
   readonly runs: number;
-  /** The longest run, in actions. */
+  /** Limit of the length of a run, in actions. */
   readonly longest: number;
-  /** Rules left out of account, to look past a fault that is known. */
+  /** Rules to ignore, to find other faults than a known one. */
   readonly except?: readonly ModelRule[];
 }
 
-/** What came of a series of runs: how many, how many statements were checked, and the first that broke a rule. */
+/** The result of a series of runs: the number of runs and of checks, and the first run that broke a rule. */
 export interface ModelResult {
   readonly runs: number;
   readonly checked: number;
@@ -32,11 +32,14 @@
 
 class RuleBrokenError extends Error {}
 
-const findingsOf = (rig: ModelSimulation, except: readonly ModelRule[]): readonly ModelFinding[] =>
-  rig.history.findings.filter((f) => !except.includes(f.rule));
+const relevantFindings = (
+  simulation: ModelSimulation,
+  except: readonly ModelRule[],
+): readonly ModelFinding[] =>
+  simulation.history.findings.filter((finding) => !except.includes(finding.rule));
 
-const mustBeSound = (rig: ModelSimulation, except: readonly ModelRule[]): void => {
-  const first = findingsOf(rig, except).at(0);
+const assertRulesHold = (simulation: ModelSimulation, except: readonly ModelRule[]): void => {
+  const first = relevantFindings(simulation, except).at(0);
   if (first) throw new RuleBrokenError(`${first.rule}: ${first.text}`);
 };
 
@@ -50,9 +53,9 @@
     return model.allows(this.action);
   }
 
-  async run(_model: ModelSimulation, rig: ModelSimulation): Promise<void> {
-    await rig.act(this.action);
-    mustBeSound(rig, this.except);
+  async run(_model: ModelSimulation, simulation: ModelSimulation): Promise<void> {
+    await simulation.act(this.action);
+    assertRulesHold(simulation, this.except);
   }
 
   toString(): string {
@@ -60,20 +63,20 @@
   }
 }
 
-/** Plays one run as it stands and returns what it broke. */
+/** Replays one run without shrinking it, and returns its findings; `trace` gets the log lines of all nodes. */
 export const replayModel = async (
   { seed, controls, actions }: ModelRun,
   trace?: (line: string) => void,
 ): Promise<readonly ModelFinding[]> => {
-  const rig = new ModelSimulation(seed, controls);
-  if (trace) rig.trace = trace;
-  await rig.begin();
-  for (const a of actions) if (rig.allows(a)) await rig.act(a);
-  await rig.finish();
-  return rig.history.findings;
+  const simulation = new ModelSimulation(seed, controls);
+  if (trace) simulation.trace = trace;
+  await simulation.begin();
+  for (const action of actions) if (simulation.allows(action)) await simulation.act(action);
+  await simulation.finish();
+  return simulation.history.findings;
 };
 
-/** Makes seeded runs until one breaks a rule; the same seed makes the same runs. */
+/** Makes seeded runs until one breaks a rule; the same seed gives the same runs. */
 export const checkControlModel = async ({
   seed,
   runs,
@@ -83,31 +86,33 @@
   let failed: FailedRun | undefined;
   let checked = 0;
   const commands = fc.commands(
-    anyAction.map((each) => each.map((a) => new ActionCommand(a, except))),
+    anyAction.map((arbitrary) => arbitrary.map((action) => new ActionCommand(action, except))),
     { maxCommands: longest, size: 'max' },
   );
   const property = fc.asyncProperty(
     fc.nat(1 << 20),
     fc.constantFrom(3, 3, 3, 5),
     commands,
-    async (worldSeed, controls, list) => {
-      const rig = new ModelSimulation(worldSeed, controls);
+    async (worldSeed, controls, commandList) => {
+      const simulation = new ModelSimulation(worldSeed, controls);
       try {
-        await rig.begin();
-        mustBeSound(rig, except);
-        await fc.asyncModelRun(() => ({ model: rig, real: rig }), list);
-        await rig.finish();
-        mustBeSound(rig, except);
-      } catch (e) {
-        failed = { run: rig.run, findings: findingsOf(rig, except) };
-        throw e;
+        await simulation.begin();
+        assertRulesHold(simulation, except);
+        await fc.asyncModelRun(() => ({ model: simulation, real: simulation }), commandList);
+        await simulation.finish();
+        assertRulesHold(simulation, except);
+      } catch (error) {
+        failed = { run: simulation.run, findings: relevantFindings(simulation, except) };
+        throw error;
       } finally {
-        checked += rig.history.checked;
+        checked += simulation.history.checked;
       }
     },
   );
   const details = await fc.check(property, { seed, numRuns: runs });
   if (details.failed && !failed)
-    throw new Error(`the model test itself failed: ${String(details.errorInstance)}`);
+    throw new Error(
+      `the model test failed without breaking a rule: ${String(details.errorInstance)}`,
+    );
   return { runs: details.numRuns, checked, failed };
 };
--- a/packages/sim/src/faults-disk.ts
+++ b/packages/sim/src/faults-disk.ts
@@ -1,4 +1,4 @@
-/** Faults of disks: slow, full, stalled, lost. */
+/** Disk faults of storms: disks of controls and stores become slow, full or stalled, or lose their content. */
 import type { SimDrive } from './sim-drive.js';
 import type { Fault, FaultTable, MachineKind } from './storm-fault.js';
 
@@ -6,44 +6,47 @@
 const usualMs = 0.2;
 const slowMs = 400;
 
-type SetDiskFault = (p: SimDrive, on: boolean) => void;
+type SetDiskFault = (drive: SimDrive, active: boolean) => void;
 
-const slow: SetDiskFault = (p, on) => {
-  p.delay = on ? slowMs : usualMs;
+const setSlow: SetDiskFault = (drive, active) => {
+  drive.delay = active ? slowMs : usualMs;
 };
-const full: SetDiskFault = (p, on) => {
-  p.full = on;
+const setFull: SetDiskFault = (drive, active) => {
+  drive.full = active;
 };
-const stalled: SetDiskFault = (p, on) => {
-  p.stalled = on;
+const setStalled: SetDiskFault = (drive, active) => {
+  drive.stalled = active;
 };
 
-/** One disk is in trouble for a time. */
+/** A fault of one disk that ends after the duration; stores are spared while the disk of another machine is lost. */
 const diskFault =
-  (kind: MachineKind, set: SetDiskFault): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m || (kind === 'store' && c.tools.isDiskLost)) return '';
-    set(m.drive, true);
-    c.tools.after(c.durationMs, () => set(m.drive, false));
-    return m.addr;
+  (kind: MachineKind, setFault: SetDiskFault): Fault =>
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine || (kind === 'store' && context.tools.isDiskLost)) return '';
+    setFault(machine.drive, true);
+    context.tools.after(context.durationMs, () => setFault(machine.drive, false));
+    return machine.addr;
   };
 
-/** One machine loses its disk and comes back blank. */
-const wipe =
+/** One machine loses its disk and restarts with an empty one. */
+const wipeDisk =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m) return '';
-    return c.tools.runDiskLoss(() => c.tools.wipe(m, c.durationMs)) && m.addr;
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine) return '';
+    return (
+      context.tools.runDiskLoss(() => context.tools.wipe(machine, context.durationMs)) &&
+      machine.addr
+    );
   };
 
-/** These faults by name. */
+/** The disk faults, by the names that plans use. */
 export const diskFaults: FaultTable = new Map<string, Fault>(
   kinds.flatMap((kind): [string, Fault][] => [
-    [`slow-${kind}`, diskFault(kind, slow)],
-    [`disk-full-${kind}`, diskFault(kind, full)],
-    [`disk-stall-${kind}`, diskFault(kind, stalled)],
-    [`wipe-${kind}`, wipe(kind)],
+    [`slow-${kind}`, diskFault(kind, setSlow)],
+    [`disk-full-${kind}`, diskFault(kind, setFull)],
+    [`disk-stall-${kind}`, diskFault(kind, setStalled)],
+    [`wipe-${kind}`, wipeDisk(kind)],
   ]),
 );
--- a/packages/sim/src/faults-machine.ts
+++ b/packages/sim/src/faults-machine.ts
@@ -1,4 +1,4 @@
-/** Faults of machines and their processes: killed, without power, frozen, slow, restarted in order. */
+/** Machine and process faults of storms: kills, power losses, freezes, slow machines and rolling restarts. */
 import { opKeyOf } from '@tillerstair/session-owner';
 import { rootProgramId, slotForKey } from '@tillerstair/state';
 import type { Machine } from './machine.js';
@@ -12,171 +12,187 @@
 
 const kinds: readonly MachineKind[] = ['control', 'store', 'front'];
 
-/** Stores that are down while another's disk is lost would be a loss more than is borne. */
-const mustStay = (c: FaultContext, kind: MachineKind): boolean =>
-  kind === 'store' && c.tools.isDiskLost;
+/** While the disk of a machine is lost, stores must stay up: another loss would exceed what the cluster withstands. */
+const mustStayUp = (context: FaultContext, kind: MachineKind): boolean =>
+  kind === 'store' && context.tools.isDiskLost;
 
 const kill =
   (kind: MachineKind, how: 'process' | 'power'): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m || mustStay(c, kind)) return '';
-    c.tools.killFor(m, how, c.durationMs);
-    return m.addr;
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine || mustStayUp(context, kind)) return '';
+    context.tools.killFor(machine, how, context.durationMs);
+    return machine.addr;
   };
 
 const freeze =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m || mustStay(c, kind)) return '';
-    m.freeze();
-    c.tools.after(c.durationMs, () => {
-      if (m.up) m.wake();
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine || mustStayUp(context, kind)) return '';
+    machine.freeze();
+    context.tools.after(context.durationMs, () => {
+      if (machine.up) machine.wake();
     });
-    return m.addr;
+    return machine.addr;
   };
 
-const slowMs = 40;
+/** Added to the latency of each message of a slow machine. */
+const addedLatencyMs = 40;
 
-/** A machine works slower: what it sends and is sent comes late. */
-const slow =
+/** One machine is slow: messages that it sends or receives take longer. */
+const slowDown =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m) return '';
-    const { net } = c.world;
-    const before = net.extraLatency;
-    const isOfIt = (addr: string): boolean => addr.split('/')[0] === m.addr;
-    const late = (from: string, to: string): number =>
-      before(from, to) + (isOfIt(from) || isOfIt(to) ? slowMs : 0);
-    net.extraLatency = late;
-    c.tools.after(c.durationMs, () => {
-      if (net.extraLatency === late) net.extraLatency = before;
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine) return '';
+    const { net } = context.world;
+    const previousLatency = net.extraLatency;
+    const belongsToMachine = (addr: string): boolean => addr.split('/')[0] === machine.addr;
+    const slowedLatency = (from: string, to: string): number =>
+      previousLatency(from, to) +
+      (belongsToMachine(from) || belongsToMachine(to) ? addedLatencyMs : 0);
+    net.extraLatency = slowedLatency;
+    context.tools.after(context.durationMs, () => {
+      if (net.extraLatency === slowedLatency) net.extraLatency = previousLatency;
     });
-    return m.addr;
+    return machine.addr;
   };
 
-const stopGracefully = async (c: FaultContext, m: Machine): Promise<void> => {
-  const end = m.stopGracefully().catch(() => undefined);
-  await Promise.race([end, c.storm.delay(6 * c.world.bounds.heartbeatInterval)]);
-  if (m.up) m.kill();
+/** Stops a machine gracefully; kills it if it is still up after six heartbeat intervals. */
+const stopGracefully = async (context: FaultContext, machine: Machine): Promise<void> => {
+  const stopped = machine.stopGracefully().catch(() => undefined);
+  await Promise.race([stopped, context.storm.delay(6 * context.world.bounds.heartbeatInterval)]);
+  if (machine.up) machine.kill();
 };
 
-/** All machines of a kind are stopped in order and started again, one after the other. */
-const roll =
+/** Stops all machines of a kind gracefully and restarts them, one after the other. */
+const rollingRestart =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const all = [...c.world.of(kind)];
+  (context) => {
+    const machines = [...context.world.of(kind)];
     const work = async (): Promise<void> => {
-      for (const m of all) {
-        if (!m.up || m.incarnation.frozen) continue;
-        await stopGracefully(c, m);
-        await c.storm.delay(100 + c.rng() * 900);
-        c.tools.restart(m);
-        await c.storm.delay(2 * c.world.bounds.failureTimeout);
+      for (const machine of machines) {
+        if (!machine.up || machine.incarnation.frozen) continue;
+        await stopGracefully(context, machine);
+        await context.storm.delay(100 + context.rng() * 900);
+        context.tools.restart(machine);
+        await context.storm.delay(2 * context.world.bounds.failureTimeout);
       }
     };
-    if (kind !== 'front') return c.tools.runDiskLoss(work);
-    c.storm.track(work());
-    return all.map((m) => m.addr).join(' ');
+    if (kind !== 'front') return context.tools.runDiskLoss(work);
+    context.storm.track(work());
+    return machines.map((machine) => machine.addr).join(' ');
   };
 
-/** Most machines of a kind are killed at once. */
-const herd =
+/** Kills at least 60 percent of the machines of a kind at once. */
+const killMost =
   (kind: MachineKind, how: 'process' | 'power'): Fault =>
-  (c) => {
-    if (mustStay(c, kind)) return '';
-    const all = c.tools.up(kind);
-    const hit = all.slice(0, Math.ceil(all.length * 0.6));
-    for (const m of hit) c.tools.killFor(m, how, c.durationMs);
-    return hit.map((m) => m.addr).join(' ');
+  (context) => {
+    if (mustStayUp(context, kind)) return '';
+    const machines = context.tools.up(kind);
+    const killed = machines.slice(0, Math.ceil(machines.length * 0.6));
+    for (const machine of killed) context.tools.killFor(machine, how, context.durationMs);
+    return killed.map((machine) => machine.addr).join(' ');
   };
 
-/** All machines whose loss counts go at once and come back; fronts stay up. */
+/** Kills all controls and stores at once and restarts them; fronts stay up. */
 const coreDown =
   (how: 'process' | 'power'): Fault =>
-  (c) => {
-    if (c.tools.isDiskLost) return '';
-    for (const m of [...c.world.of('control'), ...c.world.of('store')]) {
-      m.kill(how);
-      c.tools.after(Math.min(c.durationMs, 1000) * (0.5 + c.rng() / 2), () => c.tools.restart(m));
+  (context) => {
+    if (context.tools.isDiskLost) return '';
+    for (const machine of [...context.world.of('control'), ...context.world.of('store')]) {
+      machine.kill(how);
+      context.tools.after(Math.min(context.durationMs, 1000) * (0.5 + context.rng() / 2), () =>
+        context.tools.restart(machine),
+      );
     }
     return 'controls and stores';
   };
 
-/** Right after a caller's work was done, those that hold it lose power. */
-const powerOnWork =
-  (whole: boolean): Fault =>
-  (c) => {
-    const { tools, storm, world: w } = c;
+/**
+ * Cuts the power right after a caller got its reply: of the slot's owner and of one of its replicas, or, with
+ * `wholeCore`, of all controls and stores.
+ */
+const powerLossAfterReply =
+  (wholeCore: boolean): Fault =>
+  (context) => {
+    const { tools, storm, world } = context;
     if (tools.armed || tools.isDiskLost) return '';
     tools.armed = true;
-    storm.onDone = (t) => {
+    storm.onDone = (reply) => {
       storm.onDone = undefined;
       tools.armed = false;
       if (tools.isDiskLost) return;
-      const s = w.committed;
-      const key = t.kind === 'call' ? opKeyOf(t.tenant, t.key) : `p/${rootProgramId(t.program)}`;
-      const slot = s?.slots[slotForKey(key, s.slots.length)];
-      const keepsIt = (m: Machine): boolean =>
-        m.front?.id === slot?.owner || m.store?.id === slot?.replicas[Math.floor(c.rng() * 3)];
-      const hit = w.machines.filter((m) => m.up && (whole ? m.kind !== 'front' : keepsIt(m)));
-      for (const m of hit) m.kill('power');
-      tools.after(500 + c.rng() * 3000, () => hit.forEach((m) => tools.restart(m)));
+      const state = world.committed;
+      const key =
+        reply.kind === 'call'
+          ? opKeyOf(reply.tenant, reply.key)
+          : `p/${rootProgramId(reply.program)}`;
+      const slot = state?.slots[slotForKey(key, state.slots.length)];
+      const storesReply = (machine: Machine): boolean =>
+        machine.front?.id === slot?.owner ||
+        machine.store?.id === slot?.replicas[Math.floor(context.rng() * 3)];
+      const killed = world.machines.filter(
+        (machine) => machine.up && (wholeCore ? machine.kind !== 'front' : storesReply(machine)),
+      );
+      for (const machine of killed) machine.kill('power');
+      tools.after(500 + context.rng() * 3000, () =>
+        killed.forEach((machine) => tools.restart(machine)),
+      );
     };
     return 'armed';
   };
 
-const proxy =
-  (what: 'kill' | 'freeze' | 'agent'): Fault =>
-  (c) => {
-    const m = pickRandom(c.rng, c.tools.up('front'));
-    if (!m) return '';
-    if (what === 'freeze') {
-      m.proxyIncarnation.frozen = true;
-      c.tools.after(c.durationMs, () => m.proxyIncarnation.wake());
-    } else if (what === 'kill') {
-      m.killProxy();
-      c.tools.after(c.durationMs, () => {
-        if (m.up && !m.front) m.restartProxy();
+const frontProcess =
+  (action: 'kill' | 'freeze' | 'agent'): Fault =>
+  (context) => {
+    const machine = pickRandom(context.rng, context.tools.up('front'));
+    if (!machine) return '';
+    if (action === 'freeze') {
+      machine.proxyIncarnation.frozen = true;
+      context.tools.after(context.durationMs, () => machine.proxyIncarnation.wake());
+    } else if (action === 'kill') {
+      machine.killProxy();
+      context.tools.after(context.durationMs, () => {
+        if (machine.up && !machine.front) machine.restartProxy();
       });
     } else {
-      m.killAgent();
-      c.tools.after(c.durationMs, () => {
-        if (m.up && !m.agent) m.restartAgent();
+      machine.killAgent();
+      context.tools.after(context.durationMs, () => {
+        if (machine.up && !machine.agent) machine.restartAgent();
       });
     }
-    return m.addr;
+    return machine.addr;
   };
 
-/** Everything stops at once and starts again. */
-const allDown =
+/** Kills all machines at once and restarts them. */
+const restartAll =
   (how: 'process' | 'power'): Fault =>
-  async (c) => {
-    if (c.tools.isDiskLost) return '';
-    await c.storm.restartAll(how);
+  async (context) => {
+    if (context.tools.isDiskLost) return '';
+    await context.storm.restartAll(how);
     return 'all';
   };
 
-/** These faults by name. */
+/** The machine faults, by the names that plans use. */
 export const machineFaults: FaultTable = new Map<string, Fault>([
   ...kinds.flatMap((kind): [string, Fault][] => [
     [`kill-${kind}`, kill(kind, 'process')],
     [`power-${kind}`, kill(kind, 'power')],
     [`freeze-${kind}`, freeze(kind)],
-    [`sluggish-${kind}`, slow(kind)],
-    [`roll-${kind}`, roll(kind)],
+    [`sluggish-${kind}`, slowDown(kind)],
+    [`roll-${kind}`, rollingRestart(kind)],
   ]),
-  ['herd-kill-front', herd('front', 'process')],
-  ['herd-power-front', herd('front', 'power')],
+  ['herd-kill-front', killMost('front', 'process')],
+  ['herd-power-front', killMost('front', 'power')],
   ['core-killed', coreDown('process')],
   ['core-power', coreDown('power')],
-  ['power-on-ack', powerOnWork(false)],
-  ['core-power-on-ack', powerOnWork(true)],
-  ['kill-proxy', proxy('kill')],
-  ['freeze-proxy', proxy('freeze')],
-  ['kill-agent', proxy('agent')],
-  ['all-down', allDown('power')],
-  ['all-killed', allDown('process')],
+  ['power-on-ack', powerLossAfterReply(false)],
+  ['core-power-on-ack', powerLossAfterReply(true)],
+  ['kill-proxy', frontProcess('kill')],
+  ['freeze-proxy', frontProcess('freeze')],
+  ['kill-agent', frontProcess('agent')],
+  ['all-down', restartAll('power')],
+  ['all-killed', restartAll('process')],
 ]);
--- a/packages/sim/src/faults-members.ts
+++ b/packages/sim/src/faults-members.ts
@@ -1,4 +1,4 @@
-/** Faults and works that change which machines there are: added, replaced, emptied, drained; settings read again. */
+/** Membership faults of storms: machines are added, replaced, emptied, drained or removed, and settings reloaded. */
 import type { Machine } from './machine.js';
 import {
   pickRandom,
@@ -8,189 +8,196 @@
   type MachineKind,
 } from './storm-fault.js';
 
-const replace =
+const replaceOne =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m) return '';
-    return c.tools.runDiskLoss(() => c.tools.replaceMachine(m)) && m.addr;
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine) return '';
+    return context.tools.runDiskLoss(() => context.tools.replaceMachine(machine)) && machine.addr;
   };
 
-const replaceSeeds: Fault = (c) =>
-  c.tools.runDiskLoss(async () => {
-    for (const m of c.world.of('control').slice(0, 3)) await c.tools.replaceMachine(m);
+const replaceSeeds: Fault = (context) =>
+  context.tools.runDiskLoss(async () => {
+    for (const machine of context.world.of('control').slice(0, 3))
+      await context.tools.replaceMachine(machine);
   });
 
-/** The new machine starts first; then the old one is told to stop and does not come back. */
-const planned =
+/** A planned replacement: a new machine starts first, then the old one stops gracefully and is removed. */
+const replacePlanned =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const old = c.tools.target(c, kind);
-    if (!old) return '';
-    const started = c.tools.runDiskLoss(async () => {
-      c.world.add(kind).start();
-      await c.storm.delay(2 * c.world.bounds.failureTimeout);
-      if (!old.up) c.tools.restart(old);
+  (context) => {
+    const leaving = context.tools.target(context, kind);
+    if (!leaving) return '';
+    const started = context.tools.runDiskLoss(async () => {
+      context.world.add(kind).start();
+      await context.storm.delay(2 * context.world.bounds.failureTimeout);
+      if (!leaving.up) context.tools.restart(leaving);
       await Promise.race([
-        old.stopGracefully().catch(() => undefined),
-        c.storm.delay(2 * c.world.bounds.failureTimeout),
+        leaving.stopGracefully().catch(() => undefined),
+        context.storm.delay(2 * context.world.bounds.failureTimeout),
       ]);
-      if (old.up) old.kill('power');
-      c.world.remove(old);
-      await c.tools.untilReplicated(kind);
+      if (leaving.up) leaving.kill('power');
+      context.world.remove(leaving);
+      await context.tools.untilReplicated(kind);
     });
-    return started && old.addr;
+    return started && leaving.addr;
   };
 
-const isEmpty = (c: FaultContext, id: string): boolean => {
-  const s = c.world.committed;
+/** Whether a store is retiring and no slot has a replica on it. */
+const isEmpty = (context: FaultContext, id: string): boolean => {
+  const state = context.world.committed;
   return (
-    s !== undefined &&
-    s.retiring.has(id) &&
-    s.slots.every((x) => x.joiningReplicas.length === 0 && !x.replicas.includes(id))
+    state !== undefined &&
+    state.retiring.has(id) &&
+    state.slots.every((slot) => slot.joiningReplicas.length === 0 && !slot.replicas.includes(id))
   );
 };
 
+/** Sends a request to the master until the status is 200, at most 120 times. */
 const requestUntilAccepted = async (
-  c: FaultContext,
+  context: FaultContext,
   method: string,
   path: string,
 ): Promise<void> => {
-  for (let n = 0; n < 120; n++) {
-    const r = await c.storm.operate(c.world.master, method, path);
-    if (r?.status === 200) return;
-    await c.storm.delay(500);
+  for (let attempt = 0; attempt < 120; attempt++) {
+    const response = await context.storm.operate(context.world.master, method, path);
+    if (response?.status === 200) return;
+    await context.storm.delay(500);
   }
 };
 
-const emptyStore = async (c: FaultContext, old: Machine): Promise<void> => {
-  c.world.add('store').start();
-  await requestUntilAccepted(c, 'POST', `/v1/stores/${old.addr}/empty`);
-  const id = old.store?.id ?? 'none';
-  for (let n = 0; n < 300 && !isEmpty(c, id); n++) await c.storm.delay(200);
-  if (!isEmpty(c, id)) throw new Error('a store was not emptied in time');
-  old.kill('power');
-  c.world.remove(old);
+/** Adds a store, empties another one and removes it; throws if the store is not emptied in time. */
+const emptyStore = async (context: FaultContext, leaving: Machine): Promise<void> => {
+  context.world.add('store').start();
+  await requestUntilAccepted(context, 'POST', `/v1/stores/${leaving.addr}/empty`);
+  const id = leaving.store?.id ?? 'none';
+  for (let attempt = 0; attempt < 300 && !isEmpty(context, id); attempt++)
+    await context.storm.delay(200);
+  if (!isEmpty(context, id))
+    throw new Error(`store ${leaving.addr} (${id}) was not emptied in time`);
+  leaving.kill('power');
+  context.world.remove(leaving);
 };
 
-/** A store is emptied and goes; with `thenWipe` another one loses its disk right after. */
-const empty =
+/** A store is emptied and removed; with `thenWipe`, another store loses its disk right after. */
+const emptyOne =
   (thenWipe: boolean): Fault =>
-  (c) =>
-    c.tools.runDiskLoss(async () => {
-      const old = pickRandom(c.rng, c.tools.up('store'));
-      if (!old) return;
-      await emptyStore(c, old);
-      const other = thenWipe ? pickRandom(c.rng, c.tools.up('store')) : undefined;
-      if (other) await c.tools.wipe(other, c.durationMs);
+  (context) =>
+    context.tools.runDiskLoss(async () => {
+      const leaving = pickRandom(context.rng, context.tools.up('store'));
+      if (!leaving) return;
+      await emptyStore(context, leaving);
+      const other = thenWipe ? pickRandom(context.rng, context.tools.up('store')) : undefined;
+      if (other) await context.tools.wipe(other, context.durationMs);
     });
 
-const mostSpares = 2;
+const maxSpares = 2;
 
-const add =
-  (kind: MachineKind, most: number): Fault =>
-  (c) => {
-    if (c.world.of(kind).length >= most) return '';
-    c.world.add(kind).start();
+const addMachine =
+  (kind: MachineKind, maxMachines: number): Fault =>
+  (context) => {
+    if (context.world.of(kind).length >= maxMachines) return '';
+    context.world.add(kind).start();
     return 'added';
   };
 
-/** A machine is added and goes again without a word. */
+/** A machine is added and later killed and removed without notice, unless it has become a voter. */
 const addAndKill =
   (kind: MachineKind): Fault =>
-  (c) => {
+  (context) => {
     const spares =
-      c.world.of(kind).length -
-      (kind === 'control' ? (c.world.committed?.voters.current.length ?? Infinity) : 0);
-    if (spares >= mostSpares) return '';
-    const m = c.world.add(kind);
-    m.start();
-    c.tools.after(c.durationMs, () => {
+      context.world.of(kind).length -
+      (kind === 'control' ? (context.world.committed?.voters.current.length ?? Infinity) : 0);
+    if (spares >= maxSpares) return '';
+    const machine = context.world.add(kind);
+    machine.start();
+    context.tools.after(context.durationMs, () => {
       if (
-        !c.world.machines.includes(m) ||
-        c.world.committed?.voters.next.includes(m.control?.id ?? '') !== false
+        !context.world.machines.includes(machine) ||
+        context.world.committed?.voters.next.includes(machine.control?.id ?? '') !== false
       )
         return;
-      m.kill();
-      c.world.remove(m);
+      machine.kill();
+      context.world.remove(machine);
     });
-    return m.addr;
+    return machine.addr;
   };
 
-/** A front stops in order and is removed. */
-const removeFront: Fault = (c) => {
-  const m = pickRandom(c.rng, c.tools.up('front'));
-  if (!m || c.world.of('front').length < 3) return '';
-  c.storm.track(
+/** A front stops gracefully and is removed. */
+const removeFront: Fault = (context) => {
+  const machine = pickRandom(context.rng, context.tools.up('front'));
+  if (!machine || context.world.of('front').length < 3) return '';
+  context.storm.track(
     (async () => {
       await Promise.race([
-        m.stopGracefully().catch(() => undefined),
-        c.storm.delay(6 * c.world.bounds.heartbeatInterval),
+        machine.stopGracefully().catch(() => undefined),
+        context.storm.delay(6 * context.world.bounds.heartbeatInterval),
       ]);
-      if (m.up) m.kill();
-      c.world.remove(m);
+      if (machine.up) machine.kill();
+      context.world.remove(machine);
     })(),
   );
-  return m.addr;
+  return machine.addr;
 };
 
-const drainFront: Fault = (c) => {
-  const m = pickRandom(c.rng, c.tools.up('front'));
-  const master = c.world.master;
-  if (!m?.front || !master?.control || c.world.of('front').length < 3) return '';
-  const path = `/v1/fronts/${m.addr}/drain`;
+/** An operator drains a front, and cancels the draining later. */
+const drainFront: Fault = (context) => {
+  const machine = pickRandom(context.rng, context.tools.up('front'));
+  const master = context.world.master;
+  if (!machine?.front || !master?.control || context.world.of('front').length < 3) return '';
+  const path = `/v1/fronts/${machine.addr}/drain`;
   void master.control.operate({ method: 'POST', path, body: '' });
-  c.tools.after(c.durationMs, () => {
+  context.tools.after(context.durationMs, () => {
     void (async () => {
-      for (let n = 0; n < 60; n++) {
-        const r = await c.storm.operate(c.world.master, 'DELETE', path);
-        if (r?.status === 200 || r?.status === 404) return;
-        await c.storm.delay(1000);
+      for (let attempt = 0; attempt < 60; attempt++) {
+        const response = await context.storm.operate(context.world.master, 'DELETE', path);
+        if (response?.status === 200 || response?.status === 404) return;
+        await context.storm.delay(1000);
       }
     })();
   });
-  return m.addr;
+  return machine.addr;
 };
 
-/** The settings name other controls for seeds, and all running machines read them again. */
-const seedTurnover: Fault = (c) => {
-  const controls = [...c.tools.up('control')].reverse().map((m) => m.addr);
+/** The settings name other controls as seeds, and all running machines reload them. */
+const seedTurnover: Fault = (context) => {
+  const controls = [...context.tools.up('control')].reverse().map((machine) => machine.addr);
   if (controls.length < 3) return '';
-  c.world.namedSeeds = controls.slice(0, 3);
-  for (const m of c.world.machines)
-    if (m.up) m.incarnation.do(() => m.reload(c.world.configuredBounds));
-  c.tools.after(c.durationMs, () => {
-    c.world.namedSeeds = undefined;
+  context.world.namedSeeds = controls.slice(0, 3);
+  for (const machine of context.world.machines)
+    if (machine.up) machine.incarnation.do(() => machine.reload(context.world.configuredBounds));
+  context.tools.after(context.durationMs, () => {
+    context.world.namedSeeds = undefined;
   });
   return controls.slice(0, 3).join(' ');
 };
 
-/** Some machines read changed bounds while they run, and the old ones again later. */
-const reload: Fault = (c) => {
-  const { configuredBounds } = c.world;
-  const heartbeatInterval = configuredBounds.heartbeatInterval * (0.7 + c.rng() * 0.3);
-  const some = c.world.machines.filter((m) => m.up && c.rng() < 0.3);
-  for (const m of some)
-    m.incarnation.do(() => m.reload({ ...configuredBounds, heartbeatInterval }));
-  c.tools.after(c.durationMs, () => {
-    for (const m of some) m.incarnation.do(() => m.reload(configuredBounds));
+/** Some running machines reload their settings with a shorter heartbeat interval, and later with the original one. */
+const reloadSettings: Fault = (context) => {
+  const { configuredBounds } = context.world;
+  const heartbeatInterval = configuredBounds.heartbeatInterval * (0.7 + context.rng() * 0.3);
+  const reloaded = context.world.machines.filter((machine) => machine.up && context.rng() < 0.3);
+  for (const machine of reloaded)
+    machine.incarnation.do(() => machine.reload({ ...configuredBounds, heartbeatInterval }));
+  context.tools.after(context.durationMs, () => {
+    for (const machine of reloaded) machine.incarnation.do(() => machine.reload(configuredBounds));
   });
-  return some.map((m) => m.addr).join(' ');
+  return reloaded.map((machine) => machine.addr).join(' ');
 };
 
-/** These faults by name. */
+/** The membership faults, by the names that plans use. */
 export const membershipFaults: FaultTable = new Map<string, Fault>([
-  ['swap-control', replace('control')],
-  ['swap-store', replace('store')],
+  ['swap-control', replaceOne('control')],
+  ['swap-store', replaceOne('store')],
   ['swap-seeds', replaceSeeds],
-  ['planned-control', planned('control')],
-  ['planned-store', planned('store')],
-  ['empty-store', empty(false)],
-  ['empty-then-wipe', empty(true)],
-  ['add-front', add('front', 5)],
+  ['planned-control', replacePlanned('control')],
+  ['planned-store', replacePlanned('store')],
+  ['empty-store', emptyOne(false)],
+  ['empty-then-wipe', emptyOne(true)],
+  ['add-front', addMachine('front', 5)],
   ['add-control', addAndKill('control')],
   ['remove-front', removeFront],
   ['drain-front', drainFront],
   ['seed-turnover', seedTurnover],
-  ['reload-settings', reload],
+  ['reload-settings', reloadSettings],
 ]);
--- a/packages/sim/src/faults-network.ts
+++ b/packages/sim/src/faults-network.ts
@@ -1,4 +1,4 @@
-/** Faults of the network: cuts of every form, connections reset, messages late and lost. */
+/** Network faults of storms: partitions of every form, reset connections, and late or lost messages. */
 import type { Machine } from './machine.js';
 import type { CutEffect } from './sim-net.js';
 import {
@@ -11,130 +11,137 @@
 
 const kinds: readonly MachineKind[] = ['control', 'store', 'front'];
 
-const cut =
-  (kind: MachineKind, manner: CutEffect): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m || (kind === 'store' && c.tools.isDiskLost)) return '';
-    c.tools.isolate([m], c.durationMs, 'both', manner);
-    return m.addr;
+const isolateMachine =
+  (kind: MachineKind, effect: CutEffect): Fault =>
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine || (kind === 'store' && context.tools.isDiskLost)) return '';
+    context.tools.isolate([machine], context.durationMs, 'both', effect);
+    return machine.addr;
   };
 
-const oneWay =
+const isolateOneWay =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m) return '';
-    c.tools.isolate([m], c.durationMs, c.rng() < 0.5 ? 'out' : 'in');
-    return m.addr;
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine) return '';
+    context.tools.isolate([machine], context.durationMs, context.rng() < 0.5 ? 'out' : 'in');
+    return machine.addr;
   };
 
-/** The controls in an order that differs from fault to fault. */
-const shuffled = (c: FaultContext): readonly Machine[] =>
-  [...c.world.of('control')].sort(
-    (a, b) => ((a.index * 7 + c.index) % 5) - ((b.index * 7 + c.index) % 5),
+/** The controls in an order that depends on the fault's index in the plan. */
+const shuffledControls = (context: FaultContext): readonly Machine[] =>
+  [...context.world.of('control')].sort(
+    (a, b) => ((a.index * 7 + context.index) % 5) - ((b.index * 7 + context.index) % 5),
   );
 
+/** Cuts a share of the controls off from all other machines. */
 const splitControls =
   (share: number): Fault =>
-  (c) => {
-    const all = shuffled(c);
-    c.tools.isolate(all.slice(0, Math.floor(all.length * share)), c.durationMs);
+  (context) => {
+    const controls = shuffledControls(context);
+    context.tools.isolate(
+      controls.slice(0, Math.floor(controls.length * share)),
+      context.durationMs,
+    );
     return 'cut';
   };
 
-/** A minority of the controls is cut off, and machines are restarted with those as their seeds. */
-const cutSeeds: Fault = (c) => {
-  const all = shuffled(c);
-  const away = all.slice(0, Math.floor((all.length - 1) / 2));
+/** A minority of the controls is cut off, and one front or store is restarted with these as its first seeds. */
+const cutSeeds: Fault = (context) => {
+  const controls = shuffledControls(context);
+  const minority = controls.slice(0, Math.floor((controls.length - 1) / 2));
   const restarted = pickRandom(
-    c.rng,
-    [...c.tools.up('front'), ...c.tools.up('store')].filter(() => !c.tools.isDiskLost),
+    context.rng,
+    [...context.tools.up('front'), ...context.tools.up('store')].filter(
+      () => !context.tools.isDiskLost,
+    ),
   );
-  if (away.length === 0 || !restarted) return '';
-  c.world.namedSeeds = [...away, ...all].slice(0, 3).map((m) => m.addr);
-  c.tools.isolate(away, c.durationMs);
-  c.tools.killFor(restarted, 'process', 300);
-  c.tools.after(c.durationMs, () => {
-    c.world.namedSeeds = undefined;
+  if (minority.length === 0 || !restarted) return '';
+  context.world.namedSeeds = [...minority, ...controls].slice(0, 3).map((machine) => machine.addr);
+  context.tools.isolate(minority, context.durationMs);
+  context.tools.killFor(restarted, 'process', 300);
+  context.tools.after(context.durationMs, () => {
+    context.world.namedSeeds = undefined;
   });
-  return `${away.map((m) => m.addr).join(' ')}, restarted ${restarted.addr}`;
+  return `${minority.map((machine) => machine.addr).join(' ')}, restarted ${restarted.addr}`;
 };
 
-/** A minority of the controls is cut off and restarted, then the others are. */
-const cutBoth: Fault = (c) => {
-  const all = shuffled(c);
-  const away = all.slice(0, Math.floor((all.length - 1) / 2));
-  if (away.length === 0 || c.tools.isDiskLost) return '';
-  c.tools.isolate(away, c.durationMs);
-  for (const m of away) if (m.up) c.tools.killFor(m, 'process', 200);
-  c.tools.after(c.durationMs / 2, () => {
-    for (const m of all) if (m.up && !away.includes(m)) c.tools.killFor(m, 'process', 200);
+/** A minority of the controls is cut off and restarted, then the other controls are restarted. */
+const cutAndRestartControls: Fault = (context) => {
+  const controls = shuffledControls(context);
+  const minority = controls.slice(0, Math.floor((controls.length - 1) / 2));
+  if (minority.length === 0 || context.tools.isDiskLost) return '';
+  context.tools.isolate(minority, context.durationMs);
+  for (const machine of minority) if (machine.up) context.tools.killFor(machine, 'process', 200);
+  context.tools.after(context.durationMs / 2, () => {
+    for (const machine of controls)
+      if (machine.up && !minority.includes(machine)) context.tools.killFor(machine, 'process', 200);
   });
-  return away.map((m) => m.addr).join(' ');
+  return minority.map((machine) => machine.addr).join(' ');
 };
 
-/** A machine is cut off from all controls and stores, not from fronts and servers. */
-const cutFromCore: Fault = (c) => {
-  const m = pickRandom(c.rng, c.tools.up('front'));
-  if (!m) return '';
-  c.tools.isolate([m], c.durationMs, 'both', 'silent', ['control', 'store']);
-  return m.addr;
+/** A front is cut off from all controls and stores, but not from fronts and servers. */
+const cutFromCore: Fault = (context) => {
+  const machine = pickRandom(context.rng, context.tools.up('front'));
+  if (!machine) return '';
+  context.tools.isolate([machine], context.durationMs, 'both', 'silent', ['control', 'store']);
+  return machine.addr;
 };
 
-/** A front reaches some servers no longer, while others do. */
-const cutFromServers: Fault = (c) => {
-  const m = pickRandom(c.rng, c.tools.up('front'));
-  if (!m) return '';
-  const pair = `${m.addr}>${c.server}`;
-  c.world.servers.cutFronts.add(pair);
-  c.tools.after(c.durationMs, () => c.world.servers.cutFronts.delete(pair));
+/** One front can no longer connect to one server, while the other fronts can. */
+const cutFromServers: Fault = (context) => {
+  const machine = pickRandom(context.rng, context.tools.up('front'));
+  if (!machine) return '';
+  const pair = `${machine.addr}>${context.server}`;
+  context.world.servers.cutFronts.add(pair);
+  context.tools.after(context.durationMs, () => context.world.servers.cutFronts.delete(pair));
   return pair;
 };
 
-/** Half of a machine's connections are reset, several times. */
+/** Half of a machine's connections are reset, five times over the duration. */
 const resetConnections =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m) return '';
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine) return '';
     const share = 0.5;
-    for (let n = 0; n < 5; n++)
-      c.tools.after((c.durationMs / 5) * n, () => {
-        c.world.net.reset(m.addr, share);
-        c.world.net.reset(`${m.addr}/data`, share);
+    for (let i = 0; i < 5; i++)
+      context.tools.after((context.durationMs / 5) * i, () => {
+        context.world.net.reset(machine.addr, share);
+        context.world.net.reset(`${machine.addr}/data`, share);
       });
-    return m.addr;
+    return machine.addr;
   };
 
-/** Messages are late, so that later ones overtake them, and some are lost. */
-const lossy: Fault = (c) => {
-  const { net } = c.world;
-  const fate = (): { lost: boolean; extraDelayMs: number; duplicates: number } => ({
-    lost: c.rng() < 0.02,
-    extraDelayMs: c.rng() < 0.1 ? c.rng() * 300 : 0,
+/** One message in ten is delayed, so that later ones may overtake it, and one in fifty is lost. */
+const lossy: Fault = (context) => {
+  const { net } = context.world;
+  const deliveryFaults = (): { lost: boolean; extraDelayMs: number; duplicates: number } => ({
+    lost: context.rng() < 0.02,
+    extraDelayMs: context.rng() < 0.1 ? context.rng() * 300 : 0,
     duplicates: 0,
   });
-  net.deliveryFaults = fate;
-  c.tools.after(c.durationMs, () => {
-    if (net.deliveryFaults === fate) net.deliveryFaults = undefined;
+  net.deliveryFaults = deliveryFaults;
+  context.tools.after(context.durationMs, () => {
+    if (net.deliveryFaults === deliveryFaults) net.deliveryFaults = undefined;
   });
   return 'all';
 };
 
-/** These faults by name. */
+/** The network faults, by the names that plans use. */
 export const networkFaults: FaultTable = new Map<string, Fault>([
   ...kinds.flatMap((kind): [string, Fault][] => [
-    [`cut-${kind}`, cut(kind, 'silent')],
-    [`oneway-${kind}`, oneWay(kind)],
+    [`cut-${kind}`, isolateMachine(kind, 'silent')],
+    [`oneway-${kind}`, isolateOneWay(kind)],
     [`reset-${kind}`, resetConnections(kind)],
   ]),
-  ['cut-reset', cut('control', 'reset')],
-  ['cut-refuse', cut('control', 'refuse')],
+  ['cut-reset', isolateMachine('control', 'reset')],
+  ['cut-refuse', isolateMachine('control', 'refuse')],
   ['split-controls', splitControls(0.5)],
   ['isolate-controls', splitControls(1)],
   ['cut-seeds', cutSeeds],
-  ['cut-both', cutBoth],
+  ['cut-both', cutAndRestartControls],
   ['cut-from-core', cutFromCore],
   ['cut-from-servers', cutFromServers],
   ['lossy', lossy],
--- a/packages/sim/src/faults-operator.ts
+++ b/packages/sim/src/faults-operator.ts
@@ -1,144 +1,163 @@
-/** What operators and callers do to a system: changes, races, bad ones, crowds; answers lost; losses at a change. */
+/**
+ * Storm faults around operators and callers: concurrent and invalid configuration changes, bursts of calls, lost
+ * answers, and machine failures during a change.
+ */
 import type { Machine } from './machine.js';
 import type { Fault, FaultContext, FaultTable } from './storm-fault.js';
 
+/** Runs work several times, with pauses of 100 to 1000 ms. */
 const repeated =
-  (n: number, run: (c: FaultContext) => Promise<void>): Fault =>
-  (c) => {
-    c.storm.track(
+  (count: number, run: (context: FaultContext) => Promise<void>): Fault =>
+  (context) => {
+    context.storm.track(
       (async () => {
-        for (let i = 0; i < n; i++) {
-          await run(c);
-          await c.storm.delay(100 + c.rng() * 900);
+        for (let i = 0; i < count; i++) {
+          await run(context);
+          await context.storm.delay(100 + context.rng() * 900);
         }
       })(),
     );
-    return `${n}`;
+    return `${count}`;
   };
 
-const race: Fault = (c) => {
-  c.storm.track(Promise.all([c.storm.reconfigure(), c.storm.reconfigure()]));
+const concurrentChanges: Fault = (context) => {
+  context.storm.track(Promise.all([context.storm.reconfigure(), context.storm.reconfigure()]));
   return 'two';
 };
 
-const crowd: Fault = (c) => {
+const burstOfChats: Fault = (context) => {
   const chats = 30;
-  for (let i = 0; i < chats; i++) c.storm.beginChat();
+  for (let i = 0; i < chats; i++) context.storm.beginChat();
   return `${chats} chats`;
 };
 
-const urgentCalls: Fault = (c) => {
-  c.storm.track(c.storm.sendUrgentCalls(60));
+const urgentCalls: Fault = (context) => {
+  context.storm.track(context.storm.sendUrgentCalls(60));
   return '60 urgent calls';
 };
 
-/** Most answers to operators are lost for a time, and the changes sent again, to other machines first. */
-const loseAnswers: Fault = (c) => {
-  c.storm.lostAnswers.share = 0.7;
-  c.storm.track(c.storm.reconfigure());
-  c.tools.after(c.durationMs, () => {
-    c.storm.lostAnswers.share = 0;
+/** For the duration, 70 percent of the answers to operators are lost; their changes are resent to other controls. */
+const loseOperatorAnswers: Fault = (context) => {
+  context.storm.lostAnswers.share = 0.7;
+  context.storm.track(context.storm.reconfigure());
+  context.tools.after(context.durationMs, () => {
+    context.storm.lostAnswers.share = 0;
   });
   return 'operators';
 };
 
-type Strike = (c: FaultContext, m: Machine) => void;
+/** Causes a fault of one machine. */
+type MachineFault = (context: FaultContext, machine: Machine) => void;
 
-const powerOff: Strike = (c, m) => c.tools.killFor(m, 'power', c.durationMs);
-const processKilled: Strike = (c, m) => c.tools.killFor(m, 'process', c.durationMs);
-const diskLost: Strike = (c, m) => {
-  if (m.kind !== 'front') c.tools.runDiskLoss(() => c.tools.wipe(m, c.durationMs));
+const powerOff: MachineFault = (context, machine) =>
+  context.tools.killFor(machine, 'power', context.durationMs);
+const killProcess: MachineFault = (context, machine) =>
+  context.tools.killFor(machine, 'process', context.durationMs);
+const loseDisk: MachineFault = (context, machine) => {
+  if (machine.kind !== 'front')
+    context.tools.runDiskLoss(() => context.tools.wipe(machine, context.durationMs));
 };
 
-/** The machine that took a change is struck right after it was acknowledged, or at a time after it was sent. */
+/**
+ * Causes a fault at the control that an operator sent a change to: within 4 ms of the acknowledgement, or 5 to 400 ms
+ * after the change was sent.
+ */
 const atChange =
-  (strike: Strike, when: 'acknowledged' | 'timed'): Fault =>
-  (c) => {
-    const { storm, tools } = c;
+  (causeFault: MachineFault, timing: 'acknowledged' | 'timed'): Fault =>
+  (context) => {
+    const { storm, tools } = context;
     if (storm.onChange || tools.isDiskLost) return '';
-    const hit = (m: Machine): void => {
-      if (m.up && !tools.isDiskLost) strike(c, m);
+    const causeIfUp = (machine: Machine): void => {
+      if (machine.up && !tools.isDiskLost) causeFault(context, machine);
     };
-    storm.onChange = (m, answered) => {
+    storm.onChange = (machine, answered) => {
       storm.onChange = undefined;
-      if (!m) return;
-      if (when === 'timed') {
-        tools.after(5 + c.rng() * 395, () => hit(m));
+      if (!machine) return;
+      if (timing === 'timed') {
+        tools.after(5 + context.rng() * 395, () => causeIfUp(machine));
         return;
       }
-      void answered.then((r) => {
-        if (r?.status === 200) tools.after(c.rng() * 4, () => hit(m));
+      void answered.then((response) => {
+        if (response?.status === 200) tools.after(context.rng() * 4, () => causeIfUp(machine));
       });
     };
     storm.track(storm.reconfigure());
-    return when;
+    return timing;
   };
 
-/** A control that was killed gets a change as soon as it is back, again and again until it answers. */
+/** A killed control is sent changes as soon as it has restarted. */
 const changeAtReturn =
   (changes: number): Fault =>
-  (c) => {
-    const m = c.tools.target(c, 'control');
-    if (!m) return '';
-    m.kill();
-    c.tools.after(Math.min(c.durationMs, 2000), () => {
-      c.tools.restart(m);
-      c.storm.track(
+  (context) => {
+    const machine = context.tools.target(context, 'control');
+    if (!machine) return '';
+    machine.kill();
+    context.tools.after(Math.min(context.durationMs, 2000), () => {
+      context.tools.restart(machine);
+      context.storm.track(
         (async () => {
-          for (let n = 0; n < 20 && !m.control; n++) await c.storm.delay(5);
-          await Promise.all(Array.from({ length: changes }, () => c.storm.reconfigure(1, m)));
+          for (let attempt = 0; attempt < 20 && !machine.control; attempt++)
+            await context.storm.delay(5);
+          await Promise.all(
+            Array.from({ length: changes }, () => context.storm.reconfigure(1, machine)),
+          );
         })(),
       );
     });
-    return m.addr;
+    return machine.addr;
   };
 
-/** A control that is cut off gets changes during the cut. */
+/** A control that is cut off is sent changes at a random time during the partition. */
 const changeDuringCut =
   (changes: number): Fault =>
-  (c) => {
-    const m = c.tools.target(c, 'control');
-    if (!m) return '';
-    c.tools.isolate([m], c.durationMs);
-    c.storm.track(
+  (context) => {
+    const machine = context.tools.target(context, 'control');
+    if (!machine) return '';
+    context.tools.isolate([machine], context.durationMs);
+    context.storm.track(
       (async () => {
-        await c.storm.delay(c.rng() * c.durationMs);
-        await Promise.all(Array.from({ length: changes }, () => c.storm.reconfigure(1, m)));
+        await context.storm.delay(context.rng() * context.durationMs);
+        await Promise.all(
+          Array.from({ length: changes }, () => context.storm.reconfigure(1, machine)),
+        );
       })(),
     );
-    return m.addr;
+    return machine.addr;
   };
 
-/** Soon after a control is back, a server leaves. */
-const drainAtReturn: Fault = (c) => {
-  const m = c.tools.target(c, 'control');
-  if (!m) return '';
-  m.kill();
-  c.tools.after(Math.min(c.durationMs, 2000), () => {
-    c.tools.restart(m);
-    c.storm.drainServer(c.server);
+/** A server is drained as soon as a killed control is restarted. */
+const drainAtReturn: Fault = (context) => {
+  const machine = context.tools.target(context, 'control');
+  if (!machine) return '';
+  machine.kill();
+  context.tools.after(Math.min(context.durationMs, 2000), () => {
+    context.tools.restart(machine);
+    context.storm.drainServer(context.server);
   });
-  return m.addr;
+  return machine.addr;
 };
 
-/** These faults by name. */
+/** The faults around operators and callers, by the names that plans use. */
 export const operatorFaults: FaultTable = new Map<string, Fault>([
-  ['config', repeated(1, (c) => c.storm.reconfigure())],
-  ['many-configs', repeated(8, (c) => c.storm.reconfigure())],
-  ['grow', repeated(1, (c) => c.storm.reconfigure(150))],
-  ['bad-config', repeated(3, (c) => c.storm.sendInvalidConfig(Math.floor(c.rng() * 1000)))],
-  ['race', race],
-  ['crowd', crowd],
+  ['config', repeated(1, (context) => context.storm.reconfigure())],
+  ['many-configs', repeated(8, (context) => context.storm.reconfigure())],
+  ['grow', repeated(1, (context) => context.storm.reconfigure(150))],
+  [
+    'bad-config',
+    repeated(3, (context) => context.storm.sendInvalidConfig(Math.floor(context.rng() * 1000))),
+  ],
+  ['race', concurrentChanges],
+  ['crowd', burstOfChats],
   ['pile-up', urgentCalls],
-  ['lose-operator-answers', loseAnswers],
+  ['lose-operator-answers', loseOperatorAnswers],
   ['meet-return', changeAtReturn(1)],
   ['meet-return-race', changeAtReturn(2)],
   ['meet-cut', changeDuringCut(1)],
   ['meet-cut-race', changeDuringCut(2)],
   ['leave-at-return', drainAtReturn],
   ['power-on-change', atChange(powerOff, 'acknowledged')],
-  ['kill-on-change', atChange(processKilled, 'acknowledged')],
-  ['wipe-on-change', atChange(diskLost, 'acknowledged')],
+  ['kill-on-change', atChange(killProcess, 'acknowledged')],
+  ['wipe-on-change', atChange(loseDisk, 'acknowledged')],
   ['power-timed', atChange(powerOff, 'timed')],
-  ['wipe-timed', atChange(diskLost, 'timed')],
+  ['wipe-timed', atChange(loseDisk, 'timed')],
 ]);
--- a/packages/sim/src/faults-server.ts
+++ b/packages/sim/src/faults-server.ts
@@ -1,121 +1,131 @@
-/** Faults of servers: lost and spoiled answers, silence, resets, refusals, coming and going. */
+/** Server faults of storms: lost or corrupt responses, silence, resets, refusals, and servers that come and go. */
 import type { ServerFaults } from './server-faults.js';
 import type { Fault, FaultContext, FaultTable } from './storm-fault.js';
 
 const drainingMs = 4000;
 
-/** One server is in trouble for a time. */
+/** Sets faults of one server for the duration. */
 const serverFault =
-  (f: Partial<ServerFaults>): Fault =>
-  (c) => {
-    c.world.servers.set(c.server, f);
-    c.tools.after(c.durationMs, () => c.world.servers.heal(c.server));
-    return c.server;
+  (faults: Partial<ServerFaults>): Fault =>
+  (context) => {
+    context.world.servers.set(context.server, faults);
+    context.tools.after(context.durationMs, () => context.world.servers.heal(context.server));
+    return context.server;
   };
 
-/** A server is well and unwell by turns. */
-const flapping: Fault = (c) => {
-  const turns = 8;
-  for (let n = 0; n < turns; n++)
-    c.tools.after((c.durationMs / turns) * n, () => {
-      if (n % 2 === 0) c.world.servers.set(c.server, { refuses: true });
-      else c.world.servers.heal(c.server);
+/** A server refuses connections and recovers in alternating phases. */
+const flapping: Fault = (context) => {
+  const phases = 8;
+  for (let phase = 0; phase < phases; phase++)
+    context.tools.after((context.durationMs / phases) * phase, () => {
+      if (phase % 2 === 0) context.world.servers.set(context.server, { refuses: true });
+      else context.world.servers.heal(context.server);
     });
-  c.tools.after(c.durationMs, () => c.world.servers.heal(c.server));
-  return c.server;
+  context.tools.after(context.durationMs, () => context.world.servers.heal(context.server));
+  return context.server;
 };
 
-/** All servers of a pool that may be in trouble refuse at once. */
-const allRefuse: Fault = (c) => {
-  const pool = c.server.startsWith('m') ? ['m1', 'm2'] : ['s1', 's2'];
-  for (const id of pool) c.world.servers.set(id, { refuses: true });
-  c.tools.after(Math.min(c.durationMs, 3000), () => pool.forEach((id) => c.world.servers.heal(id)));
+/** All servers of a pool that faults may affect refuse connections at once, for 3 s at most. */
+const poolRefuses: Fault = (context) => {
+  const pool = context.server.startsWith('m') ? ['m1', 'm2'] : ['s1', 's2'];
+  for (const id of pool) context.world.servers.set(id, { refuses: true });
+  context.tools.after(Math.min(context.durationMs, 3000), () =>
+    pool.forEach((id) => context.world.servers.heal(id)),
+  );
   return pool.join(' ');
 };
 
-/** A server falls silent for good; later its address answers for another one, which declines. */
-const reusedAddress: Fault = (c) => {
-  c.world.servers.set(c.server, { unresponsive: true });
-  c.tools.after(c.durationMs / 2, () => {
-    c.world.servers.heal(c.server);
-    c.world.servers.set(c.server, { declines: true });
+/** A server stops responding; later another server responds at its address and declines its requests. */
+const reusedAddress: Fault = (context) => {
+  context.world.servers.set(context.server, { unresponsive: true });
+  context.tools.after(context.durationMs / 2, () => {
+    context.world.servers.heal(context.server);
+    context.world.servers.set(context.server, { declines: true });
   });
-  c.tools.after(c.durationMs, () => c.world.servers.heal(c.server));
-  return c.server;
+  context.tools.after(context.durationMs, () => context.world.servers.heal(context.server));
+  return context.server;
 };
 
-/** A server gives short notice and is gone. */
-const spot: Fault = (c) => {
-  if (!c.storm.drainServer(c.server)) return '';
+/** A server starts draining and refuses connections 2 s later. */
+const leaveAtShortNotice: Fault = (context) => {
+  if (!context.storm.drainServer(context.server)) return '';
   const noticeMs = 2000;
-  c.tools.after(noticeMs, () => c.world.servers.set(c.server, { refuses: true }));
-  c.tools.after(noticeMs + c.durationMs, () => c.world.servers.heal(c.server));
-  return c.server;
+  context.tools.after(noticeMs, () => context.world.servers.set(context.server, { refuses: true }));
+  context.tools.after(noticeMs + context.durationMs, () =>
+    context.world.servers.heal(context.server),
+  );
+  return context.server;
 };
 
 const poolOf = (server: string): string => (server.startsWith('m') ? 'models' : 'shop');
 
-const addServer = async (c: FaultContext, id: string): Promise<void> => {
-  const body = JSON.stringify({ pool: poolOf(c.server), url: 'http://127.0.0.1:1' });
-  await persist(c, 'PUT', `/v1/servers/${id}`, body);
+const addServer = async (context: FaultContext, id: string): Promise<void> => {
+  const body = JSON.stringify({ pool: poolOf(context.server), url: 'http://127.0.0.1:1' });
+  await requestUntilAccepted(context, 'PUT', `/v1/servers/${id}`, body);
 };
 
-const persist = async (c: FaultContext, method: string, path: string, body = ''): Promise<void> => {
-  for (let n = 0; n < 60; n++) {
-    const r = await c.storm.operate(c.world.master, method, path, body);
-    if (r?.status === 200 || r?.status === 404) return;
-    await c.storm.delay(500);
+/** Sends a request to the master until the status is 200 or 404, at most 60 times. */
+const requestUntilAccepted = async (
+  context: FaultContext,
+  method: string,
+  path: string,
+  body = '',
+): Promise<void> => {
+  for (let attempt = 0; attempt < 60; attempt++) {
+    const response = await context.storm.operate(context.world.master, method, path, body);
+    if (response?.status === 200 || response?.status === 404) return;
+    await context.storm.delay(500);
   }
 };
 
-/** A new server starts, an old one drains; later the new one leaves too, in order. */
-const release: Fault = (c) => {
-  const id = `r${c.index}`;
-  c.storm.track(
+/** A new server is added while another one drains; later the new one is drained and removed as well. */
+const replaceServer: Fault = (context) => {
+  const id = `r${context.index}`;
+  context.storm.track(
     (async () => {
-      await addServer(c, id);
-      c.storm.drainServer(c.server);
-      await c.storm.delay(c.durationMs);
-      await persist(c, 'POST', `/v1/servers/${id}/draining`);
-      await c.storm.delay(drainingMs);
-      await persist(c, 'DELETE', `/v1/servers/${id}`);
+      await addServer(context, id);
+      context.storm.drainServer(context.server);
+      await context.storm.delay(context.durationMs);
+      await requestUntilAccepted(context, 'POST', `/v1/servers/${id}/draining`);
+      await context.storm.delay(drainingMs);
+      await requestUntilAccepted(context, 'DELETE', `/v1/servers/${id}`);
     })(),
   );
   return id;
 };
 
-/** A server crashes for good while it is at work, and stays on the list for a time. */
-const crashed =
-  (how: Partial<ServerFaults>): Fault =>
-  (c) => {
-    const id = `g${c.index}`;
-    c.storm.track(
+/** A new server crashes for good while it serves, and is removed from the list only after the duration. */
+const crashForGood =
+  (faults: Partial<ServerFaults>): Fault =>
+  (context) => {
+    const id = `g${context.index}`;
+    context.storm.track(
       (async () => {
-        await addServer(c, id);
-        await c.storm.delay(drainingMs / 2);
-        c.world.servers.set(id, how);
-        await c.storm.delay(c.durationMs);
-        await persist(c, 'DELETE', `/v1/servers/${id}`);
+        await addServer(context, id);
+        await context.storm.delay(drainingMs / 2);
+        context.world.servers.set(id, faults);
+        await context.storm.delay(context.durationMs);
+        await requestUntilAccepted(context, 'DELETE', `/v1/servers/${id}`);
       })(),
     );
     return id;
   };
 
-/** The fronts of one zone reach a server no longer. */
-const oneZone: Fault = (c) => {
-  const zone = Math.floor(c.rng() * c.world.zones);
-  const pairs = c.world
+/** The fronts of one zone can no longer connect to a server. */
+const cutZone: Fault = (context) => {
+  const zone = Math.floor(context.rng() * context.world.zones);
+  const pairs = context.world
     .of('front')
-    .filter((m) => m.index % c.world.zones === zone)
-    .map((m) => `${m.addr}>${c.server}`);
-  for (const pair of pairs) c.world.servers.cutFronts.add(pair);
-  c.tools.after(c.durationMs, () =>
-    pairs.forEach((pair) => c.world.servers.cutFronts.delete(pair)),
+    .filter((machine) => machine.index % context.world.zones === zone)
+    .map((machine) => `${machine.addr}>${context.server}`);
+  for (const pair of pairs) context.world.servers.cutFronts.add(pair);
+  context.tools.after(context.durationMs, () =>
+    pairs.forEach((pair) => context.world.servers.cutFronts.delete(pair)),
   );
   return pairs.join(' ');
 };
 
-/** These faults by name. */
+/** The server faults, by the names that plans use. */
 export const serverFaults: FaultTable = new Map<string, Fault>([
   ['lose-outcomes', serverFault({ loseEvery: 3 })],
   ['cut-streams', serverFault({ cutEvery: 3 })],
@@ -129,13 +139,13 @@
   ['resetting-server', serverFault({ resets: true })],
   ['failing-server', serverFault({ fails: true })],
   ['flapping-server', flapping],
-  ['pool-refuses', allRefuse],
+  ['pool-refuses', poolRefuses],
   ['reused-address', reusedAddress],
-  ['leave', (c) => (c.storm.drainServer(c.server) ? c.server : '')],
-  ['own-leave', (c) => (c.storm.reportDraining(c.server) ? c.server : '')],
-  ['leave-spot', spot],
-  ['release-server', release],
-  ['gone-server', crashed({ refuses: true })],
-  ['gone-dark-server', crashed({ unresponsive: true })],
-  ['cut-zone-from-server', oneZone],
+  ['leave', (context) => (context.storm.drainServer(context.server) ? context.server : '')],
+  ['own-leave', (context) => (context.storm.reportDraining(context.server) ? context.server : '')],
+  ['leave-spot', leaveAtShortNotice],
+  ['release-server', replaceServer],
+  ['gone-server', crashForGood({ refuses: true })],
+  ['gone-dark-server', crashForGood({ unresponsive: true })],
+  ['cut-zone-from-server', cutZone],
 ]);
--- a/packages/sim/src/file-content.ts
+++ b/packages/sim/src/file-content.ts
@@ -1,6 +1,6 @@
 /** The content of a file on a simulated disk. */
 
-/** The bytes of a file, as they were last synced and as processes see them. */
+/** The bytes of a file: as of the last sync, and as processes see them. */
 export interface FileContent {
   synced: Buffer;
   cached: Buffer;
@@ -8,5 +8,5 @@
 
 const noBytes = Buffer.alloc(0);
 
-/** A file without bytes. */
+/** The content of an empty file. */
 export const emptyContent = (): FileContent => ({ synced: noBytes, cached: noBytes });
--- a/packages/sim/src/front-call.ts
+++ b/packages/sim/src/front-call.ts
@@ -1,4 +1,4 @@
-/** A request at a front as its caller sees it: nothing more comes from a front that died. */
+/** A request to a front, from the caller's side: a front that is dead sends nothing more. */
 import type { CallOutcome } from '@tillerstair/session-owner';
 import type { Clock } from '@tillerstair/wire';
 import type { Incarnation } from './incarnation.js';
@@ -9,8 +9,8 @@
 const frontLost: CallOutcome = { outcome: 'unknown', status: 0, errorCode: 'front-lost' };
 
 /**
- * Resolves with the outcome of `send`, with `front-lost` once the front's incarnation is dead, and with the same after
- * the caller's time-out, when the request is aborted.
+ * Resolves with the outcome of `send`, or with `front-lost` once the front's incarnation is dead or after the caller's
+ * time-out, which also aborts the request.
  */
 export const untilFrontAnswers = (
   clock: Clock,
--- a/packages/sim/src/incarnation.ts
+++ b/packages/sim/src/incarnation.ts
@@ -1,23 +1,23 @@
-/** One run of a simulated process: what it does later happens only while it lives, and waits while it is frozen. */
+/** One run of a simulated process: its actions are dropped once it is dead, and deferred while it is frozen. */
 import type { Clock } from '@tillerstair/wire';
 
-/** An incarnation ends for good when `dead` is set; a restarted process has a new one. */
+/** The lifetime of one process run. Setting `dead` ends it for good; a restarted process has a new incarnation. */
 export class Incarnation {
   dead = false;
   frozen = false;
   private deferred: (() => void)[] = [];
 
-  /** Its clock runs at `rate` times the world's. */
+  /** The clock of the process runs at `rate` times the speed of the world's clock. */
   constructor(readonly rate = 1) {}
 
-  /** Runs an action now, once it is no longer frozen, or, if it is dead, never. */
+  /** Runs an action now, or on waking up if the process is frozen; drops it if the process is dead. */
   do(action: () => void): void {
     if (this.dead) return;
     if (this.frozen) this.deferred.push(action);
     else action();
   }
 
-  /** Ends the freeze and runs what was deferred, in order. */
+  /** Ends the freeze and runs the deferred actions, in order. */
   wake(): void {
     this.frozen = false;
     const actions = this.deferred;
@@ -25,7 +25,7 @@
     for (const action of actions) action();
   }
 
-  /** The clock as this process sees it; its timers fire only while the process lives. */
+  /** The clock of this process; its timers fire only while the process is alive. */
   clock(base: Clock): Clock {
     return {
       now: () => base.now() * this.rate,
--- a/packages/sim/src/index.ts
+++ b/packages/sim/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The simulator: real node code on simulated clocks, networks and disks. It is for storms of faults, for the model test
- * of the controls, and for tests; no daemon uses it.
+ * The simulator: the real node code on simulated clocks, networks and disks. It serves storms of faults, the model test
+ * of the controls, and other tests; no daemon uses it.
  */
 export * from './sim-clock.js';
 export * from './incarnation.js';
--- a/packages/sim/src/machine.ts
+++ b/packages/sim/src/machine.ts
@@ -1,4 +1,4 @@
-/** A simulated machine: its disk, and the real node code of its kind, started, killed, frozen and woken. */
+/** A simulated machine: a disk, and processes that run the real node code and can be killed, frozen and restarted. */
 import { Agent } from '@tillerstair/agent';
 import { ControlNode } from '@tillerstair/control';
 import { Front } from '@tillerstair/proxy';
@@ -15,7 +15,7 @@
 import { SimDrive } from './sim-drive.js';
 import type { SimCluster } from './sim-cluster.js';
 
-/** A machine of one kind; a front has two processes, the proxy and the agent, and each has an incarnation of its own. */
+/** A machine of one kind. A front has two processes, proxy and agent, each with its own incarnation. */
 export class Machine {
   readonly drive: SimDrive;
   incarnation = new Incarnation();
@@ -25,9 +25,9 @@
   replicaStore: ReplicaStore | undefined;
   front: Front | undefined;
   agent: Agent | undefined;
-  /** Whether it was started and not killed since. */
+  /** Whether the machine is started and has not been killed since. */
   up = false;
-  /** Why its last start failed; empty if it did not. */
+  /** Error message of the last failed start; empty if no start failed. */
   startError = '';
   private readonly settings: ReloadableBounds;
 
@@ -58,29 +58,29 @@
   }
 
   private log(part: string): Logger {
-    const w = this.world;
-    if (!w.trace) return silentLogger;
-    const at = (text: string): void =>
-      w.trace?.(`${w.clock.now().toFixed(1)} ${this.addr} ${part}: ${text}`);
-    return { debug: at, info: at, warn: at, error: at };
+    const world = this.world;
+    if (!world.trace) return silentLogger;
+    const write = (text: string): void =>
+      world.trace?.(`${world.clock.now().toFixed(1)} ${this.addr} ${part}: ${text}`);
+    return { debug: write, info: write, warn: write, error: write };
   }
 
-  /** Starts all its processes, as new incarnations. */
+  /** Starts all processes of the machine, each with a new incarnation. */
   start(): void {
     const rate = this.world.skewClocks ? 0.97 + this.world.rng() * 0.06 : 1;
     this.incarnation = new Incarnation(rate);
     this.proxyIncarnation = new Incarnation(rate);
     this.up = true;
-    void this.startProcesses(this.incarnation, this.proxyIncarnation).catch((e: unknown) => {
-      this.startError = e instanceof Error ? e.message : String(e);
+    void this.startProcesses(this.incarnation, this.proxyIncarnation).catch((error: unknown) => {
+      this.startError = error instanceof Error ? error.message : String(error);
       this.up = false;
     });
   }
 
-  private async startProcesses(life: Incarnation, proxyLife: Incarnation): Promise<void> {
-    const w = this.world;
-    const clock = life.clock(w.clock);
-    const transport = w.net.transport(this.addr, life);
+  private async startProcesses(incarnation: Incarnation, proxy: Incarnation): Promise<void> {
+    const world = this.world;
+    const clock = incarnation.clock(world.clock);
+    const transport = world.net.transport(this.addr, incarnation);
     const common = {
       seeds: this.seeds,
       clock,
@@ -90,29 +90,29 @@
     };
     const { zone } = this;
     if (this.kind === 'front') {
-      await this.startProxy(proxyLife);
-      await this.startAgent(life);
+      await this.startProxy(proxy);
+      await this.startAgent(incarnation);
       return;
     }
-    const disk = this.drive.disk(clock, life);
-    const freshId = (): string => `${this.kind.charAt(0)}${w.freshId()}`;
-    const pace = {
+    const disk = this.drive.disk(clock, incarnation);
+    const freshId = (): string => `${this.kind.charAt(0)}${world.freshId()}`;
+    const timings = {
       clock,
-      syncTimeoutMs: w.bounds.syncTimeout,
-      retryIntervalMs: w.bounds.diskRetryInterval,
+      syncTimeoutMs: world.bounds.syncTimeout,
+      retryIntervalMs: world.bounds.diskRetryInterval,
       log: this.log('disk'),
     };
     const member = { kind: this.kind, addr: this.addr, http: '', zone, data: '', name: this.name };
     if (this.kind === 'control') {
-      const electionStore = await DiskElectionStore.open(disk, freshId, w.rewriteMinBytes, pace);
+      const electionStore = await DiskElectionStore.open(disk, freshId, world.maxLogBytes, timings);
       const me = { id: electionStore.persisted.id, ...member };
       const node = new ControlNode({
         ...common,
         me,
         electionStore,
-        slots: w.slots,
-        replication: replicationFor(w.losses),
-        list: w.list?.reader(this.addr, life),
+        slots: world.slots,
+        replication: replicationFor(world.losses),
+        list: world.list?.reader(this.addr, incarnation),
       });
       await node.start();
       this.control = node;
@@ -121,13 +121,13 @@
     const { electionStore, replicaStore } = await openStoreDisk({
       disk,
       clock,
-      timings: { ...pace, syncTimeoutMs: w.bounds.failureTimeout },
+      timings: { ...timings, syncTimeoutMs: world.bounds.failureTimeout },
       freshId,
-      rewriteMinBytes: w.rewriteMinBytes,
+      rewriteMinBytes: world.maxLogBytes,
       limits: {
-        rewriteMinBytes: w.rewriteMinBytes,
-        retentionMs: w.retentionMs,
-        maxHints: w.hintsMost,
+        rewriteMinBytes: world.maxLogBytes,
+        retentionMs: world.retentionMs,
+        maxHints: world.hintsMost,
       },
     });
     const me = { id: electionStore.persisted.id, ...member };
@@ -137,12 +137,12 @@
     this.replicaStore = replicaStore;
   }
 
-  private async startAgent(life: Incarnation): Promise<void> {
-    const w = this.world;
+  private async startAgent(incarnation: Incarnation): Promise<void> {
+    const world = this.world;
     const agent = new Agent({
       seeds: this.seeds,
-      clock: life.clock(w.clock),
-      transport: w.net.transport(this.addr, life),
+      clock: incarnation.clock(world.clock),
+      transport: world.net.transport(this.addr, incarnation),
       bounds: this.settings.bounds,
       log: this.log('zen'),
       addr: this.addr,
@@ -151,33 +151,33 @@
       name: this.name,
       proxy: `${this.addr}/feed`,
       stopWithin: 5 * this.settings.bounds.heartbeatInterval,
-      loopback: w.net.transport(`${this.addr}/loop`, life),
+      loopback: world.net.transport(`${this.addr}/loop`, incarnation),
     });
     await agent.start();
     this.agent = agent;
   }
 
-  private async startProxy(life: Incarnation): Promise<void> {
-    const w = this.world;
-    const clock = life.clock(w.clock);
+  private async startProxy(incarnation: Incarnation): Promise<void> {
+    const world = this.world;
+    const clock = incarnation.clock(world.clock);
     const { heartbeatInterval, failureTimeout, readLease } = this.settings.bounds;
     const front = new Front({
-      id: `f${w.freshId()}`,
+      id: `f${world.freshId()}`,
       clock,
-      transport: w.net.transport(`${this.addr}/data`, life),
-      backend: w.servers.backend(life, this.addr),
+      transport: world.net.transport(`${this.addr}/data`, incarnation),
+      backend: world.servers.backend(incarnation, this.addr),
       bounds: {
         heartbeatInterval,
         putTimeoutMs: failureTimeout / 2,
         readLease,
         pollIntervalMs: heartbeatInterval / 4,
-        retentionMs: w.retentionMs,
+        retentionMs: world.retentionMs,
         stopWithin: 5 * heartbeatInterval,
       },
       log: this.log('proxy'),
       affinity: true,
     });
-    const feed = w.net.transport(`${this.addr}/feed`, life);
+    const feed = world.net.transport(`${this.addr}/feed`, incarnation);
     const hello = { id: front.id, addr: `${this.addr}/data`, http: '' };
     await feed.serve(
       (rpc) =>
@@ -189,7 +189,7 @@
     this.front = front;
   }
 
-  /** Ends all processes at once; with `power`, what was not synced may be lost. */
+  /** Ends all processes at once; with `power`, data that was not synced may be lost. */
   kill(how: 'process' | 'power' = 'process'): void {
     this.incarnation.dead = true;
     this.proxyIncarnation.dead = true;
@@ -202,7 +202,7 @@
     if (how === 'power') this.drive.powerLoss();
   }
 
-  /** Reads the settings again while running (SIGHUP): seeds and bounds are swapped. */
+  /** Reloads the settings of the running processes (SIGHUP): replaces the seeds and the time bounds. */
   reload(configuredBounds: ConfiguredBounds): void {
     this.settings.replace(configuredBounds);
     this.control?.zen.replaceSeeds(this.seeds);
@@ -210,7 +210,7 @@
     this.agent?.replaceSeeds(this.seeds);
   }
 
-  /** Tells every process of this machine to stop (SIGTERM); resolves when they have ended. */
+  /** Stops every process of this machine gracefully (SIGTERM); resolves when all have ended. */
   async stopGracefully(): Promise<void> {
     await Promise.all([
       this.front?.stop(),
--- a/packages/sim/src/model-actions.ts
+++ b/packages/sim/src/model-actions.ts
@@ -1,13 +1,13 @@
 /**
- * Actions of the model test of the controls. An action is plain data, so that a run that was found can be
- * printed, shrunk and kept as a regression.
+ * Actions of the model test of the controls. An action is plain data, so that a failing run can be printed, shrunk and
+ * kept as a regression test.
  */
 import fc from 'fast-check';
 
-/** As a machine's index: the one that is master now. */
+/** Machine index that stands for the current master. */
 export const atMaster = -1;
 
-/** One step of a run; `at` picks a machine by its index among those there are, `ms` is a time of the simulated clock. */
+/** One step of a run. `at` is the index of a machine, modulo their number; `ms` is a time of the simulated clock. */
 export type ModelAction =
   | {
       readonly kind: 'network';
@@ -37,13 +37,13 @@
   | { readonly kind: 'wait'; readonly ms: number }
   | { readonly kind: 'heal' };
 
-/** What may be wrong with a disk that is not lost. */
+/** Faults of a disk that keep its content. */
 export type DiskFault = 'slow-disk' | 'full-disk' | 'stalled-disk';
 
-/** Directions in which a machine is cut off. */
+/** Directions in which a machine is cut off: `in` for messages to it, `out` for messages from it. */
 export type CutDirection = 'both' | 'in' | 'out';
 
-/** A whole run: the seed of the simulated world, its number of controls, and its actions in order. */
+/** A complete run: the seed of the simulated world, the number of controls, and the actions in order. */
 export interface ModelRun {
   readonly seed: number;
   readonly controls: number;
@@ -54,25 +54,25 @@
   { weight: 2, arbitrary: fc.constant(atMaster) },
   { weight: 3, arbitrary: fc.nat(6) },
 );
-const span = fc.constantFrom(5, 60, 300, 900, 2500, 5000);
+const faultMs = fc.constantFrom(5, 60, 300, 900, 2500, 5000);
 const waitMs = fc.constantFrom(5, 60, 300, 900, 2500);
 const direction = fc.constantFrom<CutDirection>('both', 'in', 'out');
 const percent = fc.constantFrom(0, 10, 30);
 
 const faults: readonly fc.Arbitrary<ModelAction>[] = [
   fc.record({ kind: fc.constant('network'), lost: percent, late: percent, repeated: percent }),
-  fc.record({ kind: fc.constant('cut'), at, direction, ms: span }),
-  fc.record({ kind: fc.constant('split'), members: fc.nat(31), ms: span }),
-  fc.record({ kind: fc.constant('freeze'), at, ms: span }),
-  fc.record({ kind: fc.constant('kill'), at, ms: span, power: fc.boolean() }),
-  fc.record({ kind: fc.constant('power-all'), ms: span }),
-  fc.record({ kind: fc.constant('wipe'), at, ms: span }),
+  fc.record({ kind: fc.constant('cut'), at, direction, ms: faultMs }),
+  fc.record({ kind: fc.constant('split'), members: fc.nat(31), ms: faultMs }),
+  fc.record({ kind: fc.constant('freeze'), at, ms: faultMs }),
+  fc.record({ kind: fc.constant('kill'), at, ms: faultMs, power: fc.boolean() }),
+  fc.record({ kind: fc.constant('power-all'), ms: faultMs }),
+  fc.record({ kind: fc.constant('wipe'), at, ms: faultMs }),
   fc.record({ kind: fc.constant('replace'), at, planned: fc.boolean() }),
   fc.constant({ kind: 'add' }),
   fc.record({
     kind: fc.constantFrom<DiskFault>('slow-disk', 'full-disk', 'stalled-disk'),
     at,
-    ms: span,
+    ms: faultMs,
   }),
   fc.constant({ kind: 'heal' }),
 ];
@@ -87,7 +87,7 @@
 
 const wait: fc.Arbitrary<ModelAction> = fc.record({ kind: fc.constant('wait'), ms: waitMs });
 
-/** Every action, requests and waits as often as all troubles together. */
+/** Arbitraries of all actions; requests are listed twice and waits three times, to draw them more often. */
 export const anyAction: readonly fc.Arbitrary<ModelAction>[] = [
   ...faults,
   ...requests,
--- a/packages/sim/src/model-disturbances.ts
+++ b/packages/sim/src/model-disturbances.ts
@@ -1,4 +1,4 @@
-/** What a model run does to its machines: cuts, freezes, kills, lost and disturbed disks, replacements. */
+/** The faults that a model run causes: cuts, freezes, kills, lost and disturbed disks, and replaced machines. */
 import type { Machine } from './machine.js';
 import type { CutDirection, DiskFault } from './model-actions.js';
 import type { ModelNodes } from './model-nodes.js';
@@ -6,7 +6,7 @@
 import type { AddressPair, DeliveryFaults } from './sim-net.js';
 import type { World } from './world.js';
 
-/** Short bounds, so that a run of a minute of them stays cheap. */
+/** Short time bounds in ms, which keep a run of one simulated minute cheap. */
 export const modelBounds = {
   serveWithin: 2400,
   drainingWithin: 600,
@@ -14,33 +14,37 @@
   failureTimeout: 600,
 };
 
-/** Shares of all messages, in percent. */
+/** Shares of messages that are lost, delayed or duplicated, in percent. */
 interface NetworkFaults {
   readonly lost: number;
   readonly late: number;
   readonly repeated: number;
 }
 
-const soundNetwork: NetworkFaults = { lost: 0, late: 0, repeated: 0 };
+const faultlessNetwork: NetworkFaults = { lost: 0, late: 0, repeated: 0 };
 const slowDiskMs = 120;
 
-const pairsOf = (a: string, b: string, direction: CutDirection): readonly AddressPair[] => {
-  const out: AddressPair = [a, b];
-  const back: AddressPair = [b, a];
+const pairsOf = (
+  address: string,
+  peer: string,
+  direction: CutDirection,
+): readonly AddressPair[] => {
+  const outbound: AddressPair = [address, peer];
+  const inbound: AddressPair = [peer, address];
   switch (direction) {
     case 'both':
-      return [out, back];
+      return [outbound, inbound];
     case 'out':
-      return [out];
+      return [outbound];
     case 'in':
-      return [back];
+      return [inbound];
   }
 };
 
-/** Disturbs the machines of one run; every disturbance ends by itself, or by `heal`. */
+/** Causes the faults of one run; those that are not permanent end after their duration, or with `heal`. */
 export class ModelDisturbances {
-  /** What messages meet from now on. */
-  network = soundNetwork;
+  /** The network faults that messages are subject to from now on. */
+  network = faultlessNetwork;
 
   constructor(
     private readonly world: World,
@@ -48,10 +52,10 @@
     private readonly history: ModelHistory,
     private readonly rng: () => number,
   ) {
-    world.net.deliveryFaults = () => this.fate();
+    world.net.deliveryFaults = () => this.deliveryFaults();
   }
 
-  /** A disk may be lost if, without it, a majority of the voters has the newest committed state on disk. */
+  /** Whether a disk may be lost: without it, a majority of the voters must have the newest committed state on disk. */
   mayLoseDisk(lost: Machine): boolean {
     const state = this.history.newest;
     if (!state) return false;
@@ -63,14 +67,17 @@
     });
   }
 
-  /** Cuts a group off from all others. */
+  /** Cuts a group of machines off from all others. */
   cut(group: readonly Machine[], direction: CutDirection, ms: number): void {
-    const rest = this.world.machines.filter((machine) => !group.includes(machine));
-    const pairs = group.flatMap((a) => rest.flatMap((b) => pairsOf(a.addr, b.addr, direction)));
+    const others = this.world.machines.filter((machine) => !group.includes(machine));
+    const pairs = group.flatMap((member) =>
+      others.flatMap((other) => pairsOf(member.addr, other.addr, direction)),
+    );
     for (const [from, to] of pairs) this.world.net.cut(from, to);
     this.after(ms, () => this.world.net.uncut(pairs));
   }
 
+  /** Freezes a machine, and wakes it after `ms`. */
   freeze(machine: Machine, ms: number): void {
     const { incarnation } = machine;
     machine.freeze();
@@ -79,7 +86,7 @@
     });
   }
 
-  /** Kills a machine and starts it again. */
+  /** Kills a machine and restarts it after `ms`. */
   kill(machine: Machine, how: 'process' | 'power', ms: number): void {
     machine.kill(how);
     const { incarnation } = machine;
@@ -89,31 +96,32 @@
     });
   }
 
-  /** Takes a machine's power and disk, and starts it again without anything on it. */
+  /** Cuts a machine's power, erases its disk and restarts it after `ms`. */
   wipe(machine: Machine, ms: number): void {
     this.kill(machine, 'power', ms);
     machine.drive.wipe();
     this.nodes.forgetDisk(machine);
   }
 
-  /** A machine is lost for good, and a new one starts. */
+  /** Removes a machine for good and starts a new one. */
   replace(machine: Machine): void {
     machine.kill('power');
     this.world.remove(machine);
     this.world.add('control').start();
   }
 
-  /** A new machine starts; later the old one stops in order and goes, if its disk may be lost then. */
+  /** Starts a new machine; later the old one stops gracefully and is removed, if its disk may be lost by then. */
   replacePlanned(machine: Machine): void {
     this.world.add('control').start();
     this.after(modelBounds.failureTimeout * 4, () => {
       const { control } = machine;
-      if (!control || !this.isThere(machine) || !this.mayLoseDisk(machine)) return;
+      if (!control || !this.isPresent(machine) || !this.mayLoseDisk(machine)) return;
       machine.incarnation.do(() => void control.stop().catch(() => undefined));
       this.after(modelBounds.failureTimeout, () => this.removeStopped(machine));
     });
   }
 
+  /** Makes a disk slow, full or stalled for `ms`. */
   disturbDisk({ drive }: Machine, fault: DiskFault, ms: number): void {
     switch (fault) {
       case 'slow-disk':
@@ -129,9 +137,9 @@
     this.after(ms, () => drive.endFaults());
   }
 
-  /** Ends all disturbances now. */
+  /** Ends all faults now, and restarts the machines that are down. */
   heal(): void {
-    this.network = soundNetwork;
+    this.network = faultlessNetwork;
     this.world.net.healCuts();
     for (const machine of this.world.machines) {
       if (machine.incarnation.frozen) machine.wake();
@@ -142,13 +150,14 @@
 
   private removeStopped(machine: Machine): void {
     if (this.mayLoseDisk(machine)) {
-      if (!this.isThere(machine)) return;
+      if (!this.isPresent(machine)) return;
       machine.kill('power');
       this.world.remove(machine);
-    } else if (this.isThere(machine)) this.kill(machine, 'process', modelBounds.heartbeatInterval);
+    } else if (this.isPresent(machine))
+      this.kill(machine, 'process', modelBounds.heartbeatInterval);
   }
 
-  private isThere(machine: Machine): boolean {
+  private isPresent(machine: Machine): boolean {
     return this.world.machines.includes(machine);
   }
 
@@ -156,7 +165,7 @@
     this.world.clock.after(ms, run);
   }
 
-  private fate(): DeliveryFaults {
+  private deliveryFaults(): DeliveryFaults {
     return {
       lost: this.happens(this.network.lost),
       extraDelayMs: this.happens(this.network.late) ? this.rng() * modelBounds.failureTimeout : 0,
--- a/packages/sim/src/model-history.ts
+++ b/packages/sim/src/model-history.ts
@@ -1,6 +1,6 @@
 /**
- * What clients and nodes of a model run said, checked against what was really committed.
- * A finding names the rule that was broken, so that runs can be counted by rule.
+ * Checks what clients and nodes of a model run report against the committed states. A finding names the rule that was
+ * broken, so that runs can be counted by rule.
  */
 import { versionOf, isNewerVersion, type StateVersion, type State } from '@tillerstair/state';
 
@@ -16,16 +16,16 @@
   'reads hold every acknowledged change',
   'serves again once healed',
 ] as const;
-/** One of the rules. */
+/** One of the rules of `modelRules`. */
 export type ModelRule = (typeof modelRules)[number];
 
-/** A rule that was broken, with what showed it. */
+/** A broken rule, and a description of the evidence. */
 export interface ModelFinding {
   readonly rule: ModelRule;
   readonly text: string;
 }
 
-/** A configuration as one operator sends it; every one has a content of its own. */
+/** A configuration that an operator sends, with the version that it is based on; the content of each one is unique. */
 export interface SentConfig {
   readonly version: number;
   readonly base: number;
@@ -33,28 +33,29 @@
   readonly text: string;
 }
 
-/** What was committed and acknowledged when a call began. */
+/** The committed and the acknowledged version when a call began. */
 export interface CallStart {
   readonly committedVersion: number;
   readonly hasConfig: boolean;
   readonly acknowledged: number;
 }
 
-const keyOf = (m: StateVersion): string => `${m.term}.${m.version}`;
+const versionKey = (version: StateVersion): string => `${version.term}.${version.version}`;
 
-const fingerprintOf = (s: State): string =>
+const fingerprintOf = (state: State): string =>
   JSON.stringify([
-    s.clusterId,
-    s.config?.version,
-    s.config?.digest,
-    s.voters,
-    [...s.nodes.keys()].sort(),
-    [...s.servers.keys()].sort(),
+    state.clusterId,
+    state.config?.version,
+    state.config?.digest,
+    state.voters,
+    [...state.nodes.keys()].sort(),
+    [...state.servers.keys()].sort(),
   ]);
 
-/** The committed states and acknowledged changes of one run, in the order in which they were seen. */
+/** The committed states and acknowledged changes of one run, in the order in which they were observed. */
 export class ModelHistory {
   readonly findings: ModelFinding[] = [];
+  /** The newest committed state. */
   newest: State | undefined;
   private readonly seen = new WeakSet<State>();
   private readonly fingerprints = new Map<string, string>();
@@ -63,20 +64,23 @@
   private acknowledgedVersion = 0;
   private checks = 0;
 
-  /** How many statements were checked. */
+  /** Number of checks so far. */
   get checked(): number {
     return this.checks;
   }
 
+  /** Version of the newest committed configuration; 0 if there is none. */
   get committedVersion(): number {
     return this.newest?.config?.version ?? 0;
   }
 
+  /** Adds a finding, unless it is known already. */
   addFinding(rule: ModelRule, text: string): void {
-    if (this.findings.some((f) => f.rule === rule && f.text === text)) return;
+    if (this.findings.some((finding) => finding.rule === rule && finding.text === text)) return;
     this.findings.push({ rule, text });
   }
 
+  /** The state of the history at the start of a call, for the check of its answer. */
   begin(): CallStart {
     return {
       committedVersion: this.committedVersion,
@@ -85,90 +89,93 @@
     };
   }
 
-  /** Records a state that some node has committed. */
-  committed(by: string, s: State): void {
-    if (this.seen.has(s)) return;
-    this.seen.add(s);
+  /** Records and checks a state that a node has committed. */
+  committed(by: string, state: State): void {
+    if (this.seen.has(state)) return;
+    this.seen.add(state);
     this.checks++;
-    const mark = versionOf(s);
-    const key = keyOf(mark);
-    const fingerprint = fingerprintOf(s);
+    const stateVersion = versionOf(state);
+    const key = versionKey(stateVersion);
+    const fingerprint = fingerprintOf(state);
     const known = this.fingerprints.get(key);
     if (known !== undefined) {
       if (known !== fingerprint)
         this.addFinding(
           'committed state is kept',
-          `${by} holds another state ${key}: ${fingerprint}, not ${known}`,
+          `${by} has another state ${key}: ${fingerprint}, not ${known}`,
         );
       return;
     }
     this.fingerprints.set(key, fingerprint);
-    const master = this.masters.get(s.term);
-    if (master !== undefined && master !== s.master)
-      this.addFinding('one master a term', `term ${s.term}: ${master} and ${s.master}`);
-    this.masters.set(s.term, s.master);
+    const master = this.masters.get(state.term);
+    if (master !== undefined && master !== state.master)
+      this.addFinding('one master a term', `term ${state.term}: ${master} and ${state.master}`);
+    this.masters.set(state.term, state.master);
     const { newest } = this;
-    if (newest && !isNewerVersion(mark, versionOf(newest))) {
+    if (newest && !isNewerVersion(stateVersion, versionOf(newest))) {
       this.addFinding(
         'committed state is kept',
-        `${by} commits ${key} after ${keyOf(versionOf(newest))}`,
+        `${by} committed state ${key} after ${versionKey(versionOf(newest))}`,
       );
       return;
     }
-    this.advance(by, s);
+    this.advance(by, state);
   }
 
-  private advance(by: string, s: State): void {
-    const before = this.committedVersion;
-    const { config } = s;
-    if ((config?.version ?? 0) < before)
+  private advance(by: string, state: State): void {
+    const previousVersion = this.committedVersion;
+    const { config } = state;
+    if ((config?.version ?? 0) < previousVersion)
       this.addFinding(
         'committed state is kept',
-        `${by} goes back from configuration ${before} to ${config?.version ?? 0}`,
+        `${by} goes back from configuration ${previousVersion} to ${config?.version ?? 0}`,
       );
-    this.newest = s;
-    if (config) this.content(config.version, config.digest, `committed by ${by}`);
+    this.newest = state;
+    if (config) this.recordContent(config.version, config.digest, `committed by ${by}`);
   }
 
-  private content(version: number, digest: string, what: string): void {
+  private recordContent(version: number, digest: string, source: string): void {
     const known = this.contents.get(version);
     if (known !== undefined && known !== digest)
       this.addFinding(
         'one content a version',
-        `version ${version}: ${known.slice(0, 6)} and ${digest.slice(0, 6)} (${what})`,
+        `version ${version}: ${known.slice(0, 6)} and ${digest.slice(0, 6)} (${source})`,
       );
     this.contents.set(version, known ?? digest);
   }
 
-  /** A change was acknowledged. */
-  acknowledged(c: SentConfig, by: string): void {
+  /** Checks that an acknowledged change is committed. */
+  acknowledged(config: SentConfig, by: string): void {
     this.checks++;
-    if (this.committedVersion < c.version)
+    if (this.committedVersion < config.version)
       this.addFinding(
         'acknowledged changes are committed',
-        `${by} acknowledged ${c.version}, committed is ${this.committedVersion}`,
+        `${by} acknowledged version ${config.version}, the committed version is ${this.committedVersion}`,
       );
-    this.content(c.version, c.digest, `acknowledged by ${by}`);
-    this.acknowledgedVersion = Math.max(this.acknowledgedVersion, c.version);
+    this.recordContent(config.version, config.digest, `acknowledged by ${by}`);
+    this.acknowledgedVersion = Math.max(this.acknowledgedVersion, config.version);
   }
 
-  /** A change was refused since another version is current. */
-  refused(c: SentConfig, by: string, start: CallStart, current: number | undefined): void {
+  /** Checks a refusal because of another current version: the change must not be committed, nor its base current. */
+  refused(config: SentConfig, by: string, start: CallStart, current: number | undefined): void {
     this.checks++;
     const now = this.committedVersion;
-    const who = `${by} refused ${c.version} on ${c.base} (${c.digest.slice(0, 6)})`;
-    if (this.contents.get(c.version) === c.digest)
-      this.addFinding('refusals are true', `${who}, which had been taken`);
-    else if (start.committedVersion === c.base && now === c.base)
-      this.addFinding('refusals are true', `${who}, and ${c.base} was current all the time`);
+    const refusal = `${by} refused version ${config.version} on ${config.base} (${config.digest.slice(0, 6)})`;
+    if (this.contents.get(config.version) === config.digest)
+      this.addFinding('refusals are true', `${refusal}, which was committed`);
+    else if (start.committedVersion === config.base && now === config.base)
+      this.addFinding(
+        'refusals are true',
+        `${refusal}, although ${config.base} was current throughout the call`,
+      );
     if (current !== undefined && (current < start.committedVersion || current > now))
       this.addFinding(
         'refusals are true',
-        `${who} since ${current} is current, which was ${start.committedVersion} to ${now}`,
+        `${refusal} because ${current} is current; the committed version was ${start.committedVersion} to ${now}`,
       );
   }
 
-  /** A read found a configuration, or none. */
+  /** Checks a read that found a configuration, or none. */
   read(
     found: { readonly version: number; readonly digest: string } | undefined,
     by: string,
@@ -176,17 +183,17 @@
   ): void {
     this.checks++;
     const version = found?.version ?? 0;
-    const least = Math.max(start.acknowledged, start.committedVersion);
-    if (version < least)
+    const minVersion = Math.max(start.acknowledged, start.committedVersion);
+    if (version < minVersion)
       this.addFinding(
         'reads hold every acknowledged change',
-        `${by} read ${version}, ${least} had been committed`,
+        `${by} read version ${version}, although ${minVersion} was committed before`,
       );
     if (version > this.committedVersion)
       this.addFinding(
         'reads hold every acknowledged change',
-        `${by} read ${version}, committed is ${this.committedVersion}`,
+        `${by} read version ${version}, the committed version is ${this.committedVersion}`,
       );
-    if (found) this.content(found.version, found.digest, `read at ${by}`);
+    if (found) this.recordContent(found.version, found.digest, `read at ${by}`);
   }
 }
--- a/packages/sim/src/model-nodes.ts
+++ b/packages/sim/src/model-nodes.ts
@@ -1,4 +1,4 @@
-/** What each control has promised and stored, seen from outside: checks that nothing of it is taken back. */
+/** Tracks the votes, terms and states that each control has acknowledged, and checks that none is ever revoked. */
 import { inflateSync } from 'node:zlib';
 import { versionOf, isNewerVersion, type StateVersion, type State } from '@tillerstair/state';
 import { PublishResponse, PublishPayload, Publish, Validate } from '@tillerstair/zen';
@@ -8,7 +8,7 @@
 import type { ObservedAnswer } from './sim-net.js';
 
 const Addressed = z.object({ to: z.string() });
-/** After this long without a change a state in memory is on the disk too, unless that is slow. */
+/** Time after which an unchanged state in memory is on disk as well, unless the disk is slow; in ms. */
 const syncedAfterMs = 10;
 
 interface StateInMemory {
@@ -16,9 +16,9 @@
   readonly since: number;
 }
 
-const markText = (m: StateVersion): string => `${m.term}.${m.version}`;
+const versionText = (version: StateVersion): string => `${version.term}.${version.version}`;
 
-const publishedMark = (packed: string): StateVersion => {
+const publishedVersion = (packed: string): StateVersion => {
   const payload = PublishPayload.parse(
     JSON.parse(inflateSync(Buffer.from(packed, 'base64')).toString('utf8')),
   );
@@ -27,7 +27,7 @@
   return versionOf(z.object({ term: z.number(), version: z.number() }).parse(JSON.parse(head)));
 };
 
-/** Follows the controls of a run by the identity that stands on their disks. */
+/** Tracks the controls of a run by the node id that is stored on their disks. */
 export class ModelNodes {
   private readonly votes = new Map<string, string>();
   private readonly grantedTerms = new Map<string, number>();
@@ -36,114 +36,115 @@
   private readonly inMemory = new Map<string, StateInMemory>();
   private readonly applied = new Map<
     Machine,
-    { readonly life: object; readonly mark: StateVersion }
+    { readonly incarnation: object; readonly version: StateVersion }
   >();
   private readonly identities = new Map<Machine, string>();
 
   constructor(private readonly history: ModelHistory) {}
 
-  /** The identity on a machine's disk, as far as it is known. */
-  identityOf(m: Machine): string | undefined {
-    return this.identities.get(m);
+  /** The node id on a machine's disk; undefined if it is not known. */
+  identityOf(machine: Machine): string | undefined {
+    return this.identities.get(machine);
   }
 
-  /** The disk of this machine is gone. */
-  forgetDisk(m: Machine): void {
-    this.identities.delete(m);
+  /** Forgets the node id of a machine that has lost its disk. */
+  forgetDisk(machine: Machine): void {
+    this.identities.delete(machine);
   }
 
-  answered(a: ObservedAnswer): void {
-    if (a.kind === 'zen/validate') this.voted(a);
-    if (a.kind === 'zen/publish') this.accepted(a);
+  /** Checks a vote or an accepted publish that a control answers. */
+  answered(answer: ObservedAnswer): void {
+    if (answer.kind === 'zen/validate') this.voted(answer);
+    if (answer.kind === 'zen/publish') this.accepted(answer);
   }
 
-  private voted(a: ObservedAnswer): void {
-    const { from, term } = Validate.parse(a.body);
-    const { to } = Addressed.parse(a.body);
+  private voted(answer: ObservedAnswer): void {
+    const { from, term } = Validate.parse(answer.body);
+    const { to } = Addressed.parse(answer.body);
     const key = `${to} ${term}`;
-    const before = this.votes.get(key);
-    if (before !== undefined && before !== from.id)
+    const previous = this.votes.get(key);
+    if (previous !== undefined && previous !== from.id)
       this.history.addFinding(
         'one vote a term',
-        `${to} votes for ${before} and ${from.id} in term ${term}`,
+        `${to} voted for ${previous} and ${from.id} in term ${term}`,
       );
     this.votes.set(key, from.id);
     this.grantedTerms.set(to, Math.max(term, this.grantedTerms.get(to) ?? 0));
   }
 
-  private accepted(a: ObservedAnswer): void {
-    if (PublishResponse.parse(a.answer).outcome !== 'accepted') return;
-    const { packed, term } = Publish.parse(a.body);
-    const { to } = Addressed.parse(a.body);
-    const mark = publishedMark(packed);
-    if (isNewerVersion(mark, this.acknowledged.get(to) ?? versionOf(undefined)))
-      this.acknowledged.set(to, mark);
-    if (isNewerVersion(mark, this.stored.get(to) ?? versionOf(undefined)))
-      this.stored.set(to, mark);
+  private accepted(answer: ObservedAnswer): void {
+    if (PublishResponse.parse(answer.answer).outcome !== 'accepted') return;
+    const { packed, term } = Publish.parse(answer.body);
+    const { to } = Addressed.parse(answer.body);
+    const version = publishedVersion(packed);
+    if (isNewerVersion(version, this.acknowledged.get(to) ?? versionOf(undefined)))
+      this.acknowledged.set(to, version);
+    if (isNewerVersion(version, this.stored.get(to) ?? versionOf(undefined)))
+      this.stored.set(to, version);
     this.grantedTerms.set(to, Math.max(term, this.grantedTerms.get(to) ?? 0));
   }
 
-  /** Looks at a control that is up. */
-  observe(m: Machine, now: number): void {
-    const { control } = m;
+  /** Checks the id, the term and the states of a control that is up. */
+  observe(machine: Machine, now: number): void {
+    const { control } = machine;
     if (!control) return;
     const { id } = control;
-    const before = this.identities.get(m);
-    if (before !== undefined && before !== id && this.acknowledged.has(before))
+    const previous = this.identities.get(machine);
+    if (previous !== undefined && previous !== id && this.acknowledged.has(previous))
       this.history.addFinding(
         'terms and versions never go back',
-        `${m.addr} forgot who it was: ${before} is ${id} now`,
+        `${machine.addr} changed its node id from ${previous} to ${id}`,
       );
-    this.identities.set(m, id);
-    const mark = versionOf(control.zen.accepted);
-    const least = this.acknowledged.get(id);
-    if (least && isNewerVersion(least, mark))
+    this.identities.set(machine, id);
+    const version = versionOf(control.zen.accepted);
+    const acknowledged = this.acknowledged.get(id);
+    if (acknowledged && isNewerVersion(acknowledged, version))
       this.history.addFinding(
         'terms and versions never go back',
-        `${m.addr} holds ${markText(mark)}, had stored ${markText(least)}`,
+        `${machine.addr} has state ${versionText(version)}, had acknowledged ${versionText(acknowledged)}`,
       );
     const granted = this.grantedTerms.get(id) ?? 0;
     if (control.zen.term < granted)
       this.history.addFinding(
         'terms and versions never go back',
-        `${m.addr} is in term ${control.zen.term}, had promised ${granted}`,
+        `${machine.addr} is in term ${control.zen.term}, had voted or accepted in term ${granted}`,
       );
-    this.observeApplied(m, control.zen.applied);
-    this.observeStored(m, id, mark, now);
+    this.observeApplied(machine, control.zen.applied);
+    this.observeStored(machine, id, version, now);
   }
 
-  private observeApplied(m: Machine, s: State | undefined): void {
-    const mark = versionOf(s);
-    const before = this.applied.get(m);
-    if (before?.life === m.incarnation && isNewerVersion(before.mark, mark))
+  private observeApplied(machine: Machine, state: State | undefined): void {
+    const version = versionOf(state);
+    const previous = this.applied.get(machine);
+    if (previous?.incarnation === machine.incarnation && isNewerVersion(previous.version, version))
       this.history.addFinding(
         'terms and versions never go back',
-        `${m.addr} applies ${markText(mark)} after ${markText(before.mark)}`,
+        `${machine.addr} applied state ${versionText(version)} after ${versionText(previous.version)}`,
       );
-    this.applied.set(m, { life: m.incarnation, mark });
+    this.applied.set(machine, { incarnation: machine.incarnation, version });
   }
 
-  private observeStored(m: Machine, id: string, mark: StateVersion, now: number): void {
-    const held = this.inMemory.get(id);
+  private observeStored(machine: Machine, id: string, version: StateVersion, now: number): void {
+    const inMemory = this.inMemory.get(id);
     if (
-      !held ||
-      markText(held.version) !== markText(mark) ||
-      m.incarnation.frozen ||
-      m.drive.delay > 1 ||
-      m.drive.full ||
-      m.drive.stalled
+      !inMemory ||
+      versionText(inMemory.version) !== versionText(version) ||
+      machine.incarnation.frozen ||
+      machine.drive.delay > 1 ||
+      machine.drive.full ||
+      machine.drive.stalled
     )
-      this.inMemory.set(id, { version: mark, since: now });
+      this.inMemory.set(id, { version, since: now });
     else if (
-      now - held.since > syncedAfterMs &&
-      isNewerVersion(mark, this.stored.get(id) ?? versionOf(undefined))
+      now - inMemory.since > syncedAfterMs &&
+      isNewerVersion(version, this.stored.get(id) ?? versionOf(undefined))
     )
-      this.stored.set(id, mark);
+      this.stored.set(id, version);
   }
 
-  /** Whether the disk that holds this identity has the state. */
-  stores(id: string, s: State): boolean {
-    const mark = this.stored.get(id);
-    return mark !== undefined && !isNewerVersion(versionOf(s), mark);
+  /** Whether the disk with this node id has the state, or a newer one. */
+  stores(id: string, state: State): boolean {
+    const version = this.stored.get(id);
+    return version !== undefined && !isNewerVersion(versionOf(state), version);
   }
 }
--- a/packages/sim/src/model-operators.ts
+++ b/packages/sim/src/model-operators.ts
@@ -1,4 +1,4 @@
-/** The operators of a model run: they change and read the configuration, and every answer goes to the history. */
+/** The operators of a model run: they change and read the configuration, and the history checks every answer. */
 import type { OperatorResponse } from '@tillerstair/control';
 import { configDigest } from '@tillerstair/state';
 import { z } from 'zod';
@@ -11,24 +11,24 @@
 
 type OnAnswer = (response: OperatorResponse, start: CallStart) => void;
 
-/** Calls controls as clients do. */
+/** Calls controls like clients. */
 export class ModelOperators {
   private readonly sent: SentConfig[] = [];
   private answers: (() => void)[] = [];
 
   constructor(private readonly history: ModelHistory) {}
 
-  /** Whether there is a change to send again. */
+  /** Whether there is a change to resend. */
   get hasSent(): boolean {
     return this.sent.length > 0;
   }
 
-  /** The change that was sent as the `n`-th from the last; counted round. */
-  sentBefore(n: number): SentConfig | undefined {
-    return this.sent.at(-1 - (n % this.sent.length));
+  /** The change that was sent `offset` changes before the last one, modulo their number. */
+  sentBefore(offset: number): SentConfig | undefined {
+    return this.sent.at(-1 - (offset % this.sent.length));
   }
 
-  /** A new change on a version, with a content that no other has. */
+  /** A new change based on a version, with unique content. */
   configOn(base: number): SentConfig {
     const text =
       stormConfig({ base, turnPools: ['models'], callPool: 'shop', extraRouteCount: 0 }) +
@@ -51,7 +51,7 @@
     });
   }
 
-  /** Reads the configuration at a control; `onRead` gets the version found. */
+  /** Reads the configuration from a control; `onRead` is called with its version. */
   read(machine: Machine, onRead: (version: number) => void = () => undefined): void {
     this.call(machine, { method: 'GET', body: '' }, (response, start) => {
       if (response.status === 404) this.history.read(undefined, machine.addr, start);
@@ -62,14 +62,14 @@
     });
   }
 
-  /** Checks the answers that came since the last time. */
+  /** Checks the answers that have arrived since the last call. */
   checkAnswers(): void {
     const { answers } = this;
     this.answers = [];
     for (const check of answers) check();
   }
 
-  /** While a control's process is frozen or dead, nothing is accepted and nothing answered. */
+  /** Sends a request to a control; a frozen control handles and answers it later, a dead one never. */
   private call(
     { control, incarnation }: Machine,
     request: { readonly method: string; readonly body: string },
--- a/packages/sim/src/model-simulation.ts
+++ b/packages/sim/src/model-simulation.ts
@@ -1,4 +1,4 @@
-/** Runs the actions of a model run on simulated controls and checks every statement that a node makes. */
+/** Runs the actions of a model run on simulated controls, and checks what the nodes report after every event. */
 import type { Machine } from './machine.js';
 import { atMaster, type ModelAction, type ModelRun } from './model-actions.js';
 import { modelBounds, ModelDisturbances } from './model-disturbances.js';
@@ -8,23 +8,23 @@
 import { seededRng } from './random.js';
 import { World } from './world.js';
 
-const mostControls = 7;
-/** Once all disturbances have ended, reads and changes succeed within this time. */
-const healedWithinMs = 60000;
+const maxControls = 7;
+/** Time in ms within which reads and changes must succeed after all faults have ended. */
+const recoveryTimeoutMs = 60000;
 const pollMs = 20;
-/** Time that goes on after each action. */
+/** Simulated time that passes after each action, in ms. */
 const actionMs = 2;
-/** How often, at each poll, a client tries again. */
+/** Probability that a client retries at a poll. */
 const retryShare = 0.1;
 
-/** What an action does to the rig. */
+/** One handler for each kind of action. */
 type ActionHandlers = {
   readonly [Kind in ModelAction['kind']]: (
     action: Extract<ModelAction, { readonly kind: Kind }>,
   ) => void;
 };
 
-/** One run: its world, the history that its statements are checked against, and what was done. */
+/** One run: the simulated world, the history that answers are checked against, and the actions so far. */
 export class ModelSimulation {
   readonly history = new ModelHistory();
   readonly actions: ModelAction[] = [];
@@ -45,12 +45,12 @@
     this.disturbances = new ModelDisturbances(this.world, this.nodes, this.history, this.rng);
   }
 
-  /** The run so far, to be repeated. */
+  /** The run so far, for a replay. */
   get run(): ModelRun {
     return { seed: this.seed, controls: this.controls, actions: this.actions };
   }
 
-  /** Gets the log lines of all nodes. */
+  /** Sets the callback that gets the log lines of all nodes. */
   set trace(onLine: (line: string) => void) {
     this.world.trace = onLine;
   }
@@ -58,26 +58,26 @@
   /** Starts the controls and waits for the first master. */
   async begin(): Promise<void> {
     this.world.start();
-    await this.advanceUntil('a first master', () => this.world.master !== undefined);
+    await this.advanceUntil('the first master', () => this.world.master !== undefined);
   }
 
-  /** Whether an action stays within the losses that the cluster is to bear. */
+  /** Whether an action is possible now and stays within the losses that the cluster must withstand. */
   allows(action: ModelAction): boolean {
     if (action.kind === 'wipe') return this.disturbances.mayLoseDisk(this.at(action.at));
     if (action.kind === 'replace')
       return this.world.machines.length > 2 && this.disturbances.mayLoseDisk(this.at(action.at));
-    if (action.kind === 'add') return this.world.machines.length < mostControls;
+    if (action.kind === 'add') return this.world.machines.length < maxControls;
     return action.kind !== 'resend' || this.operators.hasSent;
   }
 
-  /** Does one action and lets a little time go on. */
+  /** Performs one action and advances the time a little. */
   async act(action: ModelAction): Promise<void> {
     this.actions.push(action);
     this.apply(action);
     await this.advance(action.kind === 'wait' ? action.ms : actionMs);
   }
 
-  /** Heals everything and reads and writes once more: all that was acknowledged is still there. */
+  /** Ends all faults, and checks with a last read and a last change that everything acknowledged is still there. */
   async finish(): Promise<void> {
     this.disturbances.heal();
     await this.readAndWrite();
@@ -87,7 +87,7 @@
     const { machines, master } = this.world;
     if (index === atMaster && master) return master;
     const machine = machines.at(Math.max(0, index) % machines.length);
-    if (!machine) throw new Error('there is no machine');
+    if (!machine) throw new Error(`there is no machine for index ${index}`);
     return machine;
   }
 
@@ -114,12 +114,12 @@
 
   private async advanceUntil(what: string, ready: () => boolean): Promise<boolean> {
     const { clock } = this.world;
-    const end = clock.now() + healedWithinMs;
+    const end = clock.now() + recoveryTimeoutMs;
     while (!ready()) {
       if (clock.now() >= end) {
         this.history.addFinding(
           'serves again once healed',
-          `${what}: not within ${healedWithinMs} ms`,
+          `${what}: not within ${recoveryTimeoutMs} ms`,
         );
         return false;
       }
@@ -169,7 +169,7 @@
     heal: () => this.disturbances.heal(),
   };
 
-  // eslint-disable-next-line @typescript-eslint/no-unnecessary-type-parameters -- it ties the handler's parameter to the kind
+  // eslint-disable-next-line @typescript-eslint/no-unnecessary-type-parameters -- binds the action to its kind
   private apply<Kind extends ModelAction['kind']>(
     action: Extract<ModelAction, { readonly kind: Kind }>,
   ): void {
@@ -193,14 +193,14 @@
 
   private async readAndWrite(): Promise<void> {
     let read = -1;
-    const hasRead = await this.advanceUntil('a read', () => {
+    const hasRead = await this.advanceUntil('the last read', () => {
       if (read < 0 && this.rng() < retryShare)
         this.operators.read(this.anyMachine(), (version) => (read = version));
       return read >= 0 || (this.history.newest !== undefined && !this.history.newest.config);
     });
     if (!hasRead) return;
     const last = this.newConfig();
-    await this.advanceUntil('a last change', () => {
+    await this.advanceUntil('the last change', () => {
       if (this.rng() < retryShare) this.operators.put(this.anyMachine(), last);
       return this.history.committedVersion >= last.version;
     });
--- a/packages/sim/src/pass.ts
+++ b/packages/sim/src/pass.ts
@@ -1,4 +1,4 @@
-/** Requests on pass routes, as callers send them and as storms and tests configure them. */
+/** Pass routes for storms and tests, and the callers that send requests to them. */
 import type { PassRecord } from '@tillerstair/checker';
 import { routePassRequest } from '@tillerstair/proxy';
 import {
@@ -12,7 +12,7 @@
 import type { Machine } from './machine.js';
 import type { World } from './world.js';
 
-/** A request on a pass route; what is left out has a value that fits the route. */
+/** A request on a pass route; fields that are left out get defaults that fit the route. */
 export interface PassSpec {
   readonly path: string;
   readonly body?: string;
@@ -20,18 +20,20 @@
   readonly attempt?: string;
   readonly program?: string;
   readonly budget?: number;
+  /** Limit of the output tokens. */
   readonly most?: number;
   readonly after?: string;
   readonly resume?: string;
   readonly deadlineMs?: number;
-  /** When the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly cancelled?: AbortSignal;
   readonly parts?: [string, number][];
 }
 
+/** Host name of the pass routes. */
 export const passHost = 'a.example';
 
-/** Routes of every manner at `passHost`, for tests and storms; `turnPools` answer in streams. */
+/** Routes of every manner at `passHost`, for tests and storms; `turnPools` serve the streaming ones. */
 export const passRoutes = (
   turnPools: readonly string[],
   callPool: string,
@@ -63,7 +65,7 @@
 const mannerOf = (path: string): PassRecord['manner'] =>
   manners.get(path.split('/').at(1) ?? '') ?? 'stream';
 
-const defaultMostTokens = 10;
+const defaultMaxTokens = 10;
 const defaultDeadlineMs = 8000;
 const promptTokens = 10;
 
@@ -78,7 +80,7 @@
   return headers;
 };
 
-/** Where a turn stands in its conversation, and what is resumed. */
+/** A turn's position in its conversation, and the event to resume a stream from. */
 const positionOf = ({
   parts = [],
   after = '',
@@ -86,7 +88,7 @@
 }: PassSpec): Pick<PassRequest, 'parts' | 'after' | 'resume'> => ({ parts, after, resume });
 
 const requestOf = (world: World, spec: PassSpec): PassRequest => {
-  const { path, key = '', program = '', budget = null, most = defaultMostTokens } = spec;
+  const { path, key = '', program = '', budget = null, most = defaultMaxTokens } = spec;
   const attempt = spec.attempt ?? `r${world.freshId()}`;
   return {
     tenant: 't',
@@ -110,12 +112,12 @@
   return { outcome: code === 'not-ready' ? 'refused' : 'unknown', status: 503, errorCode: code };
 };
 
-/** What a caller has received of a response. */
+/** The parts of a response that a caller has received. */
 class ReceivedBody {
   text = '';
   private hasHead = false;
 
-  /** The first part is the head. */
+  /** Adds a part; the part with index 0 is the head. */
   add(index: number, text: string): void {
     if (index === 0) this.hasHead = true;
     else this.text += text;
@@ -129,7 +131,7 @@
 const reportedOf = ({ outcome }: CallOutcome, received: ReceivedBody): PassRecord['reported'] =>
   outcome !== 'done' && received.isPartial ? 'partial' : outcome;
 
-/** The status and body of a response that came in one piece, or else of what was received in parts. */
+/** Status and body of a response: of a complete one from the outcome, else of the parts that were received. */
 const responseOf = (
   outcome: CallOutcome,
   received: ReceivedBody,
@@ -140,7 +142,7 @@
   return { status: outcome.outcome === 'done' ? 200 : outcome.status, body: received.text };
 };
 
-/** Sends a request on a pass route as a caller would, and records what the caller was answered. */
+/** Sends a request on a pass route like a caller, to the front `at` or a random one, and records the outcome. */
 export const passAt = async (world: World, spec: PassSpec, at?: Machine): Promise<PassRecord> => {
   const request = requestOf(world, spec);
   const from = world.clock.now();
@@ -153,7 +155,7 @@
     },
     (index, text) => received.add(index, text),
   );
-  const row: PassRecord = {
+  const record: PassRecord = {
     manner: mannerOf(request.path),
     path: request.path,
     resumable: request.path.startsWith('/live/'),
@@ -171,6 +173,6 @@
     retryAfter: outcome.retryAfter ?? 0,
     ...responseOf(outcome, received),
   };
-  world.passes.push(row);
-  return row;
+  world.passes.push(record);
+  return record;
 };
--- a/packages/sim/src/pending-work.ts
+++ b/packages/sim/src/pending-work.ts
@@ -1,6 +1,6 @@
-/** Work that was begun and not waited for. */
+/** Tracking of asynchronous work that nobody awaits yet. */
 
-/** A set of promises that have not ended; how they end does not matter. */
+/** A set of promises that have not settled; rejections are ignored. */
 export class PendingWork {
   private readonly pending = new Set<Promise<unknown>>();
 
--- a/packages/sim/src/random.ts
+++ b/packages/sim/src/random.ts
@@ -1,6 +1,6 @@
-/** Seeded random numbers, so that a run can be repeated. */
+/** Seeded random numbers, which make runs repeatable. */
 
-/** Numbers from 0 up to, but not including, 1; the same seed gives the same ones (mulberry32). */
+/** A generator of numbers from 0 up to, but not including, 1 (mulberry32); the same seed gives the same sequence. */
 export const seededRng = (seed: number): (() => number) => {
   let state = (seed * 2654435761) >>> 0;
   return () => {
--- a/packages/sim/src/server-faults.ts
+++ b/packages/sim/src/server-faults.ts
@@ -1,30 +1,30 @@
-/** What may be wrong with a simulated server. */
+/** Faults of simulated servers. */
 
-/** Faults of one server; several may hold at once. */
+/** Faults of one server; several may be set at once. */
 export interface ServerFaults {
   /** Refuses connections. */
   readonly refuses: boolean;
   /** Reports itself as draining. */
   readonly draining: boolean;
-  /** Loses the end of every n-th response; 0 for none. */
+  /** Loses the end of every n-th response; 0 disables this. */
   readonly loseEvery: number;
-  /** Breaks off every n-th response half way; 0 for none. */
+  /** Breaks off every n-th response half way; 0 disables this. */
   readonly cutEvery: number;
-  /** How many times slower than usual. */
+  /** Factor by which execution is slowed down; 1 is normal speed. */
   readonly slow: number;
-  /** Says that it did not run what it is sent. */
+  /** Declines each request, stating that it has not run it. */
   readonly declines: boolean;
-  /** With a cut: in the middle of an event. */
+  /** With `cutEvery`: breaks off in the middle of an event. */
   readonly cutsInsideEvent: boolean;
-  /** Runs, and responds with the id of another attempt. */
+  /** Runs requests, but responds with the id of another attempt. */
   readonly namesOtherAttempt: boolean;
-  /** Takes requests and never responds, while its health is good. */
+  /** Accepts requests and never responds, while its health check succeeds. */
   readonly neverReplies: boolean;
-  /** Does not respond to anything any more. */
+  /** Responds to nothing, not even to the health check. */
   readonly unresponsive: boolean;
-  /** Resets connections as soon as a request is on them. */
+  /** Resets each connection as soon as it carries a request. */
   readonly resets: boolean;
-  /** Runs requests and fails them: calls of pass routes with a status of its own, all else without a complete response. */
+  /** Runs requests and fails them: calls on pass routes with status 500, all others without a complete response. */
   readonly fails: boolean;
 }
 
@@ -44,6 +44,6 @@
   fails: false,
 };
 
-/** Whether a fault that strikes every `every`-th request strikes this one. */
+/** Whether a fault that affects every `every`-th request affects the request of this number; never if `every` is 0. */
 export const isEveryNth = (every: number, requestNumber: number): boolean =>
   every > 0 && requestNumber % every === 0;
--- a/packages/sim/src/sim-backend.ts
+++ b/packages/sim/src/sim-backend.ts
@@ -1,4 +1,4 @@
-/** The servers as one simulated front reaches them; what is sent takes time and meets the servers' faults. */
+/** The backend of a simulated front: requests to servers take time and are subject to the servers' faults. */
 import type {
   Backend,
   BackendOutcome,
@@ -15,18 +15,18 @@
 import { executePass } from './sim-pass.js';
 import type { SimServers } from './sim-servers.js';
 
-/** How long a request may take, and whether it may still be sent. */
+/** Cancellation and time-out of a request, and a check whether it may still run, made when it reaches the server. */
 type SendBounds = readonly [signal: AbortSignal, timeoutMs: number, mayStillRun: () => boolean];
 
 const sendMs = 0.5;
 const receiveMs = 0.3;
 const msPerToken = 5;
-const shortestReply = 4;
-const replyLengths = 12;
-const shortestCallMs = 10;
+const minReplyTokens = 4;
+const replyTokensRange = 12;
+const minCallMs = 10;
 const callRangeMs = 30;
 
-/** The backend of one front; it stops with the incarnation of the front's process. */
+/** The backend of one front; its work stops with the incarnation of the front's process. */
 export class SimBackend implements Backend {
   private readonly frontClock: Clock;
 
@@ -45,8 +45,8 @@
     ...bounds: SendBounds
   ): Promise<BackendOutcome> {
     const faults = this.servers.faultsOf(server.id);
-    const notRun = await this.send(server, bounds);
-    if (notRun) return notRun;
+    const failure = await this.send(server, bounds);
+    if (failure) return failure;
     const [signal] = bounds;
     const number = this.servers.beginRequest();
     const executed = {
@@ -57,7 +57,7 @@
       began: this.servers.clock.now(),
       said: request.messages.at(-1)?.text ?? '',
     };
-    const length = shortestReply + Math.floor(this.servers.rng() * replyLengths);
+    const length = minReplyTokens + Math.floor(this.servers.rng() * replyTokensRange);
     const total = Math.min(request.maxTokens, length);
     const cutAt = isEveryNth(faults.cutEvery, number) ? Math.floor(total / 2) : -1;
     let reply = '';
@@ -67,7 +67,7 @@
       if (signal.aborted || this.incarnation.dead || index === cutAt) {
         this.servers.addBusy(server, -1);
         this.servers.record(server, { ...executed, reply, complete: false, tokens: index });
-        return this.receive({ kind: 'lost', text: 'the stream stopped' });
+        return this.receive({ kind: 'lost', text: `${server.id} broke off the stream` });
       }
       const text = `${server.id}.${number}.${index} `;
       reply += text;
@@ -75,7 +75,11 @@
     }
     this.servers.addBusy(server, -1);
     this.servers.record(server, { ...executed, reply, complete: true, tokens: total });
-    if (losesEnd(faults, number)) return this.receive({ kind: 'lost', text: 'the end was lost' });
+    if (losesResponseEnd(faults, number))
+      return this.receive({
+        kind: 'lost',
+        text: `the end of the stream from ${server.id} was lost`,
+      });
     return this.receive({ kind: 'done', code: 200, body: total });
   }
 
@@ -85,12 +89,12 @@
     ...bounds: SendBounds
   ): Promise<BackendOutcome> {
     const faults = this.servers.faultsOf(server.id);
-    const notRun = await this.send(server, bounds);
-    if (notRun) return notRun;
+    const failure = await this.send(server, bounds);
+    if (failure) return failure;
     const number = this.servers.beginRequest();
     const began = this.servers.clock.now();
     this.servers.addBusy(server, 1);
-    const callMs = shortestCallMs + this.servers.rng() * callRangeMs;
+    const callMs = minCallMs + this.servers.rng() * callRangeMs;
     await delay(this.servers.clock, callMs * faults.slow);
     this.servers.addBusy(server, -1);
     this.servers.record(server, {
@@ -104,8 +108,8 @@
       complete: true,
       tokens: 0,
     });
-    if (losesEnd(faults, number))
-      return this.receive({ kind: 'lost', text: 'the outcome was lost' });
+    if (losesResponseEnd(faults, number))
+      return this.receive({ kind: 'lost', text: `the response from ${server.id} was lost` });
     const body = { did: request.path, key: request.key, by: server.id };
     return this.receive({ kind: 'done', code: 200, body });
   }
@@ -117,8 +121,8 @@
     ...bounds: SendBounds
   ): Promise<BackendOutcome> {
     const faults = this.servers.faultsOf(server.id);
-    const notRun = await this.send(server, bounds);
-    if (notRun) return notRun;
+    const failure = await this.send(server, bounds);
+    if (failure) return failure;
     const [signal] = bounds;
     const { clock, rng } = this.servers;
     const number = this.servers.beginRequest();
@@ -138,11 +142,15 @@
       said: Buffer.from(request.body).toString('latin1'),
       ...executed,
     });
-    if (!executed.complete) return this.receive({ kind: 'lost', text: 'the answer stopped' });
+    if (!executed.complete)
+      return this.receive({ kind: 'lost', text: `${server.id} broke off the response` });
     if (faults.namesOtherAttempt)
-      return this.receive({ kind: 'lost', text: 'the response names another attempt' });
+      return this.receive({
+        kind: 'lost',
+        text: `the response from ${server.id} names another attempt`,
+      });
     if (isEveryNth(faults.loseEvery, number))
-      return this.receive({ kind: 'lost', text: 'the answer was lost' });
+      return this.receive({ kind: 'lost', text: `the response from ${server.id} was lost` });
     return this.receive({ kind: 'done', code: 200, body: null });
   }
 
@@ -156,23 +164,24 @@
     return { busy: this.servers.busyOf(server), draining: faults.draining };
   }
 
-  /** Sends a request to a server; undefined if the server runs it. */
+  /** Sends a request to a server; resolves with the outcome if the server does not respond, else with undefined. */
   private async send(
     server: Server,
     [signal, timeoutMs, mayStillRun]: SendBounds,
   ): Promise<BackendOutcome | undefined> {
     this.servers.asked++;
     await delay(this.frontClock, sendMs);
-    if (!mayStillRun()) return { kind: 'declined', text: 'taken back' };
+    if (!mayStillRun())
+      return { kind: 'declined', text: `the request to ${server.id} was cancelled before it ran` };
     if (!this.servers.accepts(this.front, server)) return { kind: 'never-left', text: 'refused' };
     const faults = this.servers.faultsOf(server.id);
     if (faults.declines) return this.receive({ kind: 'declined', text: 'full' });
     if (faults.neverReplies || faults.unresponsive) {
       await delay(this.frontClock, timeoutMs, signal);
-      return { kind: 'lost', text: 'the server is silent' };
+      return { kind: 'lost', text: `${server.id} did not respond` };
     }
     return faults.resets
-      ? this.receive({ kind: 'lost', text: 'the connection was reset' })
+      ? this.receive({ kind: 'lost', text: `${server.id} reset the connection` })
       : undefined;
   }
 
@@ -182,5 +191,5 @@
   }
 }
 
-const losesEnd = (faults: ServerFaults, requestNumber: number): boolean =>
+const losesResponseEnd = (faults: ServerFaults, requestNumber: number): boolean =>
   faults.fails || isEveryNth(faults.loseEvery, requestNumber);
--- a/packages/sim/src/sim-call.ts
+++ b/packages/sim/src/sim-call.ts
@@ -1,4 +1,4 @@
-/** One request on the simulated network, from its caller's side: it ends once, with a response or an error. */
+/** One request on the simulated network, from the caller's side: it ends once, with a response or an error. */
 import {
   ConnectionLostError,
   RequestCancelledError,
@@ -11,7 +11,7 @@
 import type { Incarnation } from './incarnation.js';
 import type { Host, SimNet } from './sim-net.js';
 
-/** A request as it is sent. */
+/** A request, as the caller sends it. */
 export interface SimRequest {
   readonly from: string;
   readonly to: string;
@@ -22,10 +22,10 @@
   readonly caller: Incarnation;
 }
 
-/** How often a caller looks whether the process that it called still lives, in ms. */
+/** Interval at which a call checks whether the called process is still alive, in ms. */
 const lossCheckMs = 20;
 
-/** A request under way. Its caller hears nothing more once it ended, or while the caller's process is dead. */
+/** A request in flight. Nothing is reported to the caller after it has ended, or while the caller's process is dead. */
 export class SimCall {
   readonly from: string;
   readonly to: string;
@@ -64,7 +64,7 @@
     return this.promise;
   }
 
-  /** Ends the request with an error and tells the handler that nobody waits any more. */
+  /** Ends the request with an error and aborts the signal of its handler. */
   cancel(error: Error): void {
     this.cancellation.abort();
     this.fail(error);
@@ -137,7 +137,7 @@
     });
   }
 
-  /** Sends something back, unless the process that was called has died. */
+  /** Sends a message back to the caller, unless the called process is dead. */
   private respond(host: Host, arrive: () => void): void {
     if (host.incarnation.dead) return;
     this.net.deliver(this.to, this.from, () => {
--- a/packages/sim/src/sim-clock.ts
+++ b/packages/sim/src/sim-clock.ts
@@ -1,19 +1,19 @@
 /**
- * The simulated clock: time goes on only from timer to timer, and after each all work that is ready runs to its end. So
- * a run with the same seed makes the same events in the same order.
+ * The simulated clock: time advances only from timer to timer, and after each timer all ready tasks run to their end.
+ * So a run with the same seed has the same events in the same order.
  */
 import type { Clock, TimerHandle } from '@tillerstair/wire';
 import { TimerHeap, type SimTimer } from './timer-heap.js';
 
 const startTime = 1000;
-/** After so many turns of the event loop, work that one timer set off has come to rest. */
+/** Number of event loop turns after which the tasks that one timer started have run to their end. */
 const turnsPerEvent = 4;
 
 const eventLoopTurn = (): Promise<void> => new Promise((done) => setImmediate(done));
 
-/** A clock that stands still unless it is run. Times are in ms. */
+/** A clock that advances only while it is run. Times are in ms. */
 export class SimClock implements Clock {
-  /** How many timers fired. */
+  /** Number of timers that have fired. */
   events = 0;
   private time = startTime;
   private sequence = 0;
@@ -38,12 +38,12 @@
     };
   }
 
-  /** Lets all work that is ready run, without time going on. */
+  /** Runs all ready tasks without advancing the time. */
   async runReadyTasks(): Promise<void> {
     for (let turn = 0; turn < turnsPerEvent; turn++) await eventLoopTurn();
   }
 
-  /** Fires the next timer; false if there is none up to the time `limit`. */
+  /** Advances to the next timer and fires it; false if there is none up to the time `limit`. */
   async step(limit: number): Promise<boolean> {
     const timer = this.timers.first;
     if (!timer || timer.at > limit) return false;
@@ -56,7 +56,7 @@
     return true;
   }
 
-  /** Lets time go on for `ms`. */
+  /** Advances the time by `ms`. */
   async run(ms: number): Promise<void> {
     const end = this.time + ms;
     await this.runReadyTasks();
@@ -64,7 +64,7 @@
     this.time = end;
   }
 
-  /** Lets time go on until a condition holds, and returns how long it took; throws after `withinMs`. */
+  /** Advances the time until a condition holds, and returns how long that took; throws after `withinMs`. */
   async until(what: string, ready: () => boolean, withinMs: number): Promise<number> {
     const start = this.time;
     await this.runReadyTasks();
@@ -75,7 +75,7 @@
     return this.time - start;
   }
 
-  /** Lets time go on until a promise ends, and returns or throws what it ends with; throws after `withinMs`. */
+  /** Advances the time until a promise settles, and returns its value or throws its error; throws after `withinMs`. */
   async finish<T>(what: string, work: Promise<T>, withinMs: number): Promise<T> {
     let ended = false;
     const end = (): void => {
--- a/packages/sim/src/sim-cluster.ts
+++ b/packages/sim/src/sim-cluster.ts
@@ -1,4 +1,4 @@
-/** The machines of one simulated world: added, started, found by kind, brought up to serve. */
+/** The machines of one simulated world: adds, starts and finds them, and configures them for serving. */
 import type { OperatorResponse } from '@tillerstair/control';
 import type { State } from '@tillerstair/state';
 import { zenBounds, type ConfiguredBounds, type ZenBounds } from '@tillerstair/zen';
@@ -9,21 +9,22 @@
 import { SimNet } from './sim-net.js';
 import { SimServers } from './sim-servers.js';
 
-/** How many machines of each kind a world has, and the bounds of its deployment. */
+/** Options of a world: the number of machines of each kind, and the settings of its deployment. */
 export interface WorldOptions {
   readonly controls: number;
   readonly stores: number;
   readonly fronts: number;
+  /** Number of slots; 8 by default. */
   readonly slots?: number;
-  /** Outer bounds of the deployment, in ms; the usual ones if left out. */
+  /** Configured time bounds of the deployment, in ms. */
   readonly configuredBounds?: ConfiguredBounds;
-  /** Losses of stores at once that the cluster is bootstrapped to bear. */
+  /** Number of simultaneous store losses that the cluster is bootstrapped to withstand; 1 by default. */
   readonly losses?: number;
-  /** How many zones the machines are spread over; three if left out. */
+  /** Number of zones that the machines are spread over; 3 by default. */
   readonly zones?: number;
 }
 
-const usualOuter: ConfiguredBounds = {
+const defaultBounds: ConfiguredBounds = {
   serveWithin: 12000,
   drainingWithin: 3000,
   heartbeatInterval: 1000,
@@ -39,50 +40,50 @@
   readonly configuredBounds: ConfiguredBounds;
   readonly bounds: ZenBounds;
   readonly zones: number;
-  /** Names the seeds that settings hold from now on; the first three controls while unset. */
+  /** Seed addresses for settings that are read from now on; while unset, the first three controls are the seeds. */
   namedSeeds: readonly string[] | undefined;
-  /** Slots of the cluster. */
+  /** Number of slots of the cluster. */
   readonly slots: number;
   readonly losses: number;
-  /** Logs longer than this many bytes are written anew. */
-  readonly rewriteMinBytes = 1 << 16;
-  /** The most hints that a store has. */
+  /** Logs longer than this many bytes are rewritten. */
+  readonly maxLogBytes = 1 << 16;
+  /** Limit of the hints that a store keeps. */
   hintsMost = 10000;
-  /** How long idle turns stay, in ms. */
+  /** Retention time of idle turns, in ms. */
   retentionMs = 3600000;
-  /** The list of servers that controls read; servers are added by operators while unset. */
+  /** The list of servers that controls read; while unset, operators add the servers. */
   list: SimServerList | undefined;
   readonly machines: Machine[] = [];
-  /** Gets each line of all logs, while set. */
+  /** Called, if set, with each log line of all machines. */
   trace: ((line: string) => void) | undefined;
-  /** Whether machines that start from now on have clocks that run fast or slow. */
+  /** Whether machines that start from now on get clocks that run up to 3 percent fast or slow. */
   skewClocks = false;
   private idCount = 0;
   private readonly machineCounts = new Map<Machine['kind'], number>();
 
   constructor(
     readonly seed: number,
-    sizes: WorldOptions,
+    options: WorldOptions,
   ) {
     this.rng = seededRng(seed);
-    this.configuredBounds = sizes.configuredBounds ?? usualOuter;
+    this.configuredBounds = options.configuredBounds ?? defaultBounds;
     this.bounds = zenBounds(this.configuredBounds);
-    this.slots = sizes.slots ?? 8;
-    this.losses = sizes.losses ?? 1;
-    this.zones = sizes.zones ?? 3;
+    this.slots = options.slots ?? 8;
+    this.losses = options.losses ?? 1;
+    this.zones = options.zones ?? 3;
     this.net = new SimNet(this.clock, this.rng);
     this.servers = new SimServers(this.clock, this.rng);
-    for (let n = 0; n < sizes.controls; n++) this.add('control');
-    for (let n = 0; n < sizes.stores; n++) this.add('store');
-    for (let n = 0; n < sizes.fronts; n++) this.add('front');
+    for (let index = 0; index < options.controls; index++) this.add('control');
+    for (let index = 0; index < options.stores; index++) this.add('store');
+    for (let index = 0; index < options.fronts; index++) this.add('front');
   }
 
-  /** A number that no other caller of this world gets. */
+  /** A number that is unique in this world. */
   protected nextIdNumber(): number {
     return ++this.idCount;
   }
 
-  /** An id that no other has. */
+  /** An id that is unique in this world. */
   freshId(): string {
     return `${Math.floor(this.rng() * 36 ** 4)
       .toString(36)
@@ -91,62 +92,66 @@
 
   /** The machines of a kind, in the order in which they were added. */
   of(kind: Machine['kind']): readonly Machine[] {
-    return this.machines.filter((m) => m.kind === kind);
+    return this.machines.filter((machine) => machine.kind === kind);
   }
 
   /** The machine at an address; throws if there is none. */
   at(addr: string): Machine {
-    const m = this.machines.find((x) => x.addr === addr);
-    if (!m) throw new Error(`no machine ${addr}`);
-    return m;
+    const machine = this.machines.find((candidate) => candidate.addr === addr);
+    if (!machine) throw new Error(`there is no machine ${addr} in the world`);
+    return machine;
   }
 
-  /** Adds a machine, which is not started. */
+  /** Adds a machine without starting it. */
   add(kind: Machine['kind'], seeds?: readonly string[]): Machine {
-    const n = this.machineCounts.get(kind) ?? 0;
-    this.machineCounts.set(kind, n + 1);
-    const m = new Machine(this, kind, n, seeds);
-    this.machines.push(m);
-    return m;
+    const index = this.machineCounts.get(kind) ?? 0;
+    this.machineCounts.set(kind, index + 1);
+    const machine = new Machine(this, kind, index, seeds);
+    this.machines.push(machine);
+    return machine;
   }
 
   /** Removes a machine from the world; its processes must have ended. */
-  remove(m: Machine): void {
-    this.machines.splice(this.machines.indexOf(m), 1);
+  remove(machine: Machine): void {
+    this.machines.splice(this.machines.indexOf(machine), 1);
   }
 
-  /** The addresses that settings name as seeds now. */
+  /** The seed addresses for settings that are read now. */
   get seeds(): readonly string[] {
     return (
       this.namedSeeds ??
       this.of('control')
         .slice(0, 3)
-        .map((m) => m.addr)
+        .map((machine) => machine.addr)
     );
   }
 
-  /** What the master has committed; undefined while there is none. */
+  /** The state that the master has committed; undefined while there is no master. */
   get committed(): State | undefined {
     return this.master?.control?.zen.leading?.committed;
   }
 
-  /** The nodes that are being drained or emptied. */
+  /** Ids of the nodes that are being drained or emptied. */
   get retiringNodes(): ReadonlySet<string> {
     return new Set(this.committed?.retiring.keys());
   }
 
+  /** Starts the given machines, by default all. */
   start(machines: readonly Machine[] = this.machines): void {
-    for (const m of machines) m.start();
+    for (const machine of machines) machine.start();
   }
 
-  /** All controls that lead, in whatever term. */
+  /** All controls that act as master, in any term. */
   masters(): readonly Machine[] {
     return this.of('control').filter(
-      (m) => m.up && !m.incarnation.frozen && m.control?.zen.leading?.committed !== undefined,
+      (machine) =>
+        machine.up &&
+        !machine.incarnation.frozen &&
+        machine.control?.zen.leading?.committed !== undefined,
     );
   }
 
-  /** The control that leads in the newest term. */
+  /** The master of the newest term. */
   get master(): Machine | undefined {
     return [...this.masters()].sort(
       (a, b) => (b.control?.zen.term ?? 0) - (a.control?.zen.term ?? 0),
@@ -156,40 +161,45 @@
   /** The fronts that would answer a readiness check. */
   readyFronts(): readonly Machine[] {
     return this.of('front').filter(
-      (m) => m.up && !m.incarnation.frozen && m.front?.owner.readiness().ready === true,
+      (machine) =>
+        machine.up &&
+        !machine.incarnation.frozen &&
+        machine.front?.owner.readiness().ready === true,
     );
   }
 
-  /** Sends an operator's request to a control, the master if there is one; throws if it takes longer than `within` ms. */
+  /** Sends an operator's request to `at`, the master or any control that is up; throws after `timeoutMs`. */
   async operate(
     method: string,
     path: string,
     body = '',
     at?: Machine,
-    within = 20000,
+    timeoutMs = 20000,
   ): Promise<OperatorResponse> {
-    const m = at ?? this.master ?? this.of('control').find((x) => x.up);
-    const node = m?.control;
+    const machine = at ?? this.master ?? this.of('control').find((control) => control.up);
+    const node = machine?.control;
     if (!node) return { status: 0, body: null };
-    return this.clock.finish(`${method} ${path}`, node.operate({ method, path, body }), within);
+    return this.clock.finish(`${method} ${path}`, node.operate({ method, path, body }), timeoutMs);
   }
 
-  /** Starts all machines and waits until they serve a configuration and know the servers. */
+  /** Starts all machines, sets the configuration and the servers, and waits until all fronts serve with them. */
   async startServing(
     configText: (base: number) => string,
     servers: readonly (readonly [string, string])[],
   ): Promise<void> {
     this.start();
     await this.clock.until('a master', () => this.master !== undefined, 12000);
-    const put = await this.operate('PUT', '/v1/config', configText(0));
-    if (put.status !== 200) throw new Error(`config: ${JSON.stringify(put)}`);
+    const changed = await this.operate('PUT', '/v1/config', configText(0));
+    if (changed.status !== 200)
+      throw new Error(`the first configuration was not accepted: ${JSON.stringify(changed)}`);
     for (const [id, pool] of servers) {
-      const r = await this.operate(
+      const added = await this.operate(
         'PUT',
         `/v1/servers/${id}`,
         JSON.stringify({ pool, url: 'http://127.0.0.1:1' }),
       );
-      if (r.status !== 200) throw new Error(`server: ${JSON.stringify(r)}`);
+      if (added.status !== 200)
+        throw new Error(`server ${id} of pool ${pool} was not added: ${JSON.stringify(added)}`);
     }
     const fronts = this.of('front').length;
     await this.clock.until(
@@ -203,21 +213,23 @@
   }
 
   private frontsKnowServers(servers: number): boolean {
-    return this.of('front').every((m) => m.front?.owner.current?.state.servers.size === servers);
+    return this.of('front').every(
+      (machine) => machine.front?.owner.current?.state.servers.size === servers,
+    );
   }
 
   /** Whether each slot has an owner and all its replicas. */
   slotsReplicated(): boolean {
-    const s = this.committed;
+    const state = this.committed;
     return (
-      s !== undefined &&
-      s.slots.every((slot) => s.nodes.has(slot.owner) && slot.joiningReplicas.length === 0)
+      state !== undefined &&
+      state.slots.every((slot) => state.nodes.has(slot.owner) && slot.joiningReplicas.length === 0)
     );
   }
 
   /** Whether each slot has an owner. */
   slotsOwned(): boolean {
-    const s = this.committed;
-    return s !== undefined && s.slots.every((slot) => s.nodes.has(slot.owner));
+    const state = this.committed;
+    return state !== undefined && state.slots.every((slot) => state.nodes.has(slot.owner));
   }
 }
--- a/packages/sim/src/sim-disk.ts
+++ b/packages/sim/src/sim-disk.ts
@@ -1,4 +1,4 @@
-/** The disk as one simulated process uses it: every step takes time and stops with the process. */
+/** The disk interface of one simulated process: each step takes time, and none completes once the process is dead. */
 import type { Disk, DiskFile } from '@tillerstair/journal';
 import { delay, type Clock } from '@tillerstair/wire';
 import type { Incarnation } from './incarnation.js';
@@ -13,7 +13,7 @@
     yield Promise.resolve(bytes.subarray(start, start + chunkBytes));
 }
 
-/** As a file system reports that it has no space left. */
+/** The error that a file system reports when no space is left. */
 class DiskFullError extends Error {
   readonly code = 'ENOSPC';
 
@@ -22,7 +22,7 @@
   }
 }
 
-/** A drive as one incarnation of a process has it open. */
+/** A drive, opened by one incarnation of a process. */
 export class SimDisk implements Disk {
   constructor(
     private readonly drive: SimDrive,
@@ -44,7 +44,7 @@
     await this.syncNames();
   };
 
-  /** A step that takes as long as the drive does, and waits while it is stalled. */
+  /** A slow step: takes the delay of the drive, and waits while the drive is stalled. */
   async work(): Promise<void> {
     await this.whileAlive();
     await delay(this.clock, this.drive.delay);
@@ -69,7 +69,7 @@
 
   async sync(file: FileContent): Promise<void> {
     await this.work();
-    if (this.drive.failSyncs) throw new Error('the disk failed to sync');
+    if (this.drive.failSyncs) throw new Error('the simulated disk failed to sync a file');
     this.drive.syncs++;
     file.synced = file.cached;
   }
@@ -79,7 +79,7 @@
     this.drive.syncNames();
   }
 
-  /** An open file, as an object of functions, so that tests may replace some of them. */
+  /** An open file, as an object of functions, so that tests can replace some of them. */
   private fileOf(name: string, opened: FileContent): DiskFile {
     let content = opened;
     return {
--- a/packages/sim/src/sim-drive.ts
+++ b/packages/sim/src/sim-drive.ts
@@ -1,28 +1,29 @@
-/** What is on a simulated disk: what is synced stays, the rest and each unsynced name may be lost with the power. */
+/** The content of a simulated disk: a power loss may lose unsynced bytes and unsynced names, but nothing synced. */
 import type { Disk } from '@tillerstair/journal';
 import type { Clock } from '@tillerstair/wire';
 import { emptyContent, type FileContent } from './file-content.js';
 import type { Incarnation } from './incarnation.js';
 import { SimDisk } from './sim-disk.js';
 
-const usualDelayMs = 0.2;
+const defaultDelayMs = 0.2;
 const flippedBit = 0x20;
 
-/** The disk of one machine, over all incarnations of its process. */
+/** The disk of one machine; it outlives the incarnations of its process. */
 export class SimDrive {
-  /** How long a sync or another slow step takes, in ms. */
-  delay = usualDelayMs;
-  /** How many syncs there were. */
+  /** Duration of a sync or another slow step, in ms. */
+  delay = defaultDelayMs;
+  /** Number of successful file syncs. */
   syncs = 0;
+  /** While set, file syncs fail. */
   failSyncs = false;
-  /** The step of writing at which `onCrash` is called; -1 for none. */
+  /** Index of the write step at which `onCrash` is called; -1 for none. */
   crashAtStep = -1;
   onCrash: () => void = () => undefined;
-  /** While set, writes fail; a part of their bytes may reach the file. */
+  /** While set, writes fail, and new files cannot be created; a part of the written bytes may reach the file. */
   full = false;
-  /** Names as processes see them. */
+  /** File names as processes see them. */
   private names = new Map<string, FileContent>();
-  /** Names as the folder was last synced. */
+  /** File names as of the last sync of the folder. */
   private syncedNames = new Map<string, FileContent>();
   private waiting: (() => void)[] = [];
   private isStalled = false;
@@ -30,7 +31,7 @@
 
   constructor(private readonly rng: () => number) {}
 
-  /** The drive as one process uses it. */
+  /** The disk interface of one process. */
   disk(clock: Clock, incarnation: Incarnation): Disk {
     return new SimDisk(this, clock, incarnation);
   }
@@ -39,23 +40,23 @@
     return this.isStalled;
   }
 
-  /** While set, writes and syncs neither end nor fail; they go on once it is unset. */
-  set stalled(on: boolean) {
-    this.isStalled = on;
-    if (on) return;
+  /** While set, writes and syncs neither complete nor fail; they continue once it is unset. */
+  set stalled(active: boolean) {
+    this.isStalled = active;
+    if (active) return;
     const released = this.waiting;
     this.waiting = [];
     for (const resume of released) resume();
   }
 
-  /** Sets the usual speed, and ends all faults that leave the content as it is. */
+  /** Restores the default speed, and ends `full` and `stalled`. */
   endFaults(): void {
-    this.delay = usualDelayMs;
+    this.delay = defaultDelayMs;
     this.full = false;
     this.stalled = false;
   }
 
-  /** Resolves while the drive is not stalled. */
+  /** Resolves once the drive is not stalled. */
   async untilReleased(): Promise<void> {
     while (this.isStalled) await new Promise<void>((resume) => this.waiting.push(resume));
   }
@@ -64,7 +65,7 @@
     return this.names.has(name);
   }
 
-  /** The content of a name, which is made if there is none. */
+  /** The content of a file, which is created if it does not exist. */
   file(name: string): FileContent {
     const existing = this.names.get(name);
     if (existing) return existing;
@@ -95,12 +96,12 @@
     this.syncedNames = new Map(this.names);
   }
 
-  /** How many of so many bytes a write brings to the file. */
+  /** How many of `count` bytes a write stores: all, or a random part while the drive is full. */
   writableBytes(count: number): number {
     return this.full ? Math.floor(this.rng() * count) : count;
   }
 
-  /** The power goes: of what was not synced, any part may be lost. */
+  /** Simulates a power loss: each file keeps a random part of its unsynced bytes. */
   powerLoss(): void {
     this.names = this.namesAfterPowerLoss();
     this.syncedNames = new Map(this.names);
@@ -112,7 +113,7 @@
     }
   }
 
-  /** Each name that was made, renamed or removed since the folder was synced stays or is lost by itself. */
+  /** Each creation, renaming or removal of a name since the last folder sync survives or is lost independently. */
   private namesAfterPowerLoss(): Map<string, FileContent> {
     const survived = new Map<string, FileContent>();
     for (const name of new Set([...this.names.keys(), ...this.syncedNames.keys()])) {
@@ -124,13 +125,13 @@
     return survived;
   }
 
-  /** Everything on the disk is lost. */
+  /** Erases the disk. */
   wipe(): void {
     this.names = new Map();
     this.syncedNames = new Map();
   }
 
-  /** Flips a bit of the byte at an offset. */
+  /** Flips one bit of the byte at an offset of a file. */
   corrupt(name: string, offset: number): void {
     const file = this.file(name);
     const bytes = Buffer.from(file.synced);
@@ -139,24 +140,24 @@
     file.cached = bytes;
   }
 
-  /** The size of a file. */
+  /** The size of a file in bytes. */
   bytes(name: string): number {
     return this.file(name).cached.length;
   }
 
-  /** The names of all files there are now. */
+  /** The names of all files, sorted. */
   list(): readonly string[] {
     return [...this.names.keys()].sort();
   }
 
-  /** Counts steps of writing anew and calls `onCrash` at the given one; -1 for none. */
+  /** Restarts the count of write steps, and calls `onCrash` at the step of this index; -1 for none. */
   crashFrom(step: number, onCrash: () => void): void {
     this.steps = 0;
     this.crashAtStep = step;
     this.onCrash = onCrash;
   }
 
-  /** One step of writing. */
+  /** Counts one write step. */
   step(): void {
     if (this.steps++ === this.crashAtStep) this.onCrash();
   }
--- a/packages/sim/src/sim-net.ts
+++ b/packages/sim/src/sim-net.ts
@@ -1,4 +1,4 @@
-/** The simulated network: who serves at which address, which pairs are cut, and how long messages take. */
+/** The simulated network: the hosts at their addresses, the cut connections, and the delivery of messages. */
 import {
   ConnectionLostError,
   ConnectionRefusedError,
@@ -16,7 +16,7 @@
   readonly incarnation: Incarnation;
 }
 
-/** A message as it is sent, whether it arrives or not. */
+/** A message that was sent, whether it arrives or not. */
 export interface ObservedMessage {
   readonly from: string;
   readonly to: string;
@@ -24,16 +24,16 @@
   readonly bytes: number;
 }
 
-/** What becomes of one message on its way. */
+/** Faults of the delivery of one message. */
 export interface DeliveryFaults {
   readonly lost: boolean;
-  /** How much longer it takes, in ms; a late message may be overtaken by later ones. */
+  /** Extra delay in ms; a delayed message may be overtaken by later ones. */
   readonly extraDelayMs: number;
-  /** How many more times it arrives. */
+  /** Number of additional deliveries of the message. */
   readonly duplicates: number;
 }
 
-/** One answer as its sender made it, whether it arrives or not. */
+/** One response of a handler, whether it arrives or not. */
 export interface ObservedAnswer {
   readonly by: string;
   readonly caller: string;
@@ -42,13 +42,13 @@
   readonly answer: unknown;
 }
 
-/** What a caller sees of a cut: nothing, a refused connection, or one that is reset. */
+/** The effect of a cut on a caller: no response, a refused connection, or a reset one. */
 export type CutEffect = 'silent' | 'refuse' | 'reset';
 
-/** Which part of a conversation a message is. */
+/** The part of a request-response exchange that a message carries. */
 export type MessagePart = 'body' | 'chunk' | 'response';
 
-/** Two addresses, in the direction of what is sent. */
+/** Two addresses, in the direction in which messages are sent. */
 export type AddressPair = readonly [from: string, to: string];
 
 interface ConnectionListener {
@@ -56,7 +56,7 @@
   onConnectionLost(peer: string): void;
 }
 
-/** Who calls whom. */
+/** The caller and the recipient of a request, and its kind. */
 interface CallTarget {
   readonly self: string;
   readonly incarnation: Incarnation;
@@ -64,37 +64,37 @@
   readonly kind: string;
 }
 
-const deliveredOnce: DeliveryFaults = { lost: false, extraDelayMs: 0, duplicates: 0 };
+const noFaults: DeliveryFaults = { lost: false, extraDelayMs: 0, duplicates: 0 };
 
-/** A message takes from this many ms to this many more, unless its fate or the latency says otherwise. */
-const shortestMs = 0.3;
-const rangeMs = 0.7;
-/** Messages of one pair keep their order by at least this much. */
-const orderMs = 0.001;
-/** A repeated message arrives from this many ms on. */
-const repeatMs = 1;
-/** How long it takes until peers see that a process is no longer there. */
-const lossSeenMs = 0.5;
+/** The latency of a message without faults or extra latency: at least `minLatencyMs`, plus at most `latencyRangeMs`. */
+const minLatencyMs = 0.3;
+const latencyRangeMs = 0.7;
+/** Minimum gap between the arrivals of two messages of one pair, which keeps their order. */
+const minGapMs = 0.001;
+/** Minimum delay of a duplicate. */
+const minDuplicateDelayMs = 1;
+/** Minimum time until peers detect that a process has ended. */
+const minLossDetectionMs = 0.5;
 
-/** The bytes that the TCP transport adds to a message. */
+/** Number of bytes that the TCP transport adds to a message. */
 const frameBytes = (kind: string, part: MessagePart): number =>
   `{"id":10000,${part === 'body' ? `"kind":"${kind}",` : ''}"${part}":}\n`.length;
 
 const pairKey = (from: string, to: string): string => `${from}>${to}`;
 
-/** The network of one world. Messages of a pair arrive in order unless their fate says otherwise. */
+/** The network of one world. Messages of a pair arrive in order unless delivery faults are set. */
 export class SimNet {
-  /** Requests so far. */
+  /** Number of requests so far. */
   messages = 0;
-  /** Called for each message that is sent, while set. */
+  /** Called, if set, for each message that is sent. */
   onMessage: ((message: ObservedMessage) => void) | undefined;
-  /** Called with each answer that a handler gave, while set. */
+  /** Called, if set, with each response of a handler. */
   onAnswer: ((answer: ObservedAnswer) => void) | undefined;
-  /** Decides the fate of each message; every one is delivered once while unset. */
+  /** Decides the delivery faults of each message; while unset, every message is delivered once. */
   deliveryFaults: ((from: string, to: string) => DeliveryFaults) | undefined;
-  /** How much longer messages of a pair take, in ms. */
+  /** Extra latency of the messages of a pair, in ms. */
   extraLatency: (from: string, to: string) => number = () => 0;
-  /** The longest message of each kind, in characters. */
+  /** Size of the largest message of each kind, in characters. */
   readonly largestMessages = new Map<string, number>();
   private readonly hosts = new Map<string, Host>();
   private readonly cuts = new Map<string, CutEffect>();
@@ -107,14 +107,14 @@
     private readonly rng: () => number,
   ) {}
 
-  /** The connections of an address are closed, since its process ended. */
+  /** Reports, after a short delay, the loss of all connections of an address whose process has ended. */
   closed(address: string): void {
-    this.clock.after(lossSeenMs + this.rng(), () => {
+    this.clock.after(minLossDetectionMs + this.rng(), () => {
       for (const listener of this.listeners) listener.onConnectionLost(address);
     });
   }
 
-  /** Resets a share of the connections of an address; calls under way on them are lost. */
+  /** Resets a share of the open calls of an address; both ends are told that their connection is lost. */
   reset(address: string, share: number): void {
     const peers = new Set<string>();
     for (const call of this.openCalls) {
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Cuts one direction. */
+  /** Cuts one direction between two addresses. */
   cut(from: string, to: string, effect: CutEffect = 'silent'): void {
     this.cuts.set(pairKey(from, to), effect);
   }
@@ -164,7 +164,7 @@
     if (this.hosts.get(address)?.incarnation === incarnation) this.hosts.delete(address);
   }
 
-  /** The process that a request reaches; throws what the caller sees otherwise, undefined where it sees nothing. */
+  /** The host that a request reaches; undefined if the request is lost silently. Throws the caller's error if not. */
   hostFor(from: string, to: string): Host | undefined {
     const effect = this.cuts.get(pairKey(from, to));
     if (effect === 'refuse') throw new ConnectionRefusedError(to);
@@ -175,26 +175,29 @@
     return host;
   }
 
-  /** Delivers a message as its fate says: `arrive` is called once, later, several times or never. */
+  /** Delivers a message with its delivery faults: `arrive` is called once, late, several times or never. */
   deliver(from: string, to: string, arrive: () => void): void {
-    const fate = this.deliveryFaults?.(from, to) ?? deliveredOnce;
-    for (let n = 0; n < fate.duplicates; n++)
-      this.clock.after(repeatMs + this.rng() * (repeatMs + fate.extraDelayMs), arrive);
-    if (fate.lost) return;
-    if (fate.extraDelayMs > 0) {
-      this.clock.after(shortestMs + fate.extraDelayMs, arrive);
+    const faults = this.deliveryFaults?.(from, to) ?? noFaults;
+    for (let copy = 0; copy < faults.duplicates; copy++)
+      this.clock.after(
+        minDuplicateDelayMs + this.rng() * (minDuplicateDelayMs + faults.extraDelayMs),
+        arrive,
+      );
+    if (faults.lost) return;
+    if (faults.extraDelayMs > 0) {
+      this.clock.after(minLatencyMs + faults.extraDelayMs, arrive);
       return;
     }
     const pair = pairKey(from, to);
     const at = Math.max(
-      this.clock.now() + shortestMs + this.rng() * rangeMs + this.extraLatency(from, to),
-      (this.lastArrivals.get(pair) ?? 0) + orderMs,
+      this.clock.now() + minLatencyMs + this.rng() * latencyRangeMs + this.extraLatency(from, to),
+      (this.lastArrivals.get(pair) ?? 0) + minGapMs,
     );
     this.lastArrivals.set(pair, at);
     this.clock.after(at - this.clock.now(), arrive);
   }
 
-  /** Counts a message and reports it. */
+  /** Reports a message to `onMessage`, and tracks the largest message of its kind. */
   observe(message: Omit<ObservedMessage, 'bytes'>, text: string, part: MessagePart): void {
     const { kind } = message;
     const bytes = Buffer.byteLength(text) + frameBytes(kind, part);
@@ -203,7 +206,7 @@
       this.largestMessages.set(kind, text.length);
   }
 
-  /** The network as the processes of one address use it. */
+  /** The transport of one process at an address. */
   transport(self: string, incarnation: Incarnation): Transport {
     const listeners: ((to: string) => void)[] = [];
     this.listeners.push({
--- a/packages/sim/src/sim-pass.ts
+++ b/packages/sim/src/sim-pass.ts
@@ -1,30 +1,30 @@
-/** How a simulated server executes a request of a pass route: what its response contains, and where it breaks off. */
+/** Execution of requests on pass routes by simulated servers: the content of a response, and where it breaks off. */
 import type { ForwardedRequest, ResponseHead, ResponseSink } from '@tillerstair/session-owner';
 import { slotForKey } from '@tillerstair/state';
 import { delay, type Clock } from '@tillerstair/wire';
 import { isEveryNth, type ServerFaults } from './server-faults.js';
 import type { Incarnation } from './incarnation.js';
 
-/** What a server has of a request after it ended. */
+/** The record of a request that a server executed. */
 export interface PassExecution {
   readonly key: string;
   readonly program: string;
-  /** The bytes made, as far as the response went. */
+  /** The bytes of the response, up to where it ended or broke off. */
   readonly reply: string;
   readonly complete: boolean;
   readonly tokens: number;
 }
 
-/** The server that executes one request, and who listens to its response. */
+/** The server that executes one request, and the front that receives the response. */
 export interface PassServer {
   readonly by: string;
-  /** The request's number among those of all servers. */
+  /** Number of the request, counted over all servers. */
   readonly number: number;
   readonly faults: ServerFaults;
   readonly clock: Clock;
   readonly rng: () => number;
   readonly incarnation: Incarnation;
-  /** Aborted when the front gives the request up. */
+  /** Aborted when the front cancels the request. */
   readonly signal: AbortSignal;
 }
 
@@ -32,20 +32,20 @@
   .filter((c) => c !== '\n' && c !== '\r')
   .join('');
 
-const fewestEvents = 4;
-const eventCounts = 6;
+const minEvents = 4;
+const eventCountChoices = 6;
 const msPerEvent = 5;
-const shortestCallMs = 10;
+const minCallMs = 10;
 const callRangeMs = 30;
 
-/** How many events the response to an attempt has, whichever server makes it. */
+/** Number of events in the response to an attempt; the same at every server. */
 export const eventsIn = (attempt: string): number =>
-  fewestEvents + slotForKey(attempt, eventCounts);
+  minEvents + slotForKey(attempt, eventCountChoices);
 
 const headerOf = (request: ForwardedRequest, name: string): string =>
   request.headers.find(([key]) => key === name)?.[1] ?? '';
 
-/** Which parts of a response are made, by their numbers; -1 where a fault does not strike. */
+/** The parts of a response, by number: from `first` up to, not including, `total`; a fault that is off has part -1. */
 interface ResponsePlan {
   readonly streamed: boolean;
   readonly first: number;
@@ -67,23 +67,23 @@
   };
 };
 
-/** One event, or the body of a response without events; some streams end in an empty line more than they need. */
-const partText = (server: PassServer, { streamed, total }: ResponsePlan, n: number): string => {
-  const data = `${server.by}.${server.number}.${n} ${n === 1 ? allBytes : ''}`;
+/** The text of one event, or of a response without events; some streams end with an extra empty line. */
+const partText = (server: PassServer, { streamed, total }: ResponsePlan, part: number): string => {
+  const data = `${server.by}.${server.number}.${part} ${part === 1 ? allBytes : ''}`;
   if (!streamed) return `${data}${allBytes}\r\n`;
-  const tail = n === total - 1 && total % 2 === 1 ? '\n' : '';
-  return `id: ${n}\ndata: ${data}\n\n${tail}`;
+  const extraLine = part === total - 1 && total % 2 === 1 ? '\n' : '';
+  return `id: ${part}\ndata: ${data}\n\n${extraLine}`;
 };
 
 const partMsOf = ({ streamed }: ResponsePlan, rng: () => number): number =>
-  streamed ? msPerEvent : shortestCallMs + rng() * callRangeMs;
+  streamed ? msPerEvent : minCallMs + rng() * callRangeMs;
 
 const headOf = ({ streamed }: ResponsePlan, faults: ServerFaults): ResponseHead => ({
   status: faults.fails && !streamed ? 500 : 200,
   headers: [['content-type', streamed ? 'text/event-stream' : 'application/json']],
 });
 
-/** Executes a request and sends its response in pieces that end at any byte; resolves when it ended or broke off. */
+/** Executes a request and sends its response in chunks split at random bytes; resolves once it ends or breaks off. */
 export const executePass = async (
   server: PassServer,
   request: ForwardedRequest,
@@ -97,14 +97,14 @@
   };
   send(() => sink.head(headOf(plan, faults)));
   let reply = '';
-  let n = plan.first;
-  for (; n < total; n++) {
+  let part = plan.first;
+  for (; part < total; part++) {
     await delay(clock, partMsOf(plan, rng) * faults.slow);
     if ((streamed && signal.aborted) || incarnation.dead) break;
-    const text = partText(server, plan, n);
+    const text = partText(server, plan, part);
     const splitAt = Math.floor(rng() * text.length);
-    if (n === plan.failsAt) break;
-    if (n === plan.cutAt) {
+    if (part === plan.failsAt) break;
+    if (part === plan.cutAt) {
       if (faults.cutsInsideEvent || !streamed) send(() => sink.bytes(text.slice(0, splitAt)));
       break;
     }
@@ -116,7 +116,7 @@
     key: headerOf(request, 'operation-key'),
     program: headerOf(request, 'x-program'),
     reply,
-    complete: n >= total,
-    tokens: streamed ? n - plan.first : 0,
+    complete: part >= total,
+    tokens: streamed ? part - plan.first : 0,
   };
 };
--- a/packages/sim/src/sim-server-list.ts
+++ b/packages/sim/src/sim-server-list.ts
@@ -1,9 +1,9 @@
-/** The simulated list of servers that controls and fronts read; changes show after a lag. */
+/** The simulated list of servers that controls and fronts read; changes become visible after a lag. */
 import type { ListedServer, ServerList } from '@tillerstair/control';
 import { delay, type Clock } from '@tillerstair/wire';
 import type { Incarnation } from './incarnation.js';
 
-/** A read of the list, whether it succeeded or not. */
+/** A read of the list, successful or not: its time and the address of the reader. */
 export interface ListRead {
   readonly at: number;
   readonly by: string;
@@ -14,28 +14,28 @@
   readonly servers: ReadonlyMap<string, ListedServer>;
 }
 
-const usualReadMs = 10;
+const defaultReadMs = 10;
 
-/** The list of one world. */
+/** The server list of one world. */
 export class SimServerList {
   readonly reads: ListRead[] = [];
-  /** Readers that cannot reach the list. */
+  /** Addresses of readers that cannot reach the list. */
   readonly cut = new Set<string>();
-  /** While set, reads fail. */
+  /** While set, reads fail after half their duration. */
   failing = false;
-  /** While set, reads take all their time and fail. */
+  /** While set, reads fail only at their time-out. */
   hanging = false;
-  /** How long a read takes, in ms. */
-  readMs = usualReadMs;
+  /** Duration of a read, in ms. */
+  readMs = defaultReadMs;
   private versions: readonly ListVersion[] = [{ at: -Infinity, servers: new Map() }];
 
-  /** Changes show `lag` ms after they are made. */
+  /** Changes become visible `lag` ms after they are made. */
   constructor(
     private readonly clock: Clock,
     readonly lag = 0,
   ) {}
 
-  /** Adds a server, or replaces it; returns when that shows. */
+  /** Adds or replaces a server; returns the time at which the change becomes visible. */
   put(server: Partial<ListedServer> & Pick<ListedServer, 'id' | 'pool'>): number {
     return this.change((servers) =>
       servers.set(server.id, {
@@ -48,7 +48,7 @@
     );
   }
 
-  /** Marks a server as draining; returns when that shows. */
+  /** Marks a server as draining; returns the time at which the change becomes visible. */
   markDraining(id: string): number {
     return this.change((servers) => {
       const server = servers.get(id);
@@ -56,18 +56,18 @@
     });
   }
 
-  /** Removes a server; returns when that shows. */
+  /** Removes a server; returns the time at which the change becomes visible. */
   drop(id: string): number {
     return this.change((servers) => servers.delete(id));
   }
 
-  /** Who read the list in a span of time. */
+  /** Addresses of the readers that read the list at or after `from` and before `to`. */
   readers(from: number, to = Infinity): ReadonlySet<string> {
     const reads = this.reads.filter(({ at }) => at >= from && at < to);
     return new Set(reads.map(({ by }) => by));
   }
 
-  /** The list as one process reads it. */
+  /** The list, as one process reads it; its reads are recorded under the address `by`. */
   reader(by: string, incarnation: Incarnation): ServerList {
     const clock = incarnation.clock(this.clock);
     return {
@@ -75,7 +75,7 @@
         this.reads.push({ at: this.clock.now(), by });
         await delay(clock, this.hanging ? timeoutMs : this.readMs / 2);
         if (this.failing || this.hanging || this.cut.has(by))
-          throw new Error('the list cannot be read');
+          throw new Error(`${by} cannot read the server list`);
         const servers = this.visibleServers();
         await delay(clock, this.readMs / 2);
         return servers;
--- a/packages/sim/src/sim-servers.ts
+++ b/packages/sim/src/sim-servers.ts
@@ -1,4 +1,4 @@
-/** The simulated servers: their faults, their load, and the record of all that they executed. */
+/** The simulated servers: their faults, their load, and the records of what they executed. */
 import type { ExecutionRecord } from '@tillerstair/checker';
 import type { Backend } from '@tillerstair/session-owner';
 import type { Server } from '@tillerstair/state';
@@ -9,15 +9,15 @@
 
 const recordedPromptLength = 60;
 
-/** All servers of a world; fronts reach them through a backend of their own. */
+/** All servers of a world; each front reaches them through its own backend. */
 export class SimServers {
-  /** What was executed, in the order in which it ended. */
+  /** Executions, in the order in which they ended. */
   readonly executed: ExecutionRecord[] = [];
-  /** Pairs `front>server` between which no connection is made. */
+  /** Pairs `front>server` between which no connection can be made. */
   readonly cutFronts = new Set<string>();
-  /** Requests that fronts began to send. */
+  /** Number of requests that fronts began to send. */
   asked = 0;
-  /** Health checks that fronts sent. */
+  /** Number of health checks that fronts sent. */
   healthChecks = 0;
   private readonly faults = new Map<string, ServerFaults>();
   private readonly busy = new Map<string, number>();
@@ -28,17 +28,17 @@
     readonly rng: () => number,
   ) {}
 
-  /** Ends every fault of a server, except that it may go on draining. */
+  /** Ends every fault of a server; a draining server stays draining. */
   heal(id: string): void {
     this.set(id, { ...healthyServer, draining: this.faultsOf(id).draining });
   }
 
-  /** Sets the faults that are named; the others stay. */
+  /** Sets the given faults of a server; its other faults stay as they are. */
   set(id: string, faults: Partial<ServerFaults>): void {
     this.faults.set(id, { ...this.faultsOf(id), ...faults });
   }
 
-  /** The faults of a server now. */
+  /** The current faults of a server. */
   faultsOf(id: string): ServerFaults {
     return this.faults.get(id) ?? healthyServer;
   }
@@ -48,17 +48,17 @@
     return !this.faultsOf(server.id).refuses && !this.cutFronts.has(`${front}>${server.id}`);
   }
 
-  /** Begins a request and returns its number among those of all servers. */
+  /** Registers a request and returns its number, which counts the requests of all servers. */
   beginRequest(): number {
     return ++this.served;
   }
 
-  /** Changes the number of requests under way at a server. */
+  /** Changes the number of requests in flight at a server. */
   addBusy(server: Server, by: number): void {
     this.busy.set(server.id, this.busyOf(server) + by);
   }
 
-  /** The number of requests under way at a server. */
+  /** The number of requests in flight at a server. */
   busyOf(server: Server): number {
     return this.busy.get(server.id) ?? 0;
   }
@@ -74,7 +74,7 @@
     });
   }
 
-  /** The servers as the proxy of one machine reaches them, for one incarnation of that proxy. */
+  /** The backend through which one incarnation of a proxy reaches the servers; `front` is its address. */
   backend(incarnation: Incarnation, front = ''): Backend {
     return new SimBackend(this, incarnation, front);
   }
--- a/packages/sim/src/storm-callers.ts
+++ b/packages/sim/src/storm-callers.ts
@@ -1,4 +1,4 @@
-/** The callers of a storm: programs that send turns and keyed calls, retry as real ones do, and read history later. */
+/** The callers of a storm: programs that send turns and keyed calls, retry like clients, and read history later. */
 import type { ReplyRecord } from '@tillerstair/checker';
 import { PendingWork } from './pending-work.js';
 import type { World } from './world.js';
@@ -6,24 +6,24 @@
 const turnsPerChat = 3;
 const turnAttempts = 3;
 const callAttempts = 4;
-/** How often a caller sends the same twice at once. */
+/** Share of turns and of calls that a caller sends twice at once. */
 const duplicateTurnShare = 0.1;
 const duplicateCallShare = 0.3;
 const subAgentShare = 0.2;
 const subAgentBudget = 30;
 
-/** One conversation: where it stands now. */
+/** One conversation: its program, and the last turn, which the next one follows. */
 interface Chat {
   readonly number: number;
   program: string;
   after: string | null;
 }
 
-/** Keeps chats going; each of their requests is recorded by the world. */
+/** Runs chats; the world records each of their requests. */
 export class StormCallers {
-  /** Chats and what they do besides; a storm ends only after it. */
+  /** Chats and requests in flight; a storm ends only after all of them. */
   readonly pending = new PendingWork();
-  /** Called for each answer that a caller got, while set. */
+  /** Called, if set, for each successful reply that a caller gets. */
   onDone: ((reply: ReplyRecord) => void) | undefined;
   private requestCount = 0;
 
@@ -36,7 +36,7 @@
     this.pending.add(this.chat(this.requestCount++));
   }
 
-  /** Sends urgent calls all at once; resolves when all were answered. */
+  /** Sends urgent calls all at once; resolves when all are answered. */
   async sendUrgentCalls(count: number): Promise<void> {
     await Promise.all(
       Array.from({ length: count }, (_, i) =>
@@ -66,12 +66,12 @@
   private async sendTurn(chat: Chat, step: number): Promise<void> {
     const { world } = this;
     const { number, program, after } = chat;
-    const words = `turn ${step} of ${number} #${number}-${step}`;
+    const prompt = `turn ${step} of ${number} #${number}-${step}`;
     const key = `t${number}-${step}`;
     for (let attempt = 0; attempt < turnAttempts; attempt++) {
       if (world.rng() < duplicateTurnShare)
-        this.pending.add(world.turn(program, after, words, key));
-      const reply = this.reportDone(await world.turn(program, after, words, key));
+        this.pending.add(world.turn(program, after, prompt, key));
+      const reply = this.reportDone(await world.turn(program, after, prompt, key));
       if (reply.reported === 'done') {
         chat.after = reply.turn;
         this.pending.add(this.fetchLater(program, reply.turn));
--- a/packages/sim/src/storm-config.ts
+++ b/packages/sim/src/storm-config.ts
@@ -1,20 +1,20 @@
-/** The configurations of storms: sound ones that differ from one another, and ones that must be refused. */
+/** The configurations of storms: valid ones that differ from one another, and invalid ones. */
 import { passRoutes } from './pass.js';
 
-/** What a configuration is made from: its base, the pools of turns and calls, and how many routes more it has. */
+/** Options of a generated configuration: base version, pools of turns and calls, and number of extra routes. */
 export interface StormConfigOptions {
   readonly base: number;
   readonly turnPools: readonly string[];
   readonly callPool: string;
   readonly extraRouteCount: number;
-  /** Changes weights, deadlines and the time of idle connections; 0 leaves the usual ones. */
+  /** Varies weights, deadlines and the idle time-out of connections; 0 leaves the defaults. */
   readonly variant?: number;
 }
 
-const usualDeadlineMs = 8000;
-const usualIdleMs = 60000;
+const defaultDeadlineMs = 8000;
+const defaultIdleMs = 60000;
 
-/** The text of a sound configuration. */
+/** The JSON text of a valid configuration. */
 export const stormConfig = ({
   base,
   turnPools,
@@ -42,28 +42,28 @@
       },
       call('hold', '/hold', { acting: true }),
       call('alarm', '/alarm', { acting: true, urgent: true }),
-      ...passRoutes(turnPools, callPool, usualDeadlineMs - (variant % 4) * 500),
+      ...passRoutes(turnPools, callPool, defaultDeadlineMs - (variant % 4) * 500),
       ...Array.from({ length: extraRouteCount }, (_, i) => call(`x${i}`, `/x/${i}`)),
     ],
     budgets: { program: 1000, turn: 16 },
-    limits: { idleMs: usualIdleMs - (variant % 5) * 1000 },
+    limits: { idleMs: defaultIdleMs - (variant % 5) * 1000 },
   });
 };
 
-/** A configuration that must be refused, and what is wrong with it. */
+/** A configuration that must be refused, and a description of its flaw. */
 export interface InvalidConfig {
   readonly flaw: string;
   readonly text: string;
 }
 
-/** Spoils a sound configuration on `base` in every way that operators may. */
-export const invalidConfigs = (sound: string, base: number): readonly InvalidConfig[] => [
-  { flaw: 'cut short', text: sound.slice(0, Math.floor(sound.length / 2)) },
-  { flaw: 'unknown pool', text: sound.replace('"pool":"shop"', '"pool":"nowhere"') },
-  { flaw: 'two routes at one place', text: sound.replace('/alarm', '/hold') },
-  { flaw: 'no weight', text: sound.replace('"share":1', '"share":0') },
-  { flaw: 'no deadline', text: sound.replace('"deadlineMs":8000', '"deadlineMs":null') },
-  { flaw: 'an old version', text: sound.replace('{', `{"version":${base},`) },
-  { flaw: 'an old base', text: sound.replace(`"base":${base}`, `"base":${base - 1}`) },
-  { flaw: 'two pools of one name', text: sound.replace('"name":"shop"', '"name":"models"') },
+/** Variants of a valid configuration on `base`, each with one flaw. */
+export const invalidConfigs = (valid: string, base: number): readonly InvalidConfig[] => [
+  { flaw: 'cut short', text: valid.slice(0, Math.floor(valid.length / 2)) },
+  { flaw: 'unknown pool', text: valid.replace('"pool":"shop"', '"pool":"nowhere"') },
+  { flaw: 'two routes at one place', text: valid.replace('/alarm', '/hold') },
+  { flaw: 'no weight', text: valid.replace('"share":1', '"share":0') },
+  { flaw: 'no deadline', text: valid.replace('"deadlineMs":8000', '"deadlineMs":null') },
+  { flaw: 'an old version', text: valid.replace('{', `{"version":${base},`) },
+  { flaw: 'an old base', text: valid.replace(`"base":${base}`, `"base":${base - 1}`) },
+  { flaw: 'two pools of one name', text: valid.replace('"name":"shop"', '"name":"models"') },
 ];
--- a/packages/sim/src/storm-drainings.ts
+++ b/packages/sim/src/storm-drainings.ts
@@ -1,14 +1,14 @@
-/** Servers that drain during a storm, by an operator's mark or by their own report, and come back. */
+/** Servers that drain during a storm, marked by an operator or reported by the server, and that return later. */
 import type { DrainingRecord } from '@tillerstair/checker';
 import type { OperatorResponse } from '@tillerstair/control';
 import type { World } from './world.js';
 
-const markedMs = 6000;
-const reportedMs = 7000;
+const markedDrainingMs = 6000;
+const reportedDrainingMs = 7000;
 const addAttempts = 20;
 const addRetryMs = 1000;
 
-/** What the drainings of a storm need of it. */
+/** Dependencies of `StormDrainings`. */
 export interface DrainingsOptions {
   readonly world: World;
   readonly delay: (ms: number) => Promise<void>;
@@ -21,14 +21,14 @@
   ) => Promise<OperatorResponse | undefined>;
 }
 
-/** Records from when to when each server drained. */
+/** Drains servers and records the start and the end of each draining. */
 export class StormDrainings {
   readonly records: DrainingRecord[] = [];
   private readonly reportedByServer = new Set<DrainingRecord>();
 
   constructor(private readonly options: DrainingsOptions) {}
 
-  /** An operator marks a server as draining and adds it again later; false if it drains already. */
+  /** An operator marks a server as draining and adds it again later; false if it is draining already. */
   mark(server: string): boolean {
     if (this.isDraining(server)) return false;
     const { world, track } = this.options;
@@ -37,7 +37,7 @@
     return true;
   }
 
-  /** A server reports by itself that it drains, for a time; false if it drains already. */
+  /** A server reports that it is draining, for 7 s; false if it is draining already. */
   report(server: string): boolean {
     if (this.isDraining(server)) return false;
     const { world } = this.options;
@@ -45,11 +45,11 @@
     this.records.push(record);
     this.reportedByServer.add(record);
     world.servers.set(server, { draining: true });
-    world.clock.after(reportedMs, () => this.endReported(record));
+    world.clock.after(reportedDrainingMs, () => this.endReported(record));
     return true;
   }
 
-  /** Ends all drainings that servers reported. */
+  /** Ends all drainings that servers reported themselves. */
   endAllReported(): void {
     for (const record of this.reportedByServer) this.endReported(record);
   }
@@ -63,7 +63,7 @@
     const path = `/v1/servers/${record.server}`;
     const marked = await operate('POST', `${path}/draining`);
     if (marked?.status === 200) this.records.push(record);
-    await delay(markedMs);
+    await delay(markedDrainingMs);
     this.end(record);
     const pool = record.server.startsWith('m') ? 'models' : 'shop';
     const body = JSON.stringify({ pool, url: 'http://127.0.0.1:1' });
--- a/packages/sim/src/storm-faults.ts
+++ b/packages/sim/src/storm-faults.ts
@@ -1,4 +1,4 @@
-/** All faults of storms, by name, from the tables of their groups. */
+/** All faults of storms, collected from the tables of their groups. */
 import { diskFaults } from './faults-disk.js';
 import { machineFaults } from './faults-machine.js';
 import { membershipFaults } from './faults-members.js';
@@ -32,20 +32,20 @@
     super(actions);
   }
 
-  /** Causes one fault; tells what it struck, or '' if it could not strike now. */
-  async cause(p: PlannedFault): Promise<string> {
+  /** Causes one fault; returns what it affected, or '' if it could not be applied now or is unknown. */
+  async cause(planned: PlannedFault): Promise<string> {
     const { actions } = this;
-    const rng = seededRng(actions.spec.seed * 104729 + p.index);
-    const span = 500 + rng() * 7000;
+    const rng = seededRng(actions.spec.seed * 104729 + planned.index);
+    const durationMs = 500 + rng() * 7000;
     const server = pickFaultyServer(rng);
     return (
-      (await faults.get(p.fault)?.({
+      (await faults.get(planned.fault)?.({
         tools: this,
         storm: actions,
         world: actions.world,
         rng,
-        durationMs: span,
-        index: p.index,
+        durationMs,
+        index: planned.index,
         server,
       })) ?? ''
     );
--- a/packages/sim/src/storm-pass.ts
+++ b/packages/sim/src/storm-pass.ts
@@ -1,68 +1,87 @@
-/** The callers of a storm on pass routes. */
+/** The callers of a storm that use pass routes. */
 import type { PassRecord } from '@tillerstair/checker';
 import { passAt, type PassSpec } from './pass.js';
 import type { Storm } from './storm.js';
 
 const allBytes = Array.from({ length: 256 }, (_, i) => String.fromCharCode(i)).join('');
-const tries = 3;
+const maxAttempts = 3;
 
-/** Sends a request again, as a new try each time, until it is done or would be run again. */
-const persist = async (
-  s: Storm,
+/**
+ * Sends a request until it succeeds, at most three times, or until the budget is spent (402); a share of the attempts
+ * is sent twice. Returns the successful reply.
+ */
+const sendUntilDone = async (
+  storm: Storm,
   spec: PassSpec,
-  twins: number,
+  duplicateShare: number,
 ): Promise<PassRecord | undefined> => {
-  for (let k = 0; k < tries; k++) {
-    if (s.world.rng() < twins) s.trackPass(passAt(s.world, spec));
-    const reported = await passAt(s.world, spec);
-    if (reported.reported === 'done') return reported;
-    if (reported.status === 402) return undefined;
-    await s.delay(100 + s.world.rng() * 900);
+  for (let attempt = 0; attempt < maxAttempts; attempt++) {
+    if (storm.world.rng() < duplicateShare) storm.trackPass(passAt(storm.world, spec));
+    const reply = await passAt(storm.world, spec);
+    if (reply.reported === 'done') return reply;
+    if (reply.status === 402) return undefined;
+    await storm.delay(100 + storm.world.rng() * 900);
   }
   return undefined;
 };
 
-const later = async (s: Storm, spec: PassSpec): Promise<void> => {
-  await s.delay(s.world.rng() * 50000);
-  await passAt(s.world, spec);
+/** Sends a request once, after at most 50 s. */
+const sendLater = async (storm: Storm, spec: PassSpec): Promise<void> => {
+  await storm.delay(storm.world.rng() * 50000);
+  await passAt(storm.world, spec);
 };
 
-/** What a program does on pass routes: turns that go on from one another, branches and helpers, and calls between them. */
-export const passChat = async (s: Storm, n: number): Promise<void> => {
-  const { world: w } = s;
-  const program = `y${n}`;
-  const budget = n % 3 === 0 ? 30 : 200;
+/** One program on pass routes: three turns that continue one another, with branches, helper programs, and calls. */
+export const passChat = async (storm: Storm, chatNumber: number): Promise<void> => {
+  const { world } = storm;
+  const program = `y${chatNumber}`;
+  const budget = chatNumber % 3 === 0 ? 30 : 200;
   const turn: PassSpec = { path: '/turn/x', program, budget, most: 10 };
   let after = '';
-  for (let i = 0; i < 3; i++) {
-    const reported = await persist(
-      s,
-      { ...turn, after, body: `${n}-${i} ${i === 1 ? allBytes : ''}` },
+  for (let turnIndex = 0; turnIndex < 3; turnIndex++) {
+    const reply = await sendUntilDone(
+      storm,
+      { ...turn, after, body: `${chatNumber}-${turnIndex} ${turnIndex === 1 ? allBytes : ''}` },
       0.1,
     );
-    if (reported) {
-      if (w.rng() < 0.2)
-        s.trackPass(passAt(w, { ...turn, after: reported.attempt, body: 'branch' }));
-      if (w.rng() < 0.2)
-        s.trackPass(
-          passAt(w, { ...turn, program: `${program}h`, after: reported.attempt, body: 'helper' }),
+    if (reply) {
+      if (world.rng() < 0.2)
+        storm.trackPass(passAt(world, { ...turn, after: reply.attempt, body: 'branch' }));
+      if (world.rng() < 0.2)
+        storm.trackPass(
+          passAt(world, { ...turn, program: `${program}h`, after: reply.attempt, body: 'helper' }),
         );
-      if (w.rng() < 0.2)
-        s.trackPass(
-          later(s, { ...turn, program: `${program}l`, after: reported.attempt, body: 'later' }),
+      if (world.rng() < 0.2)
+        storm.trackPass(
+          sendLater(storm, {
+            ...turn,
+            program: `${program}l`,
+            after: reply.attempt,
+            body: 'later',
+          }),
         );
-      after = reported.attempt;
+      after = reply.attempt;
     }
     await Promise.all([
-      persist(s, { path: '/keyed/x', key: `q${n}-${i}`, body: `${n}-${i}` }, 0.3),
-      persist(s, { path: '/live/x', body: `${n}-${i}` }, 0),
-      ...(w.rng() < 0.5
+      sendUntilDone(
+        storm,
+        {
+          path: '/keyed/x',
+          key: `q${chatNumber}-${turnIndex}`,
+          body: `${chatNumber}-${turnIndex}`,
+        },
+        0.3,
+      ),
+      sendUntilDone(storm, { path: '/live/x', body: `${chatNumber}-${turnIndex}` }, 0),
+      ...(world.rng() < 0.5
         ? [
-            passAt(w, { path: '/once/x', body: `${n}-${i}` }),
-            passAt(w, { path: '/again/x', body: `${n}-${i}` }),
+            passAt(world, { path: '/once/x', body: `${chatNumber}-${turnIndex}` }),
+            passAt(world, { path: '/again/x', body: `${chatNumber}-${turnIndex}` }),
           ]
         : []),
-      ...(w.rng() < 0.3 ? [passAt(w, { path: '/flow/x', body: `${n}-${i}` })] : []),
+      ...(world.rng() < 0.3
+        ? [passAt(world, { path: '/flow/x', body: `${chatNumber}-${turnIndex}` })]
+        : []),
     ]);
   }
 };
