--- a/packages/sim/src/storm-plan.ts
+++ b/packages/sim/src/storm-plan.ts
@@ -1,43 +1,47 @@
-/** What a storm's seed decides beforehand: the deployment and the plan of faults. */
+/** Derives the deployment and the plan of faults of a storm from its seed. */
 import type { PlannedFault } from './storm-fault.js';
 import { seededRng } from './random.js';
 import type { WorldOptions } from './sim-cluster.js';
 
-const dealtPerPlan = 20;
-const wholeFleetEvery = 10;
+/** Distance between the positions at which the plans of two successive seeds begin in the shuffled faults. */
+const seedStride = 20;
+const largeFleetInterval = 10;
 
 const shuffled = (kinds: readonly string[], seed: number): readonly string[] => {
   const rng = seededRng(seed);
-  const out = kinds.map((kind) => ({ kind, at: rng() }));
-  return out.sort((a, b) => a.at - b.at).map((x) => x.kind);
+  const ranked = kinds.map((kind) => ({ kind, at: rng() }));
+  return ranked.sort((a, b) => a.at - b.at).map((entry) => entry.kind);
 };
 
-/** Deals faults like cards, so that a series of seeds causes every one equally often, each time in another company. */
+/**
+ * The fault at a position of an endless sequence of shuffled rounds, each with all faults. A series of seeds thus
+ * causes every fault equally often, each time together with others.
+ */
 const faultAt = (kinds: readonly string[], position: number): string => {
   const round = Math.floor(position / kinds.length);
   return shuffled(kinds, round * 31 + 5)[position % kinds.length] ?? 'config';
 };
 
-/** The faults of one seed, with the gaps between them. */
+/** The plan of one seed, for a storm of `ms` ms: the faults of `kinds` to cause, and the gaps between them. */
 export const faultPlanFor = (
   seed: number,
   ms: number,
   kinds: readonly string[],
 ): readonly PlannedFault[] => {
   const rng = seededRng(seed * 7919 + 1);
-  const out: PlannedFault[] = [];
+  const plan: PlannedFault[] = [];
   for (let at = 500; at < ms;) {
     const gap = rng() < 0.35 ? rng() * 300 : 500 + rng() * 5500;
     at += gap;
-    out.push({ index: out.length, gap, fault: faultAt(kinds, seed * dealtPerPlan + out.length) });
+    plan.push({ index: plan.length, gap, fault: faultAt(kinds, seed * seedStride + plan.length) });
   }
-  return out;
+  return plan;
 };
 
-const between = (rng: () => number, least: number, most: number): number =>
-  least + Math.floor(rng() * (most - least + 1));
+const between = (rng: () => number, min: number, max: number): number =>
+  min + Math.floor(rng() * (max - min + 1));
 
-/** Draws the sizes, zones and bounds of one seed's deployment; every tenth has eight fronts. */
+/** Draws the machine counts, zones and time bounds of one seed's deployment; every tenth seed has eight fronts. */
 export const deploymentOf = (seed: number): WorldOptions => {
   const rng = seededRng(seed * 6007 + 3);
   const heartbeatInterval = between(rng, 600, 1300);
@@ -46,7 +50,7 @@
   return {
     controls,
     stores: between(rng, 3, 5),
-    fronts: seed % wholeFleetEvery === 0 ? 8 : between(rng, 2, 4),
+    fronts: seed % largeFleetInterval === 0 ? 8 : between(rng, 2, 4),
     zones: between(rng, 1, 4),
     configuredBounds: {
       serveWithin: 12000,
--- a/packages/sim/src/storm.ts
+++ b/packages/sim/src/storm.ts
@@ -1,6 +1,6 @@
 /**
- * A storm: a simulated deployment under load while the faults of a plan strike it. At its end all faults end, callers
- * finish, and the records are the checker's. The same options make the same storm.
+ * A storm: a simulated deployment under load, with faults caused by a plan. At the end all faults are removed, callers
+ * finish, and the records go to the checker. The same options give the same storm.
  */
 import { noRecords, type Records, type RestartRecord } from '@tillerstair/checker';
 import type { OperatorResponse } from '@tillerstair/control';
@@ -15,14 +15,14 @@
 import { passChat } from './storm-pass.js';
 import { World } from './world.js';
 
-/** What decides a storm. */
+/** Options of a storm; the same options give the same run. */
 export interface StormOptions {
   readonly seed: number;
   readonly sizes: WorldOptions;
-  /** How long faults strike, in ms. */
+  /** Duration of the load and the faults, in ms. */
   readonly ms: number;
   readonly plan: readonly PlannedFault[];
-  /** How many chats go on at once. */
+  /** Number of chats that run concurrently. */
   readonly concurrentChats: number;
 }
 
@@ -35,18 +35,18 @@
 ] as const;
 
 const tokensPerTurn = 16;
-const calmWithinMs = 60000;
-const callersWithinMs = 240000;
-const servingWithinMs = 20000;
+const recoveryTimeoutMs = 60000;
+const callersTimeoutMs = 240000;
+const servingTimeoutMs = 20000;
 const downMs = 500;
 
-/** One storm, to be run once. */
+/** One storm; `run` must be called only once. */
 export class Storm implements StormActions {
   readonly world: World;
   readonly restarts: RestartRecord[] = [];
-  /** One line for each fault: when, which, and what it struck. */
+  /** One line for each fault: the time in ms, its index and name, and what it affected, or `skipped`. */
   readonly log: string[] = [];
-  /** The kinds of faults that struck something. */
+  /** Names of the faults that affected something. */
   readonly appliedFaults = new Set<string>();
   readonly faults: Faults;
   readonly callers: StormCallers;
@@ -98,12 +98,12 @@
     return this.operators.lostAnswers;
   }
 
-  /** Begins work that the storm waits for at its end. */
+  /** Registers work that the storm waits for at its end. */
   track(work: Promise<unknown>): void {
     this.callers.pending.add(work);
   }
 
-  /** Begins work on pass routes that the storm waits for at its end. */
+  /** Registers work on pass routes that the storm waits for at its end. */
   trackPass(work: Promise<unknown>): void {
     this.pendingPasses.add(work);
   }
@@ -135,8 +135,8 @@
     return this.operators.reconfigure(moreRoutes, at);
   }
 
-  sendInvalidConfig(n: number): Promise<void> {
-    return this.operators.sendInvalidConfig(n);
+  sendInvalidConfig(choice: number): Promise<void> {
+    return this.operators.sendInvalidConfig(choice);
   }
 
   drainServer(server: string): boolean {
@@ -147,12 +147,12 @@
     return this.drainings.report(server);
   }
 
-  /** Runs the storm to its end; throws where the deployment does not serve again, or a fault ended as it must not. */
+  /** Runs the storm to its end; throws if the deployment does not recover in time, or if a fault's work failed. */
   async run(): Promise<Records> {
     const { world } = this;
     await world.startServing(() => StormOperators.firstConfig(), stormServers);
     await this.operators.recordFirst();
-    await this.strike();
+    await this.causePlannedFaults();
     await this.calm();
     const readBack = await this.operators.readConfig();
     return {
@@ -169,7 +169,7 @@
     };
   }
 
-  /** Stops all machines at once and starts them again; resolves when they serve. */
+  /** Kills all machines at once and restarts them; resolves when they serve, throws if that takes over 20 s. */
   async restartAll(how: 'process' | 'power' = 'power'): Promise<void> {
     const { world } = this;
     const { clock } = world;
@@ -180,11 +180,11 @@
     await clock.run(downMs);
     const startedAt = clock.now();
     for (const machine of world.machines) machine.start();
-    const fronts = (): number => world.of('front').length - world.retiringNodes.size;
+    const expectedFronts = (): number => world.of('front').length - world.retiringNodes.size;
     await clock.until(
       'back',
-      () => world.readyFronts().length >= fronts() && world.slotsOwned(),
-      servingWithinMs,
+      () => world.readyFronts().length >= expectedFronts() && world.slotsOwned(),
+      servingTimeoutMs,
     );
     const servedAt = clock.now();
     const config = await this.operators.readConfig();
@@ -192,8 +192,8 @@
     this.restarts.push({ stoppedAt, startedAt, servedAt, configBefore, configAfter });
   }
 
-  /** Causes the faults of the plan while chats go on. */
-  private async strike(): Promise<void> {
+  /** Causes the faults of the plan while chats run. */
+  private async causePlannedFaults(): Promise<void> {
     const { world, spec } = this;
     const { clock } = world;
     const end = clock.now() + spec.ms;
@@ -214,13 +214,13 @@
   }
 
   private async cause(planned: PlannedFault): Promise<void> {
-    const struck = await this.faults.cause(planned);
+    const affected = await this.faults.cause(planned);
     const at = this.world.clock.now().toFixed(0);
-    this.log.push(`${at} ${planned.index}:${planned.fault} ${struck || 'skipped'}`);
-    if (struck) this.appliedFaults.add(planned.fault);
+    this.log.push(`${at} ${planned.index}:${planned.fault} ${affected || 'skipped'}`);
+    if (affected) this.appliedFaults.add(planned.fault);
   }
 
-  /** Ends all faults, and waits until the deployment is well and all callers have finished. */
+  /** Ends all faults, and waits until the deployment has recovered and all callers have finished. */
   private async calm(): Promise<void> {
     const { world } = this;
     await this.faults.endAll();
@@ -235,12 +235,12 @@
       () =>
         world.readyFronts().length >= frontsUp() - world.retiringNodes.size &&
         world.slotsReplicated(),
-      calmWithinMs,
+      recoveryTimeoutMs,
     );
     await world.clock.until(
       'callers',
       () => this.callers.pending.size === 0 && this.pendingPasses.size === 0,
-      callersWithinMs,
+      callersTimeoutMs,
     );
   }
 }
--- a/packages/sim/src/timer-heap.ts
+++ b/packages/sim/src/timer-heap.ts
@@ -1,8 +1,8 @@
-/** A binary heap of timers: the earliest first, and of those of one time the one that was set first. */
+/** A binary heap of timers, ordered by time, and for the same time by the order in which they were set. */
 
 /** A timer of the simulated clock. */
 export interface SimTimer {
-  /** When it fires, in ms of the simulated clock. */
+  /** Time at which the timer fires, in ms of the simulated clock. */
   readonly at: number;
   readonly sequence: number;
   readonly run: () => void;
@@ -12,7 +12,7 @@
 const isBefore = (a: SimTimer, b: SimTimer): boolean =>
   a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
 
-/** The timers that have not fired; stopped ones stay until their time. */
+/** The timers that have not fired; stopped timers stay until their time comes. */
 export class TimerHeap {
   private readonly timers: SimTimer[] = [];
 
--- a/packages/sim/src/world.ts
+++ b/packages/sim/src/world.ts
@@ -1,4 +1,4 @@
-/** A simulated world with callers: each request ends in one record of what its caller was answered. */
+/** A simulated world with callers: each request is recorded with its caller's outcome. */
 import type { PassRecord, ReplyRecord } from '@tillerstair/checker';
 import type { Front } from '@tillerstair/proxy';
 import { opKeyOf, type CallOutcome, type EmitChunk } from '@tillerstair/session-owner';
@@ -10,14 +10,14 @@
 
 const tenant = 't';
 const forwardTimeoutMs = 120000;
-/** Servers record the last characters of a prompt; padded, prompts differ in them. */
+/** Servers record only the last characters of a prompt; prompts are padded to this length to keep them distinct. */
 const promptLength = 60;
 
 const TurnEnd = z.object({ end: z.object({ turn: z.string(), tokens: z.number() }) });
 const CallResult = z.object({ by: z.string(), key: z.string() });
 const FetchedTurn = z.object({ text: z.string() });
 
-/** A request of the product's own interface, as a front gets it from its HTTP side. */
+/** A request of the product's interface, as the HTTP side of a front forwards it. */
 interface FrontRequest {
   readonly kind: 'front/program' | 'front/turn' | 'front/history' | 'front/call';
   readonly slotKey: string;
@@ -26,12 +26,12 @@
 
 type RecordBase = Partial<ReplyRecord> & Pick<ReplyRecord, 'kind' | 'from'>;
 
-/** The machines of a world, and the callers of its fronts. Without `at`, requests go to any front that is up. */
+/** The machines of a world, and the callers of its fronts. Without `at`, a request goes to a random running front. */
 export class World extends SimCluster {
   readonly reported: ReplyRecord[] = [];
   readonly passes: PassRecord[] = [];
 
-  /** Creates a program with a budget in tokens, or, with a parent, a sub-agent. */
+  /** Creates a program with a budget in tokens; with `parent`, a sub-agent of that program. */
   async program(budget: number, at?: Machine, parent?: string): Promise<ReplyRecord> {
     const from = this.clock.now();
     const pid =
@@ -46,13 +46,13 @@
   async turn(
     program: string,
     after: string | null,
-    words: string,
+    prompt: string,
     key: string,
     at?: Machine,
   ): Promise<ReplyRecord> {
     const from = this.clock.now();
     const attempt = this.nextAttempt();
-    const sent = words.padEnd(promptLength, ' ');
+    const sent = prompt.padEnd(promptLength, ' ');
     const slotKey = `p/${rootProgramId(program)}`;
     const body = {
       tenant,
@@ -65,8 +65,8 @@
     };
     const chunks: number[] = [];
     let text = '';
-    const outcome = await this.request({ kind: 'front/turn', slotKey, body }, at, (n, part) => {
-      chunks.push(n);
+    const outcome = await this.request({ kind: 'front/turn', slotKey, body }, at, (index, part) => {
+      chunks.push(index);
       text += part;
     });
     const base = { kind: 'turn' as const, from, program, key, attempt, after: after ?? '', sent };
@@ -76,7 +76,7 @@
     return this.record({ ...base, ...stream, ...ending }, outcome);
   }
 
-  /** Reads a turn back from history. */
+  /** Reads a turn from the history. */
   async fetch(program: string, turn: string, at?: Machine): Promise<ReplyRecord> {
     const from = this.clock.now();
     const slotKey = `p/${rootProgramId(program)}`;
@@ -99,7 +99,7 @@
     return this.record({ kind: 'call', from, key, attempt, sent, text }, outcome);
   }
 
-  /** Sends something to a front as a caller does; `no-front` where there is none. */
+  /** Sends a request to a front like a caller; the outcome is `no-front` if no front is up. */
   async sendAsCaller(
     at: Machine | undefined,
     send: (front: Front, emit: EmitChunk, signal: AbortSignal) => Promise<CallOutcome>,
@@ -109,7 +109,7 @@
     const front = machine?.front;
     if (!front) return { outcome: 'refused', status: 0, errorCode: 'no-front' };
     return untilFrontAnswers(this.clock, machine.proxyIncarnation, (emitThrough, signal) =>
-      send(front, (n, text) => emitThrough(() => onChunk(n, text)), signal),
+      send(front, (index, text) => emitThrough(() => onChunk(index, text)), signal),
     );
   }
 
@@ -136,7 +136,7 @@
   }
 
   private record(base: RecordBase, outcome: CallOutcome): ReplyRecord {
-    const row: ReplyRecord = {
+    const record: ReplyRecord = {
       tenant,
       program: '',
       key: '',
@@ -153,8 +153,8 @@
       retryAfter: outcome.retryAfter ?? 0,
       ...base,
     };
-    this.reported.push(row);
-    return row;
+    this.reported.push(record);
+    return record;
   }
 }
 
