--- a/packages/fleet/src/capacity-rig.ts
+++ b/packages/fleet/src/capacity-rig.ts
@@ -29,7 +29,7 @@
 
 /** A configuration on a version, with so many routes more than the usual ones. */
 export const configOf = (base: number, routes: number): string =>
-  stormConfig({ base, turnPools: ['models'], callPool: 'shop', extraRouteCount: routes });
+  stormConfig({ base, turnPools: ['models'], callPool: 'shop', extraRoutes: routes });
 
 /** The machines of a sweep, unless it changes their number. */
 export const rigSizes: WorldOptions = { controls: 5, stores: 3, fronts: 6, slots: 64 };
--- a/packages/sim/src/model-operators.ts
+++ b/packages/sim/src/model-operators.ts
@@ -31,7 +31,7 @@
   /** A new change based on a version, with unique content. */
   configOn(base: number): SentConfig {
     const text =
-      stormConfig({ base, turnPools: ['models'], callPool: 'shop', extraRouteCount: 0 }) +
+      stormConfig({ base, turnPools: ['models'], callPool: 'shop', extraRoutes: 0 }) +
       ' '.repeat(this.sent.length + 1);
     const config = { version: base + 1, base, digest: configDigest(text), text };
     this.sent.push(config);
--- a/packages/sim/src/sim-cluster.ts
+++ b/packages/sim/src/sim-cluster.ts
@@ -206,7 +206,7 @@
       'fronts',
       () =>
         this.readyFronts().length === fronts &&
-        this.slotsReplicated() &&
+        this.slotsComplete() &&
         this.frontsKnowServers(servers.length),
       20000,
     );
@@ -219,7 +219,7 @@
   }
 
   /** Whether each slot has an owner and all its replicas. */
-  slotsReplicated(): boolean {
+  slotsComplete(): boolean {
     const state = this.committed;
     return (
       state !== undefined &&
--- a/packages/sim/src/storm-config.ts
+++ b/packages/sim/src/storm-config.ts
@@ -6,7 +6,7 @@
   readonly base: number;
   readonly turnPools: readonly string[];
   readonly callPool: string;
-  readonly extraRouteCount: number;
+  readonly extraRoutes: number;
   /** Varies weights, deadlines and the idle time-out of connections; 0 leaves the defaults. */
   readonly variant?: number;
 }
@@ -19,7 +19,7 @@
   base,
   turnPools,
   callPool,
-  extraRouteCount,
+  extraRoutes,
   variant = 0,
 }: StormConfigOptions): string => {
   const call = (name: string, path: string, more: object = {}): object => ({
@@ -43,7 +43,7 @@
       call('hold', '/hold', { acting: true }),
       call('alarm', '/alarm', { acting: true, urgent: true }),
       ...passRoutes(turnPools, callPool, defaultDeadlineMs - (variant % 4) * 500),
-      ...Array.from({ length: extraRouteCount }, (_, i) => call(`x${i}`, `/x/${i}`)),
+      ...Array.from({ length: extraRoutes }, (_, i) => call(`x${i}`, `/x/${i}`)),
     ],
     budgets: { program: 1000, turn: 16 },
     limits: { idleMs: defaultIdleMs - (variant % 5) * 1000 },
--- a/packages/sim/src/storm-operators.ts
+++ b/packages/sim/src/storm-operators.ts
@@ -62,7 +62,7 @@
 
   /** The JSON text of the configuration that a storm starts with. */
   static firstConfig(): string {
-    return stormConfig({ base: 0, turnPools: firstPools, callPool, extraRouteCount: 0 });
+    return stormConfig({ base: 0, turnPools: firstPools, callPool, extraRoutes: 0 });
   }
 
   /** Sends the first configuration, which is already in force, once more, and records it. */
@@ -114,7 +114,7 @@
       base,
       turnPools,
       callPool,
-      extraRouteCount: this.extraRoutes,
+      extraRoutes: this.extraRoutes,
       variant,
     });
     const text = config + ' '.repeat(Math.floor(rng() * maxPadding));
@@ -146,7 +146,7 @@
       base: this.version,
       turnPools: firstPools,
       callPool,
-      extraRouteCount: this.extraRoutes,
+      extraRoutes: this.extraRoutes,
     });
     const invalid = invalidConfigs(valid, this.version);
     const { text, flaw } = invalid[choice % invalid.length];
--- a/packages/sim/src/storm.ts
+++ b/packages/sim/src/storm.ts
@@ -234,7 +234,7 @@
       'calm',
       () =>
         world.readyFronts().length >= frontsUp() - world.retiringNodes.size &&
-        world.slotsReplicated(),
+        world.slotsComplete(),
       recoveryTimeoutMs,
     );
     await world.clock.until(
--- a/tests/src/journal/memory-use.test.ts
+++ b/tests/src/journal/memory-use.test.ts
@@ -1,3 +1,4 @@
+/** Peak memory while a large log is opened and rewritten, measured in a child process. */
 import { execFile } from 'node:child_process';
 import { mkdtemp, open, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -9,18 +10,18 @@
 import { z } from 'zod';
 import { encodeFrame } from '@tillerstair/journal';
 
-const memory = suite('memory of a journal');
+const memory = suite('memory use of a journal');
 
 const mb = 1 << 20;
 const keys = 16000;
 const valueBytes = 1200;
-const rounds = 2;
+const writesPerKey = 2;
 
-/** Peaks over that of the started process, in MB; the records themselves are about 20 MB of text. */
-const openPeakMost = 80;
-const rewritePeakMost = 145;
+/** Limits of the peak memory above that of the started process, in MB; the live records are about 20 MB of text. */
+const maxOpenPeakMb = 80;
+const maxRewritePeakMb = 145;
 
-const CallerRecord = z.object({
+const ChildReport = z.object({
   startMb: z.number(),
   openedMb: z.number(),
   rewrittenMb: z.number(),
@@ -29,13 +30,13 @@
   leftBytes: z.number(),
 });
 
-/** Writes a store's log in which each key was written `rounds` times; resolves with its bytes. */
+/** Writes a store's log that contains each key `writesPerKey` times; resolves with its size in bytes. */
 const writeLog = async (path: string): Promise<number> => {
   const file = await open(path, 'w');
   let bytes = 0;
-  for (let seq = 1; seq <= rounds; seq++) {
+  for (let seq = 1; seq <= writesPerKey; seq++) {
     const frames: Buffer[] = [];
-    for (let n = 0; n < keys; n++)
+    for (let i = 0; i < keys; i++)
       frames.push(
         encodeFrame([
           {
@@ -43,20 +44,20 @@
             slot: 1,
             ownershipEpoch: 1,
             items: [
-              { key: `o/t/${n}`, ownershipEpoch: 1, seq, value: `${seq}`.padEnd(valueBytes, 'x') },
+              { key: `o/t/${i}`, ownershipEpoch: 1, seq, value: `${seq}`.padEnd(valueBytes, 'x') },
             ],
           },
         ]),
       );
-    const all = Buffer.concat(frames);
-    await file.writeFile(all);
-    bytes += all.length;
+    const batchBytes = Buffer.concat(frames);
+    await file.writeFile(batchBytes);
+    bytes += batchBytes.length;
   }
   await file.close();
   return bytes;
 };
 
-memory('a log of 40 MB is opened and rewritten without being held as a whole', async () => {
+memory('a log of 40 MB is opened and rewritten without being loaded as a whole', async () => {
   const dir = await mkdtemp(join(tmpdir(), 'tillerstair-memory-'));
   try {
     const bytes = await writeLog(join(dir, 'store.log'));
@@ -68,12 +69,12 @@
       String(keys),
       String(valueBytes),
     ]);
-    const reported = CallerRecord.parse(JSON.parse(stdout));
-    assert.is(reported.items, keys);
-    assert.ok(reported.leftBytes < reported.mostBytes, 'the log was not rewritten');
-    const openPeak = reported.openedMb - reported.startMb;
-    const rewritePeak = reported.rewrittenMb - reported.startMb;
-    assert.ok(openPeak < openPeakMost && rewritePeak < rewritePeakMost, stdout);
+    const report = ChildReport.parse(JSON.parse(stdout));
+    assert.is(report.items, keys);
+    assert.ok(report.leftBytes < report.mostBytes, 'the log was not rewritten');
+    const openPeakMb = report.openedMb - report.startMb;
+    const rewritePeakMb = report.rewrittenMb - report.startMb;
+    assert.ok(openPeakMb < maxOpenPeakMb && rewritePeakMb < maxRewritePeakMb, stdout);
   } finally {
     await rm(dir, { recursive: true });
   }
--- a/tests/src/session-owner/placement.test.ts
+++ b/tests/src/session-owner/placement.test.ts
@@ -332,12 +332,7 @@
         JSON.stringify({ pool, url: 'http://127.0.0.1:1' }),
       );
     const { config } = checkConfig(
-      stormConfig({
-        base: 1,
-        turnPools: ['models', 'others'],
-        callPool: 'shop',
-        extraRouteCount: 0,
-      }),
+      stormConfig({ base: 1, turnPools: ['models', 'others'], callPool: 'shop', extraRoutes: 0 }),
     );
     const shares = [
       { pool: 'models', share: 3 },
--- a/tests/src/sim/never-list-under-failure.test.ts
+++ b/tests/src/sim/never-list-under-failure.test.ts
@@ -103,7 +103,7 @@
       world.start();
       await world.clock.until(
         'serving',
-        () => world.readyFronts().length === 2 && world.slotsReplicated(),
+        () => world.readyFronts().length === 2 && world.slotsComplete(),
         12000,
       );
       await world.clock.run(500);
@@ -179,7 +179,7 @@
         ]);
         await world.clock.until(
           'fronts',
-          () => world.readyFronts().length === 2 && world.slotsReplicated(),
+          () => world.readyFronts().length === 2 && world.slotsComplete(),
           20000,
         );
         await world.clock.run(1000);
--- a/tests/src/support/world-helpers.ts
+++ b/tests/src/support/world-helpers.ts
@@ -144,7 +144,7 @@
   world.start();
   await world.clock.until(
     'serving',
-    () => world.readyFronts().length === world.of('front').length && world.slotsReplicated(),
+    () => world.readyFronts().length === world.of('front').length && world.slotsComplete(),
     20000,
   );
   await world.clock.run(500);
