--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -1,21 +1,24 @@
-/** The life of a program as a process: its start, SIGHUP, SIGTERM and SIGINT, and its exit codes. */
+/** The life cycle of a program as a process: start, reload on SIGHUP, stop on SIGTERM and SIGINT, and exit codes. */
 import { FolderInUseError, JournalDamagedError } from '@tillerstair/journal';
 import { createLogger, type Logger } from '@tillerstair/wire';
 import { InvalidSettingsError } from './errors.js';
 
-/** Exit codes of a program; they are stated on the operators' pages. */
+/** Exit codes of a program; they are documented for operators. */
 const exitCodes = { stopped: 0, failed: 1, invalidSettings: 2, unusableFolder: 3 } as const;
 
 /** A started program. `T` is the type of its settings. */
-export interface Running<T = never> {
-  /** Ends what is under way and releases everything that the program opened. */
+export interface RunningProgram<T = never> {
+  /** Ends the work in progress and releases all resources of the program. */
   stop(): Promise<void>;
-  /** Takes over settings that were read again, as far as they may change while the program runs. */
+  /** Applies reloaded settings, as far as they can change while the program runs. */
   reload?(settings: T): void;
 }
 
-/** Writes log lines of a part of a program to the standard error stream. */
-export const stderrLog = (part: string, level: 'debug' | 'info' | 'warn' | 'error'): Logger =>
+/** Creates a logger that writes to standard error; `part` is the name of the program in each line. */
+export const createStderrLogger = (
+  part: string,
+  level: 'debug' | 'info' | 'warn' | 'error',
+): Logger =>
   createLogger(part, level, (line) => {
     process.stderr.write(`${line}\n`);
   });
@@ -27,8 +30,8 @@
     ? error.findings.map(({ place, text }) => `${place}: ${text}`).join('; ')
     : textOf(error);
 
-/** Reads the settings again and applies them; invalid ones are reported in one line and the old ones stay in force. */
-const reloadSettings = <T>(name: string, read: () => T, running: Running<T>): void => {
+/** Reloads and applies the settings. Invalid ones are reported in one line, and the previous ones stay in effect. */
+const reloadSettings = <T>(name: string, read: () => T, running: RunningProgram<T>): void => {
   try {
     running.reload?.(read());
     process.stderr.write(`${name}: Settings were read again.\n`);
@@ -37,7 +40,7 @@
   }
 };
 
-/** A rejection that nobody handled is a fault of the program; it is reported, and does not end what others rely on. */
+/** Logs an unhandled rejection. It is a bug, but the process keeps running, since other nodes depend on it. */
 const reportUnhandled = (name: string, error: unknown): void => {
   const text = error instanceof Error ? (error.stack ?? error.message) : String(error);
   process.stderr.write(`${name}: A failure was not handled: ${text}\n`);
@@ -50,11 +53,12 @@
     process.exit(exitCodes.invalidSettings);
   }
   process.stderr.write(`${name}: cannot start: ${textOf(error)}\n`);
-  const isFolderFault = error instanceof FolderInUseError || error instanceof JournalDamagedError;
-  process.exit(isFolderFault ? exitCodes.unusableFolder : exitCodes.failed);
+  const isFolderUnusable =
+    error instanceof FolderInUseError || error instanceof JournalDamagedError;
+  process.exit(isFolderUnusable ? exitCodes.unusableFolder : exitCodes.failed);
 };
 
-const stopOnSignals = <T>(running: Running<T>): void => {
+const stopOnSignals = <T>(running: RunningProgram<T>): void => {
   let stopping = false;
   const stop = (): void => {
     if (stopping) return;
@@ -69,26 +73,32 @@
 };
 
 /**
- * Starts a program and keeps it until SIGTERM or SIGINT. SIGHUP reads its settings again; one that comes
- * during the start is met once the program runs. Ends with 2 for invalid settings, 3 for a data folder that
- * cannot be used, 1 otherwise.
+ * Runs a program until SIGTERM or SIGINT. SIGHUP reloads its settings; one that arrives during the start takes effect
+ * once the program runs. A failed start exits with code 2 for invalid settings, 3 for a data folder that is in use or
+ * damaged, and 1 otherwise.
+ *
+ * @param name - the name of the program in messages
+ * @param read - reads the settings; throws `InvalidSettingsError`
+ * @param start - starts the program with its settings
  */
-export const live = async <T>(
+export const runProgram = async <T>(
   name: string,
   read: () => T,
-  start: (settings: T) => Promise<Running<T>>,
+  start: (settings: T) => Promise<RunningProgram<T>>,
 ): Promise<void> => {
   process.on('unhandledRejection', (error) => reportUnhandled(name, error));
-  const started: { running?: Running<T>; reloadWanted: boolean } = { reloadWanted: false };
+  const program: { running?: RunningProgram<T>; reloadRequested: boolean } = {
+    reloadRequested: false,
+  };
   process.on('SIGHUP', () => {
-    if (started.running) reloadSettings(name, read, started.running);
-    else started.reloadWanted = true;
+    if (program.running) reloadSettings(name, read, program.running);
+    else program.reloadRequested = true;
   });
   try {
-    started.running = await start(read());
+    program.running = await start(read());
   } catch (error) {
     return exitAfterFailedStart(name, error);
   }
-  if (started.reloadWanted) reloadSettings(name, read, started.running);
-  stopOnSignals(started.running);
+  if (program.reloadRequested) reloadSettings(name, read, program.running);
+  stopOnSignals(program.running);
 };
--- a/tests/src/support/world-helpers.ts
+++ b/tests/src/support/world-helpers.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import {
   checkRecords,
-  noRecords,
+  emptyRecords,
   type PassRecord,
   type ExecutionRecord,
   type Records,
@@ -152,7 +152,7 @@
 
 /** The records of a world for the checker; by default with the first configuration only. */
 export const recordsOf = (world: World, more: Partial<Records> = {}): Records => ({
-  ...noRecords,
+  ...emptyRecords,
   reported: world.reported,
   executed: world.servers.executed,
   passes: world.passes,
