--- a/packages/fleet/src/operation-scenarios.ts
+++ b/packages/fleet/src/operation-scenarios.ts
@@ -1,51 +1,52 @@
-/** Scenarios in which servers, machines and configurations are changed, under faults. */
+/** Scenarios in which servers, machines and configurations are changed or replaced, some of them under faults. */
 import { until } from './fleet.js';
 import { ask } from './operator.js';
 import {
-  filled,
-  ownDraining,
-  replace,
+  allStoresFilled,
+  reportDraining,
+  replaceMachine,
   replaceServers,
   restartAll,
   wait,
   type Scenario,
 } from './scenario-actions.js';
 
-/** These scenarios by name. */
+/** The operation scenarios, keyed by name. */
 export const operationScenarios: ReadonlyMap<string, Scenario> = new Map<string, Scenario>([
   [
     'replace-servers',
     {
       about: 'Servers are marked draining and replaced one by one',
-      cuts: false,
+      withRelay: false,
       seconds: 32,
-      aims: ['draining'],
-      during: replaceServers,
+      requiredRules: ['draining'],
+      run: replaceServers,
     },
   ],
   [
     'own-draining',
     {
       about: 'A server reports by itself that it leaves',
-      cuts: false,
+      withRelay: false,
       seconds: 12,
-      aims: ['draining'],
-      during: ownDraining,
+      requiredRules: ['draining'],
+      run: reportDraining,
     },
   ],
   [
     'lose-answers',
     {
       about: 'Servers finish work whose answer never comes back',
-      cuts: false,
+      withRelay: false,
       seconds: 12,
-      aims: ['skips, repeats'],
-      during: async (run) => {
-        for (const s of [...run.fleet.models, ...run.fleet.services]) s.set({ loseEnd: 7 });
-        for (const s of run.fleet.models) s.set({ cutAfter: 11 });
+      requiredRules: ['skips, repeats'],
+      run: async (run) => {
+        for (const server of [...run.fleet.models, ...run.fleet.services])
+          server.set({ loseEnd: 7 });
+        for (const server of run.fleet.models) server.set({ cutAfter: 11 });
         await wait(9000);
-        for (const s of [...run.fleet.models, ...run.fleet.services])
-          s.set({ loseEnd: 0, cutAfter: 0 });
+        for (const server of [...run.fleet.models, ...run.fleet.services])
+          server.set({ loseEnd: 0, cutAfter: 0 });
       },
     },
   ],
@@ -54,17 +55,17 @@
     {
       about:
         'Two operators submit configurations at the same moment, many times, growing by many routes',
-      cuts: false,
+      withRelay: false,
       seconds: 15,
-      aims: ['in force'],
-      during: async (run) => {
-        const controls = run.fleet.of('control');
-        for (let i = 0; i < 8; i++) {
+      requiredRules: ['in force'],
+      run: async (run) => {
+        const controls = run.fleet.machinesOf('control');
+        for (let round = 0; round < 8; round++) {
           await Promise.all([
             run.put(20, run.pick(controls).http),
             run.put(20, run.pick(controls).http),
           ]);
-          await run.resync();
+          await run.readConfigVersion();
           await wait(800);
         }
       },
@@ -74,11 +75,11 @@
     'crowd',
     {
       about: 'A crowd arrives at once',
-      cuts: false,
+      withRelay: false,
       seconds: 12,
-      during: async (run) => {
+      run: async (run) => {
         await wait(2000);
-        for (let i = 0; i < 150; i++) run.traffic.begin(3);
+        for (let chat = 0; chat < 150; chat++) run.traffic.startChat(3);
         await wait(8000);
       },
     },
@@ -87,25 +88,25 @@
     'replace-controls',
     {
       about: 'All three seed machines are exchanged one after another, then everything restarts',
-      cuts: false,
+      withRelay: false,
       seconds: 75,
-      aims: ['full stop'],
-      during: async (run) => {
-        for (const m of run.fleet.of('control').slice(0, 3)) {
+      requiredRules: ['full stop'],
+      run: async (run) => {
+        for (const machine of run.fleet.machinesOf('control').slice(0, 3)) {
           run.fleet.useSeeds(
             run.fleet
-              .of('control')
-              .filter((x) => x !== m)
+              .machinesOf('control')
+              .filter((other) => other !== machine)
               .slice(-3),
           );
-          const fresh = await replace(run, m);
-          const took = await until('the newcomer to vote', 40000, async () => {
-            const r = await ask('GET', `http://${fresh.http}/v1/view`, '', 500);
-            const mine = JSON.stringify(r.body);
-            const id = /"id":"(c-[0-9a-f]+)"/.exec(mine)?.[1] ?? 'none';
-            return new RegExp(`"controls","[^"]*${id}`).test(mine);
+          const replacement = await replaceMachine(run, machine);
+          const waitedMs = await until('the new control to become a voter', 40000, async () => {
+            const reply = await ask('GET', `http://${replacement.http}/v1/view`, '', 500);
+            const view = JSON.stringify(reply.body);
+            const id = /"id":"(c-[0-9a-f]+)"/.exec(view)?.[1] ?? 'none';
+            return new RegExp(`"controls","[^"]*${id}`).test(view);
           });
-          run.note(`votes after ${took} ms`);
+          run.note(`the new control votes after ${waitedMs} ms`);
         }
         await restartAll(run);
         await run.put(1);
@@ -116,12 +117,12 @@
     'replace-store',
     {
       about: 'A store machine is swapped for an empty one at a new address',
-      cuts: false,
+      withRelay: false,
       seconds: 30,
-      during: async (run) => {
+      run: async (run) => {
         await wait(1500);
-        await replace(run, run.pick(run.fleet.of('store')));
-        run.note(`refilled after ${await until('refill', 40000, () => filled(run))} ms`);
+        await replaceMachine(run, run.pick(run.fleet.machinesOf('store')));
+        run.note(`refilled after ${await until('refill', 40000, () => allStoresFilled(run))} ms`);
       },
     },
   ],
@@ -129,27 +130,31 @@
     'empty-store',
     {
       about: 'A store is added, another is emptied by an operator and retired',
-      cuts: false,
+      withRelay: false,
       seconds: 30,
-      during: async (run) => {
+      run: async (run) => {
         await wait(1500);
-        const old = run.pick(run.fleet.of('store'));
-        const refused = await run.fleet.operator.any('POST', `/v1/stores/${old.addr}/empty`);
-        run.note(`emptying with three stores: ${refused.status}`);
-        const fresh = await run.fleet.add('store');
-        run.fleet.start([fresh]);
+        const retired = run.pick(run.fleet.machinesOf('store'));
+        const refused = await run.fleet.operator.request(
+          'POST',
+          `/v1/stores/${retired.addr}/empty`,
+        );
+        run.note(`emptying with three stores: status ${refused.status}`);
+        const replacement = await run.fleet.add('store');
+        run.fleet.start([replacement]);
         await until(
-          'emptying accepted',
+          'a control to accept the emptying of a store',
           15000,
           async () =>
-            (await run.fleet.operator.any('POST', `/v1/stores/${old.addr}/empty`)).status === 200,
+            (await run.fleet.operator.request('POST', `/v1/stores/${retired.addr}/empty`))
+              .status === 200,
         );
-        const took = await until('emptied', 40000, async () => {
-          const r = await run.fleet.operator.any('GET', '/v1/status');
-          return JSON.stringify(r.body).includes('"retiring":true,"slotsHeld":0');
+        const waitedMs = await until('emptied', 40000, async () => {
+          const reply = await run.fleet.operator.request('GET', '/v1/status');
+          return JSON.stringify(reply.body).includes('"retiring":true,"slotsHeld":0');
         });
-        run.note(`emptied after ${took} ms`);
-        await run.fleet.remove(old);
+        run.note(`emptied after ${waitedMs} ms`);
+        await run.fleet.remove(retired);
       },
     },
   ],
@@ -157,20 +162,20 @@
     'add-fronts',
     {
       about: 'Front machines are added, another is drained',
-      cuts: false,
+      withRelay: false,
       seconds: 20,
-      during: async (run) => {
+      run: async (run) => {
         await wait(1500);
-        const fresh = await run.fleet.add('front');
-        run.fleet.start([fresh]);
+        const replacement = await run.fleet.add('front');
+        run.fleet.start([replacement]);
         await wait(6000);
-        const old = run.fleet.of('front').at(0);
-        if (!old) return;
-        const r = await run.fleet.operator.any('POST', `/v1/fronts/${old.addr}/drain`);
-        run.note(`drain: ${r.status}`);
+        const retired = run.fleet.machinesOf('front').at(0);
+        if (!retired) return;
+        const reply = await run.fleet.operator.request('POST', `/v1/fronts/${retired.addr}/drain`);
+        run.note(`drain: status ${reply.status}`);
         await wait(4000);
-        await run.fleet.stop([old], 'SIGTERM');
-        await run.fleet.remove(old);
+        await run.fleet.stop([retired], 'SIGTERM');
+        await run.fleet.remove(retired);
       },
     },
   ],
@@ -178,10 +183,10 @@
     'all-down',
     {
       about: 'Everything is killed at once and started again',
-      cuts: false,
+      withRelay: false,
       seconds: 20,
-      aims: ['full stop'],
-      during: async (run) => {
+      requiredRules: ['full stop'],
+      run: async (run) => {
         await wait(3000);
         await run.put(3);
         await restartAll(run);
