--- a/packages/fleet/src/capacity-deployment.ts
+++ b/packages/fleet/src/capacity-deployment.ts
@@ -1,6 +1,6 @@
 /** The simulated deployment that capacity sweeps measure, and its servers and configurations. */
 import { reduceState, Server } from '@tillerstair/state';
-import { stormConfig, World, type ObservedMessage, type WorldSizes } from '@tillerstair/sim';
+import { stormConfig, World, type ObservedMessage, type WorldOptions } from '@tillerstair/sim';
 
 /** The process that sent or received a message; `loop` is the loopback between the two processes of a front machine. */
 export type Role = 'master' | 'control' | 'store' | 'agent' | 'proxy' | 'loop';
@@ -32,10 +32,10 @@
 
 /** Returns a configuration based on the version `base`, with `routes` extra routes. */
 export const configText = (base: number, routes: number): string =>
-  stormConfig({ base, turnPools: ['models'], callPool: 'shop', extra: routes });
+  stormConfig({ base, turnPools: ['models'], callPool: 'shop', extraRoutes: routes });
 
 /** The machine and slot counts of a sweep that does not vary them. */
-export const defaultSizes: WorldSizes = { controls: 5, stores: 3, fronts: 6, slots: 64 };
+export const defaultSizes: WorldOptions = { controls: 5, stores: 3, fronts: 6, slots: 64 };
 
 /**
  * A deployment on the simulator's clock. Membership, publishing, feeds and syncs run their real code; there is no
@@ -50,9 +50,13 @@
   ) {}
 
   /** Starts a deployment, registers its servers, and waits until it is idle; throws if no master is elected. */
-  static async start(sizes: WorldSizes, servers: number, routes = 3): Promise<SimulatedDeployment> {
+  static async start(
+    sizes: WorldOptions,
+    servers: number,
+    routes = 3,
+  ): Promise<SimulatedDeployment> {
     const simulation = new World(1, sizes);
-    await simulation.bringUp((base) => configText(base, routes), []);
+    await simulation.startServing((base) => configText(base, routes), []);
     const deployment = new SimulatedDeployment(simulation, routes);
     const leader = simulation.master?.control?.zen.leading;
     if (!leader) throw new Error(`no master was elected among ${sizes.controls} controls`);
--- a/packages/fleet/src/capacity-traffic.ts
+++ b/packages/fleet/src/capacity-traffic.ts
@@ -152,9 +152,9 @@
 const servers = async (count: number): Promise<Values> => {
   const deployment = await SimulatedDeployment.start(defaultSizes, count);
   const { fronts } = defaultSizes;
-  const polls = deployment.simulation.servers.polls;
+  const polls = deployment.simulation.servers.healthChecks;
   const idleRates = await measureIdle(deployment, fronts);
-  const polled = deployment.simulation.servers.polls - polls;
+  const polled = deployment.simulation.servers.healthChecks - polls;
   const markTally = await deployment.tally(() => deployment.markDraining(0));
   const targets = deployment.simulation.machines.length - 1;
   return new Map([
@@ -186,7 +186,7 @@
       'a new owner of every slot',
       () =>
         (deployment.simulation.committed?.version ?? 0) > versionBefore &&
-        deployment.simulation.slotsServed(),
+        deployment.simulation.slotsOwned(),
       20000,
     );
     elapsedMs = deployment.simulation.clock.now() - startedAt;
--- a/packages/fleet/src/model.ts
+++ b/packages/fleet/src/model.ts
@@ -1,11 +1,11 @@
 /** Runs the model test in batches, one seed each; a failing batch prints its smallest failing run. */
-import { checkControlModel, type ModelChoice } from '@tillerstair/sim';
+import { checkControlModel, type ModelCheckOptions } from '@tillerstair/sim';
 
 const batchSize = 100;
 
 /** Makes all runs of a choice, continues after a failing batch, and resolves with whether none failed. */
 export const modelRuns = async (
-  choice: ModelChoice,
+  choice: ModelCheckOptions,
   say: (line: string) => void,
 ): Promise<boolean> => {
   let runsMade = 0;
--- a/packages/fleet/src/storms.ts
+++ b/packages/fleet/src/storms.ts
@@ -2,7 +2,7 @@
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import { checkRecords } from '@tillerstair/checker';
-import { deploymentOf, faultKinds, planOf, Storm, type PlannedFault } from '@tillerstair/sim';
+import { deploymentOf, faultKinds, faultPlanFor, Storm, type PlannedFault } from '@tillerstair/sim';
 import split2 from 'split2';
 import { z } from 'zod';
 
@@ -55,7 +55,7 @@
     sizes: deploymentOf(seed),
     ms,
     plan,
-    chats: seed % 10 === 0 ? 80 : 40,
+    concurrentChats: seed % 10 === 0 ? 80 : 40,
   });
   try {
     const results = checkRecords(await storm.run());
@@ -68,7 +68,7 @@
       breach,
       log: storm.log,
       checked: new Map(results.map((result) => [result.rule, result.checked])),
-      injectedFaults: [...storm.struck],
+      injectedFaults: [...storm.appliedFaults],
     };
   } catch (error) {
     return {
@@ -122,7 +122,7 @@
   report: (line: string) => void,
 ): Promise<void> => {
   for (let seed = choice.from; seed < choice.from + choice.count; seed += every) {
-    const plan = planOf(seed, choice.ms, choice.kinds);
+    const plan = faultPlanFor(seed, choice.ms, choice.kinds);
     const result = await stormOnce(seed, choice.ms, plan);
     const neededFaults =
       result.breach !== '' && choice.cut ? await cutDown(seed, choice.ms, plan) : [];
--- a/packages/sim/src/faults-disk.ts
+++ b/packages/sim/src/faults-disk.ts
@@ -1,49 +1,52 @@
-/** Faults of disks: slow, full, stalled, lost. */
-import type { SimPlatter } from './sim-platter.js';
+/** Disk faults of storms: disks of controls and stores become slow, full or stalled, or lose their content. */
+import type { SimDrive } from './sim-drive.js';
 import type { Fault, FaultTable, MachineKind } from './storm-fault.js';
 
 const kinds: readonly MachineKind[] = ['control', 'store'];
 const usualMs = 0.2;
 const slowMs = 400;
 
-type Platter = (p: SimPlatter, on: boolean) => void;
+type SetDiskFault = (drive: SimDrive, active: boolean) => void;
 
-const slow: Platter = (p, on) => {
-  p.delay = on ? slowMs : usualMs;
+const setSlow: SetDiskFault = (drive, active) => {
+  drive.delay = active ? slowMs : usualMs;
 };
-const full: Platter = (p, on) => {
-  p.full = on;
+const setFull: SetDiskFault = (drive, active) => {
+  drive.full = active;
 };
-const stalled: Platter = (p, on) => {
-  p.stalled = on;
+const setStalled: SetDiskFault = (drive, active) => {
+  drive.stalled = active;
 };
 
-/** One disk is in trouble for a time. */
+/** A fault of one disk that ends after the duration; stores are spared while the disk of another machine is lost. */
 const diskFault =
-  (kind: MachineKind, set: Platter): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m || (kind === 'store' && c.tools.isDiskLost)) return '';
-    set(m.platter, true);
-    c.tools.after(c.durationMs, () => set(m.platter, false));
-    return m.addr;
+  (kind: MachineKind, setFault: SetDiskFault): Fault =>
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine || (kind === 'store' && context.tools.isDiskLost)) return '';
+    setFault(machine.drive, true);
+    context.tools.after(context.durationMs, () => setFault(machine.drive, false));
+    return machine.addr;
   };
 
-/** One machine loses its disk and comes back blank. */
-const wipe =
+/** One machine loses its disk and restarts with an empty one. */
+const wipeDisk =
   (kind: MachineKind): Fault =>
-  (c) => {
-    const m = c.tools.target(c, kind);
-    if (!m) return '';
-    return c.tools.runDiskLoss(() => c.tools.wipe(m, c.durationMs)) && m.addr;
+  (context) => {
+    const machine = context.tools.target(context, kind);
+    if (!machine) return '';
+    return (
+      context.tools.runDiskLoss(() => context.tools.wipe(machine, context.durationMs)) &&
+      machine.addr
+    );
   };
 
-/** These faults by name. */
+/** The disk faults, by the names that plans use. */
 export const diskFaults: FaultTable = new Map<string, Fault>(
   kinds.flatMap((kind): [string, Fault][] => [
-    [`slow-${kind}`, diskFault(kind, slow)],
-    [`disk-full-${kind}`, diskFault(kind, full)],
-    [`disk-stall-${kind}`, diskFault(kind, stalled)],
-    [`wipe-${kind}`, wipe(kind)],
+    [`slow-${kind}`, diskFault(kind, setSlow)],
+    [`disk-full-${kind}`, diskFault(kind, setFull)],
+    [`disk-stall-${kind}`, diskFault(kind, setStalled)],
+    [`wipe-${kind}`, wipeDisk(kind)],
   ]),
 );
--- a/packages/sim/src/index.ts
+++ b/packages/sim/src/index.ts
@@ -1,14 +1,14 @@
 /**
- * The simulator: real node code on simulated clocks, networks and disks. It is for storms of faults, for the model test
- * of the controls, and for tests; no daemon uses it.
+ * The simulator: the real node code on simulated clocks, networks and disks. It serves storms of faults, the model test
+ * of the controls, and other tests; no daemon uses it.
  */
 export * from './sim-clock.js';
 export * from './incarnation.js';
 export * from './sim-net.js';
-export * from './sim-platter.js';
+export * from './sim-drive.js';
 export * from './server-faults.js';
 export * from './sim-servers.js';
-export * from './sim-list.js';
+export * from './sim-server-list.js';
 export * from './sim-pass.js';
 export * from './random.js';
 export * from './sim-cluster.js';
@@ -22,6 +22,6 @@
 export * from './storm-plan.js';
 export * from './model-actions.js';
 export * from './model-history.js';
-export * from './model-rig.js';
+export * from './model-simulation.js';
 export * from './control-model.js';
 export * from './config-calls.js';
--- a/tests/src/journal/chunked-log.test.ts
+++ b/tests/src/journal/chunked-log.test.ts
@@ -14,7 +14,7 @@
   type DiskFile,
   type JournalTimings,
 } from '@tillerstair/journal';
-import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimDrive, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
 import { openJournal } from './journal-fixture.js';
 
@@ -180,11 +180,11 @@
 
 chunked('a rewrite writes the snapshot of its start, and later records follow it', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const drive = new SimDrive(seededRng(1));
   const chunks: Buffer[] = [];
   const laterWrites: Promise<unknown>[] = [];
   let onFirstChunk = (): void => undefined;
-  const disk = observeFirstReplace(platter.disk(clock, new Incarnation()), (chunk) => {
+  const disk = observeFirstReplace(drive.disk(clock, new Incarnation()), (chunk) => {
     chunks.push(chunk);
     if (chunks.length === 1) onFirstChunk();
   });
@@ -217,10 +217,10 @@
     ['b'],
   );
   await clock.finish('later', Promise.all(laterWrites), 1000);
-  platter.powerLoss();
+  drive.powerLoss();
   const reopened = await clock.finish(
     'again',
-    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
+    ReplicaStore.open(drive.disk(clock, new Incarnation()), clock, limits),
     1000,
   );
   assert.equal(
@@ -236,16 +236,16 @@
     let recovered = 0;
     for (let step = 0; step < 16; step++) {
       const clock = new SimClock();
-      const platter = new SimPlatter(seededRng(step));
+      const drive = new SimDrive(seededRng(step));
       const incarnation = new Incarnation();
       const replicaStore = await clock.finish(
         'open',
-        ReplicaStore.open(platter.disk(clock, incarnation), clock, limits),
+        ReplicaStore.open(drive.disk(clock, incarnation), clock, limits),
         1000,
       );
       for (let i = 0; i < longItemCount; i++)
         await clock.finish('write', replicaStore.write(1, 1, [longItem(i, 1)]), 1000);
-      platter.full = true;
+      drive.full = true;
       const refused = await clock.finish(
         'refused',
         replicaStore.write(1, 1, [longItem(0, 2)]).then(
@@ -256,8 +256,8 @@
       );
       assert.is(refused, 'refused');
       await clock.run(2000);
-      platter.full = false;
-      platter.crashFrom(step, () => {
+      drive.full = false;
+      drive.crashFrom(step, () => {
         incarnation.dead = true;
       });
       await clock.run(5000);
@@ -265,11 +265,11 @@
         assert.is(replicaStore.writable, true);
         recovered++;
       }
-      platter.powerLoss();
-      platter.crashAtStep = -1;
+      drive.powerLoss();
+      drive.crashAtStep = -1;
       const reopened = await clock.finish(
         'again',
-        ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
+        ReplicaStore.open(drive.disk(clock, new Incarnation()), clock, limits),
         1000,
       );
       const seqs = sequencesOf(reopened);
@@ -282,9 +282,9 @@
 
 chunked('a recovery is retried if the file reads back with other bytes', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const drive = new SimDrive(seededRng(1));
   const timings: JournalTimings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
-  const simDisk = platter.disk(clock, new Incarnation());
+  const simDisk = drive.disk(clock, new Incarnation());
   let badReads = 2;
   let replaced = 0;
   const misreading: Disk = {
@@ -307,13 +307,13 @@
   };
   const { journal } = await clock.finish('open', openJournal(misreading, 'a.log', timings), 1000);
   journal.recoverFrom(() => [{ n: 1 }]);
-  platter.failSyncs = true;
+  drive.failSyncs = true;
   await clock.finish(
     'append',
     journal.append({ n: 1 }).catch(() => undefined),
     5000,
   );
-  platter.failSyncs = false;
+  drive.failSyncs = false;
   await clock.run(400);
   assert.is(journal.writable, false);
   await clock.run(3000);
@@ -323,8 +323,8 @@
 
 chunked('a read that fails half-way is restarted with a new owner', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
-  const simDisk = platter.disk(clock, new Incarnation());
+  const drive = new SimDrive(seededRng(1));
+  const simDisk = drive.disk(clock, new Incarnation());
   const { journal } = await clock.finish(
     'open',
     openJournal(simDisk, 'a.log', { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 }),
--- a/tests/src/journal/damaged-log.test.ts
+++ b/tests/src/journal/damaged-log.test.ts
@@ -32,7 +32,7 @@
 const linesOf = async (fixture: JournalFixture): Promise<readonly string[]> => {
   const file = await fixture.clock.finish(
     'open',
-    fixture.platter.disk(fixture.clock, new Incarnation()).open('zen.log'),
+    fixture.drive.disk(fixture.clock, new Incarnation()).open('zen.log'),
     1000,
   );
   const chunks: Buffer[] = [];
@@ -44,7 +44,7 @@
 const replaceLog = async (fixture: JournalFixture, lines: readonly string[]): Promise<void> => {
   const file = await fixture.clock.finish(
     'open',
-    fixture.platter.disk(fixture.clock, new Incarnation()).open('zen.log'),
+    fixture.drive.disk(fixture.clock, new Incarnation()).open('zen.log'),
     1000,
   );
   await fixture.clock.finish(
@@ -63,7 +63,7 @@
     assert.is(lines.length, 8);
     for (let missingIndex = 0; missingIndex < lines.length - 1; missingIndex++) {
       fixture.said.length = 0;
-      fixture.platter.wipe();
+      fixture.drive.wipe();
       await replaceLog(
         fixture,
         lines.filter((_, index) => index !== missingIndex),
@@ -82,8 +82,8 @@
         fixture.said.filter((warning) => warning.includes('starting as a new member')).length,
         1,
       );
-      assert.ok(fixture.platter.list().includes('zen.log.damaged'));
-      fixture.platter.powerLoss();
+      assert.ok(fixture.drive.list().includes('zen.log.damaged'));
+      fixture.drive.powerLoss();
       assert.is(
         (await fixture.electionStore(new Incarnation(), 'another')).persisted.id,
         `fresh-${missingIndex}`,
@@ -121,7 +121,7 @@
     ],
   ];
   for (const [index, changedLines] of cases.entries()) {
-    fixture.platter.wipe();
+    fixture.drive.wipe();
     await replaceLog(fixture, changedLines);
     assert.is(
       (await fixture.electionStore(new Incarnation(), 'fresh')).persisted.id,
@@ -129,7 +129,7 @@
       `case ${index}`,
     );
   }
-  fixture.platter.wipe();
+  fixture.drive.wipe();
   await replaceLog(fixture, lines);
   assert.equal(
     [
@@ -149,7 +149,7 @@
       let idCount = 0;
       const open = (incarnation: Incarnation) =>
         openStoreDisk({
-          disk: fixture.platter.disk(fixture.clock, incarnation),
+          disk: fixture.drive.disk(fixture.clock, incarnation),
           clock: fixture.clock,
           timings: fixture.pace,
           freshId: () => `s-${++idCount}`,
@@ -159,17 +159,17 @@
       const first = await fixture.clock.finish('open', open(new Incarnation()), 1000);
       for (let i = 0; i < 4; i++)
         await fixture.clock.finish('write', first.replicaStore.write(1, 1, [item(i)]), 1000);
-      fixture.platter.corrupt('store.log', 30);
+      fixture.drive.corrupt('store.log', 30);
       const incarnation = new Incarnation();
-      fixture.platter.crashFrom(step, () => {
+      fixture.drive.crashFrom(step, () => {
         incarnation.dead = true;
       });
       const opened = open(incarnation);
       await fixture.clock.run(100);
       if (incarnation.dead) {
         powerLosses++;
-        fixture.platter.powerLoss();
-        fixture.platter.crashAtStep = -1;
+        fixture.drive.powerLoss();
+        fixture.drive.crashAtStep = -1;
       } else await fixture.clock.finish('opened', opened, 1000);
       const reopened = await fixture.clock.finish('again', open(new Incarnation()), 1000);
       assert.is.not(reopened.electionStore.persisted.id, 's-1', `step ${step}`);
@@ -190,7 +190,7 @@
         const incarnation = new Incarnation();
         const electionStore = await fixture.electionStore(incarnation, 'me', 4000);
         await fixture.clock.finish('vote', electionStore.recordVote(3, 'a'), 1000);
-        fixture.platter.crashFrom(step, () => {
+        fixture.drive.crashFrom(step, () => {
           incarnation.dead = true;
         });
         let acknowledgedVersion = 0;
@@ -203,14 +203,14 @@
             () => undefined,
           );
           if (version % 2 === 0) await fixture.clock.run(0.5);
-          maxBytes = Math.max(maxBytes, fixture.platter.bytes('zen.log'));
+          maxBytes = Math.max(maxBytes, fixture.drive.bytes('zen.log'));
         }
         await fixture.clock.run(50);
-        if (fixture.platter.bytes('zen.log') < maxBytes) rewrites++;
+        if (fixture.drive.bytes('zen.log') < maxBytes) rewrites++;
         incarnation.dead = true;
-        fixture.platter.powerLoss();
-        fixture.platter.crashAtStep = -1;
-        for (const name of fixture.platter.list()) filesSeen.add(name);
+        fixture.drive.powerLoss();
+        fixture.drive.crashAtStep = -1;
+        for (const name of fixture.drive.list()) filesSeen.add(name);
         const reopened = await fixture.electionStore(new Incarnation(), 'fresh');
         assert.is(
           reopened.persisted.id,
@@ -240,15 +240,15 @@
   let version = 0;
   while (version < 60) {
     version++;
-    if (version === 20) fixture.platter.full = true;
-    if (version === 30) fixture.platter.full = false;
+    if (version === 20) fixture.drive.full = true;
+    if (version === 30) fixture.drive.full = false;
     if (version === 30) await fixture.clock.run(1000);
     await outcomeOf(fixture, electionStore.accept(stateAt(3, version)));
   }
   assert.is(electionStore.writable, true);
-  fixture.platter.powerLoss();
+  fixture.drive.powerLoss();
   assert.is((await fixture.electionStore()).persisted.accepted?.version, 60);
-  assert.equal(fixture.platter.list(), ['zen.log']);
+  assert.equal(fixture.drive.list(), ['zen.log']);
 });
 
 const inFolder = async (use: (dir: string) => Promise<void>): Promise<void> => {
--- a/tests/src/journal/full-and-stalled-disks.test.ts
+++ b/tests/src/journal/full-and-stalled-disks.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import type { Machine, World } from '@tillerstair/sim';
 import { PingResponse } from '@tillerstair/zen';
-import { configText, five, small, worldUp } from '../support/world-helpers.js';
+import { configText, fiveControls, small, worldUp } from '../support/world-helpers.js';
 
 const disk = suite('full and stalled disks');
 const seeds = [1, 2, 3, 4, 5];
@@ -48,7 +48,7 @@
         const cluster = await worldUp(seed, small);
         const oldMaster = masterOf(cluster);
         const oldId = oldMaster.control?.id;
-        oldMaster.platter[fault] = true;
+        oldMaster.drive[fault] = true;
         const faultAt = cluster.clock.now();
         startConfigChange(cluster, oldMaster);
         await cluster.clock.until(
@@ -63,7 +63,7 @@
         assert.is(response.status, 200, `seed ${seed}: ${JSON.stringify(response)}`);
         assert.is(oldMaster.control?.zen.leading, undefined);
         await cluster.clock.run(Math.max(0, faultAt + 6000 - cluster.clock.now()));
-        oldMaster.platter[fault] = false;
+        oldMaster.drive[fault] = false;
         const master = masterOf(cluster);
         await cluster.clock.until(
           'the old master to follow',
@@ -82,7 +82,7 @@
           2000,
         );
         assert.is(oldMaster.control?.id, oldId);
-        assert.ok(oldMaster.up, oldMaster.startFailed);
+        assert.ok(oldMaster.up, oldMaster.startError);
         assert.is(cluster.masters().length, 1);
       }
     },
@@ -97,7 +97,7 @@
         const master = masterOf(cluster);
         const follower = cluster.of('control').find((machine) => machine !== master);
         if (!follower) throw new Error('the cluster has no follower');
-        follower.platter[fault] = true;
+        follower.drive[fault] = true;
         const versionBefore = configVersion(follower);
         const latenciesMs: number[] = [];
         for (let i = 0; i < 4; i++) {
@@ -109,7 +109,7 @@
         assert.is(cluster.master, master);
         assert.is(configVersion(follower), versionBefore);
         await cluster.clock.run(4000);
-        follower.platter[fault] = false;
+        follower.drive[fault] = false;
         await cluster.clock.until(
           'caught up',
           () => configVersion(follower) === configVersion(master),
@@ -124,11 +124,11 @@
   'two full disks of five controls do not affect operators, and those controls win no election',
   async () => {
     for (const seed of seeds) {
-      const cluster = await worldUp(seed, five);
+      const cluster = await worldUp(seed, fiveControls);
       const oldMaster = masterOf(cluster);
       const follower = cluster.of('control').find((machine) => machine !== oldMaster);
       if (!follower) throw new Error('the cluster has no follower');
-      for (const machine of [oldMaster, follower]) machine.platter.full = true;
+      for (const machine of [oldMaster, follower]) machine.drive.full = true;
       startConfigChange(cluster, oldMaster);
       await cluster.clock.until(
         'another master',
@@ -138,7 +138,7 @@
       assert.is.not(cluster.master, follower);
       const newMaster = masterOf(cluster);
       assert.is((await putConfig(cluster, configVersion(newMaster), newMaster)).status, 200);
-      for (const machine of [oldMaster, follower]) machine.platter.full = false;
+      for (const machine of [oldMaster, follower]) machine.drive.full = false;
       await cluster.clock.until(
         'all controls to have the same configuration',
         () =>
@@ -169,10 +169,10 @@
       );
     const flagsOf = (response: PingResponse) => [response.eligible, response.canWin];
     assert.equal(flagsOf(await ping()), [true, true]);
-    follower.platter.full = true;
+    follower.drive.full = true;
     assert.is((await putConfig(cluster, 1)).status, 200);
     assert.equal(flagsOf(await ping()), [false, false]);
-    follower.platter.full = false;
+    follower.drive.full = false;
     await cluster.clock.run(1000);
     assert.equal(flagsOf(await ping()), [true, true]);
   },
@@ -191,11 +191,11 @@
           .filter((machine) => machine !== oldMaster)
           .slice(0, 1),
       ];
-      for (const machine of fullMachines) machine.platter.full = true;
+      for (const machine of fullMachines) machine.drive.full = true;
       assert.is.not((await putConfig(cluster, configVersion(oldMaster), oldMaster)).status, 200);
       await cluster.clock.run(6000);
       assert.is(cluster.master, undefined);
-      for (const machine of fullMachines) machine.platter.full = false;
+      for (const machine of fullMachines) machine.drive.full = false;
       await cluster.clock.until('a master', () => cluster.master !== undefined, 5000);
       assert.is((await putConfig(cluster, configVersion(masterOf(cluster)))).status, 200);
       await cluster.clock.until(
@@ -215,7 +215,7 @@
     const cluster = await worldUp(seed, small);
     const oldMaster = masterOf(cluster);
     const oldId = oldMaster.control?.id;
-    oldMaster.platter.full = true;
+    oldMaster.drive.full = true;
     startConfigChange(cluster, oldMaster);
     await cluster.clock.run(2000);
     oldMaster.kill(seed % 2 === 0 ? 'power' : 'process');
@@ -223,8 +223,8 @@
     assert.is((await putConfig(cluster, configVersion(masterOf(cluster)))).status, 200);
     oldMaster.start();
     await cluster.clock.run(2000);
-    assert.is(oldMaster.startFailed, '');
-    oldMaster.platter.full = false;
+    assert.is(oldMaster.startError, '');
+    oldMaster.drive.full = false;
     await cluster.clock.until(
       'caught up',
       () =>
@@ -246,7 +246,7 @@
       assert.is((await putConfig(cluster, configVersion(oldMaster))).status, 200);
       const acknowledgedVersion = configVersion(oldMaster);
       oldMaster.kill('power');
-      oldMaster.platter.corrupt('zen.log', 12);
+      oldMaster.drive.corrupt('zen.log', 12);
       oldMaster.start();
       await cluster.clock.until(
         'a master',
@@ -266,7 +266,7 @@
         },
         12000,
       );
-      assert.ok(oldMaster.platter.list().includes('zen.log.damaged'));
+      assert.ok(oldMaster.drive.list().includes('zen.log.damaged'));
     }
   },
 );
@@ -293,7 +293,7 @@
           .program;
         const store = cluster.of('store').at(seed % 3);
         if (!store) throw new Error('the cluster has no store');
-        store.platter[fault] = true;
+        store.drive[fault] = true;
         const latenciesMs: number[] = [];
         for (let i = 0; i < 6; i++) {
           const newProgram = (await cluster.clock.finish('program', cluster.program(1000), 10000))
@@ -311,8 +311,8 @@
           `seed ${seed}: ${latenciesMs.join()}`,
         );
         await cluster.clock.run(4000);
-        store.platter[fault] = false;
-        assert.ok(store.up && store.startFailed === '');
+        store.drive[fault] = false;
+        assert.ok(store.up && store.startError === '');
         const itemsIn = (machine: Machine): string => {
           const replicaStore = machine.replicaStore;
           const slots = Array.from(
@@ -349,21 +349,21 @@
       if (!store) throw new Error('the cluster has no store');
       const storeId = store.store?.id;
       const program = (await cluster.clock.finish('program', cluster.program(1000), 10000)).program;
-      store.platter.full = true;
+      store.drive.full = true;
       await runTurnAndCall(cluster, program, 1);
       store.kill(seed % 2 === 0 ? 'power' : 'process');
       await cluster.clock.run(500);
       store.start();
       await cluster.clock.run(1500);
-      store.platter.full = false;
+      store.drive.full = false;
       await cluster.clock.until('back', () => store.store?.zen.knownMaster !== undefined, 8000);
       assert.is(store.store?.id, storeId);
       await cluster.clock.until(
         'all slots open and the store writable',
-        () => cluster.slotsOpen() && store.replicaStore?.writable === true,
+        () => cluster.slotsComplete() && store.replicaStore?.writable === true,
         20000,
       );
-      assert.is(store.startFailed, '');
+      assert.is(store.startError, '');
     }
   },
 );
--- a/tests/src/journal/journal-fixture.ts
+++ b/tests/src/journal/journal-fixture.ts
@@ -1,6 +1,6 @@
 /** Journals, election stores and replica stores on a simulated disk, and the records that tests write to them. */
 import { defaultTimings, Journal, type Disk, type JournalTimings } from '@tillerstair/journal';
-import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimDrive, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Member, type State } from '@tillerstair/state';
 import { ReplicaStore } from '@tillerstair/store';
 import { silentLogger } from '@tillerstair/wire';
@@ -31,7 +31,7 @@
 /** A simulated disk with its clock; `said` collects the logged warnings. The stores are opened on that disk. */
 export interface JournalFixture {
   readonly clock: SimClock;
-  readonly platter: SimPlatter;
+  readonly drive: SimDrive;
   readonly said: string[];
   readonly pace: JournalTimings;
   electionStore(
@@ -45,7 +45,7 @@
 /** Creates a fixture whose simulated disk is seeded with `seed`. */
 export const createFixture = (seed: number): JournalFixture => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(seed));
+  const drive = new SimDrive(seededRng(seed));
   const warnings: string[] = [];
   const timings = {
     clock,
@@ -55,20 +55,20 @@
   };
   return {
     clock,
-    platter,
+    drive,
     said: warnings,
     pace: timings,
     electionStore: (incarnation = new Incarnation(), id = 'me', minBytes = rewriteMinBytes) =>
       clock.finish(
         'keep',
-        DiskElectionStore.open(platter.disk(clock, incarnation), () => id, minBytes, timings),
+        DiskElectionStore.open(drive.disk(clock, incarnation), () => id, minBytes, timings),
         60000,
       ),
     replicaStore: (incarnation = new Incarnation(), minBytes = rewriteMinBytes) =>
       clock.finish(
         'opening the replica store',
         ReplicaStore.open(
-          platter.disk(clock, incarnation),
+          drive.disk(clock, incarnation),
           clock,
           { rewriteMinBytes: minBytes, retentionMs: 1e9, maxHints: 10 },
           timings,
--- a/tests/src/journal/journal.test.ts
+++ b/tests/src/journal/journal.test.ts
@@ -5,7 +5,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FolderDisk, FolderInUseError, JournalDamagedError } from '@tillerstair/journal';
-import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimDrive, seededRng } from '@tillerstair/sim';
 import { ReplicaStore } from '@tillerstair/store';
 import { openJournal } from './journal-fixture.js';
 
@@ -78,8 +78,8 @@
 
 journal('concurrent appends share syncs', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
-  const opening = openJournal(platter.disk(clock, new Incarnation()), 'a.log');
+  const drive = new SimDrive(seededRng(1));
+  const opening = openJournal(drive.disk(clock, new Incarnation()), 'a.log');
   const { journal: log } = await clock.finish('open', opening, 1000);
   await clock.finish(
     'appends',
@@ -95,19 +95,19 @@
     let rewrites = 0;
     for (let step = 0; step < 60; step++) {
       const clock = new SimClock();
-      const platter = new SimPlatter(seededRng(step));
+      const drive = new SimDrive(seededRng(step));
       const incarnation = new Incarnation();
       const replicaStore = await clock.finish(
         'open',
-        ReplicaStore.open(platter.disk(clock, incarnation), clock, {
+        ReplicaStore.open(drive.disk(clock, incarnation), clock, {
           rewriteMinBytes: 600,
           retentionMs: 1e9,
           maxHints: 10,
         }),
         1000,
       );
-      platter.crashAtStep = step;
-      platter.onCrash = () => {
+      drive.crashAtStep = step;
+      drive.onCrash = () => {
         incarnation.dead = true;
       };
       const acknowledged: string[] = [];
@@ -121,11 +121,11 @@
       }
       await clock.run(50);
       if (!incarnation.dead && replicaStore.counts().bytes < 3000) rewrites++;
-      platter.powerLoss();
-      platter.crashAtStep = -1;
+      drive.powerLoss();
+      drive.crashAtStep = -1;
       const reopened = await clock.finish(
         'reopen',
-        ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, {
+        ReplicaStore.open(drive.disk(clock, new Incarnation()), clock, {
           rewriteMinBytes: 600,
           retentionMs: 1e9,
           maxHints: 10,
@@ -149,18 +149,18 @@
 
 journal('a store rejects ownership epochs below its fence, even after a power loss', async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(3));
+  const drive = new SimDrive(seededRng(3));
   const limits = { rewriteMinBytes: 1 << 20, retentionMs: 1e9, maxHints: 10 };
   const replicaStore = await clock.finish(
     'open',
-    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
+    ReplicaStore.open(drive.disk(clock, new Incarnation()), clock, limits),
     1000,
   );
   await clock.finish('fence', replicaStore.fence(4, 7, ''), 1000);
-  platter.powerLoss();
+  drive.powerLoss();
   const reopened = await clock.finish(
     'reopen',
-    ReplicaStore.open(platter.disk(clock, new Incarnation()), clock, limits),
+    ReplicaStore.open(drive.disk(clock, new Incarnation()), clock, limits),
     1000,
   );
   const writing = reopened
--- a/tests/src/journal/refused-writes.test.ts
+++ b/tests/src/journal/refused-writes.test.ts
@@ -20,7 +20,7 @@
 /** Opens a log whose owner collects the restored records, from which a recovery rewrites the file. */
 const open = async (
   fixture: JournalFixture,
-  disk: Disk = fixture.platter.disk(fixture.clock, new Incarnation()),
+  disk: Disk = fixture.drive.disk(fixture.clock, new Incarnation()),
 ): Promise<OpenedLog> => {
   const opened = await fixture.clock.finish(
     'open',
@@ -54,7 +54,7 @@
 
 /** The records that survive a power loss. */
 const recordsOnDisk = async (fixture: JournalFixture): Promise<readonly unknown[]> => {
-  fixture.platter.powerLoss();
+  fixture.drive.powerLoss();
   return (await open(fixture)).records;
 };
 
@@ -63,7 +63,7 @@
   async () => {
     const fixture = createFixture(1);
     const opened = await open(fixture);
-    fixture.platter.failSyncs = true;
+    fixture.drive.failSyncs = true;
     const first = await fixture.clock.finish('first', executedOf(opened.journal.append(1)), 5000);
     assert.is(first, 'unknown');
     const second = await fixture.clock.finish('second', executedOf(opened.journal.append(2)), 5000);
@@ -78,7 +78,7 @@
   assert.is(await append(fixture, opened, 1), 'done');
   const file = await fixture.clock.finish(
     'file',
-    fixture.platter.disk(fixture.clock, new Incarnation()).open('a.log'),
+    fixture.drive.disk(fixture.clock, new Incarnation()).open('a.log'),
     1000,
   );
   await fixture.clock.finish('torn', file.append(Buffer.from('1234abcd [to')), 1000);
@@ -92,11 +92,11 @@
 refusals('a write that ends after its timeout acknowledges no append', async () => {
   const fixture = createFixture(1);
   const opened = await open(fixture);
-  fixture.platter.stalled = true;
+  fixture.drive.stalled = true;
   const late = executedOf(opened.journal.append(1));
   assert.is(await fixture.clock.finish('late', late, 5000), 'unknown');
   assert.is(opened.journal.writable, false);
-  fixture.platter.stalled = false;
+  fixture.drive.stalled = false;
   await fixture.clock.run(500);
   assert.is(opened.journal.writable, true);
 });
@@ -106,12 +106,12 @@
   async () => {
     const fixture = createFixture(1);
     const opened = await open(fixture);
-    fixture.platter.stalled = true;
+    fixture.drive.stalled = true;
     const first = append(fixture, opened, 1);
     await fixture.clock.run(10);
     const waiting = append(fixture, opened, 2);
     assert.equal(await Promise.all([first, waiting]), ['unavailable', 'unavailable']);
-    fixture.platter.stalled = false;
+    fixture.drive.stalled = false;
     await fixture.clock.run(500);
     assert.is(opened.journal.writable, true);
     assert.equal(await recordsOnDisk(fixture), [1, 2]);
@@ -132,10 +132,10 @@
     const both = [opened.journal.rewrite(snapshot), opened.journal.rewrite(snapshot)];
     await fixture.clock.finish('rewrites', Promise.all(both), 5000);
     assert.is(snapshots, 1);
-    fixture.platter.full = true;
+    fixture.drive.full = true;
     assert.is(await append(fixture, opened, 2), 'unavailable');
     void opened.journal.rewrite(snapshot);
-    fixture.platter.full = false;
+    fixture.drive.full = false;
     await fixture.clock.run(1000);
     assert.is(snapshots, 1);
     assert.equal(await recordsOnDisk(fixture), [1, 2]);
@@ -147,7 +147,7 @@
   const journal = await fixture.clock.finish(
     'open',
     Journal.open(
-      fixture.platter.disk(fixture.clock, new Incarnation()),
+      fixture.drive.disk(fixture.clock, new Incarnation()),
       'a.log',
       fixture.pace,
       (opened) => ({
@@ -158,15 +158,15 @@
     1000,
   );
   let snapshots = 0;
-  fixture.platter.stalled = true;
+  fixture.drive.stalled = true;
   const first = outcomeOf(fixture, journal.opened.append(1));
   await fixture.clock.run(10);
   const rewritten = journal.opened.rewrite(() => {
     snapshots++;
     return [];
   });
-  fixture.platter.failSyncs = true;
-  fixture.platter.stalled = false;
+  fixture.drive.failSyncs = true;
+  fixture.drive.stalled = false;
   assert.is(await first, 'unavailable');
   await fixture.clock.finish('rewritten', rewritten, 5000);
   assert.is(snapshots, 0);
--- a/tests/src/journal/write-faults.test.ts
+++ b/tests/src/journal/write-faults.test.ts
@@ -13,7 +13,7 @@
       const fixture = createFixture(seed);
       const replicaStore = await fixture.replicaStore();
       assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(0)])), 'done');
-      fixture.platter.full = true;
+      fixture.drive.full = true;
       const outcomes = await Promise.all([
         outcomeOf(fixture, replicaStore.write(1, 1, [item(1)])),
         outcomeOf(fixture, replicaStore.write(1, 1, [item(2)])),
@@ -22,12 +22,12 @@
       assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(3)])), 'unavailable');
       await fixture.clock.run(3000);
       assert.is(replicaStore.writable, false);
-      fixture.platter.full = false;
+      fixture.drive.full = false;
       await fixture.clock.run(2 * fixture.pace.retryIntervalMs);
       assert.is(replicaStore.writable, true);
       assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(4)])), 'done');
       const keysInMemory = keysOf(replicaStore);
-      fixture.platter.powerLoss();
+      fixture.drive.powerLoss();
       assert.equal(keysOf(await fixture.replicaStore()), keysInMemory);
       assert.ok(
         keysInMemory.includes('o/t/0') &&
@@ -45,14 +45,14 @@
     const incarnation = new Incarnation();
     const replicaStore = await fixture.replicaStore(incarnation);
     assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(0)])), 'done');
-    fixture.platter.full = true;
+    fixture.drive.full = true;
     assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(1)])), 'unavailable');
     await fixture.clock.run(seed * 50);
     incarnation.dead = true;
-    fixture.platter.powerLoss();
+    fixture.drive.powerLoss();
     const reopened = await fixture.replicaStore();
     assert.ok(keysOf(reopened).includes('o/t/0'));
-    fixture.platter.full = false;
+    fixture.drive.full = false;
     assert.is(await outcomeOf(fixture, reopened.write(1, 1, [item(2)])), 'done');
   }
 });
@@ -60,12 +60,12 @@
 faults('after a failed sync the file is rewritten instead of synced again', async () => {
   const fixture = createFixture(1);
   const replicaStore = await fixture.replicaStore();
-  fixture.platter.failSyncs = true;
+  fixture.drive.failSyncs = true;
   assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(0)])), 'unavailable');
-  fixture.platter.failSyncs = false;
+  fixture.drive.failSyncs = false;
   await fixture.clock.run(1000);
   assert.is(replicaStore.writable, true);
-  fixture.platter.powerLoss();
+  fixture.drive.powerLoss();
   assert.equal(keysOf(await fixture.replicaStore()), ['o/t/0']);
 });
 
@@ -75,7 +75,7 @@
     const fixture = createFixture(1);
     const replicaStore = await fixture.replicaStore();
     assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(0)])), 'done');
-    fixture.platter.stalled = true;
+    fixture.drive.stalled = true;
     const startedAt = fixture.clock.now();
     const first = outcomeOf(fixture, replicaStore.write(1, 1, [item(1)]));
     assert.is(await first, 'unavailable');
@@ -89,11 +89,11 @@
     const eventsBefore = fixture.clock.events;
     await fixture.clock.run(60000);
     assert.ok(fixture.clock.events - eventsBefore < 10, 'a stalled disk is polled repeatedly');
-    fixture.platter.stalled = false;
+    fixture.drive.stalled = false;
     await fixture.clock.run(500);
     assert.is(await outcomeOf(fixture, replicaStore.write(1, 1, [item(3)])), 'done');
     const keysInMemory = keysOf(replicaStore);
-    fixture.platter.powerLoss();
+    fixture.drive.powerLoss();
     assert.equal(keysOf(await fixture.replicaStore()), keysInMemory);
   },
 );
@@ -103,16 +103,16 @@
   async () => {
     const fixture = createFixture(1);
     const replicaStore = await fixture.replicaStore();
-    fixture.platter.stalled = true;
+    fixture.drive.stalled = true;
     const first = outcomeOf(fixture, replicaStore.write(1, 1, [item(0)]));
     await fixture.clock.run(10);
     const second = outcomeOf(fixture, replicaStore.write(1, 1, [item(1)]));
     assert.equal(await Promise.all([first, second]), ['unavailable', 'unavailable']);
-    fixture.platter.stalled = false;
+    fixture.drive.stalled = false;
     await fixture.clock.run(500);
     assert.is(replicaStore.writable, true);
     assert.equal(keysOf(replicaStore), ['o/t/0', 'o/t/1']);
-    fixture.platter.powerLoss();
+    fixture.drive.powerLoss();
     assert.equal(keysOf(await fixture.replicaStore()), ['o/t/0', 'o/t/1']);
   },
 );
@@ -120,7 +120,7 @@
 faults('a lasting failure is retried at the given interval', async () => {
   const fixture = createFixture(1);
   const replicaStore = await fixture.replicaStore();
-  fixture.platter.full = true;
+  fixture.drive.full = true;
   await outcomeOf(fixture, replicaStore.write(1, 1, [item(0)]));
   const eventsBefore = fixture.clock.events;
   await fixture.clock.run(25000);
@@ -135,7 +135,7 @@
     const fixture = createFixture(seed);
     const electionStore = await fixture.electionStore();
     await fixture.clock.finish('vote', electionStore.recordVote(3, 'a'), 1000);
-    fixture.platter.full = true;
+    fixture.drive.full = true;
     assert.is(await outcomeOf(fixture, electionStore.recordVote(4, 'b')), 'unavailable');
     assert.is(await outcomeOf(fixture, electionStore.synced()), 'unavailable');
     assert.is(await outcomeOf(fixture, electionStore.recordVote(5, 'c')), 'unavailable');
@@ -143,10 +143,10 @@
       [electionStore.persisted.term, electionStore.persisted.votedFor, electionStore.writable],
       [4, 'b', false],
     );
-    fixture.platter.full = false;
+    fixture.drive.full = false;
     await fixture.clock.run(1000);
     assert.is(await outcomeOf(fixture, electionStore.synced()), 'done');
-    fixture.platter.powerLoss();
+    fixture.drive.powerLoss();
     const { persisted } = await fixture.electionStore();
     assert.equal([persisted.id, persisted.term, persisted.votedFor], ['me', 4, 'b']);
   }
@@ -158,14 +158,14 @@
     const electionStore = await fixture.electionStore();
     await fixture.clock.finish('vote', electionStore.recordVote(3, 'a'), 1000);
     await fixture.clock.finish('accept', electionStore.accept(stateAt(3, 1)), 1000);
-    fixture.platter.full = true;
+    fixture.drive.full = true;
     assert.is(await outcomeOf(fixture, electionStore.accept(stateAt(3, 2))), 'unavailable');
     assert.is(await outcomeOf(fixture, electionStore.accept(stateAt(3, 3))), 'unavailable');
     assert.is(electionStore.persisted.accepted?.version, 2);
-    fixture.platter.full = false;
+    fixture.drive.full = false;
     await fixture.clock.run(1000);
     assert.is(await outcomeOf(fixture, electionStore.accept(stateAt(3, 3))), 'done');
-    fixture.platter.powerLoss();
+    fixture.drive.powerLoss();
     const reopened = await fixture.electionStore();
     assert.equal([reopened.persisted.id, reopened.persisted.accepted?.version], ['me', 3]);
     assert.equal(
@@ -177,13 +177,13 @@
 
 faults('a new member has no id before its full disk accepts writes', async () => {
   const fixture = createFixture(1);
-  fixture.platter.full = true;
+  fixture.drive.full = true;
   const opening = fixture.electionStore();
   await fixture.clock.run(2000);
-  fixture.platter.full = false;
+  fixture.drive.full = false;
   const electionStore = await opening;
   assert.is(electionStore.persisted.id, 'me');
-  fixture.platter.powerLoss();
+  fixture.drive.powerLoss();
   assert.is((await fixture.electionStore(new Incarnation(), 'other')).persisted.id, 'me');
 });
 
--- a/tests/src/platform/settings.test.ts
+++ b/tests/src/platform/settings.test.ts
@@ -137,9 +137,9 @@
 
 settings('a simulated cluster with the time bounds of any settings serves', async () => {
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
-    const { bounds: outer } = controlSettings(await readRandomSettings(seed));
-    const world = new World(seed, { controls: 3, stores: 3, fronts: 2, outer });
-    await world.bringUp((base) => configText(base), servers);
+    const { bounds: configuredBounds } = controlSettings(await readRandomSettings(seed));
+    const world = new World(seed, { controls: 3, stores: 3, fronts: 2, configuredBounds });
+    await world.startServing((base) => configText(base), servers);
     const result = await world.clock.finish('program', world.program(100), 20000);
     assert.is(result.reported, 'done', `seed ${seed}`);
   }
--- a/tests/src/proxy/graceful-stop.test.ts
+++ b/tests/src/proxy/graceful-stop.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { passAt } from '@tillerstair/sim';
-import { five, ownerOf, passUp } from '../support/world-helpers.js';
+import { fiveControls, ownerOf, passUp } from '../support/world-helpers.js';
 
 const frontStop = suite('graceful stop of a front');
 const seeds = [21, 22, 23];
@@ -13,7 +13,7 @@
   'continuous streams in a slot do not delay the stop of its owner and are not broken off',
   async () => {
     for (const seed of seeds) {
-      const world = await passUp(seed, five);
+      const world = await passUp(seed, fiveControls);
       const program = `busy${seed}`;
       const owner = ownerOf(world, `p/x-${program}`);
       const other = world.of('front').find((machine) => machine !== owner);
@@ -27,7 +27,7 @@
         await world.clock.run(streamEveryMs);
       }
       let stopped = false;
-      void owner.stopInOrder().then(() => {
+      void owner.stopGracefully().then(() => {
         stopped = true;
       });
       for (let i = 0; i < streams; i++) {
--- a/tests/src/proxy/pass-route-attempts.test.ts
+++ b/tests/src/proxy/pass-route-attempts.test.ts
@@ -2,14 +2,14 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { z } from 'zod';
-import { passAt, type SimFaults } from '@tillerstair/sim';
+import { passAt, type ServerFaults } from '@tillerstair/sim';
 import { slotForKey } from '@tillerstair/state';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
   assertNoBreach,
-  five,
+  fiveControls,
   passed,
-  passText,
+  passConfigText,
   passUp,
   recordsOf,
   runsOf,
@@ -105,7 +105,7 @@
       { loseEvery: 1 },
       { namesOtherAttempt: true },
       { cutEvery: 1 },
-    ] satisfies Partial<SimFaults>[]) {
+    ] satisfies Partial<ServerFaults>[]) {
       const world = await passUp(12, small);
       for (const id of shopServers) world.servers.set(id, fault);
       const reported = await passed(world, { path: '/once/x', body: 'a' });
@@ -182,7 +182,7 @@
           await world.operate(
             'PUT',
             '/v1/config',
-            passText(1, 'others', 'mart', 'memo', { bounds: { perServer: 1 } }),
+            passConfigText(1, 'others', 'mart', 'memo', { bounds: { perServer: 1 } }),
           )
         ).status,
         200,
@@ -213,7 +213,7 @@
   );
   await world.clock.run(50);
   const text = ConfigWithRoutes.parse(
-    JSON.parse(passText(1, 'models', 'shop', 'memo', { bounds: { perServer: 1 } })),
+    JSON.parse(passConfigText(1, 'models', 'shop', 'memo', { bounds: { perServer: 1 } })),
   );
   const routes = text.routes.filter((route) => route.name !== 'pass-once');
   assert.is(
@@ -235,7 +235,7 @@
   'a stopping front hands over its slots and serves requests in flight, queued and new',
   async () => {
     for (const seed of seeds) {
-      const world = await passUp(seed, five);
+      const world = await passUp(seed, fiveControls);
       const front = firstOf(world, 'front');
       const id = front.front?.id ?? '';
       const ownKeys = Array.from({ length: 60 }, (_, i) => `k${i}`).filter(
@@ -251,7 +251,7 @@
         front,
       );
       await world.clock.run(4);
-      const stopped = front.stopInOrder();
+      const stopped = front.stopGracefully();
       const end = { reached: false };
       void stopped.then(() => {
         end.reached = true;
--- a/tests/src/proxy/pass-route-streams.test.ts
+++ b/tests/src/proxy/pass-route-streams.test.ts
@@ -3,11 +3,11 @@
 import * as assert from 'uvu/assert';
 import type { PassRecord } from '@tillerstair/checker';
 import { outputOf } from '@tillerstair/checker';
-import { eventsIn, passAt, type World, type SimFaults } from '@tillerstair/sim';
+import { eventsIn, passAt, type World, type ServerFaults } from '@tillerstair/sim';
 import {
   assertNoBreach,
   passed,
-  passText,
+  passConfigText,
   passUp,
   recordsOf,
   restart,
@@ -64,17 +64,17 @@
       world.start(world.of('front').filter((machine) => !machine.up));
       await world.clock.until(
         'serving',
-        () => world.readyFronts().length === 2 && world.slotsOpen(),
+        () => world.readyFronts().length === 2 && world.slotsComplete(),
         20000,
       );
       last = await runTurn(world, 'two', last.attempt);
       assert.is(last.reported, 'done', last.errorCode);
       const store = world.of('store')[seed % 3];
       store.kill('power');
-      store.platter.wipe();
+      store.drive.wipe();
       store.start();
       await world.clock.run(4000);
-      await world.clock.until('slots open', () => world.slotsOpen(), 20000);
+      await world.clock.until('slots open', () => world.slotsComplete(), 20000);
       last = await runTurn(world, 'three', last.attempt);
       assert.is(last.reported, 'done', last.errorCode);
       await restart(world);
@@ -254,7 +254,7 @@
       { cutEvery: 2 },
       { cutEvery: 2, cutsInsideEvent: true },
       { loseEvery: 2 },
-    ] satisfies Partial<SimFaults>[])
+    ] satisfies Partial<ServerFaults>[])
       for (const seed of seeds) {
         const world = await passUp(seed, small);
         for (const id of models) world.servers.set(id, fault);
@@ -299,7 +299,7 @@
       for (const fault of [
         { cutEvery: 1 },
         { cutEvery: 1, cutsInsideEvent: true },
-      ] satisfies Partial<SimFaults>[]) {
+      ] satisfies Partial<ServerFaults>[]) {
         const world = await passUp(38, small);
         for (const id of models) world.servers.set(id, fault);
         for (let i = 0; i < 4; i++) {
@@ -344,7 +344,7 @@
 streams('a turn of a route that moved to another pool runs there with its chain', async () => {
   const world = await passUp(40, small);
   const a = await runTurn(world, 'a');
-  const put = await world.operate('PUT', '/v1/config', passText(1, 'others'));
+  const put = await world.operate('PUT', '/v1/config', passConfigText(1, 'others'));
   assert.is(put.status, 200);
   await world.clock.run(1000);
   const b = await runTurn(world, 'b', a.attempt);
--- a/tests/src/proxy/pass-routes.test.ts
+++ b/tests/src/proxy/pass-routes.test.ts
@@ -1,12 +1,12 @@
 /** Pass routes with complete responses: an operation key runs at most once, whatever fails. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { passAt, type World, type SimFaults } from '@tillerstair/sim';
+import { passAt, type World, type ServerFaults } from '@tillerstair/sim';
 import { opKeyOf } from '@tillerstair/session-owner';
 import {
   assertNoBreach,
   passed,
-  passText,
+  passConfigText,
   passUp,
   recordsOf,
   restart,
@@ -103,7 +103,7 @@
       { loseEvery: 1 },
       { namesOtherAttempt: true },
       { cutEvery: 1 },
-    ] satisfies Partial<SimFaults>[]) {
+    ] satisfies Partial<ServerFaults>[]) {
       const world = await passUp(11, small);
       for (const id of shopServers) world.servers.set(id, fault);
       assert.is(
@@ -147,7 +147,7 @@
     for (const id of shopServers) world.servers.set(id, { loseEvery: 1 });
     assert.is((await passed(world, { path: '/keyed/x', key: 'k', body: 'a' })).reported, 'unknown');
     assert.is(
-      (await world.operate('PUT', '/v1/config', passText(1, 'models', 'memo'))).status,
+      (await world.operate('PUT', '/v1/config', passConfigText(1, 'models', 'memo'))).status,
       200,
     );
     await world.clock.run(1500);
@@ -166,7 +166,8 @@
     for (const id of ['k1', 'k2']) world.servers.set(id, { loseEvery: 0, declines: true });
     assert.is.not((await passed(world, { path: '/own/x', key: 'k', body: 'a' })).reported, 'done');
     assert.is(
-      (await world.operate('PUT', '/v1/config', passText(1, 'models', 'shop', 'shop'))).status,
+      (await world.operate('PUT', '/v1/config', passConfigText(1, 'models', 'shop', 'shop')))
+        .status,
       200,
     );
     await world.clock.run(1500);
@@ -184,7 +185,7 @@
     world.start(world.machines.filter((machine) => !machine.up));
     await world.clock.until(
       'serving',
-      () => world.readyFronts().length === 2 && world.slotsOpen(),
+      () => world.readyFronts().length === 2 && world.slotsComplete(),
       20000,
     );
     await world.clock.run(500);
--- a/tests/src/store/emptying-stores.test.ts
+++ b/tests/src/store/emptying-stores.test.ts
@@ -133,7 +133,7 @@
         cluster.committed?.slots.some((slot) => slot.replicas.includes(storeIdOf(emptied))),
       );
       assert.is((await cluster.operate('DELETE', `/v1/stores/${emptied.name}/empty`)).status, 200);
-      assert.is(cluster.drained.size, 0);
+      assert.is(cluster.retiringNodes.size, 0);
       await assertWorkloadPreserved(cluster, 'x');
     }
   },
--- a/tests/src/store/replica-moves.test.ts
+++ b/tests/src/store/replica-moves.test.ts
@@ -5,7 +5,7 @@
 import {
   assertNoBreach,
   configText,
-  five,
+  fiveControls,
   recordsOf,
   servers,
   small,
@@ -156,10 +156,10 @@
 
 moves('a slow disk of one store neither delays turns for long nor loses any', async () => {
   for (const seed of seeds) {
-    const cluster = await worldUp(seed, five);
+    const cluster = await worldUp(seed, fiveControls);
     const program = await cluster.clock.finish('program', cluster.program(900), 10000);
     const slowStore = cluster.of('store')[seed % 3];
-    slowStore.platter.delay = 2500;
+    slowStore.drive.delay = 2500;
     const startedAt = cluster.clock.now();
     await runTurns(cluster, program.program, 0, 6);
     assert.ok(
@@ -205,7 +205,7 @@
     cluster.start(cluster.of('front'));
     await cluster.clock.until(
       'fronts',
-      () => cluster.readyFronts().length === 2 && cluster.slotsOpen(),
+      () => cluster.readyFronts().length === 2 && cluster.slotsComplete(),
       20000,
     );
     for (const reply of kept)
@@ -274,7 +274,7 @@
       w.at('store-0').kill('power');
       for (const machine of w.of('front')) machine.kill();
       w.start(w.of('front'));
-      await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsOpen(), 20000);
+      await w.clock.until('fronts', () => w.readyFronts().length === 2 && w.slotsComplete(), 20000);
       await w.clock.run(1000);
       for (const t of turns)
         assert.is((await w.clock.finish('fetch', w.fetch(t.program, t.turn), 30000)).text, t.text);
@@ -291,7 +291,7 @@
       const cluster = await worldUp(seed, small);
       const programs = await createPrograms(cluster, 12);
       const newStore = await addFourthStore(cluster);
-      newStore.platter.delay = 2500;
+      newStore.drive.delay = 2500;
       assert.is((await cluster.operate('POST', '/v1/stores/store-0/empty')).status, 200);
       await waitUntilFilling(cluster);
       for (const machine of cluster.of('front'))
@@ -313,7 +313,7 @@
       }
       for (const store of ['store-0', 'store-1']) cluster.at(store).kill('power');
       cluster.net.healCuts();
-      newStore.platter.delay = 0.2;
+      newStore.drive.delay = 0.2;
       await cluster.clock.finish('all', Promise.all(pending), 60000);
       for (const machine of cluster.of('front')) machine.kill();
       cluster.start(cluster.of('front'));
@@ -369,7 +369,7 @@
 
 moves('20 MB in 64 slots move off a store within 6 s, and turns are served meanwhile', async () => {
   const cluster = new World(33, { controls: 3, stores: 4, fronts: 2, slots: 64 });
-  await cluster.bringUp((base) => configText(base), servers);
+  await cluster.startServing((base) => configText(base), servers);
   const program = await cluster.clock.finish('program', cluster.program(900), 10000);
   const filling = fillStores(cluster, 14, 'v'.repeat(32 << 10));
   await cluster.clock.finish('filling the stores', filling, 60000);
--- a/tests/src/store/replica-refill.test.ts
+++ b/tests/src/store/replica-refill.test.ts
@@ -24,12 +24,12 @@
   program: string,
 ): Promise<void> => {
   store?.kill('power');
-  store?.platter.wipe();
+  store?.drive.wipe();
   for (const machine of cluster.of('front')) machine.kill();
   cluster.start(cluster.of('front'));
   await cluster.clock.until(
     'fronts',
-    () => cluster.readyFronts().length === 2 && cluster.slotsOpen(),
+    () => cluster.readyFronts().length === 2 && cluster.slotsComplete(),
     20000,
   );
   for (const turn of cluster.reported.filter(
@@ -77,7 +77,7 @@
     await runTurns(cluster, program.program, 0, 4);
     const [emptied, other] = cluster.of('store');
     emptied.kill('power');
-    emptied.platter.wipe();
+    emptied.drive.wipe();
     emptied.start();
     const storeId = () => emptied.store?.id ?? 'none';
     await cluster.clock.until(
@@ -125,7 +125,7 @@
       assert.ok(turns.every((turn) => turn.reported === 'done'));
       const store = cluster.at('store-0');
       store.kill('power');
-      store.platter.wipe();
+      store.drive.wipe();
       for (const machine of cluster.of('front')) machine.kill();
       cluster.net.healCuts();
       cluster.net.cutBoth(['store-2'], [...dataAddresses, 'store-0', 'store-1']);
@@ -173,7 +173,7 @@
     await runTurns(cluster, program.program, 0, 2);
     for (const machine of cluster.of('store').slice(0, 2)) {
       machine.kill('power');
-      machine.platter.wipe();
+      machine.drive.wipe();
       machine.start();
     }
     for (const machine of cluster.of('front')) machine.kill();
@@ -210,15 +210,15 @@
       assert.is(turn.reported, 'done', turn.errorCode);
       after = turn.turn;
     }
-    cluster.net.largest.clear();
+    cluster.net.largestMessages.clear();
     const store = cluster.of('store')[0];
     store.kill('power');
-    store.platter.wipe();
+    store.drive.wipe();
     for (const machine of cluster.of('front')) machine.kill();
     cluster.start(cluster.of('front'));
     await cluster.clock.until(
       'fronts',
-      () => cluster.readyFronts().length === 2 && cluster.slotsOpen(),
+      () => cluster.readyFronts().length === 2 && cluster.slotsComplete(),
       20000,
     );
     const otherTurn = await cluster.clock.finish(
@@ -239,10 +239,10 @@
     );
     for (const kind of ['store/fence', 'store/pull', 'store/put', 'store/hand'])
       assert.ok(
-        (cluster.net.largest.get(kind) ?? 0) < 1 << 19,
-        `${kind} ${cluster.net.largest.get(kind) ?? 0}`,
+        (cluster.net.largestMessages.get(kind) ?? 0) < 1 << 19,
+        `${kind} ${cluster.net.largestMessages.get(kind) ?? 0}`,
       );
-    assert.ok((cluster.net.largest.get('store/pull') ?? 0) > 1 << 16);
+    assert.ok((cluster.net.largestMessages.get('store/pull') ?? 0) > 1 << 16);
     await loseDiskAndReadAll(cluster, cluster.of('store')[1], program.program);
   },
 );
@@ -253,7 +253,7 @@
     for (const seed of seeds) {
       const cluster = new World(seed, small);
       cluster.hintsMost = 0;
-      await cluster.bringUp((base) => configText(base), servers);
+      await cluster.startServing((base) => configText(base), servers);
       const program = await cluster.clock.finish('program', cluster.program(900), 10000);
       const [restarted, emptied, lost] = cluster.of('store');
       restarted.kill('power');
@@ -266,7 +266,7 @@
       restarted.start();
       await cluster.clock.run(2000);
       emptied.kill('power');
-      emptied.platter.wipe();
+      emptied.drive.wipe();
       emptied.start();
       const storeId = () => emptied.store?.id ?? 'none';
       await cluster.clock.until(
@@ -291,7 +291,7 @@
       for (const machine of cluster.of('control')) {
         const oldId = machine.control?.id ?? 'none';
         machine.kill('power');
-        machine.platter.wipe();
+        machine.drive.wipe();
         if (seed === 22) await cluster.clock.run(1000);
         machine.start();
         const startedAt = cluster.clock.now();
@@ -334,7 +334,7 @@
       assert.ok(turns.every((turn) => turn.reported === 'done'));
       const store = cluster.at('store-0');
       store.kill('power');
-      store.platter.wipe();
+      store.drive.wipe();
       if (seed === 22) await cluster.clock.run(1000);
       store.start();
       const storeId = () => store.store?.id ?? 'none';
--- a/tests/src/store/replica-store.test.ts
+++ b/tests/src/store/replica-store.test.ts
@@ -1,7 +1,7 @@
 /** A store's replicas: fencing, replacement of items, paging, hints, retention, and a damaged replica log. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Incarnation, SimClock, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimDrive, seededRng } from '@tillerstair/sim';
 import type { Item } from '@tillerstair/state';
 import { openStoreDisk, ReplicaStore } from '@tillerstair/store';
 import { silentLogger } from '@tillerstair/wire';
@@ -18,16 +18,16 @@
   value,
 });
 
-const open = (clock: SimClock, platter: SimPlatter): Promise<ReplicaStore> => {
+const open = (clock: SimClock, drive: SimDrive): Promise<ReplicaStore> => {
   const timings = { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 };
-  const disk = platter.disk(clock, new Incarnation());
+  const disk = drive.disk(clock, new Incarnation());
   return clock.finish('open', ReplicaStore.open(disk, clock, limits, timings), 5000);
 };
 
 const setUp = async () => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
-  const store = await open(clock, platter);
+  const drive = new SimDrive(seededRng(1));
+  const store = await open(clock, drive);
   const outcomeOf = (work: Promise<unknown>): Promise<string> =>
     clock.finish(
       'work',
@@ -38,7 +38,7 @@
       ),
       10000,
     );
-  return { clock, platter, store, outcomeOf };
+  return { clock, drive, store, outcomeOf };
 };
 
 const codeOf = (work: () => unknown): string => {
@@ -67,13 +67,13 @@
 replicas(
   'a write raises the fence to its ownership epoch; an older write never lowers it',
   async () => {
-    const { store, outcomeOf, clock, platter } = await setUp();
+    const { store, outcomeOf, clock, drive } = await setUp();
     assert.is(await outcomeOf(store.write(1, 5, [item('a', 5, 1)])), 'done');
     assert.is(await outcomeOf(store.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
     assert.is(await outcomeOf(store.acceptHandoff(1, [item('c', 2, 1)])), 'done');
     assert.is(await outcomeOf(store.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
-    platter.powerLoss();
-    const reopened = await open(clock, platter);
+    drive.powerLoss();
+    const reopened = await open(clock, drive);
     assert.is(await outcomeOf(reopened.write(1, 4, [item('b', 4, 1)])), 'stale-epoch');
     assert.is(await outcomeOf(reopened.write(1, 5, [item('b', 5, 2)])), 'done');
   },
@@ -135,9 +135,9 @@
 });
 
 replicas('while the disk is full, writes are rejected before they change memory', async () => {
-  const { store, outcomeOf, platter } = await setUp();
+  const { store, outcomeOf, drive } = await setUp();
   await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
-  platter.full = true;
+  drive.full = true;
   assert.is(await outcomeOf(store.write(1, 5, [item('b', 5, 2)])), 'unavailable');
   assert.is(await outcomeOf(store.write(1, 5, [item('c', 5, 3)])), 'unavailable');
   assert.is(await outcomeOf(store.fence(1, 9, '')), 'unavailable');
@@ -148,9 +148,9 @@
 replicas(
   'a fence and a handoff that change nothing wait until all items in memory are synced',
   async () => {
-    const { store, outcomeOf, platter } = await setUp();
+    const { store, outcomeOf, drive } = await setUp();
     await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
-    platter.failSyncs = true;
+    drive.failSyncs = true;
     assert.is(await outcomeOf(store.fence(1, 5, '')), 'unavailable');
     assert.is(await outcomeOf(store.acceptHandoff(1, [item('a', 5, 1)])), 'unavailable');
     assert.is(await outcomeOf(store.waitForSync()), 'unavailable');
@@ -171,13 +171,13 @@
 });
 
 replicas('hints and their numbers survive a restart', async () => {
-  const { store, outcomeOf, clock, platter } = await setUp();
+  const { store, outcomeOf, clock, drive } = await setUp();
   await outcomeOf(store.addHint('x', 1, [item('a', 1, 1)]));
   await outcomeOf(store.addHint('x', 1, [item('a', 1, 2)]));
   const numbers = store.hintsFor('x').map((hint) => hint.n);
   await outcomeOf(store.removeHint(numbers[0] ?? 0));
-  platter.powerLoss();
-  const reopened = await open(clock, platter);
+  drive.powerLoss();
+  const reopened = await open(clock, drive);
   await outcomeOf(reopened.addHint('x', 2, [item('b', 1, 1)]));
   const numbersAfter = reopened.hintsFor('x').map((hint) => hint.n);
   assert.is(numbersAfter.length, 2);
@@ -238,14 +238,14 @@
 replicas(
   'a store with a damaged replica log starts under a new id, and keeps that id',
   async () => {
-    const { store, outcomeOf, clock, platter } = await setUp();
+    const { store, outcomeOf, clock, drive } = await setUp();
     await outcomeOf(store.write(1, 5, [item('a', 5, 1)]));
     await outcomeOf(store.write(1, 5, [item('b', 5, 2)]));
     const openAs = (freshId: string) =>
       clock.finish(
         'open',
         openStoreDisk({
-          disk: platter.disk(clock, new Incarnation()),
+          disk: drive.disk(clock, new Incarnation()),
           clock,
           timings: { clock, syncTimeoutMs: 1500, retryIntervalMs: 250, log: silentLogger },
           limits: limits,
@@ -255,12 +255,12 @@
         5000,
       );
     assert.is((await openAs('first')).electionStore.persisted.id, 'first');
-    platter.corrupt('store.log', 12);
+    drive.corrupt('store.log', 12);
     const opened = await openAs('second');
     assert.is(opened.electionStore.persisted.id, 'second');
     assert.equal(keysOf(opened.replicaStore, 1), []);
-    assert.ok(platter.list().includes('store.log.damaged'));
-    assert.ok(platter.list().includes('zen.log.damaged'));
+    assert.ok(drive.list().includes('store.log.damaged'));
+    assert.ok(drive.list().includes('zen.log.damaged'));
     assert.is((await openAs('third')).electionStore.persisted.id, 'second');
   },
 );
--- a/tests/src/store/replicas.test.ts
+++ b/tests/src/store/replicas.test.ts
@@ -214,7 +214,7 @@
     const cluster = await worldUp(seed, { ...oneLossCluster, stores: 3 });
     await runWorkload(cluster, 'f');
     const filler = cluster.add('store');
-    filler.platter.delay = 400;
+    filler.drive.delay = 400;
     filler.start();
     await cluster.clock.until(
       'listed',
@@ -258,7 +258,7 @@
     ] as const) {
       const cluster = await worldUp(81, { ...oneLossCluster, stores: 3, slots: 64 });
       await runWorkload(cluster, 'a');
-      for (const machine of cluster.of('store')) machine.platter.delay = diskDelayMs;
+      for (const machine of cluster.of('store')) machine.drive.delay = diskDelayMs;
       const oldStore = cluster.at('store-0');
       const lostId = storeIdOf(oldStore);
       loseDisk(oldStore);
@@ -268,7 +268,7 @@
       );
       await cluster.clock.run(lossAgeMs);
       const newStore = cluster.add('store');
-      newStore.platter.delay = diskDelayMs;
+      newStore.drive.delay = diskDelayMs;
       newStore.start();
       const startedAt = cluster.clock.now();
       await cluster.clock.until(
--- a/tests/src/store/store-requests.test.ts
+++ b/tests/src/store/store-requests.test.ts
@@ -1,7 +1,7 @@
 /** Requests of other nodes to a store, and the refill, handoff and maintenance that it runs by itself. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Incarnation, SimClock, SimNet, SimPlatter, seededRng } from '@tillerstair/sim';
+import { Incarnation, SimClock, SimNet, SimDrive, seededRng } from '@tillerstair/sim';
 import { bootstrapState, type Item, type Member, type Slot, type State } from '@tillerstair/state';
 import { openStoreDisk, StoreNode } from '@tillerstair/store';
 import { RpcError, silentLogger } from '@tillerstair/wire';
@@ -46,7 +46,7 @@
  */
 interface StoreFixture {
   readonly clock: SimClock;
-  readonly platter: SimPlatter;
+  readonly drive: SimDrive;
   readonly node: StoreNode;
   readonly received: string[];
   rejects: (call: string) => boolean;
@@ -95,14 +95,14 @@
 /** Opens the disk of a store that voted for the control and accepted its cluster state. */
 const openDisk = async (
   clock: SimClock,
-  platter: SimPlatter,
+  drive: SimDrive,
   incarnation: Incarnation,
   state: State,
 ) => {
   const disk = await clock.finish(
     'disk',
     openStoreDisk({
-      disk: platter.disk(clock, incarnation),
+      disk: drive.disk(clock, incarnation),
       clock,
       timings: { clock, syncTimeoutMs: 1500, retryIntervalMs: 250 },
       limits: { rewriteMinBytes: 1 << 30, retentionMs: 1e9, maxHints: 10 },
@@ -125,11 +125,11 @@
   rejects: (call: string) => boolean = rejectsNothing,
 ): Promise<StoreFixture> => {
   const clock = new SimClock();
-  const platter = new SimPlatter(seededRng(1));
+  const drive = new SimDrive(seededRng(1));
   const net = new SimNet(clock, seededRng(2));
   const incarnation = new Incarnation();
   const state = stateWith(slots, stores);
-  const disk = await openDisk(clock, platter, incarnation, state);
+  const disk = await openDisk(clock, drive, incarnation, state);
   const node = new StoreNode({
     localMember: member('store-0', 'store'),
     seeds: [control.addr],
@@ -148,7 +148,7 @@
       ),
       10000,
     );
-  const fixture: StoreFixture = { clock, platter, node, received: [], rejects, ask };
+  const fixture: StoreFixture = { clock, drive, node, received: [], rejects, ask };
   for (const id of [control.id, ...stores.filter((store) => store !== 'store-0')]) {
     const answer = async (kind: string): Promise<unknown> => {
       const call = `${id} ${kind}`;
@@ -181,9 +181,9 @@
     const fixture = await startStore([replica, slotWith({})], ['store-0', 'store-1', 'store-2']);
     assert.is(await fixture.ask('store/find', { turn: 'a', slots: [0] }), '{"items":[]}');
     assert.is(await fixture.ask('store/find', { turn: 'a', slots: [0, 1] }), 'moved');
-    fixture.platter.failSyncs = true;
+    fixture.drive.failSyncs = true;
     assert.is(await fixture.ask('store/find', { turn: 'a', slots: [0] }), 'unavailable');
-    fixture.platter.failSyncs = false;
+    fixture.drive.failSyncs = false;
     await stop(fixture);
   },
 );
--- a/tests/src/support/replica-cluster.ts
+++ b/tests/src/support/replica-cluster.ts
@@ -2,8 +2,8 @@
  * Clusters that tolerate the loss of one or two stores, a workload of turns and calls, and the check that it survived.
  */
 import * as assert from 'uvu/assert';
-import type { World, Machine, WorldSizes } from '@tillerstair/sim';
-import { acts, assertNoBreach, recordsOf } from './world-helpers.js';
+import type { World, Machine, WorldOptions } from '@tillerstair/sim';
+import { executionCount, assertNoBreach, recordsOf } from './world-helpers.js';
 
 /** Timings of the simulated clusters, in ms. */
 const clusterBounds = {
@@ -14,20 +14,20 @@
 };
 
 /** A cluster that tolerates two losses: five replicas of each slot on seven stores. */
-export const twoLossCluster: WorldSizes = {
+export const twoLossCluster: WorldOptions = {
   controls: 5,
   stores: 7,
   fronts: 2,
   losses: 2,
-  outer: clusterBounds,
+  configuredBounds: clusterBounds,
 };
 
 /** A cluster that tolerates one loss: three replicas of each slot on four stores. */
-export const oneLossCluster: WorldSizes = {
+export const oneLossCluster: WorldOptions = {
   controls: 3,
   stores: 4,
   fronts: 2,
-  outer: clusterBounds,
+  configuredBounds: clusterBounds,
 };
 
 /** The id of the store that runs on a machine; 'none' if none runs. */
@@ -36,7 +36,7 @@
 /** Cuts a machine's power and erases its disk. */
 export const loseDisk = (machine: Machine | undefined): void => {
   machine?.kill('power');
-  machine?.platter.wipe();
+  machine?.drive.wipe();
 };
 
 /** Whether each slot has all its replicas on members of the cluster, none of them on a store of `lostIds`. */
@@ -96,7 +96,7 @@
       cluster.call(`${tag}-${i}`, '/hold', { n: i }),
       60000,
     );
-    assert.is(acts(cluster, `${tag}-${i}`), 1);
+    assert.is(executionCount(cluster, `${tag}-${i}`), 1);
   }
   assertNoBreach(recordsOf(cluster));
 };
@@ -107,7 +107,7 @@
   cluster.start(cluster.of('front'));
   await cluster.clock.until(
     'all fronts ready and all slots served',
-    () => cluster.readyFronts().length === cluster.of('front').length && cluster.slotsServed(),
+    () => cluster.readyFronts().length === cluster.of('front').length && cluster.slotsOwned(),
     20000,
   );
 };
--- a/tests/src/zen/discovery-under-failure.test.ts
+++ b/tests/src/zen/discovery-under-failure.test.ts
@@ -1,7 +1,7 @@
 /** Elections, bootstrapping and replacement of controls in a simulated cluster under failures, over several seeds. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { configText, five, small, worldUp } from '../support/world-helpers.js';
+import { configText, fiveControls, small, worldUp } from '../support/world-helpers.js';
 
 const zen = suite('zen under failure');
 const seeds = [1, 2, 3, 4, 5];
@@ -19,7 +19,7 @@
 
 zen('a killed master is replaced, and the configuration is kept', async () => {
   for (const seed of seeds) {
-    const cluster = await worldUp(seed, five);
+    const cluster = await worldUp(seed, fiveControls);
     const oldMaster = cluster.master;
     const oldTerm = oldMaster?.control?.zen.term ?? 0;
     oldMaster?.kill('power');
@@ -37,7 +37,7 @@
 
 zen('a frozen master commits nothing after it resumes', async () => {
   for (const seed of seeds) {
-    const cluster = await worldUp(seed, five);
+    const cluster = await worldUp(seed, fiveControls);
     const oldMaster = cluster.master;
     const oldNode = oldMaster?.control;
     oldMaster?.freeze();
@@ -70,7 +70,7 @@
 
 zen('five controls partitioned two to three have one master that can commit', async () => {
   for (const seed of seeds) {
-    const cluster = await worldUp(seed, five);
+    const cluster = await worldUp(seed, fiveControls);
     const master = cluster.master;
     const others = cluster.of('control').filter((machine) => machine !== master);
     const minority = [master, others[0]].flatMap((machine) => (machine ? [machine.addr] : []));
@@ -109,7 +109,7 @@
   'after a power loss of all machines the cluster serves within the bound, with its configuration',
   async () => {
     for (const seed of seeds) {
-      const cluster = await worldUp(seed, five);
+      const cluster = await worldUp(seed, fiveControls);
       const put = await cluster.operate('PUT', '/v1/config', configText(1, 'models', 'shop', 3));
       assert.is(put.status, 200);
       for (const machine of cluster.machines) machine.kill('power');
@@ -117,7 +117,7 @@
       cluster.start();
       const elapsedMs = await cluster.clock.until(
         'serving',
-        () => cluster.readyFronts().length === 3 && cluster.slotsOpen(),
+        () => cluster.readyFronts().length === 3 && cluster.slotsComplete(),
         12000,
       );
       assert.ok(elapsedMs < 12000, `took ${elapsedMs} ms`);
@@ -196,7 +196,7 @@
   'blank controls at new addresses do not bootstrap a cluster while one old control answers',
   async () => {
     for (const seed of seeds) {
-      const cluster = await worldUp(seed, five);
+      const cluster = await worldUp(seed, fiveControls);
       const survivor = cluster.of('control')[4];
       const clusterId = survivor.control?.zen.clusterId;
       for (const machine of cluster.of('control')) if (machine !== survivor) machine.kill();
@@ -216,7 +216,7 @@
   'failed controls, seeds included, are replaced one by one by new ones that hold the newest state',
   async () => {
     for (const seed of seeds.slice(0, 3)) {
-      const cluster = await worldUp(seed, five);
+      const cluster = await worldUp(seed, fiveControls);
       const clusterId = cluster.master?.control?.zen.clusterId;
       for (let i = 0; i < 3; i++) {
         cluster.at(`control-${i}`).kill();
@@ -237,7 +237,7 @@
       );
       await cluster.clock.until(
         'serving',
-        () => cluster.readyFronts().length === 3 && cluster.slotsOpen(),
+        () => cluster.readyFronts().length === 3 && cluster.slotsComplete(),
         12000,
       );
       assert.is(cluster.master?.control?.zen.clusterId, clusterId);
@@ -257,7 +257,7 @@
       const [wiped, stopped] = others;
       const oldId = wiped.control?.id ?? '';
       wiped.kill('power');
-      wiped.platter.wipe();
+      wiped.drive.wipe();
       wiped.start();
       await cluster.clock.until(
         'the wiped control to be listed under a new id',
--- a/tests/src/zen/election.test.ts
+++ b/tests/src/zen/election.test.ts
@@ -12,7 +12,7 @@
   type Member,
   type State,
 } from '@tillerstair/state';
-import { Incarnation, seededRng, SimClock, SimPlatter } from '@tillerstair/sim';
+import { Incarnation, seededRng, SimClock, SimDrive } from '@tillerstair/sim';
 import {
   closureOf,
   DiskElectionStore,
@@ -95,16 +95,16 @@
   'acknowledged votes, bootstrap votes and states survive an immediate power loss',
   async () => {
     const clock = new SimClock();
-    const platter = new SimPlatter(seededRng(5));
+    const drive = new SimDrive(seededRng(5));
     const open = () =>
       clock.finish(
         'open',
-        DiskElectionStore.open(platter.disk(clock, new Incarnation()), () => 'me', 1 << 20),
+        DiskElectionStore.open(drive.disk(clock, new Incarnation()), () => 'me', 1 << 20),
         1000,
       );
     const finishThenLosePower = async <T>(work: Promise<T>): Promise<void> => {
       await clock.finish('work', work, 1000);
-      platter.powerLoss();
+      drive.powerLoss();
     };
     await finishThenLosePower((await open()).recordBootstrapVote([a, b]));
     await finishThenLosePower((await open()).recordVote(4, 'b'));
--- a/tests/src/zen/voting-members.test.ts
+++ b/tests/src/zen/voting-members.test.ts
@@ -1,7 +1,7 @@
 /** Changes of the voting controls: a voter that shuts down, fails, or is replaced. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { World, type Machine, type WorldSizes } from '@tillerstair/sim';
+import { World, type Machine, type WorldOptions } from '@tillerstair/sim';
 import { configText, restart, servers, worldUp } from '../support/world-helpers.js';
 
 const members = suite('voting controls');
@@ -15,7 +15,12 @@
   failureTimeout: 1800,
 };
 const halfCatchUpMs = 2400;
-const sizes: WorldSizes = { controls: 3, stores: 3, fronts: 2, outer: smallSiteBounds };
+const sizes: WorldOptions = {
+  controls: 3,
+  stores: 3,
+  fronts: 2,
+  configuredBounds: smallSiteBounds,
+};
 
 const idOf = (machine: Machine | undefined): string => machine?.control?.id ?? 'none';
 const currentVoters = (cluster: World): readonly string[] =>
@@ -67,7 +72,7 @@
           (machine) => (machine === cluster.master) === isMaster,
         );
         const oldId = idOf(oldVoter);
-        await cluster.clock.finish('stop', oldVoter?.stopInOrder() ?? Promise.resolve(), 3000);
+        await cluster.clock.finish('stop', oldVoter?.stopGracefully() ?? Promise.resolve(), 3000);
         await cluster.clock.until(
           'the new voter',
           () => currentVoters(cluster).includes(idOf(spare)) && isSettled(cluster),
@@ -84,7 +89,7 @@
     const cluster = await worldUp(seed, sizes);
     for (const machine of [...cluster.of('control')]) {
       const before = currentVoters(cluster);
-      await cluster.clock.finish('stop', machine.stopInOrder(), 3000);
+      await cluster.clock.finish('stop', machine.stopGracefully(), 3000);
       await cluster.clock.run(2000);
       machine.start();
       await cluster.clock.until('back', () => isListed(cluster, machine), 6000);
@@ -101,7 +106,7 @@
     for (const seed of seeds) {
       const { cluster } = await withSpare(seed);
       for (const machine of [...cluster.of('control')]) {
-        await cluster.clock.finish('stop', machine.stopInOrder(), 3000);
+        await cluster.clock.finish('stop', machine.stopGracefully(), 3000);
         await cluster.clock.run(1500);
         machine.start();
         await cluster.clock.until(
@@ -125,12 +130,12 @@
       const oldVoter = controlsWithout(cluster, spare).find(
         (machine) => (machine === cluster.master) === isMaster,
       );
-      await cluster.clock.finish('stop', oldVoter?.stopInOrder() ?? Promise.resolve(), 3000);
-      oldVoter?.platter.wipe();
+      await cluster.clock.finish('stop', oldVoter?.stopGracefully() ?? Promise.resolve(), 3000);
+      oldVoter?.drive.wipe();
       await cluster.clock.run(1000);
       const otherVoter = controlsWithout(cluster, spare).find((machine) => machine !== oldVoter);
       otherVoter?.kill('power');
-      otherVoter?.platter.wipe();
+      otherVoter?.drive.wipe();
       await assertServes(cluster);
     }
 });
@@ -148,14 +153,14 @@
         const cluster = await worldUp(seed, sizes);
         const oldVoter = cluster.of('control').find((machine) => machine !== cluster.master);
         oldVoter?.kill('power');
-        oldVoter?.platter.wipe();
+        oldVoter?.drive.wipe();
         cluster.net.cutBoth(
           [oldVoter?.addr ?? ''],
           cluster.machines.map((machine) => machine.addr),
         );
         await cluster.clock.run(startAfterMs);
         const replacement = cluster.add('control');
-        replacement.platter.delay = diskDelayMs;
+        replacement.drive.delay = diskDelayMs;
         replacement.start();
         const startedAt = cluster.clock.now();
         await cluster.clock.until(
@@ -181,7 +186,7 @@
     const cluster = await worldUp(seed, sizes);
     const spare = cluster.add('control');
     cluster.net.onMessage = (message) => {
-      if (message.kind === 'zen/publish' && message.to === spare.addr) spare.platter.delay = 1e9;
+      if (message.kind === 'zen/publish' && message.to === spare.addr) spare.drive.delay = 1e9;
     };
     spare.start();
     await cluster.clock.until('the spare', () => isListed(cluster, spare), 5000);
@@ -205,7 +210,7 @@
     const cluster = await worldUp(64, sizes);
     const spare = cluster.add('control');
     cluster.net.onMessage = (message) => {
-      if (message.kind === 'zen/publish' && message.to === spare.addr) spare.platter.delay = 1e9;
+      if (message.kind === 'zen/publish' && message.to === spare.addr) spare.drive.delay = 1e9;
     };
     spare.start();
     await cluster.clock.until('the spare', () => isListed(cluster, spare), 5000);
@@ -220,7 +225,7 @@
       const { cluster, spare } = await withSpare(seed);
       const master = cluster.master;
       const oldVoter = controlsWithout(cluster, spare).find((machine) => machine !== master);
-      void oldVoter?.stopInOrder();
+      void oldVoter?.stopGracefully();
       await cluster.clock.run(killAfterMs);
       master?.kill('power');
       await cluster.clock.run(1000);
